--- a/serve/peers-config.c
+++ b/serve/peers-config.c
@@ -1,14 +1,16 @@
 #include "serve/peers-int.h"
 
 /*
- * What nodes announce of the configuration, with each load: the version in
- * force, and how current it is known to be.  The one that others rely on also
- * pushes the document to each that has an older one.  Few watch the store by
- * themselves and have it by then, unless the store turns them away or shows
- * them an older one.
+ * Configuration state in the frames between nodes.  With each load a node
+ * announces the version in force and when that version was last confirmed to
+ * be the newest.  The node whose announcements others rely on also pushes the
+ * document to each peer with an older version.  In a small fleet each node
+ * watches the store and usually has the document by then, unless the store
+ * rejects its requests or returns an older revision.
  */
 
-/** Few nodes are given so long to read a version by themselves. */
+/** Time that each node of a small fleet is given to read a new version from
+    the store before the document is pushed to it. */
 #define SMALL_FLEET_DELAY_MS ((clk_ms)500)
 
 void
@@ -61,8 +63,8 @@
   c->age_ms = c->known ? x->timestamp_received_at - known_at : 0;
 }
 
-/** It says so itself, so a node that has just been linked is not sent what it
-    has read. */
+/** The peer's version counts only once a load has arrived on this link, so
+    a newly linked peer is not sent a document that it has already read. */
 static bool
 is_config_behind (const struct peer *x, int64_t version)
 {
@@ -101,8 +103,10 @@
   Lapis__Frame f = LAPIS__FRAME__INIT;
   struct str text;
 
-  /* What is too long for all is for each to read: else those that are slow to
-     do so would be sent it as well. */
+  /* The length is checked against all linked peers, not only those that are
+     behind.  If a document is too long to be sent to all of them, each
+     reads it from the store; otherwise peers that read it slowly would be
+     sent it as well. */
   if (!any_due || !srv_peers_announces (p->s)
       || !srv_config_text (p->s, prs_count_up (p), &text))
     return;
--- a/serve/peers-int.h
+++ b/serve/peers-int.h
@@ -1,13 +1,13 @@
 /**
  * @file
- * What the files of the links between nodes share.
+ * Internal interface of the links between nodes.
  *
- *   peers.c       who is linked, the list of backend servers, who is ready
- *   peers-nodes.c what is told of other nodes
- *   peers-config.c  what is announced of the configuration
- *   peers-load.c  what is told of loads: the own one, and the sum of all
- *   peers-poison.c  what is told of requests that crash servers
- *   peers-limit.c what is told of rates that servers ask for, and permits
+ *   peers.c         links, server list, addresses of ready nodes
+ *   peers-nodes.c   NodeList frames: node count, ready nodes, relays
+ *   peers-config.c  configuration versions and configuration documents
+ *   peers-load.c    load of this node, sum of the loads of all nodes
+ *   peers-poison.c  poison requests
+ *   peers-limit.c   rate limits of backend servers, permits
  */
 #ifndef LAPISLINE_SERVE_PEERS_INT_H
 #define LAPISLINE_SERVE_PEERS_INT_H
@@ -16,15 +16,18 @@
 #include "serve/node-int.h"
 #include "serve/share.h"
 
-/** How often a node tells its load, and how often the sum is told. */
+/** Interval at which a node sends its load, and shortest interval at which
+    the aggregator sends the sum of all loads. */
 #define PRS_SEND_INTERVAL_MS ((clk_ms)100)
-/** A peer that was not heard for so long gets no new callers. */
+/** A peer that has sent no frame for this long is not offered to callers,
+    does not count as leader, and its load is left out of the sum. */
 #define PRS_STALE_MS ((clk_ms)1600)
 
-/** Addresses of ready nodes that a hub tells each node. */
+/** Most front addresses of ready nodes in one NodeList frame. */
 #define PRS_FRONTS_MAX 64
 
-/** Another node.  Those that are not linked are kept as the store has them. */
+/** Another node.  A node without a link stays in the list, with the data of
+    its last entry in the store. */
 struct peer
 {
   struct srv_peers *p;
@@ -33,138 +36,160 @@
   uint64_t hash;
   struct net_addr front, addr;
   struct hub_node spec;
-  bool listed; /* the store has its entry */
+  bool listed; /* in the last entries or a NodeList; kept while the link is
+                  up */
   bool in_entries;
   bool ready;
-  bool leads;               /* it forms replicas */
-  struct dsp_count *counts; /* what it told last */
+  bool leads;               /* it is the leader node, which forms replicas */
+  struct dsp_count *counts; /* its load as last received */
   size_t ncounts;
-  clk_ms load_sent_at; /* by this node */
-  struct link *link;   /* NULL: none */
+  clk_ms load_sent_at; /* when this node last sent its load to it */
+  struct link *link;   /* NULL: no link */
   bool up;
-  bool list_received;    /* its ServerList has come on this link */
-  uint64_t list_version; /* version of the list of backend servers that it has
-                    from this node; 0: none */
+  bool list_received;    /* a ServerList frame has arrived on this link */
+  uint64_t list_version; /* version of the server list that this node last
+                            sent to it; 0: none */
   clk_ms list_sent_at;
-  clk_ms list_current_at; /* when the list was read of which it last had all */
+  clk_ms list_current_at; /* read time of the last list of which it received
+                             all changes */
   clk_ms received_at;
   clk_ms next_connect;
-  bool initiated;      /**< this node has begun the link */
-  bool connect_failed; /**< the last try to link did not come up */
-  bool wanted;         /**< by this node; the other may want it all the same */
-  clk_ms wanted_changed_at; /**< when that changed */
+  bool initiated;           /**< this node opened the link */
+  bool connect_failed;      /**< the last connection attempt failed */
+  bool wanted;              /**< this node wants the link; the peer may want it
+                                 even if this node does not */
+  clk_ms wanted_changed_at; /**< when `wanted` last changed */
   clk_ms node_list_sent_at;
-  /* Of the configuration. */
-  bool has_timestamp; /* its NodeLoad has come on this link */
-  clk_ms timestamp;   /* the time that it bore, by the peer's clock */
-  clk_ms timestamp_received_at; /* when it came */
-  clk_ms load_sent_earliest;  /* of its last load, by this node's clock, at the
-                      earliest; 0: not known */
-  int64_t config_version;     /* in force there, as it says */
-  clk_ms config_behind_since; /* it has an older one than this node; 0: it has
-                                 not */
-  int64_t
-      config_version_sent; /* newest document that went to it on this link */
+  /* Configuration of the peer. */
+  bool has_timestamp; /* a NodeLoad frame has arrived on this link */
+  clk_ms timestamp;   /* sent_ms of that frame, by the peer's clock */
+  clk_ms timestamp_received_at; /* when that frame arrived, by this node's
+                                   clock */
+  clk_ms load_sent_earliest;    /* earliest time at which its last load can
+                                   have been sent, by this node's clock; 0:
+                                   unknown */
+  int64_t config_version;       /* version in force at the peer, as last
+                                   announced */
+  clk_ms config_behind_since;   /* since when its version is older than this
+                                   node's; 0: it is not older */
+  int64_t config_version_sent;  /* newest version sent to it on this link */
 };
 
 struct srv_peers
 {
   struct srv *s;
-  struct hub_node spec;    /* of this node */
-  size_t nlisted;          /* peers that the store has */
-  struct peer *aggregator; /* adds up what all have; NULL: this node does */
+  struct hub_node spec;    /* link and processor limits of this node */
+  size_t nlisted;          /* listed peers */
+  struct peer *aggregator; /* node that adds up the loads of all nodes;
+                              NULL: this node */
   struct link_secret secret;
   struct link_server *server;
   struct peer *list;
   clk_ms next_send;
-  struct dsp_count *own_load; /* what was told of this node last */
+  struct dsp_count *own_load; /* this node's load as last sent */
   size_t nown_load;
-  clk_ms sum_received_at;        /* when the sum of all nodes came last */
-  struct svl_budget list_budget; /* for telling the list */
+  clk_ms sum_received_at;        /* when the last sum of all loads arrived */
+  struct svl_budget list_budget; /* limits the rate at which the server list
+                                    is sent */
   clk_ms next_sum;
-  struct net_addr fronts[PRS_FRONTS_MAX]; /* ready, as a hub tells */
+  struct net_addr fronts[PRS_FRONTS_MAX]; /* ready nodes, from the last
+                                             NodeList */
   size_t nfronts;
-  unsigned announced_nodes; /* how many there are, as it tells */
+  unsigned announced_nodes; /* number of nodes in the last NodeList */
   clk_ms node_list_received_at;
-  size_t next_front; /* first of the ready peers that is named next */
+  size_t next_front; /* index of the ready peer that begins the next answer
+                        to a caller */
 };
 
 /* peers.c */
 size_t prs_count_up (const struct srv_peers *p);
-/** The peer of that name, also one that was not known. */
+/** Find the peer with this name; add it if there is none. */
 struct peer *prs_find_or_add_peer (struct srv_peers *p, struct str node);
-/** Tell the request core between how many budgets are shared. */
+/** Pass the number of nodes that share budgets to the request core. */
 void prs_update_node_count (struct srv_peers *p);
 
 /* peers-nodes.c */
-/** In each round some of the peers, so that none takes long. */
+/** Send NodeList frames to a part of the peers in each round, so that no
+    round takes long. */
 void prs_send_node_lists (struct srv_peers *p, clk_ms now);
 void prs_on_node_list (struct peer *x, const Lapis__NodeList *list);
-/** The listed peer that comes next after @p after in the order of hubs. */
+/** The listed peer that follows @p after in relay order; the first one if
+    @p after is NULL. */
 struct peer *prs_next_relay (const struct srv_peers *p,
                              const struct hub_node *after);
 
 /* peers-config.c */
-/** The peer's load has come, with the time at which it was sent. */
+/** Record the send time of a load that has just arrived from the peer. */
 void prs_on_load_timestamp (struct peer *x, clk_ms now,
                             const Lapis__NodeLoad *load);
-/** What the peer says of its configuration; NULL: nothing. */
+/**
+ * Process the configuration state in a frame from the peer.
+ * @param c  NULL: none in the frame
+ */
 void prs_on_config_state (struct peer *x, clk_ms now,
                           const Lapis__ConfigState *c);
-/** What to say to the peer. */
+/** Fill in this node's configuration state for a frame to the peer. */
 void prs_fill_config_state (const struct peer *x, clk_ms now,
                             Lapis__ConfigState *c);
 /**
- * When the peer sent what comes from it now, at the earliest, by this node's
- * clock: frames may have waited in queues, or while this process stood still.
+ * The earliest time, by this node's clock, at which the peer can have sent the
+ * frame that is being processed.  The frame may have waited in queues, or
+ * while this process was stopped.
  */
 clk_ms prs_sent_at (const struct peer *x, clk_ms now);
-/** Push the configuration to peers that have an older one, if others rely on
-    this node. */
+/** Send the configuration to peers that have an older version, if other
+    nodes rely on the announcements of this one. */
 void prs_push_config (struct srv_peers *p, clk_ms now);
 
 /* peers-poison.c */
-/** Tell a peer that has just been linked what is known. */
+/** Send all recorded poison requests to a peer that has just been linked. */
 void prs_send_poison_snapshot (struct peer *x, clk_ms now);
 void prs_on_poison_updates (struct peer *x, const Lapis__PoisonUpdates *news);
 
 /* peers-limit.c */
-/** Rows of a frame. */
+/** Rows of permits in a frame. */
 struct prs_permit_rows
 {
   Lapis__Permits *rows;
   Lapis__Permits **list;
 };
 
-/** Tell a peer that has just been linked which servers are limited. */
+/** Send all rate limits to a peer that has just been linked. */
 void prs_send_limits (struct peer *x, clk_ms now);
 void prs_on_limits (struct peer *x, const Lapis__RateLimits *limits);
-/** Say in a load that goes to the peer which permits are wanted of it. */
+/** Add the permits that this node wants to a load for the peer; none if the
+    peer is not the grantor. */
 void prs_fill_permits_wanted (const struct peer *x, clk_ms now,
                               struct prs_permit_rows *w,
                               Lapis__NodeLoad *load);
 void prs_permit_rows_free (struct prs_permit_rows *w);
-/** The peer says so. */
+/** Process the permits that the peer asks for in its load. */
 void prs_on_permits_wanted (struct peer *x, const Lapis__NodeLoad *load);
 void prs_on_permit_ask (struct peer *x, const Lapis__PermitAsk *ask);
 void prs_on_permit_grants (struct peer *x, const Lapis__PermitGrants *grants);
-/** Grant what is due, if this node does. @param all  each
-   PRS_SEND_INTERVAL_MS; else only where more is wanted since */
+/**
+ * Grant permits, if this node is the grantor.
+ * @param all  true (once each PRS_SEND_INTERVAL_MS): grant for all servers;
+ *   false: only for servers of which more permits are wanted since the last
+ *   call
+ */
 void prs_grant_permits (struct srv_peers *p, clk_ms now, bool all);
 
 /* peers-load.c */
-/** More nodes than tell each other directly. */
+/** Whether there are too many nodes for a full mesh. */
 bool prs_exceeds_mesh (const struct srv_peers *p);
-/** Whether the sum of all nodes is fresh enough to go by. */
+/** Whether the last sum of all loads is recent enough to be used. */
 bool prs_is_sum_fresh (const struct srv_peers *p, clk_ms now);
-/** Hand on what the peer told, unless the sum is better. */
+/** Pass the peer's load to the request core; pass no load while the sum of
+    all loads is used instead. */
 void prs_update_dispatch (struct peer *x, clk_ms now);
-/** The peer has told its own load. */
+/** Process a load of the peer. */
 void prs_on_load (struct peer *x, const Lapis__NodeLoad *load);
-/** It has told the sum of all. */
+/** Process a sum of all loads from the peer. */
 void prs_on_sum (struct peer *x, const Lapis__FleetLoad *load);
 void prs_on_prompt_notice (struct peer *x, const Lapis__PromptNotice *notice);
-/** Tell what is due; each PRS_SEND_INTERVAL_MS. */
+/** Send the loads, the configuration and the node lists that are due.
+    Called every PRS_SEND_INTERVAL_MS. */
 void prs_send_due (struct srv_peers *p, clk_ms now);
 
 #endif
--- a/serve/peers-limit.c
+++ b/serve/peers-limit.c
@@ -3,18 +3,20 @@
 #include <stdlib.h>
 
 /*
- * Rates that backend servers ask for, between nodes.  What is new goes to each
- * node that is linked, and each passes on what is new to it, so that it also
- * gets around links that are cut.  Permits are granted by the node that adds
- * up the loads; what a node wants goes to it with its own load.
+ * Rate limits that backend servers ask for, and permits to send to these
+ * servers.  A new limit is sent to each linked node, and each node forwards
+ * limits that are new to it, so a limit also reaches nodes whose links to the
+ * sender are cut.  Permits are granted by the aggregator (the grantor); the
+ * permits that a node wants are sent to it with the node's load.
  */
 
-/** Rows in one frame. */
+/** Most rows in one frame. */
 #define ROWS_MAX 256
-/** A node that was not heard for so long grants nothing any more. */
+/** A peer that has sent no frame for this long is no longer used as
+    grantor. */
 #define GRANTOR_TIMEOUT_MS ((clk_ms)1000)
 
-/* --- limits -------------------------------------------------------------- */
+/* --- limits ------------------------------------------------------------ */
 
 static void
 send_limits (struct peer *x, const struct lim_update *list, size_t n)
@@ -92,9 +94,9 @@
   srv_act (s);
 }
 
-/* --- permits ------------------------------------------------------------- */
+/* --- permits ----------------------------------------------------------- */
 
-/** Whether this node takes its permits from the peer. */
+/** Whether the peer grants permits to this node. */
 static bool
 is_grantor (const struct peer *x, clk_ms now)
 {
@@ -102,7 +104,7 @@
          && now - x->received_at < GRANTOR_TIMEOUT_MS;
 }
 
-/** Rows of what is wanted, as on the link. */
+/** Rows of the permits that this node wants, in wire format. */
 static size_t
 make_permit_rows (const struct srv *s, clk_ms now, bool repeat,
                   struct prs_permit_rows *w)
@@ -226,7 +228,8 @@
   return x;
 }
 
-/** One frame for each grant: there are few, and a request waits for it. */
+/** Send each grant in its own frame: there are few grants, and a request
+    waits for each. */
 static void
 send_permits (struct srv_peers *p, const struct lim_permits *list, size_t n)
 {
--- a/serve/peers-load.c
+++ b/serve/peers-load.c
@@ -4,18 +4,23 @@
 #include <string.h>
 
 /*
- * Few nodes tell each other what they have under way.  With many, that would
- * be frames by the square of their number; so each tells one of them, which
- * adds up and tells all: the one that forms replicas, or while none does the
- * first hub.  When that one is gone, nodes go by what they hear from others
- * now and then, until there is the next.
+ * Loads of endpoints in the frames between nodes.  In a small fleet each node
+ * sends its load to all others.  In a large fleet the number of these frames
+ * would grow with the square of the number of nodes, so each node sends its
+ * load to one aggregator, which adds the loads up and sends the sum to all.
+ * The aggregator is the leader node or, without a leader, the first relay.
+ * When the aggregator is lost, nodes use the loads that other peers send at
+ * the slower rate until there is a new aggregator.
  */
 
-/** With many nodes, those that don't need it are told as often as this. */
+/** Interval at which, in a large fleet, a node sends its load to peers
+    other than the aggregator. */
 #define SLOW_SEND_INTERVAL_MS ((clk_ms)1000)
-/** A sum that is older says too little of now. */
+/** An older sum of all loads no longer describes the current load and is
+    not used. */
 #define SUM_MAX_AGE_MS ((clk_ms)450)
-/** Number under which the request core knows the sum of all other nodes. */
+/** Peer number under which the request core stores the sum of all other
+    nodes. */
 #define SUM_OF_OTHERS 0
 
 bool
@@ -24,7 +29,6 @@
   return now - p->sum_received_at < SUM_MAX_AGE_MS;
 }
 
-/** Hand on what the peer told, unless the sum is better. */
 void
 prs_update_dispatch (struct peer *x, clk_ms now)
 {
@@ -41,7 +45,7 @@
     prs_update_dispatch (x, now);
 }
 
-/** The sum has grown too old: go by what each peer told. */
+/** If the sum has become too old, return to the loads of the single peers. */
 static void
 expire_sum (struct srv_peers *p, clk_ms now)
 {
@@ -94,7 +98,8 @@
   srv_act (s);
 }
 
-/** What this node told is in the sum; the rest is of the others. */
+/** Subtract this node's load, as last sent, from the sum; the remainder is
+    the load of the other nodes. */
 static void
 subtract_own_load (const struct srv_peers *p, struct dsp_count *sum, size_t n)
 {
@@ -147,9 +152,9 @@
   free (list);
 }
 
-/* --- telling the own load ---------------------------------------------- */
+/* --- load of this node ------------------------------------------------- */
 
-/** Rows of a frame, from counts. */
+/** Rows of a frame, made from counts. */
 struct rows
 {
   Lapis__PlaceLoad *places;
@@ -193,7 +198,7 @@
   return (p->nlisted > up ? p->nlisted : up) + 1 > HUB_MESH_MOST;
 }
 
-/** Whether the peer is to hear now what this node has under way. */
+/** Whether this node's load is due to be sent to the peer. */
 static bool
 is_load_due (const struct peer *x, bool every_round, clk_ms now)
 {
@@ -202,7 +207,8 @@
                                                   : SLOW_SEND_INTERVAL_MS);
 }
 
-/** Age of what the peer has of the list of backend servers. */
+/** Age of the peer's copy of the server list; 0 if this node is not the
+    leader. */
 static clk_ms
 announced_list_age (struct peer *x, clk_ms now)
 {
@@ -287,7 +293,7 @@
   free (rows);
 }
 
-/* --- the sum of all nodes ---------------------------------------------- */
+/* --- sum of all loads -------------------------------------------------- */
 
 struct sum
 {
--- a/serve/peers-nodes.c
+++ b/serve/peers-nodes.c
@@ -3,19 +3,19 @@
 #include <stdlib.h>
 
 /*
- * What nodes that are not linked to all others are told of them: how many
- * there are, addresses of ready ones for their callers, and which ones are the
- * hubs.
+ * NodeList frames: the aggregator sends the number of nodes, front addresses
+ * of ready nodes for callers, and the relays to nodes that are not linked to
+ * all others.
  *
- * A node that is no hub does not look into the store while it is told all
- * this.  Of a new node that is a hub from now on it hears here; otherwise the
- * hubs would leave adding up the loads to one that is linked to nobody else,
- * and when the node that forms replicas is lost, all others would know of no
- * load but their own.
+ * A node that is not a relay does not read the entries of nodes from the store
+ * while it receives these frames.  The frames therefore also list new nodes
+ * that rank as relays.  Otherwise the relays would leave the aggregation to a
+ * relay that no other node is linked to, and when the leader is lost, all
+ * other nodes would have no load but their own.
  */
 
-/** How often a node that is not linked to all hears which are ready: callers
-    keep an answer for two seconds. */
+/** Interval at which a NodeList is sent to each node.  Callers cache an
+    answer made from it for 2 s. */
 #define NODE_LIST_INTERVAL_MS ((clk_ms)1000)
 
 static char *
@@ -30,7 +30,7 @@
   return copy;
 }
 
-/* --- hubs --------------------------------------------------------------- */
+/* --- relays ------------------------------------------------------------ */
 
 struct relay_rows
 {
@@ -70,8 +70,8 @@
   return best;
 }
 
-/** The first nodes in the order of hubs but this one, to which the receiver is
-    linked. */
+/** The first nodes in relay order without this one, to which the receiver
+    is linked already. */
 static void
 list_relays (const struct srv_peers *p, struct relay_rows *r,
              Lapis__NodeList *nodes)
@@ -108,7 +108,7 @@
   x->listed = true;
 }
 
-/* --- telling ------------------------------------------------------------ */
+/* --- sending ----------------------------------------------------------- */
 
 static void
 send_node_list (struct peer *x)
@@ -154,7 +154,7 @@
       }
 }
 
-/* --- being told --------------------------------------------------------- */
+/* --- receiving --------------------------------------------------------- */
 
 void
 prs_on_node_list (struct peer *x, const Lapis__NodeList *list)
--- a/serve/peers-poison.c
+++ b/serve/peers-poison.c
@@ -3,13 +3,14 @@
 #include <stdlib.h>
 
 /*
- * Updates about requests that crash backend servers, between nodes.  Each node
- * passes on what is new to it, so that an update also gets around links that
- * are cut.  Only hubs aggregate which requests were running in a crash: with
- * hundreds of nodes, a rack that fails would fill all their links.
+ * Updates about poison requests, which crash backend servers, in the frames
+ * between nodes.  Each node forwards updates that are new to it, so an update
+ * also reaches nodes whose links to the sender are cut.  Only relays aggregate
+ * which requests were running during a crash: with hundreds of nodes, the
+ * failure of one rack would otherwise saturate all their links.
  */
 
-/** Updates in one frame. */
+/** Most updates in one frame. */
 #define UPDATES_MAX 512
 
 static void
@@ -24,7 +25,8 @@
   row->broadcast = update->broadcast;
 }
 
-/** @param all  also what only nodes that aggregate need */
+/** @param aggregator  the peer aggregates crashes: also send the updates
+    that only these peers need */
 static void
 send_frame (struct peer *x, const struct psn_update *list, size_t n,
             bool aggregator)
@@ -50,7 +52,7 @@
   link_send (x->link, &f);
 }
 
-/** Whether the peer aggregates which requests were running in crashes. */
+/** Whether the peer aggregates which requests were running during crashes. */
 static bool
 is_aggregator (const struct peer *x)
 {
--- a/serve/peers.c
+++ b/serve/peers.c
@@ -4,28 +4,35 @@
 #include <string.h>
 
 /*
- * Links between nodes: each tells what it has under way where.  Places fill
- * and empty within a second, so what was told has to be some tenth of a second
- * old at most to keep two nodes from taking the same last slot.  hubs.h says
- * which nodes are linked.
+ * Links between nodes.  Each node announces how many requests it has in flight
+ * at each endpoint.  Endpoints fill up and become free within a second, so
+ * these counts must be at most some 0.1 s old, or two nodes take the same last
+ * slot.  See hubs.h for the choice of links.
  */
 
-/** A link is given up after this: it may have gone silent for good. */
+/** A link on which no frame arrives for this long is closed: the other end
+    may have failed without closing it. */
 #define LINK_TIMEOUT_MS ((clk_ms)2500)
 #define RECONNECT_MS ((clk_ms)300)
-/** The one that forms replicas links to nodes that did not link to it: they
-    may not know it yet. */
+/**
+ * Delay before the leader node itself connects to a node that should connect
+ * to it: information about the new leader may not have reached that node.
+ */
 #define LEADER_CONNECT_DELAY_MS ((clk_ms)1000)
-/** A link that this node has begun is kept for so long when it is not wanted
-    any more: what is known of other nodes grows within seconds after a start.
+/**
+ * How long a link that this node opened is kept after it is no longer wanted:
+ * in the first seconds after a start the set of peers found still grows, and
+ * with it the choice of links changes.
  */
 #define UNWANTED_LINK_MS ((clk_ms)5000)
-/** Before there is traffic each node is told the list this often: servers that
-    appear, load and open change thrice each within seconds, and nobody needs
-    what is between. */
+/**
+ * Shortest interval at which the server list is sent to a node before the
+ * first request.  Servers that appear, load and open change three times each
+ * within seconds, and no node needs the states in between.
+ */
 #define IDLE_LIST_INTERVAL_MS ((clk_ms)1000)
-/** What a hub told of ready nodes holds for so long: two changes of the node
-    that forms replicas, of some two seconds each. */
+/** How long a NodeList is used.  Covers two changes of leader in a row,
+    some 2 s each. */
 #define NODE_LIST_VALID_MS ((clk_ms)5000)
 
 static struct peer *
@@ -117,7 +124,8 @@
 
   if (x->link && x->link != l)
     {
-      /* It has begun a new link; the old one is of an earlier life. */
+      /* The peer has opened a new link; the old link belongs to an earlier
+         incarnation of its process. */
       link_close (x->link);
       peer_down (x, "replaced");
     }
@@ -141,9 +149,10 @@
 
   x->received_at = now;
   x->list_received = true;
-  /* A frame of an earlier owner may arrive late, after this node has taken the
-     duty.  It is older than what this node reads by itself, and the forming
-     core borrows the text of these entries: it read freed memory. */
+  /* A frame of the previous leader can arrive after this node has become
+     leader.  It is older than the list that this node reads from the store,
+     and the core that forms replicas keeps pointers to the text of the
+     current entries: replacing them caused a use after free. */
   if (srv_duty_holds (s))
     return;
   srv_sync_heard (s, prs_sent_at (x, now) - list->age_ms);
@@ -213,9 +222,10 @@
   return s->peers && prs_count_up (s->peers) > 0;
 }
 
-/* --- keeping links ----------------------------------------------------- */
+/* --- choice of links --------------------------------------------------- */
 
-/** Decide anew which nodes to link to. */
+/** Recompute which nodes this node links to, and which node is the
+    aggregator. */
 static void
 choose_links (struct srv_peers *p, clk_ms now)
 {
@@ -253,7 +263,11 @@
   free (peers);
 }
 
-/** Of two nodes the one connects that is later in the order of hubs. */
+/**
+ * Of two nodes the one later in relay order connects to the other.  The leader
+ * of a large fleet connects to later nodes as well, after
+ * LEADER_CONNECT_DELAY_MS.
+ */
 static bool
 may_connect (const struct peer *x, clk_ms now)
 {
@@ -319,8 +333,11 @@
   return srv_duty_holds (s) || (prs_exceeds_mesh (p) && !p->aggregator);
 }
 
-/** Silence of the others is not judged by time in which this process could
-    not hear them. */
+/**
+ * Move the time of the last frame of each peer forward by the length of the
+ * pause, so that a pause of this process does not count as silence of its
+ * peers.
+ */
 void
 srv_peers_resumed (struct srv *s, clk_ms now, clk_ms ms)
 {
@@ -329,8 +346,8 @@
       x->received_at = x->received_at + ms < now ? x->received_at + ms : now;
 }
 
-/** Of those that lack changes of the list and were not told just now, the one
-    told longest ago. */
+/** Among the peers that lack changes of the list and may be sent one now,
+    the peer to which the list was sent longest ago; NULL if there is none. */
 static struct peer *
 next_list_receiver (const struct srv_peers *p, uint64_t version, clk_ms now)
 {
@@ -346,12 +363,15 @@
 }
 
 /**
- * A thousand servers that are formed into replicas change some three times
- * each, and to tell each change to a hundred nodes takes more than a small
- * VM's link; then the owner's own lease is not renewed in time, the next owner
- * begins with the whole list for everybody, and loses it too.  So the list
- * takes a part of the link, the least informed first.  Changes that wait go
- * together, and a node that hears nothing reads by itself.
+ * Limit the sending of the list to a part of this VM's link.  Each of 1,000
+ * servers changes some three times while replicas are formed, and sending each
+ * change to 100 nodes exceeds the link of a small VM.  The leader then fails
+ * to renew its own lease in time, and the next leader starts by sending the
+ * whole list to all nodes and loses its lease in the same way.
+ *
+ * The peer whose last list is oldest is served first.  Changes that accumulate
+ * go out in one frame, and a node that receives no list reads it from the
+ * store.
  */
 void
 srv_peers_servers (struct srv *s)
@@ -399,8 +419,8 @@
       x->spec = list[i].spec;
       x->in_entries = true;
     }
-  /* One that is linked lives, whatever became of its entry: entries lapse
-     while the store is away. */
+  /* Keep a peer with a link that is up even if its entry is missing:
+     entries expire while the store is unreachable. */
   for (struct peer *x = p->list; x; x = x->next)
     x->listed = x->in_entries || (x->listed && x->up);
 }
@@ -416,7 +436,7 @@
   return false;
 }
 
-/** A hub tells this node of the others, lately. */
+/** Whether a NodeList of an aggregator is recent enough to be used. */
 static bool
 has_node_list (const struct srv_peers *p, clk_ms now)
 {
@@ -442,7 +462,8 @@
   return x->up && x->ready && x->listed && now - x->received_at < PRS_STALE_MS;
 }
 
-/** Ready peers from number @p from on, around. */
+/** Front addresses of ready peers, starting at index @p from and wrapping
+    around at the end of the list. */
 static size_t
 copy_linked_fronts (const struct srv_peers *p, size_t from, clk_ms now,
                     struct net_addr *out, size_t max)
@@ -469,7 +490,7 @@
   return n;
 }
 
-/** What a hub told, without this node. */
+/** Front addresses from the last NodeList, without this node's own. */
 static size_t
 copy_announced_fronts (const struct srv_peers *p, struct net_addr *out,
                        size_t max)
@@ -483,9 +504,9 @@
 }
 
 /**
- * Where there are more ready nodes than one answer holds, each answer begins
- * where the one before ended: were it always the same ones, callers would
- * fill these and leave the others idle.
+ * If there are more ready nodes than one answer holds, each answer starts
+ * where the previous one ended.  With the same nodes in every answer, callers
+ * would overload these and leave the others idle.
  */
 size_t
 srv_peers_ready (struct srv *s, struct net_addr *out, size_t max)
