--- a/serve/hubs.c
+++ b/serve/hubs.c
@@ -2,7 +2,7 @@
 
 #include <stdlib.h>
 
-/** Larger first; 0 is without a bound. */
+/** Order of two limits: the larger one first; 0 means unlimited. */
 static int
 cmp_limit (double a, double b)
 {
@@ -43,7 +43,7 @@
   return hub_cmp (&(*x)->node, &(*y)->node);
 }
 
-/** The peers in the order of hub_cmp(); released by the caller. */
+/** The peers in the order of hub_cmp(); freed by the caller. */
 static struct rly_peer **
 sort_peers (struct rly_peer *list, size_t n)
 {
--- a/serve/hubs.h
+++ b/serve/hubs.h
@@ -1,16 +1,18 @@
 /**
  * @file
- * Which nodes link to which (decision core).
+ * Which nodes are linked to which (decision core).
  *
- * Up to HUB_MESH_MOST nodes each links to each.  With more, a full mesh costs
- * each node as many links and frames as there are nodes, and its smallest VMs
- * spend their time on it.  Then all nodes link to the first few in one order,
- * the hubs, which is the same at all of them; hubs add up loads, tell what all
- * need to know, and one of them forms replicas.
+ * Up to HUB_MESH_MOST nodes form a full mesh.  In a larger fleet a full mesh
+ * would cost each node as many links and frames as there are nodes, which
+ * takes all processor time of the smallest VMs.  There all nodes are linked to
+ * the first few nodes in an order that is the same at each of them, the
+ * relays.  Relays add up loads and forward what all nodes need, and one of
+ * them is the leader, which forms replicas.
  *
- * The order puts nodes with the larger link and processor first: at 300 nodes
- * a hub takes 3,000 frames a second and sends a list of a hundred kilobytes to
- * each node, which fills a link of 20 Mbit/s for half a minute.
+ * Nodes with a faster link and a larger share of a processor come first in
+ * this order: with 300 nodes a relay receives 3,000 frames per second and
+ * sends a list of 100 kB to each node, which takes half a minute on a link of
+ * 20 Mbit/s.
  */
 #ifndef LAPISLINE_SERVE_HUBS_H
 #define LAPISLINE_SERVE_HUBS_H
@@ -19,53 +21,57 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/** Nodes up to which each links to each, and tells the others its load and of
-    long prompts at once.  Among more of them each watches the store for what
-    all the others do, and their calls grow by the square of their number. */
+/**
+ * Most nodes of a full mesh, in which each node sends its load and notices of
+ * long prompts directly to all others.  In a larger mesh each node would watch
+ * the store for the actions of all others, and the store calls would grow with
+ * the square of the number of nodes.
+ */
 #define HUB_MESH_MOST 15
-/** Hubs that a node is linked to, so that the loss of one leaves others, and
-    a new owner is found among those that are linked already. */
+/** Relays that each node is linked to.  If one is lost, others remain, and
+    the next leader is a node that is linked already. */
 #define HUB_LINKS 4
 
-/** A node as its entry in the store describes it. */
+/** A node, as its entry in the store describes it. */
 struct hub_node
 {
-  uint64_t hash;           /**< of its name; decides between equals */
-  double link_bytes_per_s; /**< 0: without a bound */
-  double cpu_share;        /**< of a core; 0: without a bound */
+  uint64_t hash;           /**< of its name; breaks ties */
+  double link_bytes_per_s; /**< 0: unlimited */
+  double cpu_share;        /**< share of a core; 0: unlimited */
 };
 
-/** Order in which nodes become hubs and take the duty. @return as memcmp */
+/** Order in which nodes become relays and leader. @return as memcmp */
 int hub_cmp (const struct hub_node *a, const struct hub_node *b);
 
-/** How many of @p list come before @p self. */
+/** Number of nodes in @p list that precede @p self in relay order. */
 unsigned rly_rank (const struct hub_node *self, const struct hub_node *list,
                    size_t n);
 
-/** Another node, as one that chooses its links sees it. */
+/** Another node, as seen by the node that chooses its links. */
 struct rly_peer
 {
   struct hub_node node;
   bool up;      /**< linked */
-  bool failing; /**< a link to it was tried and did not come up */
-  bool leads;   /**< it forms replicas */
-  bool wanted;  /**< out: link to it, and keep that link */
+  bool failing; /**< the last connection attempt failed */
+  bool leads;   /**< it is the leader, which forms replicas */
+  bool wanted;  /**< out: connect to it, or keep the link */
 };
 
 /**
  * Choose the links of a node.
  *
- * Those that fail are tried again, but don't count: a node whose first hubs
- * are all gone links to the next in the order, where all others meet it.
- * @param leads  this node forms replicas, and has to reach everybody
+ * A peer whose connection attempts fail is still wanted but does not count
+ * towards HUB_LINKS.  A node whose first relays are all lost therefore links
+ * to the next nodes in the order, which are the same for all nodes.
+ * @param leads  this node is the leader and needs a link to each node
  */
 void rly_choose_links (const struct hub_node *self, bool leads,
                        struct rly_peer *list, size_t n);
 
 /**
- * The peer that adds up the loads of all and tells the sum: the one that
- * leads, or, while none does, the first that is linked.
- * @return  NULL: this node does
+ * The peer that adds up the loads of all nodes and sends the sum: the leader
+ * or, without a leader, the first linked node in relay order.
+ * @return  NULL: this node is the aggregator
  */
 const struct rly_peer *rly_aggregator (const struct hub_node *self, bool leads,
                                        const struct rly_peer *list, size_t n);
--- a/serve/share.c
+++ b/serve/share.c
@@ -2,20 +2,25 @@
 
 #include <stdlib.h>
 
-/** Part of this VM's link that the sum may take; it is told less often where
-   it would take more, but so that the one before is not too old by then. */
+/**
+ * Part of this VM's link that the sums of loads may use.  If they would need
+ * more, they are sent less often, but at least each SUM_MAX_INTERVAL_MS, so
+ * that the previous sum is not yet too old to be used.
+ */
 #define SUM_LINK_SHARE 0.3
 #define SUM_MAX_INTERVAL_MS ((clk_ms)400)
-/** Part of this VM's link that may go to telling the list; the rest is for
-    reading it, for loads and for callers. */
+/** Part of this VM's link that may be used for sending the list; the rest
+    is left for reading the list, for loads and for callers. */
 #define LIST_LINK_SHARE 0.5
-/** What was not used is kept for so long.  All that is sent at once waits in
-    the link before a renewal of the lease: with two seconds kept, the owner of
-    875 servers lost a lease of 1.2 s as it told 294 nodes the list.  Of this
-    1/8 s of the link goes out at once, the changes of some repairs. */
+/**
+ * Unused capacity accumulates for this long.  A renewal of the lease queues
+ * behind a burst on the link: with a limit of 2 s, the leader of 875 servers
+ * lost a lease of 1.2 s while it sent the list to 294 nodes.  With this limit
+ * a burst takes 1/8 s of the link, enough for the changes of a few repairs.
+ */
 #define LIST_BURST_S 0.25
 
-/** NUL-terminated copies, released together. */
+/** NUL-terminated copies of strings, freed together. */
 struct string_list
 {
   char **list;
@@ -73,8 +78,8 @@
   Lapis__ServerList list;
   Lapis__ServerEntry *entries;
   struct string_list strings;
-  uint64_t since;   /* of the nodes that it is for */
-  uint64_t version; /* that they have then */
+  uint64_t since;   /* version that the receivers have */
+  uint64_t version; /* version that they have afterwards */
   size_t bytes;
 };
 
@@ -97,7 +102,8 @@
     }
 }
 
-/** Servers that went, and those that are no places any more. */
+/** Add servers that were removed from the list, and servers that are no
+    longer endpoints. */
 static void
 add_removed (struct svl_frame *f, const struct bks *b, uint64_t since,
              const struct str *removed, size_t nremoved)
@@ -173,7 +179,7 @@
   return f->bytes;
 }
 
-/* --- parts of the link ------------------------------------------------- */
+/* --- use of the link --------------------------------------------------- */
 
 bool
 svl_may_send (struct svl_budget *c, clk_ms now, double link_bytes_per_s)
@@ -199,10 +205,11 @@
 }
 
 /**
- * Where the list is long and nodes are many, some wait for what has changed in
- * it.  Were these told the age of what others have, they would go by it, and
- * send requests to a server that has left seconds ago; by the age of what they
- * have themselves they read the list when that is too old.
+ * With a long list and many nodes, some nodes wait before changes are sent to
+ * them.  If the age of the newest list were announced to these, they would
+ * rely on their older copy and send requests to a server that left seconds
+ * ago.  With the age of their own copy, they read the list from the store once
+ * it is too old.
  */
 clk_ms
 svl_list_age (clk_ms *current_at, uint64_t version_sent, uint64_t version,
@@ -213,7 +220,7 @@
   return now - *current_at;
 }
 
-/* --- taking ------------------------------------------------------------ */
+/* --- receiving --------------------------------------------------------- */
 
 static bool
 read_entry (const Lapis__ServerEntry *in, struct bks_entry *out)
