--- a/serve/backends.c
+++ b/serve/backends.c
@@ -71,7 +71,7 @@
                              one arrived */
   clk_ms restored_at;     /* when the store was restored from an older copy;
                              0: never */
-  struct dsp_place *places;
+  struct dsp_place *endpoints;
 };
 
 static guint
@@ -124,7 +124,7 @@
   for (size_t i = 0; i < REMOVED_MAX; i++)
     free (b->removed[i].id);
   free (b->list);
-  free (b->places);
+  free (b->endpoints);
   free (b);
 }
 
@@ -544,12 +544,13 @@
 }
 
 static void
-mark_endpoint (struct bks *b, struct bks_server *s, bool place, bool accepting)
+mark_endpoint (struct bks *b, struct bks_server *s, bool is_endpoint,
+               bool accepting)
 {
-  bool same = s->is_endpoint == place && s->accepting == accepting
-              && (!place || s->version <= s->endpoint_version);
+  bool same = s->is_endpoint == is_endpoint && s->accepting == accepting
+              && (!is_endpoint || s->version <= s->endpoint_version);
 
-  s->is_endpoint = place;
+  s->is_endpoint = is_endpoint;
   s->accepting = accepting;
   if (!same)
     s->endpoint_version = b->version;
@@ -562,13 +563,13 @@
   const struct bks_entry *e = &s->e;
 
   mark_endpoint (b, s, true, accepting);
-  b->places[(*n)++] = (struct dsp_place){ .server = e->id,
-                                          .born = e->born,
-                                          .service = e->service,
-                                          .zone = e->zone,
-                                          .addr = e->addr,
-                                          .capacity = capacity,
-                                          .accepting = accepting };
+  b->endpoints[(*n)++] = (struct dsp_place){ .server = e->id,
+                                             .born = e->born,
+                                             .service = e->service,
+                                             .zone = e->zone,
+                                             .addr = e->addr,
+                                             .capacity = capacity,
+                                             .accepting = accepting };
 }
 
 /**
@@ -582,7 +583,7 @@
 {
   const struct bks_entry *e = &leader->e;
   const struct tbl_model *m = tbl_find_model (s, e->model);
-  bool takes = e->acceptance == BKS_ACCEPTING;
+  bool accepting = e->acceptance == BKS_ACCEPTING;
 
   if (!m || e->rank != 0 || e->replica.len == 0 || e->part < BKS_OPEN)
     {
@@ -590,18 +591,20 @@
       return;
     }
   if (e->acceptance == BKS_ACCEPTANCE_UNKNOWN)
-    takes = e->part == BKS_OPEN && is_complete (b, leader, m->size);
-  add_endpoint (b, n, leader, s->capacity ? s->capacity : e->capacity, takes);
-  b->places[*n - 1].model = m->name;
-  b->places[*n - 1].read_per_ms = s->read_per_ms / (m->pace > 0 ? m->pace : 1);
-  b->places[*n - 1].generation = e->generation;
+    accepting = e->part == BKS_OPEN && is_complete (b, leader, m->size);
+  add_endpoint (b, n, leader, s->capacity ? s->capacity : e->capacity,
+                accepting);
+  b->endpoints[*n - 1].model = m->name;
+  b->endpoints[*n - 1].read_per_ms
+      = s->read_per_ms / (m->pace > 0 ? m->pace : 1);
+  b->endpoints[*n - 1].generation = e->generation;
 }
 
 const struct dsp_place *
 bks_places (struct bks *b, const struct tbl *t, size_t *n)
 {
   *n = 0;
-  b->places = xrealloc (b->places, (b->n + 1) * sizeof *b->places);
+  b->endpoints = xrealloc (b->endpoints, (b->n + 1) * sizeof *b->endpoints);
   for (size_t i = 0; i < b->n; i++)
     {
       const struct bks_entry *e = &b->list[i]->e;
@@ -613,5 +616,5 @@
       else
         add_endpoint (b, n, b->list[i], e->capacity, !e->draining);
     }
-  return b->places;
+  return b->endpoints;
 }
--- a/serve/peers-load.c
+++ b/serve/peers-load.c
@@ -157,7 +157,7 @@
 /** Rows of a frame, made from counts. */
 struct rows
 {
-  Lapis__PlaceLoad *places;
+  Lapis__PlaceLoad *loads;
   Lapis__PlaceLoad **list;
 };
 
@@ -165,11 +165,11 @@
 make_rows (struct rows *r, const struct dsp_count *counts, size_t n,
            clk_ms now)
 {
-  r->places = xcalloc (n + 1, sizeof *r->places);
+  r->loads = xcalloc (n + 1, sizeof *r->loads);
   r->list = xcalloc (n + 1, sizeof (*r->list));
   for (size_t i = 0; i < n; i++)
     {
-      Lapis__PlaceLoad *pl = &r->places[i];
+      Lapis__PlaceLoad *pl = &r->loads[i];
       lapis__place_load__init (pl);
       pl->place = counts[i].place;
       pl->in_flight = counts[i].in_flight;
@@ -186,7 +186,7 @@
 static void
 free_rows (struct rows *r)
 {
-  free (r->places);
+  free (r->loads);
   free (r->list);
 }
 
--- a/serve/peers-nodes.c
+++ b/serve/peers-nodes.c
@@ -114,7 +114,7 @@
 send_node_list (struct peer *x)
 {
   struct srv_peers *p = x->p;
-  struct relay_rows hubs = { 0 };
+  struct relay_rows relays = { 0 };
   struct net_addr list[PRS_FRONTS_MAX];
   char *fronts[PRS_FRONTS_MAX];
   size_t n = srv_peers_ready (p->s, list, PRS_FRONTS_MAX);
@@ -129,14 +129,14 @@
   nodes.leads = srv_duty_holds (p->s);
   nodes.config_age_ms = UINT32_MAX;
   if (nodes.leads)
-    list_relays (p, &hubs, &nodes);
+    list_relays (p, &relays, &nodes);
   f.body_case = LAPIS__FRAME__BODY_NODE_LIST;
   f.node_list = &nodes;
   link_send (x->link, &f);
   for (size_t i = 0; i < n; i++)
     free (fronts[i]);
   for (size_t i = 0; i < nodes.n_hubs; i++)
-    free_relay (&hubs.rows[i]);
+    free_relay (&relays.rows[i]);
 }
 
 void
