--- a/t/t9202-views.c
+++ b/t/t9202-views.c
@@ -1,7 +1,5 @@
-/*
- * What a node knows: events out of bytes, the list of backend servers, the
- * configuration as the platform writes it.
- */
+/* Data that a node reads: events of a stream, the list of backend servers,
+   and the platform's configuration format. */
 #include <criterion/criterion.h>
 #include <stdio.h>
 #include <string.h>
@@ -11,7 +9,8 @@
 #include "serve/share.h"
 #include "serve/split.h"
 
-/* Bytes come in any pieces; events go out whole, each id once. */
+/* Events split at arbitrary points are passed on complete, and each id
+   once. */
 Test (split, events_out_of_any_pieces)
 {
   static const char text[] = "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\n"
@@ -57,9 +56,10 @@
 }
 
 /*
- * The store was away and entries lapsed.  Servers that are missing in the
- * first lists after its return still count for about two seconds; one that is
- * missing then is gone, as is one that is missing at other times.
+ * Guards against dropping live servers whose entries expired during an outage
+ * of the store.  Servers missing from the first lists after its return are
+ * kept for about 2 s; a server that is missing later, or without an outage, is
+ * removed at once.
  */
 Test (backends, lapsed_entries_have_time_to_come_back)
 {
@@ -85,7 +85,7 @@
   bks_free (b);
 }
 
-/* Another node tells what has changed: the same list results. */
+/* Applying the changes that another node sends results in the same list. */
 Test (backends, changes_lead_to_the_same_list)
 {
   struct bks *from = bks_new (), *to = bks_new ();
@@ -131,8 +131,8 @@
                         strcmp (id, "d") == 0 ? "draining" : "ready", rest));
 }
 
-/* A replica takes requests only while all its members are there, ready under
-   its generation, and none of them leaves. */
+/* A replica takes requests only while all its members are listed as ready
+   in its generation and none of them drains. */
 Test (backends, a_replica_counts_only_when_whole)
 {
   struct fnd_list findings = { 0 };
@@ -172,10 +172,9 @@
 static const char MEMBER[] = "\"rank\":1,\"state\":\"ready\"";
 
 /*
- * The entry of a member lapses while the replica that was whole serves on, as
- * a member that can't reach the store keeps working.  The replica still
- * counts, until the member is listed again as one that leaves, or as
- * another's.
+ * Guards against excluding a working replica because one member cannot reach
+ * the store and its entry expires.  The replica is excluded only when the
+ * member is listed as draining or in another replica.
  */
 Test (backends, a_replica_that_was_whole_outlives_a_lapsed_entry)
 {
@@ -215,11 +214,10 @@
 }
 
 /*
- * All nodes lost power while some servers can't reach the store.  A node that
- * has just started sees a leader that takes requests and most of its members:
- * it was told to open when all were ready, and the others work on unlisted.
- * One that is alone may be left over from a replica whose members have joined
- * others.
+ * All nodes restart while some servers cannot reach the store.  A new node
+ * sees an open leader and most of its members; the leader was opened when all
+ * were ready, and the members that are not listed still work.  A leader listed
+ * alone may remain from a replica whose members have joined others.
  */
 Test (backends, a_new_node_believes_a_leader_with_most_members)
 {
@@ -248,11 +246,8 @@
   tbl_unref (t);
 }
 
-/*
- * A thousand servers are listed.  Were the list read as often as that of two
- * hundred, the owner's link would carry nothing else, and neither orders nor
- * the other nodes would hear from it.
- */
+/* With 1,000 servers, reading the list as often as with 200 would saturate
+   the leader's link and delay its orders and its frames to other nodes. */
 Test (backends, a_long_list_is_read_less_often)
 {
   static struct bks_entry e[1000];
@@ -277,8 +272,8 @@
 }
 
 /*
- * A server leaves, and this node hears from no other.  One of its readings
- * fails and the next takes long; the third still comes within the drain time.
+ * A server drains while this node receives no list from other nodes.  One read
+ * fails and the next is slow; the third still completes within drain_ms.
  */
 Test (backends, a_leaving_server_is_read_in_time)
 {
@@ -293,9 +288,9 @@
 }
 
 /*
- * The owner of a hundred nodes tells them a list of 150 kB over a link of 2.5
- * MB/s.  A burst for some repairs goes out at once; after that it tells half
- * of the link a second, and its lease's renewals find room.
+ * The leader sends a list of 150 kB to 100 nodes over a link of 2.5 MB/s.  A
+ * burst sufficient for some repairs is sent at once; after that the list uses
+ * half of the link, so that renewals of the lease are not delayed.
  */
 Test (share, the_list_takes_half_of_the_link)
 {
@@ -318,8 +313,11 @@
   cr_expect (svl_may_send (&c, 1010000, 0), "a link without a bound");
 }
 
-/* The sum of loads: as often as wanted in small fleets, 0.3 s apart where it
-   would take the whole link, and never so rarely that it is too old. */
+/*
+ * Sums of loads are not delayed in small fleets.  They are sent 0.3 s apart
+ * where they would saturate the link, and always often enough that the last
+ * one is still recent enough to be used.
+ */
 Test (share, the_sum_is_told_less_often_to_many)
 {
   cr_expect_eq (svl_sum_interval (1.25e8, 300, 7), 0);
@@ -329,8 +327,8 @@
   cr_expect_eq (svl_sum_interval (0, 12000, 329), 0);
 }
 
-/** Tell @p to what has changed in @p from since @p since, and log its places:
-    one that takes requests with a plus. */
+/** Send the changes in @p from since version @p since to @p to, and log the
+    endpoints of @p to; "+" marks an endpoint that takes requests. */
 static void
 tell_places (struct bks *from, struct bks *to, uint64_t since,
              const struct tbl *t, struct buf *log)
@@ -349,9 +347,9 @@
 }
 
 /*
- * Callers are sent to the same places by each node, whether it has read the
- * list or is told: a replica takes requests, then a member of it leaves, then
- * it is closed.  Of the members themselves nobody is told.
+ * A node that receives the list has the same endpoints as the node that read
+ * it: while a replica takes requests, after a member starts to drain, and
+ * after the replica is closed.  Members other than the leader are not sent.
  */
 Test (share, who_is_told_has_the_same_places)
 {
@@ -398,10 +396,9 @@
 }
 
 /*
- * A caller's request is sent to a server that left four seconds ago: its node
- * waits for its turn to be told of a long list, and goes by the age of what
- * the others have.  It is told the age of its own, so it reads the list by
- * itself.
+ * Guards against requests to a server that left 4 s ago: the node waits for
+ * changes of a long list and relies on the age of the other nodes' list.  The
+ * age of its own copy is sent to it, so it reads the list from the store.
  */
 Test (share, who_waits_for_the_list_is_told_the_age_of_its_own)
 {
@@ -413,7 +410,7 @@
   cr_expect_eq (svl_list_age (&current_at, 9, 9, 4300, 4310), 10);
 }
 
-/* Orders as the platform's servers read them. */
+/* Orders in the format that the platform's servers read. */
 Test (orders, on_the_wire)
 {
   const struct str members[] = { STR ("a"), STR ("b") };
@@ -444,7 +441,8 @@
     }
 }
 
-/* Routes by host and longest prefix, split by weight; keys of accounts. */
+/* Routes are matched by host and longest prefix and split by weight;
+   accounts are found by key. */
 Test (table, look_ups)
 {
   struct fnd_list findings = { 0 };
@@ -474,7 +472,7 @@
   tbl_unref (t);
 }
 
-/* Every fault of a configuration is found at once, with its place. */
+/* All errors in a configuration are reported together, with their paths. */
 Test (table, findings)
 {
   struct fnd_list findings = { 0 };
@@ -495,8 +493,8 @@
   buf_free (&text);
 }
 
-/* Headers to a backend server: the account in place of the key, nothing of
-   the caller's connection, and no account of the caller's own making. */
+/* Headers to a backend server: the account instead of the key, no
+   hop-by-hop headers, and no account header set by the caller. */
 Test (caller, headers)
 {
   static const struct http_header in[]
@@ -529,8 +527,8 @@
   buf_free (&text);
 }
 
-/* Guards against a list that waited in queues for seconds and is taken for as
-   new as its arrival: servers that have left since would get requests. */
+/* Guards against taking a list that waited in queues for seconds as new
+   when it arrives: servers that have left since would get requests. */
 Test (share, time_on_the_way_makes_a_list_older)
 {
   struct bks *from = bks_new (), *to = bks_new ();
@@ -554,8 +552,8 @@
   e->beat = beat;
 }
 
-/* Guards against servers that have left, or are about to, and get requests
-   again as the store shows their entries from an older copy. */
+/* Guards against sending requests to servers that have left or drain when
+   the store has been restored from an older copy with their old entries. */
 Test (backends, an_older_copy_of_the_list_brings_nobody_back)
 {
   struct bks *b = bks_new ();
@@ -572,7 +570,7 @@
   bks_update (b, 12100, 12100, list, 3);
   expect_ids (b, "p1 p2 ");
   cr_expect (bks_find (b, STR ("p2"))->e.draining);
-  /* They have written again, and live. */
+  /* Both servers run and have written their entries again. */
   add_beat (&list[1], "p2", false, 9);
   add_beat (&list[2], "p3", false, 9);
   bks_update (b, 14000, 14000, list, 3);
@@ -581,7 +579,8 @@
   bks_free (b);
 }
 
-/* Guards against servers that are taken for gone as the copy lacks them. */
+/* Guards against removing servers whose entries are missing in a restored
+   copy. */
 Test (backends, who_is_missing_after_a_return_from_a_copy_has_time)
 {
   struct bks *b = bks_new ();
--- a/t/t9205-entries.c
+++ b/t/t9205-entries.c
@@ -1,7 +1,5 @@
-/*
- * Entries of the list of backend servers: their fields one by one, servers
- * that start again under their id, entries by another writer.
- */
+/* Entries of the list of backend servers: single fields, invalid entries,
+   and servers that restart under the same id. */
 #include <criterion/criterion.h>
 #include <stdio.h>
 #include <string.h>
@@ -15,7 +13,7 @@
 
 TestSuite (serve, .fini = proc_stop_all, .timeout = 90);
 
-/** Fields of a whole entry. */
+/** Fields of a complete entry. */
 static const char *const fields[]
     = { "\"service\":\"lm\"",
         "\"address\":\"10.0.0.1:80\"",
@@ -34,7 +32,7 @@
         "\"state\":\"open\"}" };
 #define FIELDS (sizeof fields / sizeof fields[0])
 
-/** An entry with one field replaced; STR_EMPTY leaves it out. */
+/** Writes an entry in which field @p at is replaced; "" omits the field. */
 static void
 build (struct buf *out, size_t at, const char *instead)
 {
@@ -81,7 +79,8 @@
   buf_free (&json);
 }
 
-/* What a server that holds nothing, or one of a plain service, leaves out. */
+/* Fields that a server without a model or in a service without models
+   omits. */
 Test (entries, fields_that_may_be_missing)
 {
   struct buf json = BUF_INIT;
@@ -99,9 +98,9 @@
 }
 
 /*
- * Another writer leaves out a field, or writes one that means something else.
- * Taken for zero, a state that nobody knows would be ready and a capacity of
- * another type no slot at all; such an entry names no server.
+ * Guards against replacing a missing or invalid field by zero: an unknown
+ * state would count as ready, and a capacity of the wrong type as no slots.
+ * The entry is rejected as a whole.
  */
 Test (entries, fields_by_another_writer)
 {
@@ -179,8 +178,8 @@
   arena_free (&text);
 }
 
-/* Bytes of a whole entry are changed by chance: whatever comes of it is
-   refused or has values that the rest of the program can bear. */
+/* Entries with random byte changes are either rejected or have values
+   within the limits that other code relies on. */
 Test (entries, changed_by_chance)
 {
   struct buf json = BUF_INIT;
@@ -202,8 +201,8 @@
   buf_free (&json);
 }
 
-/* The list is read three times a second; an entry that can't be read is worth
-   a line when it comes and when it changes. */
+/* The list is read three times per second; an entry that cannot be parsed
+   is logged when it appears and when it changes. */
 Test (entries, each_change_is_noted_once)
 {
   struct unr *u = unr_new ();
@@ -223,7 +222,7 @@
   unr_free (u);
 }
 
-/* --- lives ------------------------------------------------------------- */
+/* --- incarnations ------------------------------------------------------ */
 
 static const struct bks_entry *
 listed (struct bks *b, clk_ms now, const struct bks_entry *e)
@@ -235,9 +234,9 @@
 }
 
 /*
- * A server starts again under its id.  A list that was read before, or told by
- * a node that is behind, shows its earlier life, open in a replica; taken for
- * the present one, requests would go to a process that holds nothing.
+ * Guards against sending requests to a process that no longer holds its model.
+ * A server restarts under its id, and a list that was read earlier, or sent by
+ * a node that is behind, shows the previous incarnation as open in a replica.
  */
 Test (lives, an_earlier_one_never_replaces_a_later)
 {
@@ -263,7 +262,8 @@
   bks_free (b);
 }
 
-/* What is known of a place, its load and its failures, is of one life. */
+/* The load and the failures of an endpoint are recorded for one
+   incarnation. */
 Test (lives, another_place_for_each)
 {
   cr_expect_neq (dsp_place_hash (STR ("a"), 1000, 5),
@@ -272,12 +272,12 @@
                  dsp_place_hash (STR ("a"), 1000, 6));
 }
 
-/* --- the whole path ---------------------------------------------------- */
+/* --- with running processes -------------------------------------------- */
 
 /*
- * Callers are served while entries by another writer lie in the list: one that
- * is no JSON, one of a state that nobody knows, one with numbers beyond all
- * reason.  Nobody is sent there, and nodes say so in log and metrics.
+ * The list contains two entries by another writer: one that is not JSON and
+ * one with an unknown state.  Requests succeed because none is sent to these
+ * two servers.
  */
 Test (serve, entries_by_another_writer_harm_nobody)
 {
@@ -300,9 +300,8 @@
 }
 
 /*
- * A member of the only replica starts again under its id and address.  The
- * caller's next stream waits for nothing but the replica's forming anew, of
- * the same servers.
+ * A member of the only replica restarts under its id and address.  The replica
+ * is formed again from the same servers, and then a new stream succeeds.
  */
 Test (serve, a_member_that_starts_again_is_taken_in_again)
 {
--- a/t/t9206-hubs.c
+++ b/t/t9206-hubs.c
@@ -1,7 +1,7 @@
 /*
- * Which nodes link to which when there are hundreds: nodes with slow links and
- * small shares beside a few large ones, hubs that die, and a view of the
- * others that differs from node to node.
+ * Choice of links in a fleet of hundreds of nodes: many nodes with slow links
+ * and small processor shares, a few large ones, failed relays, and nodes that
+ * see different sets of peers.
  */
 #include <criterion/criterion.h>
 
@@ -21,7 +21,8 @@
   bool dead[MOST];
 };
 
-/** @p n nodes, every @p nth of them ten times as large as the others. */
+/** @p n nodes; every @p nth of them has a link ten times as fast as the
+    others. */
 static void
 fill (struct fleet *f, size_t n, size_t nth)
 {
@@ -38,7 +39,7 @@
     }
 }
 
-/** The others as node @p self sees them, @p list as long as the fleet. */
+/** The peers of node @p self; @p list has room for the whole fleet. */
 static size_t
 see (const struct fleet *f, size_t self, struct rly_peer *list, size_t *who)
 {
@@ -55,8 +56,8 @@
   return n;
 }
 
-/** Links of node @p self to living nodes; those that others share are marked
-    in @p wanted. */
+/** The number of links from node @p self to running nodes.  Adds one to
+    @p wanted for each node at the other end. */
 static size_t
 choose (const struct fleet *f, size_t self, unsigned *wanted)
 {
@@ -75,9 +76,9 @@
 }
 
 /*
- * Callers of 300 nodes are served by each from its first second.  Each node
- * keeps a handful of links, not 299, and they all lead to the same few large
- * nodes, which alone can carry what all tell.
+ * In a fleet of 300 nodes each node has HUB_LINKS links instead of 299, and
+ * all of them lead to the same few large nodes, which alone have the capacity
+ * for all loads.
  */
 Test (hubs, all_link_to_the_same_few_large_nodes)
 {
@@ -97,8 +98,9 @@
 }
 
 /*
- * All hubs die at once.  Each node finds by itself the next in the order, and
- * these are again the same for all, so that what one tells reaches the others.
+ * All relays fail at once.  Each node computes the next relays by itself.
+ * These are again the same for all nodes, so that frames of one node reach all
+ * others.
  */
 Test (hubs, when_hubs_die_all_meet_at_the_next)
 {
@@ -119,9 +121,7 @@
   cr_expect_leq (used, HUB_LINKS + 1, "%zu hubs", used);
 }
 
-/*
- * All large nodes are gone for good.  Small ones take their place.
- */
+/* All large nodes have failed, and small nodes become relays. */
 Test (hubs, small_nodes_serve_when_no_large_one_lives)
 {
   static struct fleet f;
@@ -136,8 +136,9 @@
 }
 
 /*
- * A node of low rank forms replicas, as the hubs can't reach the store.  It
- * reaches everybody, and everybody keeps the link to it.
+ * A node that is late in relay order becomes leader because the relays cannot
+ * reach the store.  It wants links to all nodes, and each node keeps its link
+ * to it.
  */
 Test (hubs, who_forms_replicas_is_linked_to_all)
 {
@@ -163,9 +164,9 @@
 }
 
 /*
- * The store is away, and nobody forms replicas.  Of the nodes that are linked
- * exactly one adds up the loads, so each still knows how full the places are;
- * with somebody that leads, only that one does.
+ * The store is unreachable and there is no leader.  Exactly one of the linked
+ * nodes aggregates the loads, so that each node still receives the load of the
+ * endpoints.  With a leader, only the leader aggregates.
  */
 Test (hubs, one_node_adds_up_the_loads)
 {
@@ -192,10 +193,8 @@
   cr_expect_eq (sums, 1, "%zu", sums);
 }
 
-/*
- * Few nodes are linked each to each, as the notices of long prompts ask; a
- * platform that names no bounds is taken for one without.
- */
+/* Nodes of a small fleet form a full mesh, which notices of long prompts
+   depend on.  A platform that states no limits is treated as unlimited. */
 Test (hubs, few_nodes_are_a_mesh)
 {
   static struct fleet f;
