--- a/t/t9202-views.c
+++ b/t/t9202-views.c
@@ -11,7 +11,7 @@
 
 /* Events split at arbitrary points are passed on complete, and each id
    once. */
-Test (split, events_out_of_any_pieces)
+Test (split, events_reassembled_from_chunks)
 {
   static const char text[] = "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\n"
                              "id: 2\ndata: again\n\nid: 3\ndata: c\n\nid: 4";
@@ -25,7 +25,7 @@
       struct str left = STR (text);
       for (; left.len > 0; left = str_skip (left, size))
         spl_take (&s, str_head (left, size), &out);
-      cr_expect_str_eq (buf_c (&out), expected, "pieces of %zu: %s", size,
+      cr_expect_str_eq (buf_c (&out), expected, "chunks of %zu: %s", size,
                         buf_c (&out));
       cr_expect_eq (s.last_id, 3);
       buf_free (&out);
@@ -34,7 +34,7 @@
 }
 
 static void
-add (struct bks_entry *e, const char *id, bool draining)
+make_entry (struct bks_entry *e, const char *id, bool draining)
 {
   *e = (struct bks_entry){ .id = str_from (id),
                            .service = STR ("app"),
@@ -61,14 +61,14 @@
  * kept for about 2 s; a server that is missing later, or without an outage, is
  * removed at once.
  */
-Test (backends, lapsed_entries_have_time_to_come_back)
+Test (backends, expired_entries_are_kept_during_recovery)
 {
   struct bks *b = bks_new ();
   struct bks_entry e[3];
 
-  add (&e[0], "a", false);
-  add (&e[1], "b", false);
-  add (&e[2], "c", false);
+  make_entry (&e[0], "a", false);
+  make_entry (&e[1], "b", false);
+  make_entry (&e[2], "c", false);
   cr_expect (bks_update (b, 1000, 1000, e, 3));
   cr_expect_not (bks_update (b, 2000, 2000, e, 3));
   cr_expect (bks_update (b, 3000, 3000, e, 2));
@@ -86,39 +86,39 @@
 }
 
 /* Applying the changes that another node sends results in the same list. */
-Test (backends, changes_lead_to_the_same_list)
+Test (backends, changes_produce_the_same_list)
 {
   struct bks *from = bks_new (), *to = bks_new ();
   struct bks_entry e[3];
-  const struct str *gone;
+  const struct str *removed;
   uint64_t version;
   size_t n;
 
-  add (&e[0], "a", false);
-  add (&e[1], "b", false);
+  make_entry (&e[0], "a", false);
+  make_entry (&e[1], "b", false);
   bks_update (from, 1000, 1000, e, 2);
   bks_update (to, 1000, 1000, e, 2);
   version = bks_version (from);
-  add (&e[1], "c", false);
-  add (&e[0], "a", true);
+  make_entry (&e[1], "c", false);
+  make_entry (&e[0], "a", true);
   bks_update (from, 2000, 2000, e, 2);
-  cr_assert (bks_removed_since (from, version, &gone, &n));
+  cr_assert (bks_removed_since (from, version, &removed, &n));
   cr_expect_eq (n, 1);
-  cr_expect (bks_apply_changes (to, 2000, 2000, e, 2, gone, n));
+  cr_expect (bks_apply_changes (to, 2000, 2000, e, 2, removed, n));
   expect_ids (to, "a c ");
   cr_expect (bks_find (to, STR ("a"))->e.draining);
   bks_free (from);
   bks_free (to);
 }
 
-#define SERVICE_OF(size)                                                      \
+#define SERVICE_WITH_SIZE(size)                                               \
   "\"services\": [{\"name\": \"lm\", \"engine\": {\"capacity\": 8, "          \
   "\"models\": [{\"name\": \"m\", \"size\": " size                            \
   "}]}}, {\"name\": \"app\"}]"
-#define SERVICE SERVICE_OF ("2")
+#define SERVICE SERVICE_WITH_SIZE ("2")
 
 static struct str
-entry (char *out, size_t size, const char *id, const char *rest)
+entry_json (char *out, size_t size, const char *id, const char *rest)
 {
   return str_make (
       out,
@@ -133,7 +133,7 @@
 
 /* A replica takes requests only while all its members are listed as ready
    in its generation and none of them drains. */
-Test (backends, a_replica_counts_only_when_whole)
+Test (backends, replica_accepts_only_when_complete)
 {
   struct fnd_list findings = { 0 };
   struct tbl *t = plt_table (STR ("{\"version\": 1, " SERVICE "}"), &findings);
@@ -146,21 +146,21 @@
   cr_assert_not_null (t);
   cr_assert (plt_server (
       STR ("servers/h"),
-      entry (json, sizeof json, "h", "\"rank\":0,\"state\":\"open\""), &text,
-      &e[0], NULL));
+      entry_json (json, sizeof json, "h", "\"rank\":0,\"state\":\"open\""),
+      &text, &e[0], NULL));
   bks_update (b, 1000, 1000, e, 1);
   cr_expect_not (bks_places (b, t, &n)[0].accepting);
   cr_expect_eq (n, 1);
   cr_assert (plt_server (
       STR ("servers/k"),
-      entry (json, sizeof json, "k", "\"rank\":1,\"state\":\"ready\""), &text,
-      &e[1], NULL));
+      entry_json (json, sizeof json, "k", "\"rank\":1,\"state\":\"ready\""),
+      &text, &e[1], NULL));
   bks_update (b, 2000, 2000, e, 2);
   cr_expect (bks_places (b, t, &n)[0].accepting);
   cr_assert (plt_server (
       STR ("servers/k"),
-      entry (json, sizeof json, "d", "\"rank\":1,\"state\":\"ready\""), &text,
-      &e[1], NULL));
+      entry_json (json, sizeof json, "d", "\"rank\":1,\"state\":\"ready\""),
+      &text, &e[1], NULL));
   bks_update (b, 3000, 3000, e, 2);
   cr_expect_not (bks_places (b, t, &n)[0].accepting);
   arena_free (&text);
@@ -168,7 +168,7 @@
   tbl_unref (t);
 }
 
-static const char HEAD[] = "\"rank\":0,\"state\":\"open\"";
+static const char LEADER[] = "\"rank\":0,\"state\":\"open\"";
 static const char MEMBER[] = "\"rank\":1,\"state\":\"ready\"";
 
 /*
@@ -176,37 +176,37 @@
  * the store and its entry expires.  The replica is excluded only when the
  * member is listed as draining or in another replica.
  */
-Test (backends, a_replica_that_was_whole_outlives_a_lapsed_entry)
+Test (backends, complete_replica_survives_an_expired_entry)
 {
   struct fnd_list findings = { 0 };
   struct tbl *t = plt_table (STR ("{\"version\": 1, " SERVICE "}"), &findings);
   struct bks *b = bks_new ();
   struct arena text = { 0 };
-  struct bks_entry e[2], leaving, elsewhere;
+  struct bks_entry e[2], draining_member, moved_member;
   char json[512];
   size_t n;
 
   cr_assert_not_null (t);
   cr_assert (plt_server (STR ("servers/h"),
-                         entry (json, sizeof json, "h", HEAD), &text, &e[0],
-                         NULL));
+                         entry_json (json, sizeof json, "h", LEADER), &text,
+                         &e[0], NULL));
   cr_assert (plt_server (STR ("servers/k"),
-                         entry (json, sizeof json, "k", MEMBER), &text, &e[1],
-                         NULL));
+                         entry_json (json, sizeof json, "k", MEMBER), &text,
+                         &e[1], NULL));
   bks_update (b, 1000, 1000, e, 2);
   cr_expect (bks_places (b, t, &n)[0].accepting);
   bks_update (b, 2000, 2000, e, 1);
   cr_expect (bks_places (b, t, &n)[0].accepting);
 
-  leaving = e[1];
-  leaving.draining = true;
-  bks_apply_changes (b, 3000, 3000, &leaving, 1, NULL, 0);
+  draining_member = e[1];
+  draining_member.draining = true;
+  bks_apply_changes (b, 3000, 3000, &draining_member, 1, NULL, 0);
   cr_expect_not (bks_places (b, t, &n)[0].accepting);
 
-  elsewhere = e[1];
-  elsewhere.replica = STR ("other");
-  elsewhere.generation++;
-  bks_apply_changes (b, 4000, 4000, &elsewhere, 1, NULL, 0);
+  moved_member = e[1];
+  moved_member.replica = STR ("other");
+  moved_member.generation++;
+  bks_apply_changes (b, 4000, 4000, &moved_member, 1, NULL, 0);
   cr_expect_not (bks_places (b, t, &n)[0].accepting);
   arena_free (&text);
   bks_free (b);
@@ -219,11 +219,11 @@
  * were ready, and the members that are not listed still work.  A leader listed
  * alone may remain from a replica whose members have joined others.
  */
-Test (backends, a_new_node_believes_a_leader_with_most_members)
+Test (backends, new_node_accepts_a_leader_with_a_majority)
 {
   struct fnd_list findings = { 0 };
-  struct tbl *t
-      = plt_table (STR ("{\"version\": 1, " SERVICE_OF ("3") "}"), &findings);
+  struct tbl *t = plt_table (
+      STR ("{\"version\": 1, " SERVICE_WITH_SIZE ("3") "}"), &findings);
   struct bks *b = bks_new ();
   struct arena text = { 0 };
   struct bks_entry e[2];
@@ -232,11 +232,11 @@
 
   cr_assert_not_null (t);
   cr_assert (plt_server (STR ("servers/h"),
-                         entry (json, sizeof json, "h", HEAD), &text, &e[0],
-                         NULL));
+                         entry_json (json, sizeof json, "h", LEADER), &text,
+                         &e[0], NULL));
   cr_assert (plt_server (STR ("servers/k"),
-                         entry (json, sizeof json, "k", MEMBER), &text, &e[1],
-                         NULL));
+                         entry_json (json, sizeof json, "k", MEMBER), &text,
+                         &e[1], NULL));
   bks_update (b, 1000, 1000, e, 1);
   cr_expect_not (bks_places (b, t, &n)[0].accepting, "one of three");
   bks_update (b, 2000, 2000, e, 2);
@@ -248,7 +248,7 @@
 
 /* With 1,000 servers, reading the list as often as with 200 would saturate
    the leader's link and delay its orders and its frames to other nodes. */
-Test (backends, a_long_list_is_read_less_often)
+Test (backends, long_list_is_read_less_often)
 {
   static struct bks_entry e[1000];
   static char ids[1000][8];
@@ -257,16 +257,16 @@
   for (size_t i = 0; i < 1000; i++)
     {
       snprintf (ids[i], sizeof ids[i], "s%zu", i);
-      add (&e[i], ids[i], false);
+      make_entry (&e[i], ids[i], false);
     }
-  cr_expect_eq (bks_pace (b, 100), 100, "nothing is known");
+  cr_expect_eq (bks_pace (b, 100), 100, "no list read yet");
   bks_update (b, 1000, 1000, e, 200);
   cr_expect_eq (bks_pace (b, 100), 100);
   bks_update (b, 2000, 2000, e, 1000);
   cr_expect_eq (bks_pace (b, 100), 400);
   cr_expect_eq (bks_pace (b, 300), 1200);
   cr_expect_eq (bks_duty_pace (b, 300, 3000), 1000,
-                "a leave is known in time though the list is long");
+                "draining is read in time despite a long list");
   cr_expect_eq (bks_duty_pace (b, 100, 3000), 400);
   bks_free (b);
 }
@@ -275,16 +275,16 @@
  * A server drains while this node receives no list from other nodes.  One read
  * fails and the next is slow; the third still completes within drain_ms.
  */
-Test (backends, a_leaving_server_is_read_in_time)
+Test (backends, draining_server_is_read_in_time)
 {
   cr_expect_leq (3 * bks_untold_ms (2000, false), 2000);
   cr_expect_leq (3 * bks_untold_ms (3000, false), 3000);
   cr_expect_leq (bks_untold_ms (3000, true) + 1000, 3000,
-                 "among many, a reading that takes a second is in time");
+                 "in a large fleet, a read that takes 1 s is in time");
   cr_expect_geq (bks_untold_ms (3000, true), 1500,
-                 "the next that tells them had its turn");
+                 "the next leader has had time to send the list");
   cr_expect_gt (bks_untold_ms (2000, false), 300,
-                "each reading is a priced call");
+                "each read is a billed call");
 }
 
 /*
@@ -292,7 +292,7 @@
  * burst sufficient for some repairs is sent at once; after that the list uses
  * half of the link, so that renewals of the lease are not delayed.
  */
-Test (share, the_list_takes_half_of_the_link)
+Test (server_list, list_uses_half_of_the_link)
 {
   struct svl_budget c = { 0 };
   size_t burst = 0, later = 0;
@@ -310,7 +310,7 @@
         c.bytes -= 150e3;
       }
   cr_expect_eq (later, 83, "%zu frames in ten seconds", later);
-  cr_expect (svl_may_send (&c, 1010000, 0), "a link without a bound");
+  cr_expect (svl_may_send (&c, 1010000, 0), "unlimited link");
 }
 
 /*
@@ -318,7 +318,7 @@
  * where they would saturate the link, and always often enough that the last
  * one is still recent enough to be used.
  */
-Test (share, the_sum_is_told_less_often_to_many)
+Test (server_list, sum_is_sent_less_often_to_many_nodes)
 {
   cr_expect_eq (svl_sum_interval (1.25e8, 300, 7), 0);
   cr_expect_eq (svl_sum_interval (2.5e6, 620, 71), 58);
@@ -330,8 +330,8 @@
 /** Send the changes in @p from since version @p since to @p to, and log the
     endpoints of @p to; "+" marks an endpoint that takes requests. */
 static void
-tell_places (struct bks *from, struct bks *to, uint64_t since,
-             const struct tbl *t, struct buf *log)
+apply_and_log_endpoints (struct bks *from, struct bks *to, uint64_t since,
+                         const struct tbl *t, struct buf *log)
 {
   struct svl_frame *f = svl_frame_new (from, 0, since);
   const struct dsp_place *list;
@@ -351,7 +351,7 @@
  * it: while a replica takes requests, after a member starts to drain, and
  * after the replica is closed.  Members other than the leader are not sent.
  */
-Test (share, who_is_told_has_the_same_places)
+Test (server_list, receiver_has_the_same_endpoints)
 {
   struct fnd_list findings = { 0 };
   struct tbl *t = plt_table (STR ("{\"version\": 1, " SERVICE "}"), &findings);
@@ -365,28 +365,28 @@
 
   cr_assert_not_null (t);
   cr_assert (plt_server (STR ("servers/h"),
-                         entry (json, sizeof json, "h", HEAD), &text, &e[0],
-                         NULL));
+                         entry_json (json, sizeof json, "h", LEADER), &text,
+                         &e[0], NULL));
   cr_assert (plt_server (STR ("servers/k"),
-                         entry (json, sizeof json, "k", MEMBER), &text, &e[1],
-                         NULL));
-  add (&e[2], "p", false);
+                         entry_json (json, sizeof json, "k", MEMBER), &text,
+                         &e[1], NULL));
+  make_entry (&e[2], "p", false);
   cr_assert (net_addr_parse (STR ("10.0.0.9:80"), false, &e[2].addr));
   bks_update (from, 1000, 1000, e, 3);
   bks_places (from, t, &n);
-  tell_places (from, to, 0, t, &log);
+  apply_and_log_endpoints (from, to, 0, t, &log);
   expect_ids (to, "h p ");
   version = bks_version (from);
   e[1].draining = true;
   bks_update (from, 2000, 2000, e, 3);
   bks_places (from, t, &n);
-  tell_places (from, to, version, t, &log);
+  apply_and_log_endpoints (from, to, version, t, &log);
   version = bks_version (from);
   e[0].part = BKS_READY;
   e[2].draining = true;
   bks_update (from, 3000, 3000, e, 3);
   bks_places (from, t, &n);
-  tell_places (from, to, version, t, &log);
+  apply_and_log_endpoints (from, to, version, t, &log);
   cr_expect_str_eq (buf_c (&log), "h+ p+ \nh p+ \np \n", "%s", buf_c (&log));
   buf_free (&log);
   arena_free (&text);
@@ -400,7 +400,7 @@
  * changes of a long list and relies on the age of the other nodes' list.  The
  * age of its own copy is sent to it, so it reads the list from the store.
  */
-Test (share, who_waits_for_the_list_is_told_the_age_of_its_own)
+Test (server_list, waiting_node_receives_age_of_its_copy)
 {
   clk_ms current_at = 0;
 
@@ -411,7 +411,7 @@
 }
 
 /* Orders in the format that the platform's servers read. */
-Test (orders, on_the_wire)
+Test (orders, wire_format)
 {
   const struct str members[] = { STR ("a"), STR ("b") };
   struct frm_action a = { .order = FRM_JOIN,
@@ -443,7 +443,7 @@
 
 /* Routes are matched by host and longest prefix and split by weight;
    accounts are found by key. */
-Test (table, look_ups)
+Test (table, lookups)
 {
   struct fnd_list findings = { 0 };
   struct tbl *t = plt_table (
@@ -495,7 +495,7 @@
 
 /* Headers to a backend server: the account instead of the key, no
    hop-by-hop headers, and no account header set by the caller. */
-Test (caller, headers)
+Test (forward, headers)
 {
   static const struct http_header in[]
       = { { { "x-api-key", 9 }, { "k", 1 } },
@@ -529,13 +529,13 @@
 
 /* Guards against taking a list that waited in queues for seconds as new
    when it arrives: servers that have left since would get requests. */
-Test (share, time_on_the_way_makes_a_list_older)
+Test (server_list, transit_time_adds_to_age)
 {
   struct bks *from = bks_new (), *to = bks_new ();
   struct svl_frame *f;
   struct bks_entry e;
 
-  add (&e, "p", false);
+  make_entry (&e, "p", false);
   bks_update (from, 1000, 1000, &e, 1);
   f = svl_frame_new (from, 300, 0);
   svl_apply (to, 5000, 2000, svl_frame_list (f));
@@ -546,33 +546,34 @@
 }
 
 static void
-add_beat (struct bks_entry *e, const char *id, bool draining, int64_t beat)
+make_entry_with_heartbeat (struct bks_entry *e, const char *id, bool draining,
+                           int64_t beat)
 {
-  add (e, id, draining);
+  make_entry (e, id, draining);
   e->beat = beat;
 }
 
 /* Guards against sending requests to servers that have left or drain when
    the store has been restored from an older copy with their old entries. */
-Test (backends, an_older_copy_of_the_list_brings_nobody_back)
+Test (backends, older_copy_restores_no_server)
 {
   struct bks *b = bks_new ();
   struct bks_entry list[3];
 
-  add_beat (&list[0], "p1", false, 7);
-  add_beat (&list[1], "p2", true, 7);
-  add_beat (&list[2], "p3", false, 7);
+  make_entry_with_heartbeat (&list[0], "p1", false, 7);
+  make_entry_with_heartbeat (&list[1], "p2", true, 7);
+  make_entry_with_heartbeat (&list[2], "p3", false, 7);
   bks_update (b, 10000, 10000, list, 3);
   bks_update (b, 11000, 11000, list, 2); /* p3 has left */
   bks_restored (b, 12000);
-  add_beat (&list[1], "p2", false, 5);
-  add_beat (&list[2], "p3", false, 5);
+  make_entry_with_heartbeat (&list[1], "p2", false, 5);
+  make_entry_with_heartbeat (&list[2], "p3", false, 5);
   bks_update (b, 12100, 12100, list, 3);
   expect_ids (b, "p1 p2 ");
   cr_expect (bks_find (b, STR ("p2"))->e.draining);
   /* Both servers run and have written their entries again. */
-  add_beat (&list[1], "p2", false, 9);
-  add_beat (&list[2], "p3", false, 9);
+  make_entry_with_heartbeat (&list[1], "p2", false, 9);
+  make_entry_with_heartbeat (&list[2], "p3", false, 9);
   bks_update (b, 14000, 14000, list, 3);
   expect_ids (b, "p1 p2 p3 ");
   cr_expect_not (bks_find (b, STR ("p2"))->e.draining);
@@ -581,13 +582,13 @@
 
 /* Guards against removing servers whose entries are missing in a restored
    copy. */
-Test (backends, who_is_missing_after_a_return_from_a_copy_has_time)
+Test (backends, missing_after_restore_is_kept_during_recovery)
 {
   struct bks *b = bks_new ();
   struct bks_entry list[2];
 
-  add_beat (&list[0], "p1", false, 7);
-  add_beat (&list[1], "p2", false, 7);
+  make_entry_with_heartbeat (&list[0], "p1", false, 7);
+  make_entry_with_heartbeat (&list[1], "p2", false, 7);
   bks_update (b, 10000, 10000, list, 2);
   bks_restored (b, 12000);
   bks_update (b, 12100, 12100, list, 1);
--- a/t/t9205-entries.c
+++ b/t/t9205-entries.c
@@ -34,7 +34,7 @@
 
 /** Writes an entry in which field @p at is replaced; "" omits the field. */
 static void
-build (struct buf *out, size_t at, const char *instead)
+build_json (struct buf *out, size_t at, const char *instead)
 {
   buf_clear (out);
   buf_add_char (out, '{');
@@ -51,22 +51,22 @@
 }
 
 static bool
-reads (struct str value, struct bks_entry *e, const char **wrong)
+parses (struct str value, struct bks_entry *e, const char **invalid)
 {
   struct arena text = { 0 };
-  bool ok = plt_server (STR ("servers/i-1"), value, &text, e, wrong);
+  bool ok = plt_server (STR ("servers/i-1"), value, &text, e, invalid);
 
   arena_free (&text);
   return ok;
 }
 
-Test (entries, a_whole_one)
+Test (entries, complete)
 {
   struct buf json = BUF_INIT;
   struct arena text = { 0 };
   struct bks_entry e;
 
-  build (&json, FIELDS, "");
+  build_json (&json, FIELDS, "");
   cr_assert (
       plt_server (STR ("servers/i-1"), buf_str (&json), &text, &e, NULL));
   cr_expect (str_is (e.id, "i-1") && str_is (e.service, "lm"));
@@ -81,18 +81,18 @@
 
 /* Fields that a server without a model or in a service without models
    omits. */
-Test (entries, fields_that_may_be_missing)
+Test (entries, optional_fields)
 {
   struct buf json = BUF_INIT;
   struct bks_entry e;
 
   for (size_t i = 8; i < FIELDS; i++)
     {
-      build (&json, i, "");
-      cr_expect (reads (buf_str (&json), &e, NULL), "without %s", fields[i]);
+      build_json (&json, i, "");
+      cr_expect (parses (buf_str (&json), &e, NULL), "without %s", fields[i]);
     }
-  build (&json, 13, "\"group\":null");
-  cr_expect (reads (buf_str (&json), &e, NULL));
+  build_json (&json, 13, "\"group\":null");
+  cr_expect (parses (buf_str (&json), &e, NULL));
   cr_expect_eq (e.part, BKS_ALONE);
   buf_free (&json);
 }
@@ -102,12 +102,12 @@
  * state would count as ready, and a capacity of the wrong type as no slots.
  * The entry is rejected as a whole.
  */
-Test (entries, fields_by_another_writer)
+Test (entries, invalid_fields)
 {
   static const struct
   {
     size_t at;
-    const char *text, *wrong;
+    const char *text, *invalid;
   } rows[] = {
     { 0, "", "service" },
     { 0, "\"service\":7", "service" },
@@ -153,17 +153,17 @@
 
   for (size_t i = 0; i < sizeof rows / sizeof rows[0]; i++)
     {
-      const char *wrong = NULL;
-      build (&json, rows[i].at, rows[i].text);
-      cr_expect_not (reads (buf_str (&json), &e, &wrong), "row %zu: %s", i,
+      const char *invalid = NULL;
+      build_json (&json, rows[i].at, rows[i].text);
+      cr_expect_not (parses (buf_str (&json), &e, &invalid), "row %zu: %s", i,
                      rows[i].text);
-      cr_expect (wrong && strcmp (wrong, rows[i].wrong) == 0, "row %zu: %s", i,
-                 wrong ? wrong : "nothing");
+      cr_expect (invalid && strcmp (invalid, rows[i].invalid) == 0,
+                 "row %zu: %s", i, invalid ? invalid : "nothing");
     }
   buf_free (&json);
 }
 
-Test (entries, bytes_that_are_no_object)
+Test (entries, not_an_object)
 {
   static const char *const texts[]
       = { "", "null", "7", "[]", "\"text\"", "{", "{]", "\xff\xfe" };
@@ -171,7 +171,7 @@
   struct arena text = { 0 };
 
   for (size_t i = 0; i < sizeof texts / sizeof texts[0]; i++)
-    cr_expect_not (reads (str_from (texts[i]), &e, NULL), "%s", texts[i]);
+    cr_expect_not (parses (str_from (texts[i]), &e, NULL), "%s", texts[i]);
   cr_expect_not (plt_server (STR ("servers/"), STR ("{}"), &text, &e, NULL));
   cr_expect_not (
       plt_server (STR ("servers/a/b"), STR ("{}"), &text, &e, NULL));
@@ -180,7 +180,7 @@
 
 /* Entries with random byte changes are either rejected or have values
    within the limits that other code relies on. */
-Test (entries, changed_by_chance)
+Test (entries, random_byte_changes)
 {
   struct buf json = BUF_INIT;
   struct rng rng;
@@ -189,10 +189,10 @@
   for (int i = 0; i < 20000; i++)
     {
       struct bks_entry e;
-      build (&json, FIELDS, "");
+      build_json (&json, FIELDS, "");
       for (uint64_t k = rng_below (&rng, 4); k < 4; k++)
         json.ptr[rng_below (&rng, json.len)] = (char)rng_below (&rng, 256);
-      if (!reads (buf_str (&json), &e, NULL))
+      if (!parses (buf_str (&json), &e, NULL))
         continue;
       cr_assert (e.capacity >= 1 && e.capacity <= 100000);
       cr_assert (e.rank < FRM_MEMBERS && e.generation >= 0 && e.born >= 0);
@@ -203,7 +203,7 @@
 
 /* The list is read three times per second; an entry that cannot be parsed
    is logged when it appears and when it changes. */
-Test (entries, each_change_is_noted_once)
+Test (entries, each_change_is_logged_once)
 {
   struct unr *u = unr_new ();
 
@@ -225,7 +225,7 @@
 /* --- incarnations ------------------------------------------------------ */
 
 static const struct bks_entry *
-listed (struct bks *b, clk_ms now, const struct bks_entry *e)
+update_list (struct bks *b, clk_ms now, const struct bks_entry *e)
 {
   size_t n;
 
@@ -238,7 +238,7 @@
  * A server restarts under its id, and a list that was read earlier, or sent by
  * a node that is behind, shows the previous incarnation as open in a replica.
  */
-Test (lives, an_earlier_one_never_replaces_a_later)
+Test (incarnations, earlier_never_replaces_later)
 {
   struct bks *b = bks_new ();
   struct bks_entry old = { .id = STR ("a"),
@@ -248,23 +248,23 @@
                            .generation = 5,
                            .part = BKS_OPEN,
                            .born = 1000 };
-  struct bks_entry fresh = {
+  struct bks_entry restarted = {
     .id = STR ("a"), .service = STR ("lm"), .capacity = 4, .born = 2000
   };
-  struct bks_entry untold = old;
+  struct bks_entry no_start_time = old;
 
-  untold.born = 0;
-  cr_expect_eq (listed (b, 1000, &old)->part, BKS_OPEN);
-  cr_expect_eq (listed (b, 2000, &fresh)->part, BKS_ALONE);
-  cr_expect_eq (listed (b, 3000, &old)->part, BKS_ALONE);
-  cr_expect_eq (listed (b, 4000, &untold)->part, BKS_ALONE);
-  cr_expect_eq (listed (b, 5000, &fresh)->born, 2000);
+  no_start_time.born = 0;
+  cr_expect_eq (update_list (b, 1000, &old)->part, BKS_OPEN);
+  cr_expect_eq (update_list (b, 2000, &restarted)->part, BKS_ALONE);
+  cr_expect_eq (update_list (b, 3000, &old)->part, BKS_ALONE);
+  cr_expect_eq (update_list (b, 4000, &no_start_time)->part, BKS_ALONE);
+  cr_expect_eq (update_list (b, 5000, &restarted)->born, 2000);
   bks_free (b);
 }
 
 /* The load and the failures of an endpoint are recorded for one
    incarnation. */
-Test (lives, another_place_for_each)
+Test (incarnations, each_is_a_separate_endpoint)
 {
   cr_expect_neq (dsp_place_hash (STR ("a"), 1000, 5),
                  dsp_place_hash (STR ("a"), 2000, 5));
@@ -279,7 +279,7 @@
  * one with an unknown state.  Requests succeed because none is sent to these
  * two servers.
  */
-Test (serve, entries_by_another_writer_harm_nobody)
+Test (serve, invalid_entries_are_ignored)
 {
   struct rack r;
   struct buf text = BUF_INIT;
@@ -303,7 +303,7 @@
  * A member of the only replica restarts under its id and address.  The replica
  * is formed again from the same servers, and then a new stream succeeds.
  */
-Test (serve, a_member_that_starts_again_is_taken_in_again)
+Test (serve, restarted_member_rejoins)
 {
   struct rack r;
 
@@ -320,5 +320,5 @@
         return;
       usleep (100000);
     }
-  cr_assert (false, "no stream was served again");
+  cr_assert (false, "no stream succeeded after the restart");
 }
--- a/t/t9206-hubs.c
+++ b/t/t9206-hubs.c
@@ -11,20 +11,20 @@
 #include "base/rng.h"
 #include "serve/hubs.h"
 
-#define MOST 400
+#define NODES_MAX 400
 #define MBIT 125000.0
 
 struct fleet
 {
   size_t n;
-  struct hub_node node[MOST];
-  bool dead[MOST];
+  struct hub_node node[NODES_MAX];
+  bool failed[NODES_MAX];
 };
 
 /** @p n nodes; every @p nth of them has a link ten times as fast as the
     others. */
 static void
-fill (struct fleet *f, size_t n, size_t nth)
+fleet_init (struct fleet *f, size_t n, size_t nth)
 {
   struct rng r;
 
@@ -33,25 +33,27 @@
   f->n = n;
   for (size_t i = 0; i < n; i++)
     {
-      bool large = i % nth == 0;
-      f->node[i] = (struct hub_node){ rng_next (&r), (large ? 200 : 20) * MBIT,
-                                      large ? 0.5 : 0.12 };
+      bool is_large = i % nth == 0;
+      f->node[i]
+          = (struct hub_node){ rng_next (&r), (is_large ? 200 : 20) * MBIT,
+                               is_large ? 0.5 : 0.12 };
     }
 }
 
 /** The peers of node @p self; @p list has room for the whole fleet. */
 static size_t
-see (const struct fleet *f, size_t self, struct rly_peer *list, size_t *who)
+list_peers (const struct fleet *f, size_t self, struct rly_peer *list,
+            size_t *indices)
 {
   size_t n = 0;
 
   for (size_t i = 0; i < f->n; i++)
     if (i != self)
       {
-        who[n] = i;
+        indices[n] = i;
         list[n++] = (struct rly_peer){ .node = f->node[i],
-                                       .up = !f->dead[i],
-                                       .failing = f->dead[i] };
+                                       .up = !f->failed[i],
+                                       .failing = f->failed[i] };
       }
   return n;
 }
@@ -59,17 +61,17 @@
 /** The number of links from node @p self to running nodes.  Adds one to
     @p wanted for each node at the other end. */
 static size_t
-choose (const struct fleet *f, size_t self, unsigned *wanted)
+count_links (const struct fleet *f, size_t self, unsigned *wanted)
 {
-  static struct rly_peer list[MOST];
-  static size_t who[MOST];
-  size_t n = see (f, self, list, who), links = 0;
+  static struct rly_peer list[NODES_MAX];
+  static size_t indices[NODES_MAX];
+  size_t n = list_peers (f, self, list, indices), links = 0;
 
   rly_choose_links (&f->node[self], false, list, n);
   for (size_t i = 0; i < n; i++)
-    if (list[i].wanted && !f->dead[who[i]])
+    if (list[i].wanted && !f->failed[indices[i]])
       {
-        wanted[who[i]]++;
+        wanted[indices[i]]++;
         links++;
       }
   return links;
@@ -80,21 +82,22 @@
  * all of them lead to the same few large nodes, which alone have the capacity
  * for all loads.
  */
-Test (hubs, all_link_to_the_same_few_large_nodes)
+Test (relays, all_nodes_link_to_the_same_large_nodes)
 {
   static struct fleet f;
-  unsigned wanted[MOST] = { 0 };
+  unsigned wanted[NODES_MAX] = { 0 };
   size_t used = 0;
 
-  fill (&f, 300, 20);
+  fleet_init (&f, 300, 20);
   for (size_t i = 0; i < f.n; i++)
-    cr_expect_eq (choose (&f, i, wanted), HUB_LINKS, "node %zu", i);
+    cr_expect_eq (count_links (&f, i, wanted), HUB_LINKS, "node %zu", i);
   for (size_t i = 0; i < f.n; i++)
     {
       used += wanted[i] > 0;
-      cr_expect (wanted[i] == 0 || i % 20 == 0, "small node %zu is a hub", i);
+      cr_expect (wanted[i] == 0 || i % 20 == 0, "small node %zu is a relay",
+                 i);
     }
-  cr_expect_leq (used, HUB_LINKS + 1, "%zu hubs", used);
+  cr_expect_leq (used, HUB_LINKS + 1, "%zu relays", used);
 }
 
 /*
@@ -102,37 +105,37 @@
  * These are again the same for all nodes, so that frames of one node reach all
  * others.
  */
-Test (hubs, when_hubs_die_all_meet_at_the_next)
+Test (relays, all_nodes_fail_over_to_the_same_relays)
 {
   static struct fleet f;
-  unsigned before[MOST] = { 0 }, wanted[MOST] = { 0 };
+  unsigned before[NODES_MAX] = { 0 }, wanted[NODES_MAX] = { 0 };
   size_t used = 0;
 
-  fill (&f, 300, 20);
+  fleet_init (&f, 300, 20);
   for (size_t i = 0; i < f.n; i++)
-    choose (&f, i, before);
+    count_links (&f, i, before);
   for (size_t i = 0; i < f.n; i++)
-    f.dead[i] = before[i] > 0;
+    f.failed[i] = before[i] > 0;
   for (size_t i = 0; i < f.n; i++)
-    if (!f.dead[i])
-      cr_expect_eq (choose (&f, i, wanted), HUB_LINKS, "node %zu", i);
+    if (!f.failed[i])
+      cr_expect_eq (count_links (&f, i, wanted), HUB_LINKS, "node %zu", i);
   for (size_t i = 0; i < f.n; i++)
     used += wanted[i] > 0;
-  cr_expect_leq (used, HUB_LINKS + 1, "%zu hubs", used);
+  cr_expect_leq (used, HUB_LINKS + 1, "%zu relays", used);
 }
 
 /* All large nodes have failed, and small nodes become relays. */
-Test (hubs, small_nodes_serve_when_no_large_one_lives)
+Test (relays, small_nodes_replace_failed_large_ones)
 {
   static struct fleet f;
-  unsigned wanted[MOST] = { 0 };
+  unsigned wanted[NODES_MAX] = { 0 };
 
-  fill (&f, 300, 20);
+  fleet_init (&f, 300, 20);
   for (size_t i = 0; i < f.n; i += 20)
-    f.dead[i] = true;
+    f.failed[i] = true;
   for (size_t i = 0; i < f.n; i++)
-    if (!f.dead[i])
-      cr_expect_eq (choose (&f, i, wanted), HUB_LINKS, "node %zu", i);
+    if (!f.failed[i])
+      cr_expect_eq (count_links (&f, i, wanted), HUB_LINKS, "node %zu", i);
 }
 
 /*
@@ -140,27 +143,27 @@
  * reach the store.  It wants links to all nodes, and each node keeps its link
  * to it.
  */
-Test (hubs, who_forms_replicas_is_linked_to_all)
+Test (relays, leader_is_linked_to_all)
 {
   static struct fleet f;
-  static struct rly_peer list[MOST];
-  static size_t who[MOST];
+  static struct rly_peer list[NODES_MAX];
+  static size_t indices[NODES_MAX];
   size_t last = 0, n;
 
-  fill (&f, 300, 20);
+  fleet_init (&f, 300, 20);
   for (size_t i = 0; i < f.n; i++)
     if (hub_cmp (&f.node[i], &f.node[last]) > 0)
       last = i;
-  n = see (&f, last, list, who);
+  n = list_peers (&f, last, list, indices);
   rly_choose_links (&f.node[last], true, list, n);
   for (size_t i = 0; i < n; i++)
-    cr_expect (list[i].wanted, "node %zu is not reached", who[i]);
-  n = see (&f, 5, list, who);
+    cr_expect (list[i].wanted, "no link to node %zu", indices[i]);
+  n = list_peers (&f, 5, list, indices);
   for (size_t i = 0; i < n; i++)
-    list[i].leads = who[i] == last;
+    list[i].leads = indices[i] == last;
   rly_choose_links (&f.node[5], false, list, n);
   for (size_t i = 0; i < n; i++)
-    cr_expect (who[i] != last || list[i].wanted);
+    cr_expect (indices[i] != last || list[i].wanted);
 }
 
 /*
@@ -168,26 +171,26 @@
  * nodes aggregates the loads, so that each node still receives the load of the
  * endpoints.  With a leader, only the leader aggregates.
  */
-Test (hubs, one_node_adds_up_the_loads)
+Test (relays, one_node_aggregates_the_loads)
 {
   static struct fleet f;
-  static struct rly_peer list[MOST];
-  static size_t who[MOST];
+  static struct rly_peer list[NODES_MAX];
+  static size_t indices[NODES_MAX];
   size_t sums = 0;
 
-  fill (&f, 300, 20);
+  fleet_init (&f, 300, 20);
   for (size_t i = 0; i < f.n; i++)
     {
-      size_t n = see (&f, i, list, who);
+      size_t n = list_peers (&f, i, list, indices);
       sums += !rly_aggregator (&f.node[i], false, list, n);
     }
   cr_expect_eq (sums, 1, "%zu", sums);
   sums = 0;
   for (size_t i = 0; i < f.n; i++)
     {
-      size_t n = see (&f, i, list, who);
+      size_t n = list_peers (&f, i, list, indices);
       for (size_t k = 0; k < n; k++)
-        list[k].leads = who[k] == 3;
+        list[k].leads = indices[k] == 3;
       sums += !rly_aggregator (&f.node[i], i == 3, list, n);
     }
   cr_expect_eq (sums, 1, "%zu", sums);
@@ -195,15 +198,15 @@
 
 /* Nodes of a small fleet form a full mesh, which notices of long prompts
    depend on.  A platform that states no limits is treated as unlimited. */
-Test (hubs, few_nodes_are_a_mesh)
+Test (relays, small_fleet_is_a_full_mesh)
 {
   static struct fleet f;
-  unsigned wanted[MOST] = { 0 };
-  struct hub_node bound = { 1, MBIT, 1 }, none = { 2, 0, 0 };
+  unsigned wanted[NODES_MAX] = { 0 };
+  struct hub_node limited = { 1, MBIT, 1 }, unlimited = { 2, 0, 0 };
 
-  fill (&f, HUB_MESH_MOST, 9);
+  fleet_init (&f, HUB_MESH_MOST, 9);
   for (size_t i = 0; i < f.n; i++)
-    cr_expect_eq (choose (&f, i, wanted), f.n - 1, "node %zu", i);
-  cr_expect_lt (hub_cmp (&none, &bound), 0);
-  cr_expect_gt (hub_cmp (&bound, &none), 0);
+    cr_expect_eq (count_links (&f, i, wanted), f.n - 1, "node %zu", i);
+  cr_expect_lt (hub_cmp (&unlimited, &limited), 0);
+  cr_expect_gt (hub_cmp (&limited, &unlimited), 0);
 }
