--- a/serve/backends.c
+++ b/serve/backends.c
@@ -64,7 +64,7 @@
   size_t n;
   GHashTable *by_id; /* the servers of `list`; key: bks_server.e.id */
   bool has_list;
-  bool last_read_failed;  /* the last read failed */
+  bool last_read_failed;
   clk_ms read_started_at; /* when the last successful read was sent */
   clk_ms first_read_at;   /* when the first successful read arrived */
   clk_ms stable_since;    /* when the first successful read after a failed
@@ -474,7 +474,7 @@
 }
 
 static bool
-has_members (const struct bks_server *leader)
+has_recorded_members (const struct bks_server *leader)
 {
   return leader->nmembers
          && leader->members_generation == leader->e.generation;
@@ -483,7 +483,7 @@
 static void
 record_members (const struct bks *b, struct bks_server *leader, unsigned size)
 {
-  if (has_members (leader))
+  if (has_recorded_members (leader))
     return;
   clear_members (leader);
   leader->members = xcalloc (size, sizeof *leader->members);
@@ -538,7 +538,7 @@
     }
   if (members == size)
     record_members (b, leader, size);
-  if (has_members (leader))
+  if (has_recorded_members (leader))
     return are_members_unchanged (b, leader);
   return 2 * members > size;
 }
--- a/serve/hubs.c
+++ b/serve/hubs.c
@@ -16,13 +16,13 @@
 int
 hub_cmp (const struct hub_node *a, const struct hub_node *b)
 {
-  int sorted = cmp_limit (a->link_bytes_per_s, b->link_bytes_per_s);
+  int order = cmp_limit (a->link_bytes_per_s, b->link_bytes_per_s);
 
-  if (sorted == 0)
-    sorted = cmp_limit (a->cpu_share, b->cpu_share);
-  if (sorted == 0)
-    sorted = (a->hash > b->hash) - (a->hash < b->hash);
-  return sorted;
+  if (order == 0)
+    order = cmp_limit (a->cpu_share, b->cpu_share);
+  if (order == 0)
+    order = (a->hash > b->hash) - (a->hash < b->hash);
+  return order;
 }
 
 unsigned
@@ -69,7 +69,7 @@
     {
       struct rly_peer *p = sorted[i];
       p->wanted = all || relays < HUB_LINKS || p->leads;
-      relays += p->up || !p->failing;
+      relays += p->up || !p->connect_failed;
     }
   free (sorted);
 }
--- a/serve/hubs.h
+++ b/serve/hubs.h
@@ -51,10 +51,10 @@
 struct rly_peer
 {
   struct hub_node node;
-  bool up;      /**< linked */
-  bool failing; /**< the last connection attempt failed */
-  bool leads;   /**< it is the leader, which forms replicas */
-  bool wanted;  /**< out: connect to it, or keep the link */
+  bool up;             /**< linked */
+  bool connect_failed; /**< the last connection attempt failed */
+  bool leads;          /**< it is the leader, which forms replicas */
+  bool wanted;         /**< out: connect to it, or keep the link */
 };
 
 /**
--- a/serve/peers-config.c
+++ b/serve/peers-config.c
@@ -3,7 +3,8 @@
 /*
  * Configuration state in the frames between nodes.  With each load a node
  * announces the version in force and when that version was last confirmed to
- * be the newest.  The node whose announcements others rely on also pushes the
+ * be the newest.  The node whose announcements others rely on (the leader
+ * or, in a large fleet without a leader, the aggregator) also pushes the
  * document to each peer with an older version.  In a small fleet each node
  * watches the store and usually has the document by then, unless the store
  * rejects its requests or returns an older revision.
@@ -50,7 +51,7 @@
 prs_fill_config_state (const struct peer *x, clk_ms now, Lapis__ConfigState *c)
 {
   const struct srv *s = x->p->s;
-  clk_ms known_at = srv_config_known_at (s);
+  clk_ms confirmed_at = srv_config_known_at (s);
 
   lapis__config_state__init (c);
   c->version = srv_config_version (s);
@@ -59,8 +60,8 @@
     return;
   c->stamp = x->timestamp;
   c->held_ms = (uint32_t)(now - x->timestamp_received_at);
-  c->known = known_at != 0;
-  c->age_ms = c->known ? x->timestamp_received_at - known_at : 0;
+  c->known = confirmed_at != 0;
+  c->age_ms = c->known ? x->timestamp_received_at - confirmed_at : 0;
 }
 
 /** The peer's version counts only once a load has arrived on this link, so
--- a/serve/peers-int.h
+++ b/serve/peers-int.h
@@ -144,7 +144,8 @@
 /* peers-poison.c */
 /** Send all recorded poison requests to a peer that has just been linked. */
 void prs_send_poison_snapshot (struct peer *x, clk_ms now);
-void prs_on_poison_updates (struct peer *x, const Lapis__PoisonUpdates *news);
+void prs_on_poison_updates (struct peer *x,
+                            const Lapis__PoisonUpdates *updates);
 
 /* peers-limit.c */
 /** Rows of permits in a frame. */
--- a/serve/peers-limit.c
+++ b/serve/peers-limit.c
@@ -3,11 +3,11 @@
 #include <stdlib.h>
 
 /*
- * Rate limits that backend servers ask for, and permits to send to these
- * servers.  A new limit is sent to each linked node, and each node forwards
- * limits that are new to it, so a limit also reaches nodes whose links to the
- * sender are cut.  Permits are granted by the aggregator (the grantor); the
- * permits that a node wants are sent to it with the node's load.
+ * Rate limits that backend servers ask for, and permits to send requests to
+ * these servers.  A new limit is sent to each linked node, and each node
+ * forwards limits that are new to it, so a limit also reaches nodes whose
+ * links to the sender are cut.  Permits are granted by the aggregator (the
+ * grantor); the permits that a node wants are sent to it with the node's load.
  */
 
 /** Most rows in one frame. */
--- a/serve/peers-nodes.c
+++ b/serve/peers-nodes.c
@@ -3,9 +3,9 @@
 #include <stdlib.h>
 
 /*
- * NodeList frames: the aggregator sends the number of nodes, front addresses
- * of ready nodes for callers, and the relays to nodes that are not linked to
- * all others.
+ * NodeList frames, which the aggregator sends to nodes that are not linked to
+ * all others: the number of nodes, front addresses of ready nodes for callers
+ * and, if the aggregator is the leader, the relays.
  *
  * A node that is not a relay does not read the entries of nodes from the store
  * while it receives these frames.  The frames therefore also list new nodes
--- a/serve/peers-poison.c
+++ b/serve/peers-poison.c
@@ -5,7 +5,7 @@
 /*
  * Updates about poison requests, which crash backend servers, in the frames
  * between nodes.  Each node forwards updates that are new to it, so an update
- * also reaches nodes whose links to the sender are cut.  Only relays aggregate
+ * also reaches nodes whose links to the sender are cut.  Only relays collect
  * which requests were running during a crash: with hundreds of nodes, the
  * failure of one rack would otherwise saturate all their links.
  */
@@ -25,11 +25,11 @@
   row->broadcast = update->broadcast;
 }
 
-/** @param aggregator  the peer aggregates crashes: also send the updates
+/** @param collector  the peer collects crashes: also send the updates
     that only these peers need */
 static void
 send_frame (struct peer *x, const struct psn_update *list, size_t n,
-            bool aggregator)
+            bool collector)
 {
   Lapis__PoisonUpdates updates = LAPIS__POISON_UPDATES__INIT;
   Lapis__Frame f = LAPIS__FRAME__INIT;
@@ -37,7 +37,7 @@
   size_t k = 0;
 
   for (size_t i = 0; i < n; i++)
-    if (aggregator || list[i].broadcast)
+    if (collector || list[i].broadcast)
       {
         fill_row (&rows[k], &list[i]);
         row_list[k] = &rows[k];
@@ -52,9 +52,9 @@
   link_send (x->link, &f);
 }
 
-/** Whether the peer aggregates which requests were running during crashes. */
+/** Whether the peer collects which requests were running during crashes. */
 static bool
-is_aggregator (const struct peer *x)
+is_crash_collector (const struct peer *x)
 {
   const struct peer *relay = NULL;
   unsigned relays = 0;
@@ -75,11 +75,11 @@
 static void
 send_updates (struct peer *x, const struct psn_update *list, size_t n)
 {
-  bool aggregator = is_aggregator (x);
+  bool collector = is_crash_collector (x);
 
   for (size_t i = 0; i < n; i += UPDATES_MAX)
     send_frame (x, list + i, n - i < UPDATES_MAX ? n - i : UPDATES_MAX,
-                aggregator);
+                collector);
 }
 
 void
--- a/serve/peers.c
+++ b/serve/peers.c
@@ -245,7 +245,7 @@
       {
         list[n] = (struct rly_peer){ .node = x->spec,
                                      .up = x->up,
-                                     .failing = x->connect_failed,
+                                     .connect_failed = x->connect_failed,
                                      .leads = x->leads };
         peers[n++] = x;
       }
@@ -367,7 +367,7 @@
  * servers changes some three times while replicas are formed, and sending each
  * change to 100 nodes exceeds the link of a small VM.  The leader then fails
  * to renew its own lease in time, and the next leader starts by sending the
- * whole list to all nodes and loses its lease in the same way.
+ * complete list to all nodes and loses its lease in the same way.
  *
  * The peer whose last list is oldest is served first.  Changes that accumulate
  * go out in one frame, and a node that receives no list reads it from the
--- a/serve/share.c
+++ b/serve/share.c
@@ -248,7 +248,7 @@
            const Lapis__ServerList *list)
 {
   struct bks_entry *entries = xcalloc (list->n_servers + 1, sizeof *entries);
-  struct str *gone = xcalloc (list->n_gone + 1, sizeof *gone);
+  struct str *removed = xcalloc (list->n_gone + 1, sizeof *removed);
   clk_ms read_started_at = sent_at - list->age_ms;
   size_t n = 0;
   bool changed;
@@ -257,11 +257,11 @@
     if (read_entry (list->servers[i], &entries[n]))
       n++;
   for (size_t i = 0; i < list->n_gone; i++)
-    gone[i] = str_from (list->gone[i]);
+    removed[i] = str_from (list->gone[i]);
   changed = list->whole ? bks_update (b, now, read_started_at, entries, n)
                         : bks_apply_changes (b, now, read_started_at, entries,
-                                             n, gone, list->n_gone);
+                                             n, removed, list->n_gone);
   free (entries);
-  free (gone);
+  free (removed);
   return changed;
 }
--- a/t/t9206-hubs.c
+++ b/t/t9206-hubs.c
@@ -53,7 +53,7 @@
         indices[n] = i;
         list[n++] = (struct rly_peer){ .node = f->node[i],
                                        .up = !f->failed[i],
-                                       .failing = f->failed[i] };
+                                       .connect_failed = f->failed[i] };
       }
   return n;
 }
