--- a/serve/dispatch-load.c
+++ b/serve/dispatch-load.c
@@ -1,5 +1,5 @@
 #include "serve/dispatch-int.h"
-#include "serve/hubs.h"
+#include "serve/relays.h"
 
 #include <stdlib.h>
 #include <string.h>
--- a/serve/node-int.h
+++ b/serve/node-int.h
@@ -13,7 +13,7 @@
 #include "net/link.h"
 #include "replica/owner.h"
 #include "serve/currency.h"
-#include "serve/hubs.h"
+#include "serve/relays.h"
 #include "serve/node.h"
 #include "serve/pause.h"
 
--- a/serve/peers-int.h
+++ b/serve/peers-int.h
@@ -12,9 +12,9 @@
 #ifndef LAPISLINE_SERVE_PEERS_INT_H
 #define LAPISLINE_SERVE_PEERS_INT_H
 
-#include "serve/hubs.h"
+#include "serve/relays.h"
 #include "serve/node-int.h"
-#include "serve/share.h"
+#include "serve/server-list.h"
 
 /** Interval at which a node sends its load, and shortest interval at which
     the aggregator sends the sum of all loads. */
--- a/serve/peers.c
+++ b/serve/peers.c
@@ -7,7 +7,7 @@
  * Links between nodes.  Each node announces how many requests it has in flight
  * at each endpoint.  Endpoints fill up and become free within a second, so
  * these counts must be at most some 0.1 s old, or two nodes take the same last
- * slot.  See hubs.h for the choice of links.
+ * slot.  See relays.h for the choice of links.
  */
 
 /** A link on which no frame arrives for this long is closed: the other end
--- a/serve/hubs.c
+++ b/serve/relays.c
@@ -1,4 +1,4 @@
-#include "serve/hubs.h"
+#include "serve/relays.h"
 
 #include <stdlib.h>
 
--- a/serve/hubs.h
+++ b/serve/relays.h
@@ -14,8 +14,8 @@
  * sends a list of 100 kB to each node, which takes half a minute on a link of
  * 20 Mbit/s.
  */
-#ifndef LAPISLINE_SERVE_HUBS_H
-#define LAPISLINE_SERVE_HUBS_H
+#ifndef LAPISLINE_SERVE_RELAYS_H
+#define LAPISLINE_SERVE_RELAYS_H
 
 #include <stdbool.h>
 #include <stddef.h>
--- a/serve/share.c
+++ b/serve/server-list.c
@@ -1,4 +1,4 @@
-#include "serve/share.h"
+#include "serve/server-list.h"
 
 #include <stdlib.h>
 
--- a/serve/share.h
+++ b/serve/server-list.h
@@ -6,8 +6,8 @@
  * some 200 endpoints, and with hundreds of nodes the complete list would
  * exceed the capacity of the sender's link.
  */
-#ifndef LAPISLINE_SERVE_SHARE_H
-#define LAPISLINE_SERVE_SHARE_H
+#ifndef LAPISLINE_SERVE_SERVER_LIST_H
+#define LAPISLINE_SERVE_SERVER_LIST_H
 
 #include "net/link.h"
 #include "serve/backends.h"
--- a/t/t9202-views.c
+++ b/t/t9202-views.c
@@ -6,7 +6,7 @@
 
 #include "platform/platform.h"
 #include "serve/backends.h"
-#include "serve/share.h"
+#include "serve/server-list.h"
 #include "serve/split.h"
 
 /* Events split at arbitrary points are passed on complete, and each id
--- a/t/t9206-hubs.c
+++ b/t/t9206-hubs.c
@@ -9,7 +9,7 @@
 #include <string.h>
 
 #include "base/rng.h"
-#include "serve/hubs.h"
+#include "serve/relays.h"
 
 #define NODES_MAX 400
 #define MBIT 125000.0
