--- a/serve/backends.c
+++ b/serve/backends.c
@@ -51,7 +51,7 @@
 {
   char *id;
   uint64_t version;
-  int64_t beat;
+  int64_t heartbeat;
 };
 
 struct bks
@@ -136,7 +136,7 @@
   free (g->id);
   g->id = str_dup (e->id);
   g->version = b->version;
-  g->beat = e->beat;
+  g->heartbeat = e->beat;
 }
 
 uint64_t
@@ -253,7 +253,7 @@
   if (recorded)
     return in->born == recorded->e.born && in->beat < recorded->e.beat;
   removed = find_removed (b, in->id);
-  return removed && in->beat && in->beat <= removed->beat;
+  return removed && in->beat && in->beat <= removed->heartbeat;
 }
 
 /** The server has restarted under its id.  The new process holds no state
@@ -504,7 +504,9 @@
     {
       const struct bks_member *member = &leader->members[i];
       const struct bks_server *s = find (b, str_from (member->id));
-      if (s && (!is_member (&s->e, &leader->e) || s->e.born != member->born))
+      if (s
+          && (!is_member (&s->e, &leader->e)
+              || s->e.born != member->start_time))
         return false;
     }
   return true;
--- a/serve/backends.h
+++ b/serve/backends.h
@@ -70,7 +70,7 @@
 struct bks_member
 {
   char *id;
-  int64_t born;
+  int64_t start_time;
 };
 
 /** State that this node keeps for one backend server. */
