--- a/serve/backends.c
+++ b/serve/backends.c
@@ -175,7 +175,7 @@
 }
 
 static bool
-same_staged (const struct bks_entry *a, const struct bks_entry *b)
+same_preloaded (const struct bks_entry *a, const struct bks_entry *b)
 {
   if (a->nstaged != b->nstaged)
     return false;
@@ -192,7 +192,7 @@
          && str_eq (a->zone, b->zone) && str_eq (a->domain, b->domain)
          && net_addr_eq (&a->addr, &b->addr) && a->capacity == b->capacity
          && a->draining == b->draining && str_eq (a->model, b->model)
-         && same_staged (a, b) && str_eq (a->replica, b->replica)
+         && same_preloaded (a, b) && str_eq (a->replica, b->replica)
          && a->generation == b->generation && a->rank == b->rank
          && a->part == b->part && a->acceptance == b->acceptance;
 }
