--- a/serve/poison-node.c
+++ b/serve/poison-node.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 static void
-act (struct srv *s, clk_ms now, const struct psn_update *update)
+handle_update (struct srv *s, clk_ms now, const struct psn_update *update)
 {
   char digest[17];
 
@@ -45,7 +45,7 @@
   memcpy (copy, updates, n * sizeof *copy);
   srv_peers_poison (s, copy, n);
   for (size_t i = 0; i < n; i++)
-    act (s, now, &copy[i]);
+    handle_update (s, now, &copy[i]);
   free (copy);
   srv_act (s);
 }
@@ -53,9 +53,9 @@
 void
 srv_poison_tick (struct srv *s, clk_ms now)
 {
-  psn_aggregate (s->poison, now,
-                 !srv_register_follows (s) || !srv_peers_linked (s));
-  if (now >= psn_wake (s->poison))
+  psn_set_aggregating (s->poison, now,
+                       !srv_register_follows (s) || !srv_peers_linked (s));
+  if (now >= psn_next_deadline (s->poison))
     {
       psn_tick (s->poison, now);
       srv_poison_act (s);
--- a/serve/poison-store.c
+++ b/serve/poison-store.c
@@ -20,39 +20,39 @@
 /** Between two nodes that may write the same key, so that one does. */
 #define STAGGER_MS ((clk_ms)150)
 /** After a call that failed. */
-#define AGAIN_MS ((clk_ms)1000)
+#define RETRY_MS ((clk_ms)1000)
 /** Keys that are written within this share a lease. */
 #define SHARE_LEASE_MS ((clk_ms)30000)
 /** How long a key says that its request was cleared: until all nodes that
     reach the store have seen it. */
-#define CLEARED_MS ((clk_ms)30000)
+#define CLEARED_LEASE_MS ((clk_ms)30000)
 /** Keys that are kept track of. */
-#define KEYS_MOST 256
+#define MAX_KEYS 256
 
 /** A request that is blocked, or has a key in the store. */
 struct blocked_key
 {
   uint64_t digest;
-  bool stored;  /**< as blocked */
-  bool cleared; /**< the store is to say so */
-  clk_ms due;   /**< no call about it before */
+  bool stored;       /**< as blocked */
+  bool cleared;      /**< the store is to say so */
+  clk_ms not_before; /**< no call about it before */
 };
 
 struct srv_poison
 {
   struct srv *s;
-  struct blocked_key keys[KEYS_MOST];
+  struct blocked_key keys[MAX_KEYS];
   size_t n;
   int64_t lease;
   clk_ms granted_at;
-  bool calling;
-  uint64_t digest; /**< that the call is about */
-  bool storing;    /**< as blocked, else as cleared */
+  bool call_pending;
+  uint64_t call_digest; /**< that the call is about */
+  bool writes_blocked;  /**< as blocked, else as cleared */
   struct buf key;
 };
 
 static struct blocked_key *
-find (struct srv_poison *k, uint64_t digest)
+find_key (struct srv_poison *k, uint64_t digest)
 {
   for (size_t i = 0; i < k->n; i++)
     if (k->keys[i].digest == digest)
@@ -61,11 +61,11 @@
 }
 
 static struct blocked_key *
-key_of (struct srv_poison *k, uint64_t digest)
+find_or_add_key (struct srv_poison *k, uint64_t digest)
 {
-  struct blocked_key *b = find (k, digest);
+  struct blocked_key *b = find_key (k, digest);
 
-  if (b || k->n == KEYS_MOST)
+  if (b || k->n == MAX_KEYS)
     return b;
   b = &k->keys[k->n++];
   *b = (struct blocked_key){ .digest = digest };
@@ -82,12 +82,13 @@
 srv_poison_changed (struct srv *s, clk_ms now, uint64_t digest, bool blocked)
 {
   struct srv_poison *k = s->poison_keys;
-  struct blocked_key *b = blocked ? key_of (k, digest) : find (k, digest);
+  struct blocked_key *b
+      = blocked ? find_or_add_key (k, digest) : find_key (k, digest);
 
   if (!b)
     return;
   b->cleared = !blocked;
-  b->due = now + stagger_ms (s);
+  b->not_before = now + stagger_ms (s);
 }
 
 /* --- what the store has -------------------------------------------------- */
@@ -95,7 +96,7 @@
 static void
 apply_blocked (struct srv_poison *k, clk_ms now, uint64_t digest, clk_ms hold)
 {
-  struct blocked_key *b = key_of (k, digest);
+  struct blocked_key *b = find_or_add_key (k, digest);
 
   if (b)
     b->stored = true;
@@ -112,7 +113,7 @@
 static void
 apply_cleared (struct srv_poison *k, clk_ms now, uint64_t digest)
 {
-  struct blocked_key *b = find (k, digest);
+  struct blocked_key *b = find_key (k, digest);
 
   if (b)
     b->stored = b->cleared = false;
@@ -122,14 +123,14 @@
 }
 
 static void
-apply_gone (struct srv_poison *k, clk_ms now, uint64_t digest)
+apply_deleted (struct srv_poison *k, clk_ms now, uint64_t digest)
 {
-  struct blocked_key *b = find (k, digest);
+  struct blocked_key *b = find_key (k, digest);
 
   if (!b || !b->stored)
     return;
   b->stored = false;
-  b->due = now + stagger_ms (k->s);
+  b->not_before = now + stagger_ms (k->s);
 }
 
 static void
@@ -159,7 +160,7 @@
   for (size_t i = 0; i < sizeof bytes; i++)
     digest = digest << 8 | bytes[i];
   if (deleted)
-    apply_gone (k, now, digest);
+    apply_deleted (k, now, digest);
   else
     apply_value (k, now, digest, value);
   srv_poison_act (s);
@@ -173,7 +174,7 @@
   for (size_t i = 0; i < k->n; i++)
     {
       k->keys[i].stored = false;
-      k->keys[i].due = clk_now () + AGAIN_MS + stagger_ms (s);
+      k->keys[i].not_before = clk_now () + RETRY_MS + stagger_ms (s);
     }
 }
 
@@ -182,19 +183,19 @@
 static void
 call_ended (struct srv_poison *k, enum store_status status)
 {
-  struct blocked_key *b = find (k, k->digest);
+  struct blocked_key *b = find_key (k, k->call_digest);
   clk_ms now = clk_now ();
 
-  k->calling = false;
+  k->call_pending = false;
   if (status == STORE_GONE)
     k->lease = 0;
   if (b && status == STORE_OK)
     {
-      b->stored = k->storing;
-      b->cleared = b->cleared && k->storing;
+      b->stored = k->writes_blocked;
+      b->cleared = b->cleared && k->writes_blocked;
     }
   else if (b)
-    b->due = now + AGAIN_MS;
+    b->not_before = now + RETRY_MS;
   pau_ended (&k->s->store_pause, now, status, &k->s->rng);
 }
 
@@ -212,7 +213,7 @@
   struct store_txn txn = { .puts = &put, .nputs = 1 };
   clk_ms until = clk_wall () + PSN_HOLD_MS;
 
-  if (k->storing)
+  if (k->writes_blocked)
     buf_addf (&value, "{\"until\":%lld}", (long long)until);
   else
     buf_add_c (&value, "{\"cleared\":true}");
@@ -231,7 +232,7 @@
       call_ended (k, r->status);
       return;
     }
-  if (k->storing)
+  if (k->writes_blocked)
     {
       k->lease = r->lease;
       k->granted_at = clk_now ();
@@ -242,17 +243,18 @@
 static void
 begin_call (struct srv_poison *k, clk_ms now, const struct blocked_key *b)
 {
-  k->calling = true;
-  k->digest = b->digest;
-  k->storing = !b->cleared;
+  k->call_pending = true;
+  k->call_digest = b->digest;
+  k->writes_blocked = !b->cleared;
   buf_clear (&k->key);
   buf_addf (&k->key, "%sblocked/%016llx", k->s->ad->own_prefix,
             (unsigned long long)b->digest);
   pau_called (&k->s->store_pause);
-  if (k->storing && k->lease && now - k->granted_at < SHARE_LEASE_MS)
+  if (k->writes_blocked && k->lease && now - k->granted_at < SHARE_LEASE_MS)
     write_key (k, k->lease);
   else
-    store_lease_grant (k->s->store, k->storing ? PSN_HOLD_MS : CLEARED_MS,
+    store_lease_grant (k->s->store,
+                       k->writes_blocked ? PSN_HOLD_MS : CLEARED_LEASE_MS,
                        on_granted, k);
 }
 
@@ -261,20 +263,20 @@
 {
   struct srv_poison *k = s->poison_keys;
 
-  if (k->n == 0 || k->calling || s->leaving_since || srv_register_follows (s)
-      || !pau_may_call (&s->store_pause, now))
+  if (k->n == 0 || k->call_pending || s->leaving_since
+      || srv_register_follows (s) || !pau_may_call (&s->store_pause, now))
     return;
   for (size_t i = 0; i < k->n; i++)
     {
       struct blocked_key *b = &k->keys[i];
       bool blocked = psn_is_blocked (s->poison, b->digest);
-      bool lacks = b->cleared ? b->stored : blocked && !b->stored;
-      if (lacks && now >= b->due)
+      bool needs_write = b->cleared ? b->stored : blocked && !b->stored;
+      if (needs_write && now >= b->not_before)
         {
           begin_call (k, now, b);
           return;
         }
-      if (!lacks && !blocked && !b->stored)
+      if (!needs_write && !blocked && !b->stored)
         *b = k->keys[--k->n];
     }
 }
--- a/serve/poison-suspect.c
+++ b/serve/poison-suspect.c
@@ -9,10 +9,10 @@
     there was of the run the more a crash counts, and half of that when another
     request is to blame for it. */
 #define WEIGHT_NO_EVENT 4
-#define WEIGHT_BEGUN 3
+#define WEIGHT_EARLY 3
 #define WEIGHT_LONG 2
-#define BEGUN_MS ((clk_ms)500)
-#define WEIGHT_BLOCK ((PSN_CRASHES - 1) * WEIGHT_NO_EVENT + WEIGHT_BEGUN)
+#define EARLY_MS ((clk_ms)500)
+#define WEIGHT_BLOCK ((PSN_CRASHES - 1) * WEIGHT_NO_EVENT + WEIGHT_EARLY)
 #define WEIGHT_SUSPECT (WEIGHT_BLOCK - WEIGHT_NO_EVENT)
 
 /** From the crash that suffices until it is acted upon: other nodes report the
@@ -25,8 +25,8 @@
 psn_find (const struct psn *p, uint64_t digest)
 {
   for (size_t i = 0; i < p->n; i++)
-    if (p->list[i].digest == digest)
-      return &p->list[i];
+    if (p->suspects[i].digest == digest)
+      return &p->suspects[i];
   return NULL;
 }
 
@@ -35,7 +35,7 @@
 {
   if (r->ran_ms == PSN_NO_EVENT)
     return WEIGHT_NO_EVENT;
-  return r->ran_ms < BEGUN_MS ? WEIGHT_BEGUN : WEIGHT_LONG;
+  return r->ran_ms < EARLY_MS ? WEIGHT_EARLY : WEIGHT_LONG;
 }
 
 /** What there is against it, whoever else is to blame. */
@@ -75,45 +75,45 @@
 }
 
 static struct psn_suspect *
-next_evicted (struct psn *p)
+find_evicted (struct psn *p)
 {
-  struct psn_suspect *next = &p->list[0];
+  struct psn_suspect *next = &p->suspects[0];
 
   for (size_t i = 1; i < p->n; i++)
-    if (is_evicted_before (&p->list[i], next))
-      next = &p->list[i];
+    if (is_evicted_before (&p->suspects[i], next))
+      next = &p->suspects[i];
   return next;
 }
 
 struct psn_suspect *
-psn_suspect_of (struct psn *p, clk_ms now, uint64_t digest)
+psn_find_or_add (struct psn *p, clk_ms now, uint64_t digest)
 {
   struct psn_suspect *s = psn_find (p, digest);
 
   if (s)
     return s;
-  if (p->n == PSN_MOST)
-    s = next_evicted (p);
+  if (p->n == PSN_MAX_REQUESTS)
+    s = find_evicted (p);
   else
     {
       if (p->n == p->room)
         {
           p->room = 2 * p->room + 16;
-          p->list = xrealloc (p->list, p->room * sizeof *p->list);
+          p->suspects = xrealloc (p->suspects, p->room * sizeof *p->suspects);
         }
-      s = &p->list[p->n++];
+      s = &p->suspects[p->n++];
     }
   memset (s, 0, sizeof *s);
   s->digest = digest;
-  s->due = CLK_NEVER;
+  s->pending_at = CLK_NEVER;
   s->until = now + PSN_HOLD_MS;
   return s;
 }
 
 void
-psn_forget (struct psn *p, struct psn_suspect *s)
+psn_remove (struct psn *p, struct psn_suspect *s)
 {
-  *s = p->list[--p->n];
+  *s = p->suspects[--p->n];
 }
 
 /* --- whom to blame ----------------------------------------------------- */
@@ -122,28 +122,28 @@
 psn_find_run (struct psn_suspect *s, uint64_t place)
 {
   for (size_t i = 0; i < s->nruns; i++)
-    if (s->runs[i].place == place)
+    if (s->runs[i].endpoint == place)
       return &s->runs[i];
   return NULL;
 }
 
 bool
-psn_is_blamed (const struct psn_suspect *s)
+psn_is_pending_or_blocked (const struct psn_suspect *s)
 {
   return s->state == PSN_S_PENDING || s->state == PSN_S_BLOCKED;
 }
 
 bool
-psn_is_suspect (const struct psn_suspect *s)
+psn_is_near_block (const struct psn_suspect *s)
 {
   return weight (s) >= WEIGHT_SUSPECT;
 }
 
 bool
-psn_is_covered (const struct psn_suspect *a, struct psn_suspect *b)
+psn_is_subset (const struct psn_suspect *a, struct psn_suspect *b)
 {
   for (size_t i = 0; i < a->nruns; i++)
-    if (!psn_find_run (b, a->runs[i].place))
+    if (!psn_find_run (b, a->runs[i].endpoint))
       return false;
   return a->nruns > 0 && a->nruns < b->nruns;
 }
@@ -154,7 +154,8 @@
 crashes_continue (const struct psn *p, struct psn_suspect *s)
 {
   for (size_t i = 0; i < p->n; i++)
-    if (psn_is_blamed (&p->list[i]) && psn_is_covered (&p->list[i], s))
+    if (psn_is_pending_or_blocked (&p->suspects[i])
+        && psn_is_subset (&p->suspects[i], s))
       return true;
   return false;
 }
@@ -172,15 +173,15 @@
 psn_set_due (const struct psn *p, clk_ms now, struct psn_suspect *s)
 {
   if (!is_block_due (p, s))
-    s->due = CLK_NEVER;
-  else if (s->due == CLK_NEVER)
-    s->due = now + SETTLE_MS;
+    s->pending_at = CLK_NEVER;
+  else if (s->pending_at == CLK_NEVER)
+    s->pending_at = now + SETTLE_MS;
 }
 
 bool
 psn_is_attributed (const struct psn *p, uint64_t place)
 {
-  for (size_t i = 0; i < PSN_ATTRIBUTED; i++)
+  for (size_t i = 0; i < PSN_MAX_ATTRIBUTED; i++)
     if (p->attributed[i] == place)
       return true;
   return false;
@@ -191,10 +192,10 @@
 {
   if (place == 0 || psn_is_attributed (p, place))
     return;
-  p->attributed[p->next_attributed++ % PSN_ATTRIBUTED] = place;
+  p->attributed[p->next_attributed++ % PSN_MAX_ATTRIBUTED] = place;
   for (size_t i = 0; i < p->n; i++)
     {
-      struct psn_suspect *s = &p->list[i];
+      struct psn_suspect *s = &p->suspects[i];
       struct psn_run *r = psn_find_run (s, place);
       if (s->state != PSN_S_OBSERVED || !r)
         continue;
@@ -204,10 +205,10 @@
 }
 
 void
-psn_attribute (struct psn *p, clk_ms now, const struct psn_suspect *s)
+psn_attribute_crashes (struct psn *p, clk_ms now, const struct psn_suspect *s)
 {
   for (size_t i = 0; i < s->nruns; i++)
-    attribute_crash (p, now, s->runs[i].place);
+    attribute_crash (p, now, s->runs[i].endpoint);
 }
 
 /** Whether there is more against @p a; the less it had run the more likely it
@@ -237,10 +238,10 @@
 
   for (size_t i = 0; i < p->n; i++)
     {
-      struct psn_suspect *s = &p->list[i];
-      if (s->state != PSN_S_OBSERVED || s->due == CLK_NEVER)
+      struct psn_suspect *s = &p->suspects[i];
+      if (s->state != PSN_S_OBSERVED || s->pending_at == CLK_NEVER)
         continue;
-      settled = settled || now >= s->due;
+      settled = settled || now >= s->pending_at;
       if (!most || is_more_suspect (s, most))
         most = s;
     }
--- a/serve/poison.c
+++ b/serve/poison.c
@@ -6,14 +6,14 @@
 
 /** From pending to blocked: time for nodes at which the request has completed
     to say so. */
-#define CANCEL_MS ((clk_ms)200)
+#define PENDING_MS ((clk_ms)200)
 /** When a caller who is refused meanwhile may come back. */
-#define DECIDED_MS ((clk_ms)300)
+#define PENDING_RETRY_MS ((clk_ms)300)
 /** Updates about a request that was cleared are ignored for so long: they were
     sent before it was. */
-#define CLEARED_MS ((clk_ms)2000)
+#define CLEARED_TTL_MS ((clk_ms)2000)
 /** A run that completed this long ago still speaks for its request. */
-#define COMPLETED_MS ((clk_ms)10000)
+#define COMPLETION_TTL_MS ((clk_ms)10000)
 
 struct psn *
 psn_new (void)
@@ -29,7 +29,7 @@
 {
   if (!p)
     return;
-  free (p->list);
+  free (p->suspects);
   free (p->updates);
   free (p->snapshot);
   free (p);
@@ -60,13 +60,13 @@
 }
 
 void
-psn_aggregate (struct psn *p, clk_ms now, bool aggregates)
+psn_set_aggregating (struct psn *p, clk_ms now, bool aggregates)
 {
   if (aggregates == p->aggregates)
     return;
   p->aggregates = aggregates;
   for (size_t i = 0; i < p->n; i++)
-    psn_set_due (p, now, &p->list[i]);
+    psn_set_due (p, now, &p->suspects[i]);
 }
 
 /* --- pending, blocked, cleared ----------------------------------------- */
@@ -74,13 +74,14 @@
 static void
 clear (struct psn *p, clk_ms now, struct psn_suspect *s, bool broadcast)
 {
-  struct psn_update update = { .kind = PSN_CLEARED,
-                               .digest = s->digest,
-                               .broadcast = broadcast || psn_is_blamed (s) };
+  struct psn_update update
+      = { .kind = PSN_CLEARED,
+          .digest = s->digest,
+          .broadcast = broadcast || psn_is_pending_or_blocked (s) };
 
   s->state = PSN_S_CLEARED;
-  s->until = now + CLEARED_MS;
-  s->due = CLK_NEVER;
+  s->until = now + CLEARED_TTL_MS;
+  s->pending_at = CLK_NEVER;
   s->nruns = 0;
   add_update (p, &update);
 }
@@ -88,10 +89,10 @@
 static bool
 has_completed (const struct psn *p, clk_ms now, uint64_t digest)
 {
-  for (size_t i = 0; i < PSN_COMPLETED; i++)
+  for (size_t i = 0; i < PSN_MAX_COMPLETED; i++)
     {
       const struct psn_completion *c = &p->completed[i];
-      if (c->digest == digest && c->at && now - c->at < COMPLETED_MS)
+      if (c->digest == digest && c->at && now - c->at < COMPLETION_TTL_MS)
         return true;
     }
   return false;
@@ -99,12 +100,13 @@
 
 /** Requests that were blamed for some of its crashes were there by chance. */
 static void
-clear_covered (struct psn *p, clk_ms now, struct psn_suspect *blamed)
+clear_subsets (struct psn *p, clk_ms now, struct psn_suspect *was_blocked)
 {
   for (size_t i = 0; i < p->n; i++)
     {
-      struct psn_suspect *s = &p->list[i];
-      if (s != blamed && psn_is_blamed (s) && psn_is_covered (s, blamed))
+      struct psn_suspect *s = &p->suspects[i];
+      if (s != was_blocked && psn_is_pending_or_blocked (s)
+          && psn_is_subset (s, was_blocked))
         clear (p, now, s, true);
     }
 }
@@ -121,11 +123,11 @@
       return;
     }
   s->state = PSN_S_PENDING;
-  s->until = now + CANCEL_MS;
-  s->due = CLK_NEVER;
+  s->until = now + PENDING_MS;
+  s->pending_at = CLK_NEVER;
   add_update (p, &update);
-  psn_attribute (p, now, s);
-  clear_covered (p, now, s);
+  psn_attribute_crashes (p, now, s);
+  clear_subsets (p, now, s);
 }
 
 static void
@@ -138,9 +140,9 @@
 
   s->state = PSN_S_BLOCKED;
   s->until = now + hold_ms;
-  s->due = CLK_NEVER;
+  s->pending_at = CLK_NEVER;
   add_update (p, &update);
-  psn_attribute (p, now, s);
+  psn_attribute_crashes (p, now, s);
 }
 
 /**
@@ -148,11 +150,11 @@
  * have been mended, but one more crash gets it blocked.
  */
 static void
-release (struct psn_suspect *s, clk_ms now)
+end_block (struct psn_suspect *s, clk_ms now)
 {
   s->state = PSN_S_OBSERVED;
   s->until = now + PSN_HOLD_MS;
-  s->due = CLK_NEVER;
+  s->pending_at = CLK_NEVER;
   s->nruns = 0;
   for (unsigned i = 1; i < PSN_CRASHES; i++)
     s->runs[s->nruns++] = (struct psn_run){ 0, PSN_NO_EVENT, false };
@@ -164,22 +166,22 @@
 apply_crash (struct psn *p, clk_ms now, const struct psn_update *update)
 {
   struct psn_suspect *s = psn_find (p, update->digest);
-  bool blamed = s && psn_is_blamed (s);
+  bool was_blocked = s && psn_is_pending_or_blocked (s);
 
   if (s && (s->state == PSN_S_CLEARED || psn_find_run (s, update->place)))
     return;
-  s = psn_suspect_of (p, now, update->digest);
-  if (s->nruns < PSN_RUNS)
+  s = psn_find_or_add (p, now, update->digest);
+  if (s->nruns < PSN_MAX_RUNS)
     {
       s->runs[s->nruns++]
           = (struct psn_run){ update->place, update->ran_ms,
-                              !blamed
+                              !was_blocked
                                   && psn_is_attributed (p, update->place) };
       add_update (p, update);
     }
-  if (blamed)
+  if (was_blocked)
     {
-      psn_attribute (p, now, s);
+      psn_attribute_crashes (p, now, s);
       /* The node that let it run does not know of the block. */
       if (s->state == PSN_S_BLOCKED)
         block (p, now, s, PSN_HOLD_MS);
@@ -192,7 +194,7 @@
 static void
 apply_pending (struct psn *p, clk_ms now, const struct psn_update *update)
 {
-  struct psn_suspect *s = psn_suspect_of (p, now, update->digest);
+  struct psn_suspect *s = psn_find_or_add (p, now, update->digest);
 
   if (s->state == PSN_S_OBSERVED)
     set_pending (p, now, s);
@@ -201,7 +203,7 @@
 static void
 apply_blocked (struct psn *p, clk_ms now, const struct psn_update *update)
 {
-  struct psn_suspect *s = psn_suspect_of (p, now, update->digest);
+  struct psn_suspect *s = psn_find_or_add (p, now, update->digest);
 
   if (s->state == PSN_S_BLOCKED)
     {
@@ -248,7 +250,7 @@
 {
   struct psn_suspect *s = psn_find (p, digest);
 
-  p->completed[p->next_completed++ % PSN_COMPLETED]
+  p->completed[p->next_completed++ % PSN_MAX_COMPLETED]
       = (struct psn_completion){ digest, now };
   if (s && s->state != PSN_S_CLEARED)
     clear (p, now, s, false);
@@ -269,8 +271,8 @@
       s->until = now + PSN_HOLD_MS;
       return true;
     }
-  *again_ms = DECIDED_MS;
-  return s->state == PSN_S_PENDING || s->due != CLK_NEVER;
+  *again_ms = PENDING_RETRY_MS;
+  return s->state == PSN_S_PENDING || s->pending_at != CLK_NEVER;
 }
 
 bool
@@ -278,7 +280,7 @@
 {
   const struct psn_suspect *s = psn_find (p, digest);
 
-  return s && (psn_is_blamed (s) || psn_is_suspect (s));
+  return s && (psn_is_pending_or_blocked (s) || psn_is_near_block (s));
 }
 
 /** What was observed or cleared long ago is forgotten. */
@@ -287,15 +289,15 @@
 {
   for (size_t i = 0; i < p->n;)
     {
-      struct psn_suspect *s = &p->list[i];
+      struct psn_suspect *s = &p->suspects[i];
       if (now < s->until)
         i++;
       else if (s->state == PSN_S_PENDING)
         block (p, now, s, PSN_HOLD_MS);
       else if (s->state == PSN_S_BLOCKED)
-        release (s, now);
+        end_block (s, now);
       else
-        psn_forget (p, s);
+        psn_remove (p, s);
     }
 }
 
@@ -310,17 +312,17 @@
 }
 
 clk_ms
-psn_wake (const struct psn *p)
+psn_next_deadline (const struct psn *p)
 {
   clk_ms wake = CLK_NEVER;
 
   for (size_t i = 0; i < p->n; i++)
     {
-      const struct psn_suspect *s = &p->list[i];
+      const struct psn_suspect *s = &p->suspects[i];
       if (s->until < wake)
         wake = s->until;
-      if (s->due < wake)
-        wake = s->due;
+      if (s->pending_at < wake)
+        wake = s->pending_at;
     }
   return wake;
 }
@@ -328,12 +330,12 @@
 const struct psn_update *
 psn_snapshot (struct psn *p, clk_ms now, size_t *n)
 {
-  p->snapshot = xrealloc (p->snapshot,
-                          (p->n * (PSN_RUNS + 1) + 1) * sizeof *p->snapshot);
+  p->snapshot = xrealloc (p->snapshot, (p->n * (PSN_MAX_RUNS + 1) + 1)
+                                           * sizeof *p->snapshot);
   *n = 0;
   for (size_t i = 0; i < p->n; i++)
     {
-      const struct psn_suspect *s = &p->list[i];
+      const struct psn_suspect *s = &p->suspects[i];
       if (s->state == PSN_S_BLOCKED)
         p->snapshot[(*n)++] = (struct psn_update){ .kind = PSN_BLOCKED,
                                                    .digest = s->digest,
@@ -344,11 +346,11 @@
                                                    .digest = s->digest,
                                                    .broadcast = true };
       for (size_t k = 0; k < s->nruns; k++)
-        if (s->runs[k].place)
+        if (s->runs[k].endpoint)
           p->snapshot[(*n)++]
               = (struct psn_update){ .kind = PSN_CRASH,
                                      .digest = s->digest,
-                                     .place = s->runs[k].place,
+                                     .place = s->runs[k].endpoint,
                                      .ran_ms = s->runs[k].ran_ms };
     }
   return p->snapshot;
@@ -368,6 +370,6 @@
   size_t n = 0;
 
   for (size_t i = 0; i < p->n; i++)
-    n += p->list[i].state == PSN_S_BLOCKED;
+    n += p->suspects[i].state == PSN_S_BLOCKED;
   return n;
 }
--- a/serve/poison.h
+++ b/serve/poison.h
@@ -33,7 +33,7 @@
 /** How long a request stays blocked; the longest lease of a store. */
 #define PSN_HOLD_MS (10 * CLK_MINUTE)
 /** Requests that are remembered. */
-#define PSN_MOST 1024
+#define PSN_MAX_REQUESTS 1024
 
 /** `ran_ms` of a run that had brought no event. */
 #define PSN_NO_EVENT (-1)
@@ -62,9 +62,9 @@
 struct psn *psn_new (void);
 void psn_free (struct psn *p);
 
-/** Time passes; call it at psn_wake() at the latest. */
+/** Time passes; call it at psn_next_deadline() at the latest. */
 void psn_tick (struct psn *p, clk_ms now);
-clk_ms psn_wake (const struct psn *p);
+clk_ms psn_next_deadline (const struct psn *p);
 
 /** This node has seen it, or another node or the store says so. */
 void psn_apply (struct psn *p, clk_ms now, const struct psn_update *update);
@@ -73,7 +73,7 @@
  * Whether this node hears of all crashes and decides, as it does at first; one
  * that does not only reports.
  */
-void psn_aggregate (struct psn *p, clk_ms now, bool aggregates);
+void psn_set_aggregating (struct psn *p, clk_ms now, bool aggregates);
 
 /** A run has come to its end at this node. */
 void psn_completed (struct psn *p, clk_ms now, uint64_t digest);
--- a/t/lib-poison.c
+++ b/t/lib-poison.c
@@ -52,7 +52,7 @@
       for (size_t k = 0; k < n; k++)
         psn_apply (f->node[i], f->now, &list[k]);
       free (list);
-      if (f->now >= psn_wake (f->node[i]))
+      if (f->now >= psn_next_deadline (f->node[i]))
         psn_tick (f->node[i], f->now);
     }
   for (int i = 0; i < f->n; i++)
@@ -60,8 +60,8 @@
 }
 
 void
-psn_fleet_ran (struct psn_fleet *f, int node, uint64_t digest, uint64_t place,
-               clk_ms ran_ms)
+psn_fleet_crash (struct psn_fleet *f, int node, uint64_t digest,
+                 uint64_t place, clk_ms ran_ms)
 {
   psn_apply (f->node[node], f->now,
              &(struct psn_update){ .kind = PSN_CRASH,
@@ -96,7 +96,7 @@
 {
   psn_free (f->node[node]);
   f->node[node] = psn_new ();
-  psn_aggregate (f->node[node], f->now, aggregates (f, node));
+  psn_set_aggregating (f->node[node], f->now, aggregates (f, node));
   f->nqueue[node] = 0;
   for (int i = 0; i < f->n; i++)
     if (may_link (f, node, i))
@@ -104,7 +104,7 @@
 }
 
 void
-psn_fleet_up (struct psn_fleet *f, int nodes, int hubs)
+psn_fleet_init (struct psn_fleet *f, int nodes, int hubs)
 {
   memset (f, 0, sizeof *f);
   f->n = nodes;
@@ -113,7 +113,7 @@
   for (int i = 0; i < nodes; i++)
     {
       f->node[i] = psn_new ();
-      psn_aggregate (f->node[i], f->now, aggregates (f, i));
+      psn_set_aggregating (f->node[i], f->now, aggregates (f, i));
     }
   for (int i = 0; i < nodes; i++)
     for (int k = 0; k < nodes; k++)
@@ -121,7 +121,7 @@
 }
 
 void
-psn_fleet_down (struct psn_fleet *f)
+psn_fleet_free (struct psn_fleet *f)
 {
   for (int i = 0; i < f->n; i++)
     {
@@ -154,17 +154,17 @@
   int node = atoi (x) - 1;
 
   if (strcmp (word, "nodes") == 0)
-    psn_fleet_up (f, atoi (x), 0);
+    psn_fleet_init (f, atoi (x), 0);
   else if (strcmp (word, "hubs") == 0)
-    psn_fleet_up (f, atoi (x), 4);
+    psn_fleet_init (f, atoi (x), 4);
   else if (strcmp (word, "ran") == 0)
-    psn_fleet_ran (f, node, (uint64_t)y[0], (uint64_t)atoi (z), atoi (ms));
+    psn_fleet_crash (f, node, (uint64_t)y[0], (uint64_t)atoi (z), atoi (ms));
   else if (strcmp (word, "whole") == 0)
     psn_completed (f->node[node], f->now, (uint64_t)y[0]);
   else if (strcmp (word, "cut") == 0 || strcmp (word, "join") == 0)
     psn_fleet_link (f, node, atoi (y) - 1, word[0] == 'j');
   else if (strcmp (word, "alone") == 0)
-    psn_aggregate (f->node[node], f->now, true);
+    psn_set_aggregating (f->node[node], f->now, true);
   else if (strcmp (word, "restart") == 0)
     psn_fleet_restart (f, node);
   else if (strcmp (word, "store") == 0)
@@ -188,7 +188,7 @@
 }
 
 void
-poison_play (const char *script, const char *expected)
+poison_run_script (const char *script, const char *expected)
 {
   struct psn_fleet f = { 0 };
   struct buf log = BUF_INIT;
@@ -202,7 +202,7 @@
     }
   cr_expect_str_eq (buf_c (&log), expected, "got:\n%s\nexpected:\n%s",
                     buf_c (&log), expected);
-  psn_fleet_down (&f);
+  psn_fleet_free (&f);
   buf_free (&log);
   free (copy);
 }
--- a/t/lib-poison.h
+++ b/t/lib-poison.h
@@ -39,16 +39,16 @@
   size_t sent; /**< updates over links */
 };
 
-void psn_fleet_up (struct psn_fleet *f, int nodes, int hubs);
-void psn_fleet_down (struct psn_fleet *f);
+void psn_fleet_init (struct psn_fleet *f, int nodes, int hubs);
+void psn_fleet_free (struct psn_fleet *f);
 /** 10 ms pass. */
 void psn_fleet_step (struct psn_fleet *f);
-void psn_fleet_ran (struct psn_fleet *f, int node, uint64_t digest,
-                    uint64_t place, clk_ms ran_ms);
+void psn_fleet_crash (struct psn_fleet *f, int node, uint64_t digest,
+                      uint64_t place, clk_ms ran_ms);
 void psn_fleet_link (struct psn_fleet *f, int a, int b, bool linked);
 void psn_fleet_restart (struct psn_fleet *f, int node);
 
 /** Play @p script and compare the log with @p expected. */
-void poison_play (const char *script, const char *expected);
+void poison_run_script (const char *script, const char *expected);
 
 #endif
--- a/t/t9207-poison.c
+++ b/t/t9207-poison.c
@@ -13,170 +13,178 @@
    after the other, none of which has seen three ends. */
 Test (poison, three_crashes_at_three_nodes_block_it_everywhere)
 {
-  poison_play ("nodes 4\n ran 1 p 1 -1\n run 300\n ask p\n ran 2 p 2 40\n"
-               "run 300\n ask p\n ran 3 p 3 -1\n run 50\n ask p\n run 350\n"
-               "ask p\n ask q\n",
-               "p ----\np ----\np wwww\np BBBB\nq ----\n");
+  poison_run_script (
+      "nodes 4\n ran 1 p 1 -1\n run 300\n ask p\n ran 2 p 2 40\n"
+      "run 300\n ask p\n ran 3 p 3 -1\n run 50\n ask p\n run 350\n"
+      "ask p\n ask q\n",
+      "p ----\np ----\np wwww\np BBBB\nq ----\n");
 }
 
 /* Guards against a verdict that stays with the hubs, where not all nodes are
    linked to each other. */
 Test (poison, hubs_collect_crashes_and_all_hear_the_verdict)
 {
-  poison_play ("hubs 8\n ran 5 p 1 -1\n run 100\n ran 6 p 2 -1\n run 100\n"
-               "ran 8 p 3 -1\n run 500\n ask p\n",
-               "p BBBBBBBB\n");
+  poison_run_script (
+      "hubs 8\n ran 5 p 1 -1\n run 100\n ran 6 p 2 -1\n run 100\n"
+      "ran 8 p 3 -1\n run 500\n ask p\n",
+      "p BBBBBBBB\n");
 }
 
 /* Guards against a refusal of requests that were running by chance in each of
    three crashes of another one. */
 Test (poison, a_bystander_in_three_crashes_is_served)
 {
-  poison_play ("nodes 3\n"
-               "ran 1 b 1 -1\n ran 2 p 1 -1\n run 300\n"
-               "ran 1 b 2 30\n ran 3 p 2 -1\n run 300\n"
-               "ran 1 b 3 -1\n ran 1 p 3 -1\n run 500\n ask b\n ask p\n",
-               "b ---\np BBB\n");
+  poison_run_script ("nodes 3\n"
+                     "ran 1 b 1 -1\n ran 2 p 1 -1\n run 300\n"
+                     "ran 1 b 2 30\n ran 3 p 2 -1\n run 300\n"
+                     "ran 1 b 3 -1\n ran 1 p 3 -1\n run 500\n ask b\n ask p\n",
+                     "b ---\np BBB\n");
 }
 
 /* Guards against the same when the other one's run is heard a little later. */
 Test (poison, the_most_suspect_is_blocked_though_heard_last)
 {
-  poison_play ("nodes 2\n"
-               "ran 1 b 1 300\n ran 2 p 1 -1\n run 300\n"
-               "ran 1 b 2 30\n ran 2 p 2 -1\n run 300\n"
-               "ran 1 b 3 500\n run 60\n ran 2 p 3 -1\n run 600\n"
-               "ask b\n ask p\n",
-               "b --\np BB\n");
+  poison_run_script ("nodes 2\n"
+                     "ran 1 b 1 300\n ran 2 p 1 -1\n run 300\n"
+                     "ran 1 b 2 30\n ran 2 p 2 -1\n run 300\n"
+                     "ran 1 b 3 500\n run 60\n ran 2 p 3 -1\n run 600\n"
+                     "ask b\n ask p\n",
+                     "b --\np BB\n");
 }
 
 /* Guards against a refusal of what many callers ask for, when a rack with
    several replicas that run it fails at once. */
 Test (poison, a_request_that_completes_elsewhere_is_served)
 {
-  poison_play ("nodes 3\n whole 3 h\n run 500\n"
-               "ran 1 h 1 -1\n ran 1 h 2 -1\n ran 2 h 3 -1\n ran 2 h 4 -1\n"
-               "run 50\n ask h\n run 350\n ask h\n"
-               "ran 1 h 5 -1\n run 500\n ask h\n",
-               "h www\nh ---\nh ---\n");
+  poison_run_script (
+      "nodes 3\n whole 3 h\n run 500\n"
+      "ran 1 h 1 -1\n ran 1 h 2 -1\n ran 2 h 3 -1\n ran 2 h 4 -1\n"
+      "run 50\n ask h\n run 350\n ask h\n"
+      "ran 1 h 5 -1\n run 500\n ask h\n",
+      "h www\nh ---\nh ---\n");
 }
 
 /* Guards against a request that stays blocked though it runs to its end. */
 Test (poison, a_run_that_completes_lifts_the_block)
 {
-  poison_play ("nodes 3\n ran 1 h 1 -1\n ran 1 h 2 -1\n ran 2 h 3 -1\n"
-               "run 500\n ask h\n whole 2 h\n run 50\n ask h\n",
-               "h BBB\nh ---\n");
+  poison_run_script ("nodes 3\n ran 1 h 1 -1\n ran 1 h 2 -1\n ran 2 h 3 -1\n"
+                     "run 500\n ask h\n whole 2 h\n run 50\n ask h\n",
+                     "h BBB\nh ---\n");
 }
 
 /* Guards against a block of streams that had run for a while when their
    replicas ended: these count less. */
 Test (poison, the_longer_the_run_the_less_a_crash_counts)
 {
-  poison_play ("nodes 2\n ran 1 b 1 1500\n ran 1 b 2 2000\n ran 1 b 3 3000\n"
-               "ran 1 c 11 100\n ran 1 c 12 0\n ran 2 c 13 499\n"
-               "run 500\n ask b\n ask c\n ran 1 b 4 1500\n ran 1 b 5 1500\n"
-               "ran 2 b 6 1500\n ran 1 c 14 200\n run 500\n ask b\n ask c\n",
-               "b --\nc --\nb BB\nc BB\n");
+  poison_run_script (
+      "nodes 2\n ran 1 b 1 1500\n ran 1 b 2 2000\n ran 1 b 3 3000\n"
+      "ran 1 c 11 100\n ran 1 c 12 0\n ran 2 c 13 499\n"
+      "run 500\n ask b\n ask c\n ran 1 b 4 1500\n ran 1 b 5 1500\n"
+      "ran 2 b 6 1500\n ran 1 c 14 200\n run 500\n ask b\n ask c\n",
+      "b --\nc --\nb BB\nc BB\n");
 }
 
 /* Guards against a node that is no hub and blocks a bystander, as it has seen
    that one's crashes alone. */
 Test (poison, who_has_not_heard_of_all_crashes_does_not_decide)
 {
-  poison_play ("hubs 6\n"
-               "ran 6 b 1 -1\n ran 5 p 1 -1\n run 300\n"
-               "ran 6 b 2 30\n ran 5 p 2 -1\n run 300\n"
-               "ran 6 b 3 -1\n ran 5 p 3 -1\n run 500\n ask b\n ask p\n",
-               "b ------\np BBBBBB\n");
+  poison_run_script ("hubs 6\n"
+                     "ran 6 b 1 -1\n ran 5 p 1 -1\n run 300\n"
+                     "ran 6 b 2 30\n ran 5 p 2 -1\n run 300\n"
+                     "ran 6 b 3 -1\n ran 5 p 3 -1\n run 500\n ask b\n ask p\n",
+                     "b ------\np BBBBBB\n");
 }
 
 /* Guards against a verdict that hangs on the hubs: a node that has lost them
    decides by itself. */
 Test (poison, a_node_without_hubs_decides_by_itself)
 {
-  poison_play ("hubs 6\n cut 6 1\n cut 6 2\n cut 6 3\n cut 6 4\n"
-               "ran 6 p 1 -1\n ran 6 p 2 -1\n alone 6\n ran 6 p 3 -1\n"
-               "run 500\n ask p\n",
-               "p -----B\n");
+  poison_run_script ("hubs 6\n cut 6 1\n cut 6 2\n cut 6 3\n cut 6 4\n"
+                     "ran 6 p 1 -1\n ran 6 p 2 -1\n alone 6\n ran 6 p 3 -1\n"
+                     "run 500\n ask p\n",
+                     "p -----B\n");
 }
 
 /* Guards against one crash that several nodes report and that counts as
    several. */
 Test (poison, one_crash_counts_once)
 {
-  poison_play ("nodes 3\n ran 1 b 7 -1\n ran 2 b 7 -1\n ran 3 b 7 -1\n"
-               "run 500\n ask b\n",
-               "b ---\n");
+  poison_run_script ("nodes 3\n ran 1 b 7 -1\n ran 2 b 7 -1\n ran 3 b 7 -1\n"
+                     "run 500\n ask b\n",
+                     "b ---\n");
 }
 
 /* Guards against a wrong verdict that stands: a bystander of the same crashes
    had run less in each.  The first crash without it shows which one it is. */
 Test (poison, the_wrong_one_is_cleared_once_crashes_go_on)
 {
-  poison_play ("nodes 2\n ran 1 b 1 -1\n ran 2 p 1 20\n run 300\n"
-               "ran 1 b 2 -1\n ran 2 p 2 20\n run 300\n"
-               "ran 1 b 3 -1\n ran 2 p 3 20\n run 500\n ask b\n ask p\n"
-               "ran 2 p 4 20\n run 500\n ask b\n ask p\n",
-               "b BB\np --\nb --\np BB\n");
+  poison_run_script ("nodes 2\n ran 1 b 1 -1\n ran 2 p 1 20\n run 300\n"
+                     "ran 1 b 2 -1\n ran 2 p 2 20\n run 300\n"
+                     "ran 1 b 3 -1\n ran 2 p 3 20\n run 500\n ask b\n ask p\n"
+                     "ran 2 p 4 20\n run 500\n ask b\n ask p\n",
+                     "b BB\np --\nb --\np BB\n");
 }
 
 /* Guards against nodes that miss a verdict while their links are cut: others
    hand it on, and whoever is linked again is told. */
 Test (poison, a_verdict_passes_around_cut_links)
 {
-  poison_play ("nodes 4\n cut 1 2\n cut 1 3\n cut 4 1\n cut 4 2\n"
-               "ran 2 p 1 -1\n ran 2 p 2 -1\n ran 2 p 3 -1\n run 500\n ask p\n"
-               "join 1 4\n run 50\n ask p\n",
-               "p -BBB\np BBBB\n");
+  poison_run_script (
+      "nodes 4\n cut 1 2\n cut 1 3\n cut 4 1\n cut 4 2\n"
+      "ran 2 p 1 -1\n ran 2 p 2 -1\n ran 2 p 3 -1\n run 500\n ask p\n"
+      "join 1 4\n run 50\n ask p\n",
+      "p -BBB\np BBBB\n");
 }
 
 /* Guards against a node that starts and takes what all others refuse. */
 Test (poison, a_node_that_starts_is_told)
 {
-  poison_play ("nodes 3\n ran 2 p 1 -1\n ran 2 p 2 -1\n run 50\n restart 2\n"
-               "run 50\n ran 2 p 3 -1\n run 500\n ask p\n restart 1\n run 20\n"
-               "ask p\n",
-               "p BBB\np BBB\n");
+  poison_run_script (
+      "nodes 3\n ran 2 p 1 -1\n ran 2 p 2 -1\n run 50\n restart 2\n"
+      "run 50\n ran 2 p 3 -1\n run 500\n ask p\n restart 1\n run 20\n"
+      "ask p\n",
+      "p BBB\np BBB\n");
 }
 
 /* Guards against a node that starts, is cut off, and has to see three crashes
    of its own. */
 Test (poison, a_node_that_starts_is_told_of_crashes)
 {
-  poison_play ("nodes 3\n ran 2 p 1 -1\n ran 2 p 2 -1\n run 50\n restart 2\n"
-               "run 50\n cut 2 1\n cut 2 3\n ran 2 p 3 -1\n run 500\n"
-               "ask p\n",
-               "p -B-\n");
+  poison_run_script (
+      "nodes 3\n ran 2 p 1 -1\n ran 2 p 2 -1\n run 50\n restart 2\n"
+      "run 50\n cut 2 1\n cut 2 3\n ran 2 p 3 -1\n run 500\n"
+      "ask p\n",
+      "p -B-\n");
 }
 
 /* Guards against nodes that were all stopped: one that finds it in the store
    tells the others. */
 Test (poison, the_store_tells_after_all_have_stopped)
 {
-  poison_play ("nodes 3\n ran 1 p 1 -1\n ran 1 p 2 -1\n ran 1 p 3 -1\n"
-               "run 500\n cut 1 2\n cut 1 3\n cut 2 3\n restart 1\n"
-               "restart 2\n restart 3\n store 2 p\n run 50\n ask p\n",
-               "p BBB\n");
+  poison_run_script ("nodes 3\n ran 1 p 1 -1\n ran 1 p 2 -1\n ran 1 p 3 -1\n"
+                     "run 500\n cut 1 2\n cut 1 3\n cut 2 3\n restart 1\n"
+                     "restart 2\n restart 3\n store 2 p\n run 50\n ask p\n",
+                     "p BBB\n");
 }
 
 /* Guards against crashes that were reported before a block was lifted and are
    heard after it: they would bring it back. */
 Test (poison, late_reports_don_t_bring_a_lifted_block_back)
 {
-  poison_play ("nodes 2\n ran 1 p 1 -1\n ran 1 p 2 -1\n ran 1 p 3 -1\n"
-               "run 500\n ask p\n lift 1 p\n run 50\n ran 2 p 4 -1\n"
-               "ran 2 p 5 -1\n ran 2 p 6 -1\n run 1000\n ask p\n run 1500\n"
-               "ran 2 p 7 -1\n ran 2 p 8 -1\n ran 2 p 9 -1\n run 500\n"
-               "ask p\n",
-               "p BB\np --\np BB\n");
+  poison_run_script (
+      "nodes 2\n ran 1 p 1 -1\n ran 1 p 2 -1\n ran 1 p 3 -1\n"
+      "run 500\n ask p\n lift 1 p\n run 50\n ran 2 p 4 -1\n"
+      "ran 2 p 5 -1\n ran 2 p 6 -1\n run 1000\n ask p\n run 1500\n"
+      "ran 2 p 7 -1\n ran 2 p 8 -1\n ran 2 p 9 -1\n run 500\n"
+      "ask p\n",
+      "p BB\np --\np BB\n");
 }
 
 /* Guards against a block for ever: servers may have been mended.  If not, one
    more crash suffices. */
 Test (poison, a_block_ends_and_one_crash_brings_it_back)
 {
-  poison_play (
+  poison_run_script (
       "nodes 2\n ran 1 p 1 -1\n ran 1 p 2 -1\n ran 1 p 3 -1\n"
       "run 500\n ask p\n run 600000\n ask p\n ran 2 p 9 -1\n run 500\n"
       "ask p\n",
@@ -191,9 +199,9 @@
   clk_ms again_ms;
   size_t n;
 
-  psn_fleet_up (&f, 2, 0);
+  psn_fleet_init (&f, 2, 0);
   for (uint64_t i = 0; i < 3; i++)
-    psn_fleet_ran (&f, 0, 'p', 1 + i, PSN_NO_EVENT);
+    psn_fleet_crash (&f, 0, 'p', 1 + i, PSN_NO_EVENT);
   /* Another one is known from the store, without its crashes. */
   psn_apply (f.node[0], f.now,
              &(struct psn_update){ .kind = PSN_BLOCKED,
@@ -204,7 +212,7 @@
     psn_fleet_step (&f);
   for (uint64_t i = 0; i < 10000; i++)
     {
-      psn_fleet_ran (&f, (int)(i % 2), 1000 + i, 1000 + i / 20, 50);
+      psn_fleet_crash (&f, (int)(i % 2), 1000 + i, 1000 + i / 20, 50);
       if (i % 100 == 0)
         psn_fleet_step (&f);
     }
@@ -213,9 +221,9 @@
       cr_expect (psn_refuses (f.node[i], f.now, 'p', &again_ms));
       cr_expect (psn_refuses (f.node[i], f.now, 's', &again_ms));
       psn_snapshot (f.node[i], f.now, &n);
-      cr_expect_leq (n, PSN_MOST * 9);
+      cr_expect_leq (n, PSN_MAX_REQUESTS * 9);
     }
-  psn_fleet_down (&f);
+  psn_fleet_free (&f);
 }
 
 /* Guards against updates that nodes hand on to each other for ever. */
@@ -223,17 +231,17 @@
 {
   struct psn_fleet f;
 
-  psn_fleet_up (&f, 8, 0);
+  psn_fleet_init (&f, 8, 0);
   for (uint64_t place = 1; place <= 40; place++)
     for (int i = 0; i < 8; i++)
-      psn_fleet_ran (&f, i, 'h', place, PSN_NO_EVENT);
+      psn_fleet_crash (&f, i, 'h', place, PSN_NO_EVENT);
   for (int i = 0; i < 100; i++)
     psn_fleet_step (&f);
   f.sent = 0;
   for (int i = 0; i < 100; i++)
     psn_fleet_step (&f);
   cr_expect_eq (f.sent, 0);
-  psn_fleet_down (&f);
+  psn_fleet_free (&f);
 }
 
 /* --- random days --------------------------------------------------------- */
@@ -332,8 +340,8 @@
       clk_ms ran = d->f.now - r.since - 100;
       if (!r.digest || r.place != place)
         continue;
-      psn_fleet_ran (&d->f, r.node, r.digest, place,
-                     ran < 0 ? PSN_NO_EVENT : ran);
+      psn_fleet_crash (&d->f, r.node, r.digest, place,
+                       ran < 0 ? PSN_NO_EVENT : ran);
       d->runs[i].digest = 0;
       if (r.digest != POISON)
         begin (d, r.digest, r.node, r.crashes + 1);
@@ -398,7 +406,7 @@
   struct day d = { 0 };
 
   rng_seed (&d.rng, seed);
-  psn_fleet_up (&d.f, seed % 2 ? 8 : 20, seed % 2 ? 0 : 4);
+  psn_fleet_init (&d.f, seed % 2 ? 8 : 20, seed % 2 ? 0 : 4);
   d.next_place = PLACES;
   for (uint64_t i = 0; i < PLACES; i++)
     d.places[i] = i + 1;
@@ -413,7 +421,7 @@
                  d.late_sends);
   cr_expect_leq (d.poison_crashes, PSN_CRASHES + 3, "seed %d: %u crashes",
                  (int)seed, d.poison_crashes);
-  psn_fleet_down (&d.f);
+  psn_fleet_free (&d.f);
 }
 
 /* Guards against orders of crashes, completions and updates in which it goes
