--- a/serve/check.c
+++ b/serve/check.c
@@ -12,7 +12,7 @@
  */
 #define CONNECT_MS ((clk_ms)400)
 /** Longest wait for the answer, which a server gives from memory. */
-#define ANSWER_MS ((clk_ms)300)
+#define RESPONSE_MS ((clk_ms)300)
 /** HTTP's answer of a server that is not the one meant: the address has gone
     to another, and the one that was asked is no more. */
 #define STATUS_MISDIRECTED 421
@@ -20,9 +20,9 @@
 struct check
 {
   struct srv *s;
-  uint64_t place;
+  uint64_t endpoint;
   char *server;
-  clk_ms since;
+  clk_ms started_at;
   int status;
 };
 
@@ -40,7 +40,7 @@
 }
 
 static enum dsp_liveness
-liveness_of (const struct check *c, enum httpc_end end, clk_ms ms)
+classify_liveness (const struct check *c, enum httpc_end end, clk_ms ms)
 {
   if (c->status)
     return c->status == STATUS_MISDIRECTED ? DSP_ENDED : DSP_ALIVE;
@@ -55,12 +55,12 @@
   struct check *c = ctx;
   struct srv *s = c->s;
   clk_ms now = clk_now ();
-  enum dsp_liveness found = liveness_of (c, end, now - c->since);
-  size_t runs = dsp_checked (s->dispatch, now, c->place, found);
+  enum dsp_liveness found = classify_liveness (c, end, now - c->started_at);
+  size_t runs = dsp_checked (s->dispatch, now, c->endpoint, found);
 
   LOG (server_checked, LOG_C ("server", c->server),
        LOG_C ("process", dsp_liveness_name (found)), LOG_I ("runs", runs),
-       LOG_I ("ms", now - c->since));
+       LOG_I ("ms", now - c->started_at));
   free (c->server);
   free (c);
   srv_act (s);
@@ -78,12 +78,12 @@
                              .headers = &h,
                              .nheaders = 1,
                              .connect_ms = CONNECT_MS,
-                             .progress_ms = ANSWER_MS,
+                             .progress_ms = RESPONSE_MS,
                              .fresh = true };
 
   c->s = s;
-  c->place = a->place;
+  c->endpoint = a->place;
   c->server = str_dup (a->server);
-  c->since = clk_now ();
+  c->started_at = clk_now ();
   httpc_start (s->http, &r, &cb, c);
 }
--- a/serve/exchange.c
+++ b/serve/exchange.c
@@ -13,7 +13,7 @@
 /* --- heads ------------------------------------------------------------- */
 
 static struct str
-keep_text (struct buf *text, struct str s)
+copy_text (struct buf *text, struct str s)
 {
   size_t at = text->len;
 
@@ -22,7 +22,7 @@
 }
 
 static void
-head_keep (const struct srv *s, struct srv_head *head, int status,
+copy_head (const struct srv *s, struct srv_response_head *head, int status,
            const struct http_header *h, size_t n)
 {
   size_t size = 0;
@@ -36,13 +36,13 @@
   for (size_t i = 0; i < n; i++)
     if (s->ad->passes (&h[i]))
       head->list[head->n++]
-          = (struct http_header){ keep_text (&head->text, h[i].name),
-                                  keep_text (&head->text, h[i].value) };
+          = (struct http_header){ copy_text (&head->text, h[i].name),
+                                  copy_text (&head->text, h[i].value) };
 }
 
 /** A stream's length is not known once it may go on elsewhere. */
 static void
-head_drop_length (struct srv_head *head)
+drop_content_length (struct srv_response_head *head)
 {
   size_t kept = 0;
 
@@ -65,7 +65,7 @@
 }
 
 static void
-attempt_free (struct srv_attempt *at)
+free_attempt (struct srv_attempt *at)
 {
   struct srv_attempt **p = &at->ex->attempts;
 
@@ -84,16 +84,16 @@
 
 /** An attempt that brought no whole answer, and why. */
 static void
-log_lost (const struct srv_attempt *at, const char *why)
+log_attempt_lost (const struct srv_attempt *at, const char *why)
 {
   clk_ms now = clk_now ();
 
   LOG (attempt_lost, LOG_S ("id", at->ex->call.id),
        LOG_C ("digest", at->ex->digest_text), LOG_I ("attempt", at->number),
        LOG_C ("server", at->server), LOG_C ("why", why),
-       LOG_I ("status", at->head.status), LOG_I ("passed", at->passing),
-       LOG_I ("ran_ms", at->begun_at ? now - at->begun_at : -1),
-       LOG_I ("ms", now - at->since));
+       LOG_I ("status", at->head.status), LOG_I ("passed", at->forwarding),
+       LOG_I ("ran_ms", at->first_event_at ? now - at->first_event_at : -1),
+       LOG_I ("ms", now - at->started_at));
 }
 
 static bool
@@ -101,33 +101,34 @@
 {
   struct srv_attempt *at = ctx;
 
-  at->ex->tries++;
+  at->ex->attempts_sent++;
   return dsp_sent (at->ex->s->dispatch, clk_now (), at->ex->id, at->number);
 }
 
 /** Statuses that say "not run" to callers.  From a backend server that does
     not say so itself they promise nothing, and must not be passed on. */
 static bool
-is_promise (int status)
+is_not_run_status (int status)
 {
   return status == 408 || status == 421 || status == 429 || status == 503;
 }
 
 /** Whether these bytes can be taken for the answer to this request at all. */
 static bool
-is_answer (const struct srv_attempt *at, int status)
+is_valid_response (const struct srv_attempt *at, int status)
 {
-  if (!at->answer.same_request || (is_promise (status) && !at->answer.unrun))
+  if (!at->response.same_request
+      || (is_not_run_status (status) && !at->response.unrun))
     return false;
   if (status >= 200 && status < 300)
-    return at->answer.sealed && !at->answer.encoded;
+    return at->response.sealed && !at->response.encoded;
   return status >= 400;
 }
 
 static enum dsp_head
-head_of (const struct srv_attempt *at, int status)
+classify_head (const struct srv_attempt *at, int status)
 {
-  if (at->answer.unrun)
+  if (at->response.unrun)
     return DSP_HEAD_UNRUN;
   if (status >= 500)
     return DSP_HEAD_ERROR;
@@ -136,7 +137,7 @@
 
 /** What the answer says of the rate that its server takes. */
 static void
-take_limit (const struct srv_attempt *at)
+handle_rate_limit (const struct srv_attempt *at)
 {
   struct srv_exchange *ex = at->ex;
   struct dsp *d = ex->s->dispatch;
@@ -145,17 +146,17 @@
 
   /* Another server's answer, or another request's, says nothing of this one.
    */
-  if (!at->answer.misdirected && at->answer.same_request)
+  if (!at->response.misdirected && at->response.same_request)
     change = dsp_answer_limit (d, clk_now (), ex->id, at->number,
-                               at->answer.limit, at->answer.rate);
-  snprintf (rate, sizeof rate, "%g", at->answer.rate);
+                               at->response.limit, at->response.rate);
+  snprintf (rate, sizeof rate, "%g", at->response.rate);
   if (change != LIM_SAME)
     srv_peers_limits (ex->s);
   switch (change)
     {
     case LIM_SAME:
       break;
-    case LIM_NAMED:
+    case LIM_SET:
       LOG (limit_named, LOG_C ("server", at->server), LOG_C ("per_s", rate),
            LOG_S ("id", ex->call.id));
       break;
@@ -178,17 +179,17 @@
   struct srv_exchange *ex = at->ex;
   struct srv *s = ex->s;
 
-  s->ad->answer (ex->call.id, status, h, n, &at->answer);
-  head_keep (s, &at->head, status, h, n);
-  take_limit (at);
-  if (at->answer.unrun || status >= 500)
-    log_lost (at, at->answer.unrun ? "not-run" : "error");
-  if (is_answer (at, status))
+  s->ad->answer (ex->call.id, status, h, n, &at->response);
+  copy_head (s, &at->head, status, h, n);
+  handle_rate_limit (at);
+  if (at->response.unrun || status >= 500)
+    log_attempt_lost (at, at->response.unrun ? "not-run" : "error");
+  if (is_valid_response (at, status))
     dsp_head (s->dispatch, clk_now (), ex->id, at->number,
-              head_of (at, status));
+              classify_head (at, status));
   else
     {
-      log_lost (at, "no-answer-to-this");
+      log_attempt_lost (at, "no-answer-to-this");
       dsp_broken (s->dispatch, clk_now (), ex->id, at->number);
     }
   srv_act (s);
@@ -197,31 +198,31 @@
 static bool
 is_stream (const struct srv_attempt *at)
 {
-  return at->ex->route->kind == TBL_STREAM && at->answer.events
+  return at->ex->route->kind == TBL_STREAM && at->response.events
          && at->head.status == 200;
 }
 
 /** Note when events pass: callers feel pauses between them. */
 static void
-note_passing (struct srv_exchange *ex)
+record_event_gap (struct srv_exchange *ex)
 {
   clk_ms now = clk_now ();
 
   if (ex->first_ms == 0)
     ex->first_ms = now - ex->since;
-  else if (now - ex->passed_at > ex->pause_ms)
-    ex->pause_ms = now - ex->passed_at;
-  ex->passed_at = now;
+  else if (now - ex->last_write_at > ex->pause_ms)
+    ex->pause_ms = now - ex->last_write_at;
+  ex->last_write_at = now;
 }
 
 static void
-write_events (struct srv_attempt *at)
+forward_events (struct srv_attempt *at)
 {
   struct srv_exchange *ex = at->ex;
 
-  if (!at->passing || !ex->req || at->body.len == 0)
+  if (!at->forwarding || !ex->req || at->body.len == 0)
     return;
-  note_passing (ex);
+  record_event_gap (ex);
   httpd_write (ex->req, buf_str (&at->body));
   buf_clear (&at->body);
   ex->has_event = at->split.has_id;
@@ -241,9 +242,9 @@
       return;
     }
   events = spl_take (&at->split, bytes, &at->body);
-  if (events > 0 && !at->begun_at)
-    at->begun_at = clk_now ();
-  write_events (at);
+  if (events > 0 && !at->first_event_at)
+    at->first_event_at = clk_now ();
+  forward_events (at);
   dsp_heard (s->dispatch, clk_now (), at->ex->id, at->number, events > 0);
   srv_act (s);
 }
@@ -266,17 +267,17 @@
           dsp_whole (s->dispatch, now, ex->id, at->number);
           break;
         }
-      log_lost (at, "cut-in-an-event");
+      log_attempt_lost (at, "cut-in-an-event");
       dsp_broken (s->dispatch, now, ex->id, at->number);
       break;
     case HTTPC_CONNECT_FAILED:
     case HTTPC_STOPPED:
-      log_lost (at, "no-connection");
+      log_attempt_lost (at, "no-connection");
       dsp_connect_failed (s->dispatch, now, ex->id, at->number);
       break;
     case HTTPC_BROKEN:
     case HTTPC_SILENT:
-      log_lost (at, end == HTTPC_SILENT ? "silent" : "broken");
+      log_attempt_lost (at, end == HTTPC_SILENT ? "silent" : "broken");
       dsp_broken (s->dispatch, now, ex->id, at->number);
       break;
     }
@@ -285,7 +286,7 @@
 
 /** Make the headers and open the connection; false when it can't be sent. */
 static bool
-attempt_call (struct srv_attempt *at, const struct dsp_action *a)
+start_call (struct srv_attempt *at, const struct dsp_action *a)
 {
   static const struct httpc_callbacks cb
       = { on_connected, on_head, on_body, on_end };
@@ -330,7 +331,7 @@
 }
 
 static void
-attempt_start (struct srv_exchange *ex, const struct dsp_action *a)
+start_attempt (struct srv_exchange *ex, const struct dsp_action *a)
 {
   struct srv_attempt *at = xcalloc (1, sizeof *at);
 
@@ -338,7 +339,7 @@
     buf_add_char (&ex->servers, ' ');
   buf_add (&ex->servers, a->server);
   at->server = str_dup (a->server);
-  at->since = clk_now ();
+  at->started_at = clk_now ();
   at->ex = ex;
   at->number = a->attempt;
   at->next = ex->attempts;
@@ -348,14 +349,14 @@
       at->split.has_id = ex->has_event;
       at->split.last_id = ex->last_event;
     }
-  if (!ex->req || !attempt_call (at, a))
+  if (!ex->req || !start_call (at, a))
     dsp_connect_failed (ex->s->dispatch, clk_now (), ex->id, a->attempt);
 }
 
 /* --- what makes two requests the same ---------------------------------- */
 
 static void
-add_part (struct buf *text, struct str part)
+add_digest_part (struct buf *text, struct str part)
 {
   buf_addf (text, "%zu:", part.len);
   buf_add (text, part);
@@ -370,12 +371,12 @@
   uint64_t digest;
 
   dig_sha256 (v->body, body);
-  add_part (&text, v->method);
-  add_part (&text, ex->host);
-  add_part (&text, v->path);
-  add_part (&text, v->query);
-  add_part (&text, ex->account ? ex->account->name : STR_EMPTY);
-  add_part (&text, str_make ((const char *)body, sizeof body));
+  add_digest_part (&text, v->method);
+  add_digest_part (&text, ex->host);
+  add_digest_part (&text, v->path);
+  add_digest_part (&text, v->query);
+  add_digest_part (&text, ex->account ? ex->account->name : STR_EMPTY);
+  add_digest_part (&text, str_make ((const char *)body, sizeof body));
   dig_sha256 (buf_str (&text), whole);
   buf_free (&text);
   memcpy (&digest, whole, sizeof digest);
@@ -416,7 +417,7 @@
   LOG (request_ended, LOG_S ("id", ex->call.id),
        LOG_C ("digest", ex->digest_text), LOG_S ("route", ex->route->name),
        LOG_I ("status", status), LOG_C ("code", code),
-       LOG_I ("attempts", ex->tries),
+       LOG_I ("attempts", ex->attempts_sent),
        LOG_S ("servers", buf_str (&ex->servers)),
        LOG_I ("first_ms", ex->first_ms), LOG_I ("pause_ms", ex->pause_ms),
        LOG_I ("ms", ms), LOG_I ("config", ex->table->version));
@@ -424,7 +425,7 @@
 
 /** The caller has all that it will get. */
 static struct httpd_req *
-take_req (struct srv_exchange *ex, int status, const char *code)
+release_req (struct srv_exchange *ex, int status, const char *code)
 {
   struct httpd_req *req = ex->req;
 
@@ -434,39 +435,39 @@
 }
 
 static void
-pass (struct srv_exchange *ex, struct srv_attempt *at)
+start_forwarding (struct srv_exchange *ex, struct srv_attempt *at)
 {
-  at->passing = true;
+  at->forwarding = true;
   if (!ex->req)
     return;
-  if (!ex->begun)
+  if (!ex->head_sent)
     {
-      head_drop_length (&at->head);
+      drop_content_length (&at->head);
       srv_metrics_first (ex->s, clk_now () - ex->since);
       httpd_begin (ex->req, at->head.status, at->head.list, at->head.n);
-      ex->begun = true;
+      ex->head_sent = true;
       ex->status = at->head.status;
     }
-  write_events (at);
+  forward_events (at);
 }
 
 static void
-end_whole (struct srv_exchange *ex, struct srv_attempt *at)
+send_complete_response (struct srv_exchange *ex, struct srv_attempt *at)
 {
   if (!ex->req)
     return;
-  if (ex->begun)
+  if (ex->head_sent)
     {
-      write_events (at);
-      httpd_end (take_req (ex, at->head.status, "done"), true);
+      forward_events (at);
+      httpd_end (release_req (ex, at->head.status, "done"), true);
       return;
     }
-  httpd_answer (take_req (ex, at->head.status, "done"), at->head.status,
+  httpd_answer (release_req (ex, at->head.status, "done"), at->head.status,
                 at->head.list, at->head.n, buf_str (&at->body));
 }
 
 static void
-answer_error (struct srv_exchange *ex, const struct dsp_action *a)
+send_error_response (struct srv_exchange *ex, const struct dsp_action *a)
 {
   LOG (request_failed, LOG_S ("id", ex->call.id),
        LOG_C ("code", dsp_code_name (a->code)),
@@ -477,7 +478,7 @@
   if (ex->req)
     srv_refuse (
         ex->s,
-        take_req (ex, dsp_code_status (a->code), dsp_code_name (a->code)),
+        release_req (ex, dsp_code_status (a->code), dsp_code_name (a->code)),
         dsp_code_status (a->code), dsp_code_name (a->code), a->retry_ms);
 }
 
@@ -489,26 +490,27 @@
   switch (a->kind)
     {
     case DSP_ACT_SEND:
-      attempt_start (ex, a);
+      start_attempt (ex, a);
       break;
     case DSP_ACT_CANCEL:
       if (at)
-        attempt_free (at);
+        free_attempt (at);
       break;
     case DSP_ACT_PASS:
       if (at)
-        pass (ex, at);
+        start_forwarding (ex, at);
       break;
     case DSP_ACT_END:
       if (at)
-        end_whole (ex, at);
+        send_complete_response (ex, at);
       break;
     case DSP_ACT_ANSWER:
-      answer_error (ex, a);
+      send_error_response (ex, a);
       break;
     case DSP_ACT_CUT:
       if (ex->req)
-        httpd_end (take_req (ex, ex->status, dsp_code_name (a->code)), false);
+        httpd_end (release_req (ex, ex->status, dsp_code_name (a->code)),
+                   false);
       break;
     case DSP_ACT_FORGET:
       srv_exchange_free (ex);
@@ -522,7 +524,7 @@
 /* --- life -------------------------------------------------------------- */
 
 static void
-on_gone (void *ctx)
+on_disconnected (void *ctx)
 {
   struct srv_exchange *ex = ctx;
 
@@ -547,7 +549,7 @@
   if (ex->next)
     ex->next->prev = &ex->next;
   s->exchanges = ex;
-  httpd_on_gone (req, on_gone, ex);
+  httpd_on_gone (req, on_disconnected, ex);
   return ex;
 }
 
@@ -555,7 +557,7 @@
 srv_exchange_free (struct srv_exchange *ex)
 {
   while (ex->attempts)
-    attempt_free (ex->attempts);
+    free_attempt (ex->attempts);
   *ex->prev = ex->next;
   if (ex->next)
     ex->next->prev = ex->prev;
--- a/serve/exchange.h
+++ b/serve/exchange.h
@@ -10,7 +10,7 @@
 #include "serve/split.h"
 
 /** Head of an answer, kept until it is passed on. */
-struct srv_head
+struct srv_response_head
 {
   int status;
   struct http_header *list;
@@ -25,14 +25,14 @@
   struct srv_attempt *next;
   unsigned number;
   struct httpc_call *call; /**< NULL: it has ended */
-  struct srv_head head;
-  struct srv_answer answer;
+  struct srv_response_head head;
+  struct srv_answer response;
   struct buf body;  /**< not passed on yet */
   struct spl split; /**< of a stream */
-  bool passing;
+  bool forwarding;
   char *server; /**< id */
-  clk_ms since;
-  clk_ms begun_at; /**< when its first event came; 0: none has */
+  clk_ms started_at;
+  clk_ms first_event_at; /**< when its first event came; 0: none has */
 };
 
 struct srv_exchange
@@ -49,16 +49,16 @@
   uint64_t digest;                   /**< srv_request_digest() */
   char digest_text[17];              /**< in hexadecimal, for the log */
   struct srv_attempt *attempts;
-  bool begun;         /**< the head of a stream was passed on */
+  bool head_sent;     /**< the head of a stream was passed on */
   int status;         /**< that was passed on with it */
   int64_t last_event; /**< that was passed on */
   bool has_event;
   clk_ms since;
-  unsigned tries;     /**< attempts that were sent */
-  clk_ms first_ms;    /**< to the first event or the whole answer; 0: none */
-  clk_ms passed_at;   /**< when the last event went to the caller */
-  clk_ms pause_ms;    /**< the longest between two events */
-  struct buf servers; /**< ids of those that were tried */
+  unsigned attempts_sent; /**< attempts that were sent */
+  clk_ms first_ms;      /**< to the first event or the whole answer; 0: none */
+  clk_ms last_write_at; /**< when the last event went to the caller */
+  clk_ms pause_ms;      /**< the longest between two events */
+  struct buf servers;   /**< ids of those that were tried */
 };
 
 struct srv_exchange *srv_exchange_new (struct srv *s, struct httpd_req *req,
--- a/serve/limit-grant.c
+++ b/serve/limit-grant.c
@@ -6,15 +6,15 @@
 
 /** A follower that was not heard for so long follows no more; it says that it
     does each tenth of a second. */
-#define FOLLOWS_MS ((clk_ms)350)
+#define FOLLOWER_TIMEOUT_MS ((clk_ms)350)
 /** What a follower wants holds for so long: until it says so again, or while
     the request waits. */
-#define WANTS_AGAIN_MS ((clk_ms)120)
-#define WANTS_MS ((clk_ms)20)
+#define PERIODIC_DEMAND_TTL_MS ((clk_ms)120)
+#define URGENT_DEMAND_TTL_MS ((clk_ms)20)
 /** A server for which no permit was wanted for so long is idle. */
 #define IDLE_MS ((clk_ms)1000)
 /** Of the rate, what is kept while it is not wanted, and one permit more. */
-#define KEPT_S 0.5
+#define BURST_S 0.5
 
 static struct lim_follower *
 find_follower (struct lim *l, uint64_t node)
@@ -41,20 +41,20 @@
 static void
 compact (struct lim_row *r)
 {
-  if (2 * r->first < r->wants->len)
+  if (2 * r->next_index < r->demands->len)
     return;
-  g_array_remove_range (r->wants, 0, r->first);
-  r->first = 0;
+  g_array_remove_range (r->demands, 0, r->next_index);
+  r->next_index = 0;
 }
 
 static void
-add_want (struct lim_row *r, const struct lim_want *want)
+add_demand (struct lim_row *r, const struct lim_demand *demand)
 {
-  if (!r->wants)
-    r->wants = g_array_new (false, false, sizeof *want);
+  if (!r->demands)
+    r->demands = g_array_new (false, false, sizeof *demand);
   compact (r);
-  g_array_append_vals (r->wants, want, 1);
-  r->asked = true;
+  g_array_append_vals (r->demands, demand, 1);
+  r->has_new_demand = true;
 }
 
 /** Come to know the same limit as the follower: the newer one of both. */
@@ -70,7 +70,7 @@
   if (r && r->limited && r->rate == wanted->rate)
     return;
   if (!lim_apply (l, now, &update))
-    g_array_append_val (l->updates, wanted->server);
+    g_array_append_val (l->changed, wanted->server);
 }
 
 void
@@ -78,20 +78,22 @@
               const struct lim_permits *wanted, size_t n)
 {
   struct lim_follower *f = find_follower (l, node);
-  struct lim_want want
-      = { .node = node, .until = now + (again ? WANTS_AGAIN_MS : WANTS_MS) };
+  struct lim_demand demand
+      = { .node = node,
+          .until
+          = now + (again ? PERIODIC_DEMAND_TTL_MS : URGENT_DEMAND_TTL_MS) };
 
   if (!f)
     f = add_follower (l, node);
-  f->heard = now;
+  f->last_seen = now;
   for (size_t i = 0; i < n; i++)
     {
       struct lim_row *r;
       reconcile (l, now, &wanted[i]);
       r = lim_find (l, wanted[i].server);
-      want.n = wanted[i].n;
+      demand.n = wanted[i].n;
       if (r && r->limited)
-        add_want (r, &want);
+        add_demand (r, &demand);
     }
 }
 
@@ -105,9 +107,9 @@
 }
 
 static bool
-follows (const struct lim_follower *f, clk_ms now)
+is_active (const struct lim_follower *f, clk_ms now)
 {
-  return now - f->heard < FOLLOWS_MS;
+  return now - f->last_seen < FOLLOWER_TIMEOUT_MS;
 }
 
 size_t
@@ -116,7 +118,7 @@
   size_t n = 0;
 
   for (size_t i = 0; i < l->nfollowers; i++)
-    n += follows (&l->followers[i], now);
+    n += is_active (&l->followers[i], now);
   return n;
 }
 
@@ -131,7 +133,7 @@
     {
       g_hash_table_iter_init (&at, l->rows);
       while (g_hash_table_iter_next (&at, NULL, (gpointer *)&r))
-        r->due_at = now;
+        r->credit_at = now;
     }
   l->grants = grants;
 }
@@ -141,32 +143,32 @@
 /** Part of the rate that this node grants: its own, and that of each node that
     follows it. */
 static double
-part_of_rate (const struct lim *l, clk_ms now)
+rate_share (const struct lim *l, clk_ms now)
 {
-  double follow = 1 + (double)lim_count_followers (l, now);
+  double active = 1 + (double)lim_count_followers (l, now);
 
-  return l->nodes > follow ? follow / l->nodes : 1;
+  return l->nodes > active ? active / l->nodes : 1;
 }
 
 /** What is kept of the part while no permit is wanted. */
 static double
-most_kept (const struct lim_row *r, double part)
+max_credit (const struct lim_row *r, double share)
 {
-  return part * (lim_granted_rate (r) * KEPT_S + 1);
+  return share * (lim_effective_rate (r) * BURST_S + 1);
 }
 
 static void
-accrue (struct lim_row *r, clk_ms now, double part)
+accrue_credit (struct lim_row *r, clk_ms now, double share)
 {
-  bool idle = r->asked_at == 0 || now - r->asked_at > IDLE_MS;
-  double most = most_kept (r, part);
+  bool idle = r->last_wanted_at == 0 || now - r->last_wanted_at > IDLE_MS;
+  double most = max_credit (r, share);
 
   if (!idle)
     most = MAX (most, 1);
-  r->due += part * lim_granted_rate (r) * (double)(now - r->due_at)
-            / (double)CLK_SECOND;
-  r->due = MIN (r->due, most);
-  r->due_at = now;
+  r->credit += share * lim_effective_rate (r) * (double)(now - r->credit_at)
+               / (double)CLK_SECOND;
+  r->credit = MIN (r->credit, most);
+  r->credit_at = now;
 }
 
 /**
@@ -176,13 +178,13 @@
  * and one that is due, and makes up for it afterwards.
  */
 static unsigned
-take_due (struct lim *l, struct lim_row *r, double part, unsigned n)
+spend_credit (struct lim *l, struct lim_row *r, double share, unsigned n)
 {
-  if (most_kept (r, part) >= 1)
-    n = (double)n < r->due ? n : (unsigned)MAX (r->due, 0);
+  if (max_credit (r, share) >= 1)
+    n = (double)n < r->credit ? n : (unsigned)MAX (r->credit, 0);
   else
-    n = r->due >= r->threshold ? 1 : 0;
-  r->due -= n;
+    n = r->credit >= r->threshold ? 1 : 0;
+  r->credit -= n;
   if (n > 0)
     r->threshold = rng_unit (&l->rng);
   return n;
@@ -192,25 +194,26 @@
 
 /** What this node wants itself joins the others' wants. */
 static void
-add_own_want (struct lim_row *r, clk_ms now)
+add_own_demand (struct lim_row *r, clk_ms now)
 {
-  struct lim_want want = { .node = LIM_SELF, .until = now + WANTS_MS };
+  struct lim_demand demand
+      = { .node = LIM_SELF, .until = now + URGENT_DEMAND_TTL_MS };
 
-  want.n = lim_missing (r, now);
-  if (want.n == 0 || now < r->own_until)
+  demand.n = lim_permits_needed (r, now);
+  if (demand.n == 0 || now < r->self_until)
     return;
-  r->own_until = want.until;
-  add_want (r, &want);
+  r->self_until = demand.until;
+  add_demand (r, &demand);
 }
 
 /** The want that came first and still holds, or NULL. */
-static struct lim_want *
-first_want (struct lim_row *r, clk_ms now)
+static struct lim_demand *
+next_demand (struct lim_row *r, clk_ms now)
 {
-  for (; r->wants && r->first < r->wants->len; r->first++)
+  for (; r->demands && r->next_index < r->demands->len; r->next_index++)
     {
-      struct lim_want *w
-          = &g_array_index (r->wants, struct lim_want, r->first);
+      struct lim_demand *w
+          = &g_array_index (r->demands, struct lim_demand, r->next_index);
       if (w->n > 0 && now < w->until)
         return w;
     }
@@ -218,51 +221,51 @@
 }
 
 static void
-grant_to (struct lim *l, struct lim_row *r, clk_ms now, struct lim_want *want,
-          unsigned n)
+grant_to (struct lim *l, struct lim_row *r, clk_ms now,
+          struct lim_demand *demand, unsigned n)
 {
-  struct lim_permits p = { .node = want->node, .server = r->server, .n = n };
+  struct lim_permits p = { .node = demand->node, .server = r->server, .n = n };
 
   l->granted += n;
-  want->n -= n;
-  if (want->node == LIM_SELF)
+  demand->n -= n;
+  if (demand->node == LIM_SELF)
     lim_granted (l, now, r->server, n);
   else
     g_array_append_val (l->permits, p);
 }
 
 static void
-grant_due (struct lim *l, struct lim_row *r, clk_ms now, double part)
+grant_row (struct lim *l, struct lim_row *r, clk_ms now, double share)
 {
-  struct lim_want *want;
+  struct lim_demand *demand;
   unsigned n;
 
-  accrue (r, now, part);
-  add_own_want (r, now);
-  while ((want = first_want (r, now)) != NULL)
+  accrue_credit (r, now, share);
+  add_own_demand (r, now);
+  while ((demand = next_demand (r, now)) != NULL)
     {
-      r->asked_at = now;
-      n = take_due (l, r, part, want->n);
+      r->last_wanted_at = now;
+      n = spend_credit (l, r, share, demand->n);
       if (n == 0)
         return;
-      grant_to (l, r, now, want, n);
+      grant_to (l, r, now, demand, n);
     }
 }
 
 const struct lim_permits *
 lim_grant (struct lim *l, clk_ms now, bool all, size_t *n)
 {
-  double part = part_of_rate (l, now);
+  double share = rate_share (l, now);
   struct lim_row *r;
   GHashTableIter at;
 
   g_array_set_size (l->permits, 0);
   g_hash_table_iter_init (&at, l->rows);
   while (l->grants && g_hash_table_iter_next (&at, NULL, (gpointer *)&r))
-    if (r->limited && (all || r->asked))
+    if (r->limited && (all || r->has_new_demand))
       {
-        r->asked = false;
-        grant_due (l, r, now, part);
+        r->has_new_demand = false;
+        grant_row (l, r, now, share);
       }
   *n = l->permits->len;
   return (const struct lim_permits *)(void *)l->permits->data;
--- a/serve/limit.c
+++ b/serve/limit.c
@@ -5,14 +5,14 @@
 #include "base/str.h"
 
 /** A permit that is not used within this lapses. */
-#define PERMIT_MS CLK_SECOND
+#define PERMIT_TTL_MS CLK_SECOND
 /** Permits are wanted for so long after a request that would have gone to the
     server: it has gone elsewhere by then, or was refused. */
-#define WANTED_MS ((clk_ms)50)
+#define DEMAND_TTL_MS ((clk_ms)50)
 /** The node that grants has answered within this, if it has one to grant. */
-#define ANSWER_MS ((clk_ms)20)
+#define GRANT_TIMEOUT_MS ((clk_ms)20)
 /** How often permits are asked for, about. */
-#define ASK_S 0.1
+#define REQUEST_INTERVAL_S 0.1
 
 /* --- life --------------------------------------------------------------- */
 
@@ -21,8 +21,8 @@
 {
   struct lim_row *r = row;
 
-  if (r->wants)
-    g_array_free (r->wants, true);
+  if (r->demands)
+    g_array_free (r->demands, true);
   free (r);
 }
 
@@ -33,8 +33,8 @@
 
   l->rows
       = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, row_free);
-  l->updates = g_array_new (false, false, sizeof (uint64_t));
-  l->told = g_array_new (false, false, sizeof (struct lim_update));
+  l->changed = g_array_new (false, false, sizeof (uint64_t));
+  l->update_list = g_array_new (false, false, sizeof (struct lim_update));
   l->permits = g_array_new (false, false, sizeof (struct lim_permits));
   l->grants = true;
   l->nodes = 1;
@@ -48,8 +48,8 @@
   if (!l)
     return;
   free (l->followers);
-  g_array_free (l->updates, true);
-  g_array_free (l->told, true);
+  g_array_free (l->changed, true);
+  g_array_free (l->update_list, true);
   g_array_free (l->permits, true);
   g_hash_table_destroy (l->rows);
   free (l);
@@ -65,14 +65,14 @@
 
 /** Make room: the server that has said nothing for longest goes. */
 static void
-drop_oldest (struct lim *l)
+evict_oldest (struct lim *l)
 {
   struct lim_row *r, *oldest = NULL;
   GHashTableIter at;
 
   g_hash_table_iter_init (&at, l->rows);
   while (g_hash_table_iter_next (&at, NULL, (gpointer *)&r))
-    if (!oldest || r->at < oldest->at)
+    if (!oldest || r->reported_at < oldest->reported_at)
       oldest = r;
   if (!oldest)
     return;
@@ -81,27 +81,27 @@
 }
 
 static struct lim_row *
-add (struct lim *l, uint64_t server)
+add_row (struct lim *l, uint64_t server)
 {
   struct lim_row *r = xcalloc (1, sizeof *r);
 
-  if (g_hash_table_size (l->rows) >= LIM_MOST)
-    drop_oldest (l);
+  if (g_hash_table_size (l->rows) >= LIM_MAX_SERVERS)
+    evict_oldest (l);
   r->server = server;
   g_hash_table_insert (l->rows, &r->server, r);
   return r;
 }
 
 double
-lim_granted_rate (const struct lim_row *r)
+lim_effective_rate (const struct lim_row *r)
 {
   return MAX (r->rate, LIM_RATE_LEAST);
 }
 
 unsigned
-lim_portion (const struct lim_row *r)
+lim_batch_size (const struct lim_row *r)
 {
-  double n = r->rate * ASK_S;
+  double n = r->rate * REQUEST_INTERVAL_S;
 
   if (n > UINT16_MAX)
     return UINT16_MAX;
@@ -118,26 +118,27 @@
     {
       r->sent = 0;
       r->permits = 0;
-      r->due = 0;
+      r->credit = 0;
       r->threshold = rng_unit (&l->rng);
-      r->due_at = at;
+      r->credit_at = at;
     }
   l->limited += limited;
   l->limited -= r->limited;
   r->limited = limited;
   r->rate = rate;
-  r->at = at;
-  g_array_append_val (l->updates, r->server);
-  return limited ? LIM_NAMED : LIM_ENDED;
+  r->reported_at = at;
+  g_array_append_val (l->changed, r->server);
+  return limited ? LIM_SET : LIM_ENDED;
 }
 
 /** The row of the server; a new one only if there is something to remember. */
 static struct lim_row *
-row_for (struct lim *l, const struct lim_word *word)
+find_or_add_row (struct lim *l, const struct lim_word *report)
 {
-  struct lim_row *r = lim_find (l, word->server);
+  struct lim_row *r = lim_find (l, report->server);
 
-  return r || word->says == LIM_SAYS_NOTHING ? r : add (l, word->server);
+  return r || report->says == LIM_SAYS_NOTHING ? r
+                                               : add_row (l, report->server);
 }
 
 static bool
@@ -148,37 +149,37 @@
 
 /** Whether the answer holds instead of what is known. */
 static bool
-supersedes (const struct lim_word *word, const struct lim_row *r)
+supersedes (const struct lim_word *report, const struct lim_row *r)
 {
-  bool stricter
-      = word->says == LIM_SAYS_RATE && (!r->limited || word->rate < r->rate);
+  bool stricter = report->says == LIM_SAYS_RATE
+                  && (!r->limited || report->rate < r->rate);
 
-  return stricter || word->sent_at >= r->at;
+  return stricter || report->sent_at >= r->reported_at;
 }
 
 enum lim_change
-lim_answered (struct lim *l, clk_ms now, const struct lim_word *word)
+lim_answered (struct lim *l, clk_ms now, const struct lim_word *report)
 {
-  struct lim_row *r = row_for (l, word);
-  bool limited = word->says == LIM_SAYS_RATE;
+  struct lim_row *r = find_or_add_row (l, report);
+  bool limited = report->says == LIM_SAYS_RATE;
   bool reported;
 
   if (!r)
     return LIM_SAME;
-  if (word->says == LIM_SAYS_UNREADABLE)
+  if (report->says == LIM_SAYS_UNREADABLE)
     {
       reported = r->unreadable;
       r->unreadable = true;
       return reported ? LIM_SAME : LIM_UNREADABLE;
     }
-  if (is_same (r, limited, word->rate))
+  if (is_same (r, limited, report->rate))
     {
-      r->at = now;
+      r->reported_at = now;
       return LIM_SAME;
     }
-  if (!supersedes (word, r))
+  if (!supersedes (report, r))
     return LIM_SAME;
-  return set_limit (l, r, now, limited, word->rate);
+  return set_limit (l, r, now, limited, report->rate);
 }
 
 static bool
@@ -196,42 +197,45 @@
   if (!r && !update->limited)
     return false;
   if (!r)
-    r = add (l, update->server);
+    r = add_row (l, update->server);
   if (is_same (r, update->limited, update->rate))
     return false;
   /* Of two words of one moment the stricter holds, at all nodes. */
-  if (at < r->at || (at == r->at && !is_stricter (update, r)))
+  if (at < r->reported_at
+      || (at == r->reported_at && !is_stricter (update, r)))
     return false;
   set_limit (l, r, at, update->limited, update->rate);
   return true;
 }
 
 static struct lim_update
-describe (const struct lim_row *r, clk_ms now)
+make_update (const struct lim_row *r, clk_ms now)
 {
   return (struct lim_update){ .server = r->server,
                               .limited = r->limited,
                               .rate = r->rate,
-                              .age_ms = now > r->at ? now - r->at : 0 };
+                              .age_ms = now > r->reported_at
+                                            ? now - r->reported_at
+                                            : 0 };
 }
 
 const struct lim_update *
 lim_updates (struct lim *l, clk_ms now, size_t *n)
 {
-  g_array_set_size (l->told, 0);
-  for (guint i = 0; i < l->updates->len; i++)
+  g_array_set_size (l->update_list, 0);
+  for (guint i = 0; i < l->changed->len; i++)
     {
       const struct lim_row *r
-          = lim_find (l, g_array_index (l->updates, uint64_t, i));
+          = lim_find (l, g_array_index (l->changed, uint64_t, i));
       struct lim_update update;
       if (!r)
         continue;
-      update = describe (r, now);
-      g_array_append_val (l->told, update);
+      update = make_update (r, now);
+      g_array_append_val (l->update_list, update);
     }
-  g_array_set_size (l->updates, 0);
-  *n = l->told->len;
-  return (const struct lim_update *)(void *)l->told->data;
+  g_array_set_size (l->changed, 0);
+  *n = l->update_list->len;
+  return (const struct lim_update *)(void *)l->update_list->data;
 }
 
 const struct lim_update *
@@ -240,16 +244,16 @@
   struct lim_row *r;
   GHashTableIter at;
 
-  g_array_set_size (l->told, 0);
+  g_array_set_size (l->update_list, 0);
   g_hash_table_iter_init (&at, l->rows);
   while (g_hash_table_iter_next (&at, NULL, (gpointer *)&r))
     if (r->limited)
       {
-        struct lim_update update = describe (r, now);
-        g_array_append_val (l->told, update);
+        struct lim_update update = make_update (r, now);
+        g_array_append_val (l->update_list, update);
       }
-  *n = l->told->len;
-  return (const struct lim_update *)(void *)l->told->data;
+  *n = l->update_list->len;
+  return (const struct lim_update *)(void *)l->update_list->data;
 }
 
 bool
@@ -272,7 +276,7 @@
 /* --- requests of this node ---------------------------------------------- */
 
 static void
-lapse (struct lim_row *r, clk_ms now)
+expire_permits (struct lim_row *r, clk_ms now)
 {
   if (now >= r->permits_until)
     r->permits = 0;
@@ -281,7 +285,7 @@
 static bool
 is_wanted (const struct lim_row *r, clk_ms now)
 {
-  return r->wanted_since != 0 && now - r->wanted_at < WANTED_MS;
+  return r->wanted_since != 0 && now - r->wanted_at < DEMAND_TTL_MS;
 }
 
 bool
@@ -299,11 +303,11 @@
 
   if (!r || !r->limited)
     return;
-  r->wanted_often = is_wanted (r, now);
-  if (!r->wanted_often)
+  r->repeated_demand = is_wanted (r, now);
+  if (!r->repeated_demand)
     {
       r->wanted_since = now;
-      r->asked = l->wants_more = true;
+      r->has_new_demand = l->has_new_demand = true;
     }
   r->wanted_at = now;
 }
@@ -311,9 +315,9 @@
 bool
 lim_wants_more (struct lim *l)
 {
-  bool more = l->wants_more;
+  bool more = l->has_new_demand;
 
-  l->wants_more = false;
+  l->has_new_demand = false;
   return more;
 }
 
@@ -323,7 +327,7 @@
   const struct lim_row *r = lim_find (l, server);
 
   return r && r->limited && is_wanted (r, now)
-         && now - r->wanted_since >= ANSWER_MS;
+         && now - r->wanted_since >= GRANT_TIMEOUT_MS;
 }
 
 void
@@ -333,7 +337,7 @@
 
   if (!r || !r->limited)
     return;
-  lapse (r, now);
+  expire_permits (r, now);
   r->permits -= r->permits > 0;
   r->sent++;
   l->sent++;
@@ -348,12 +352,12 @@
 }
 
 unsigned
-lim_missing (const struct lim_row *r, clk_ms now)
+lim_permits_needed (const struct lim_row *r, clk_ms now)
 {
   unsigned has = now < r->permits_until ? r->permits : 0;
-  unsigned portion = lim_portion (r);
+  unsigned batch = lim_batch_size (r);
 
-  return r->limited && is_wanted (r, now) && has < portion ? portion - has : 0;
+  return r->limited && is_wanted (r, now) && has < batch ? batch - has : 0;
 }
 
 const struct lim_permits *
@@ -367,10 +371,10 @@
   while (g_hash_table_iter_next (&at, NULL, (gpointer *)&r))
     {
       struct lim_permits p = { .server = r->server,
-                               .n = lim_missing (r, now),
+                               .n = lim_permits_needed (r, now),
                                .rate = r->rate,
-                               .age_ms = now - r->at };
-      if (p.n > 0 && (r->wanted_often || !again))
+                               .age_ms = now - r->reported_at };
+      if (p.n > 0 && (r->repeated_demand || !again))
         g_array_append_val (l->permits, p);
     }
   *n = l->permits->len;
@@ -386,9 +390,9 @@
 
   if (!r || !r->limited)
     return;
-  lapse (r, now);
-  r->permits = MIN (r->permits + n, lim_portion (r));
-  r->permits_until = now + PERMIT_MS;
+  expire_permits (r, now);
+  r->permits = MIN (r->permits + n, lim_batch_size (r));
+  r->permits_until = now + PERMIT_TTL_MS;
   r->wanted_since = 0;
 }
 
--- a/serve/limit.h
+++ b/serve/limit.h
@@ -34,7 +34,7 @@
 #include "base/clock.h"
 
 /** Servers that are remembered. */
-#define LIM_MOST 1024
+#define LIM_MAX_SERVERS 1024
 /** Requests a second that a limited server is sent at least: only answers tell
     that a limit has ended. */
 #define LIM_RATE_LEAST 0.25
@@ -51,7 +51,7 @@
 enum lim_change
 {
   LIM_SAME,
-  LIM_NAMED, /**< a limit, or another one than before */
+  LIM_SET, /**< a limit, or another one than before */
   LIM_ENDED,
   LIM_UNREADABLE /**< nothing, and it is the first one of its server */
 };
--- a/t/lib-limit.c
+++ b/t/lib-limit.c
@@ -385,7 +385,7 @@
 /* --- the script ---------------------------------------------------------- */
 
 size_t
-limit_most (const struct limit_server *s)
+limit_max_in_window (const struct limit_server *s)
 {
   size_t most = 0, first = 0;
 
@@ -424,7 +424,7 @@
 {
   double allowed = 1.5 * s->rate * (double)WINDOW_MS / (double)CLK_SECOND + 5;
   double owed = s->rate * (double)(f->now - s->reset_at) / (double)CLK_SECOND;
-  size_t most = limit_most (s);
+  size_t most = limit_max_in_window (s);
 
   buf_addf (log, "%c ", s->name);
   if ((double)most <= allowed)
@@ -505,7 +505,7 @@
 }
 
 void
-limit_fleet_up (struct limit_fleet *f, int nodes, uint64_t seed)
+limit_fleet_init (struct limit_fleet *f, int nodes, uint64_t seed)
 {
   memset (f, 0, sizeof *f);
   rng_seed (&f->rng, seed);
@@ -516,7 +516,7 @@
 }
 
 void
-limit_fleet_down (struct limit_fleet *f)
+limit_fleet_free (struct limit_fleet *f)
 {
   for (int i = 0; i < f->n; i++)
     if (f->node[i].l)
@@ -526,14 +526,14 @@
 }
 
 void
-limit_line (struct limit_fleet *f, const char *text, struct buf *log)
+limit_run_line (struct limit_fleet *f, const char *text, struct buf *log)
 {
   char word[16] = "", x[16] = "", y[16] = "", z[16] = "";
 
   if (sscanf (text, " %15s %15s %15s %15s", word, x, y, z) <= 0)
     return;
   if (strcmp (word, "nodes") == 0)
-    limit_fleet_up (f, atoi (x), 1);
+    limit_fleet_init (f, atoi (x), 1);
   else if (strcmp (word, "alone") == 0)
     for (int i = 0; i < f->n; i++)
       f->node[i].cut = true;
@@ -559,17 +559,17 @@
 }
 
 void
-limit_play (const char *script, const char *expected)
+limit_run_script (const char *script, const char *expected)
 {
   struct limit_fleet *f = xcalloc (1, sizeof *f);
   struct buf log = BUF_INIT;
   char *copy = xstrdup (script), *next = copy, *text;
 
   while ((text = strsep (&next, "\n")) != NULL)
-    limit_line (f, text, &log);
+    limit_run_line (f, text, &log);
   cr_expect_str_eq (buf_c (&log), expected, "got:\n%s\nexpected:\n%s",
                     buf_c (&log), expected);
-  limit_fleet_down (f);
+  limit_fleet_free (f);
   free (f);
   buf_free (&log);
   free (copy);
--- a/t/lib-limit.h
+++ b/t/lib-limit.h
@@ -73,13 +73,13 @@
   clk_ms now;
 };
 
-void limit_fleet_up (struct limit_fleet *f, int nodes, uint64_t seed);
-void limit_fleet_down (struct limit_fleet *f);
+void limit_fleet_init (struct limit_fleet *f, int nodes, uint64_t seed);
+void limit_fleet_free (struct limit_fleet *f);
 /** One line of a script. */
-void limit_line (struct limit_fleet *f, const char *text, struct buf *log);
+void limit_run_line (struct limit_fleet *f, const char *text, struct buf *log);
 /** Most requests in any 4 s since the last reset. */
-size_t limit_most (const struct limit_server *s);
+size_t limit_max_in_window (const struct limit_server *s);
 /** Play @p script and compare the log with @p expected. */
-void limit_play (const char *script, const char *expected);
+void limit_run_script (const char *script, const char *expected);
 
 #endif
--- a/t/t9208-limit.c
+++ b/t/t9208-limit.c
@@ -70,82 +70,89 @@
    them, however many they are. */
 Test (limit, one_rate_for_all_nodes)
 {
-  limit_play ("nodes 8\n load 100\n limit s 2\n run 3000\n known s\n reset\n"
-              "run 20000\n count s\n",
-              "s LLLLLLLL\ns kept used\n");
-  limit_play ("nodes 78\n load 500\n limit s 2\n run 3000\n reset\n"
-              "run 20000\n count s\n",
-              "s kept used\n");
-  limit_play ("nodes 295\n load 800\n limit s 2\n run 3000\n reset\n"
-              "run 20000\n count s\n",
-              "s kept used\n");
+  limit_run_script (
+      "nodes 8\n load 100\n limit s 2\n run 3000\n known s\n reset\n"
+      "run 20000\n count s\n",
+      "s LLLLLLLL\ns kept used\n");
+  limit_run_script ("nodes 78\n load 500\n limit s 2\n run 3000\n reset\n"
+                    "run 20000\n count s\n",
+                    "s kept used\n");
+  limit_run_script ("nodes 295\n load 800\n limit s 2\n run 3000\n reset\n"
+                    "run 20000\n count s\n",
+                    "s kept used\n");
 }
 
 /* Guards against a limit that only those nodes heed that were told. */
 Test (limit, all_nodes_know_within_moments)
 {
-  limit_play ("nodes 18\n load 100\n at 18\n limit s 2\n run 250\n known s\n",
-              "s LLLLLLLLLLLLLLLLLL\n");
+  limit_run_script (
+      "nodes 18\n load 100\n at 18\n limit s 2\n run 250\n known s\n",
+      "s LLLLLLLLLLLLLLLLLL\n");
 }
 
 /* Guards against permits that many nodes save up while nobody asks, and use
    together. */
 Test (limit, nothing_is_saved_up)
 {
-  limit_play ("nodes 78\n load 500\n limit s 2\n run 3000\n load 0\n"
-              "run 60000\n reset\n load 500\n run 4000\n count s\n",
-              "s kept used\n");
+  limit_run_script ("nodes 78\n load 500\n limit s 2\n run 3000\n load 0\n"
+                    "run 60000\n reset\n load 500\n run 4000\n count s\n",
+                    "s kept used\n");
 }
 
 /* Guards against an allowance that is left lying where few requests come, each
    at another node. */
 Test (limit, few_requests_use_it_up)
 {
-  limit_play ("nodes 8\n load 3\n limit s 2\n run 10000\n reset\n"
-              "run 60000\n count s\n",
-              "s kept used\n");
-  limit_play ("nodes 78\n load 3\n limit s 2\n run 60000\n reset\n"
-              "run 60000\n count s\n",
-              "s kept used\n");
+  limit_run_script ("nodes 8\n load 3\n limit s 2\n run 10000\n reset\n"
+                    "run 60000\n count s\n",
+                    "s kept used\n");
+  limit_run_script ("nodes 78\n load 3\n limit s 2\n run 60000\n reset\n"
+                    "run 60000\n count s\n",
+                    "s kept used\n");
 }
 
 /* Guards against a server that gets nothing, or twice its rate, as the node
    that grants permits ends and starts again. */
 Test (limit, the_node_that_grants_ends)
 {
-  limit_play ("nodes 8\n load 100\n limit s 2\n run 5000\n reset\n kill 1\n"
-              "run 10000\n count s\n known s\n reset\n start 1\n run 10000\n"
-              "count s\n known s\n",
-              "s kept half\ns .LLLLLLL\ns kept used\ns LLLLLLLL\n");
+  limit_run_script (
+      "nodes 8\n load 100\n limit s 2\n run 5000\n reset\n kill 1\n"
+      "run 10000\n count s\n known s\n reset\n start 1\n run 10000\n"
+      "count s\n known s\n",
+      "s kept half\ns .LLLLLLL\ns kept used\ns LLLLLLLL\n");
 }
 
 /* The same for one that freezes, and wakes with what it believed before. */
 Test (limit, the_node_that_grants_freezes)
 {
-  limit_play ("nodes 8\n load 100\n limit s 2\n run 5000\n reset\n freeze 1\n"
-              "run 6000\n count s\n reset\n wake 1\n run 10000\n count s\n",
-              "s kept half\ns kept used\n");
+  limit_run_script (
+      "nodes 8\n load 100\n limit s 2\n run 5000\n reset\n freeze 1\n"
+      "run 6000\n count s\n reset\n wake 1\n run 10000\n count s\n",
+      "s kept half\ns kept used\n");
 }
 
 /* Guards against a rate for each side where links are cut. */
 Test (limit, two_nodes_grant_while_links_are_cut)
 {
-  limit_play ("nodes 8\n load 100\n limit s 2\n run 5000\n cut 1\n cut 2\n"
-              "cut 3\n reset\n run 20000\n count s\n reset\n join 1\n"
-              "join 2\n join 3\n run 10000\n count s\n",
-              "s kept used\ns kept used\n");
-  limit_play ("nodes 8\n load 100\n limit s 2\n run 5000\n alone\n reset\n"
-              "run 20000\n count s\n",
-              "s kept used\n");
+  limit_run_script (
+      "nodes 8\n load 100\n limit s 2\n run 5000\n cut 1\n cut 2\n"
+      "cut 3\n reset\n run 20000\n count s\n reset\n join 1\n"
+      "join 2\n join 3\n run 10000\n count s\n",
+      "s kept used\ns kept used\n");
+  limit_run_script (
+      "nodes 8\n load 100\n limit s 2\n run 5000\n alone\n reset\n"
+      "run 20000\n count s\n",
+      "s kept used\n");
 }
 
 /* Guards against many nodes that grant to themselves at the same moment. */
 Test (limit, nodes_on_their_own_dont_send_together)
 {
-  limit_play ("nodes 78\n load 500\n limit s 2\n run 3000\n alone\n run 3000\n"
-              "reset\n run 90000\n count s\n",
-              "s kept used\n");
-  limit_play (
+  limit_run_script (
+      "nodes 78\n load 500\n limit s 2\n run 3000\n alone\n run 3000\n"
+      "reset\n run 90000\n count s\n",
+      "s kept used\n");
+  limit_run_script (
       "nodes 78\n load 500\n limit s 2\n run 3000\n alone\n run 60000\n"
       "load 0\n run 60000\n reset\n load 500\n run 4000\n count s\n",
       "s kept little\n");
@@ -154,49 +161,53 @@
 /* Guards against nodes that start, all at once, without knowing of it. */
 Test (limit, all_nodes_start_again)
 {
-  limit_play ("nodes 8\n load 100\n limit s 2\n run 5000\n kill 1\n kill 2\n"
-              "kill 3\n kill 4\n kill 5\n kill 6\n kill 7\n kill 8\n"
-              "start 1\n start 2\n start 3\n start 4\n start 5\n start 6\n"
-              "start 7\n start 8\n run 500\n known s\n reset\n run 10000\n"
-              "count s\n",
-              "s LLLLLLLL\ns kept used\n");
+  limit_run_script (
+      "nodes 8\n load 100\n limit s 2\n run 5000\n kill 1\n kill 2\n"
+      "kill 3\n kill 4\n kill 5\n kill 6\n kill 7\n kill 8\n"
+      "start 1\n start 2\n start 3\n start 4\n start 5\n start 6\n"
+      "start 7\n start 8\n run 500\n known s\n reset\n run 10000\n"
+      "count s\n",
+      "s LLLLLLLL\ns kept used\n");
 }
 
 /* Guards against a node that joins and takes the server for unlimited. */
 Test (limit, a_node_that_starts_is_told)
 {
-  limit_play ("nodes 8\n load 100\n at 1\n limit s 2\n run 3000\n kill 8\n"
-              "start 8\n run 20\n known s\n",
-              "s LLLLLLLL\n");
+  limit_run_script (
+      "nodes 8\n load 100\n at 1\n limit s 2\n run 3000\n kill 8\n"
+      "start 8\n run 20\n known s\n",
+      "s LLLLLLLL\n");
 }
 
 /* Guards against permits that were held up on their way and are used
    together. */
 Test (limit, late_permits_dont_add_up)
 {
-  limit_play ("nodes 8\n load 400\n at 5\n limit s 10\n run 3000\n hold 5\n"
-              "run 900\n reset\n pass 5\n run 1000\n count s\n",
-              "s kept used\n");
+  limit_run_script (
+      "nodes 8\n load 400\n at 5\n limit s 10\n run 3000\n hold 5\n"
+      "run 900\n reset\n pass 5\n run 1000\n count s\n",
+      "s kept used\n");
 }
 
 /* Guards against a limit that outlives its server's trouble, and against one
    that is missed as it falls. */
 Test (limit, it_changes_and_ends)
 {
-  limit_play ("nodes 8\n load 100\n limit s 8\n run 5000\n limit s 1\n"
-              "run 2000\n reset\n run 20000\n count s\n limit s 12\n"
-              "run 3000\n reset\n run 10000\n count s\n limit s none\n"
-              "run 1000\n known s\n",
-              "s kept used\ns kept used\ns --------\n");
+  limit_run_script ("nodes 8\n load 100\n limit s 8\n run 5000\n limit s 1\n"
+                    "run 2000\n reset\n run 20000\n count s\n limit s 12\n"
+                    "run 3000\n reset\n run 10000\n count s\n limit s none\n"
+                    "run 1000\n known s\n",
+                    "s kept used\ns kept used\ns --------\n");
 }
 
 /* Guards against a limit of zero that never ends, as nobody sends what would
    tell so. */
 Test (limit, none_at_all_is_tried_now_and_then)
 {
-  limit_play ("nodes 8\n load 100\n limit s 0\n run 3000\n reset\n run 30000\n"
-              "count s\n limit s none\n run 9000\n known s\n",
-              "s kept used\ns --------\n");
+  limit_run_script (
+      "nodes 8\n load 100\n limit s 0\n run 3000\n reset\n run 30000\n"
+      "count s\n limit s none\n run 9000\n known s\n",
+      "s kept used\ns --------\n");
 }
 
 /* Guards against a limit far above what is asked that holds requests up. */
@@ -205,16 +216,16 @@
   struct limit_fleet *f = xcalloc (1, sizeof *f);
   struct buf log = BUF_INIT;
 
-  limit_fleet_up (f, 8, 1);
-  limit_line (f, "load 100", &log);
-  limit_line (f, "limit s 1e9", &log);
-  limit_line (f, "run 3000", &log);
-  limit_line (f, "reset", &log);
-  limit_line (f, "run 10000", &log);
+  limit_fleet_init (f, 8, 1);
+  limit_run_line (f, "load 100", &log);
+  limit_run_line (f, "limit s 1e9", &log);
+  limit_run_line (f, "run 3000", &log);
+  limit_run_line (f, "reset", &log);
+  limit_run_line (f, "run 10000", &log);
   cr_expect_geq (f->server[0].n, 950);
   cr_expect_leq (lim_figures (f->node[0].l, f->now).granted,
                  200u * UINT16_MAX);
-  limit_fleet_down (f);
+  limit_fleet_free (f);
   free (f);
   buf_free (&log);
 }
@@ -222,7 +233,7 @@
 /* Guards against one server's limit counting for another. */
 Test (limit, servers_apart)
 {
-  limit_play (
+  limit_run_script (
       "nodes 8\n load 200\n limit s 2\n limit t 6\n limit u none\n"
       "run 3000\n known s\n known t\n known u\n reset\n run 20000\n"
       "count s\n count t\n",
@@ -233,13 +244,13 @@
    server to be unlimited. */
 Test (limit, nodes_that_disagree_come_together)
 {
-  limit_play ("nodes 8\n load 100\n limit s none\n run 1000\n"
-              "believes 8 s 0\n run 8000\n known s\n",
-              "s --------\n");
-  limit_play ("nodes 8\n load 100\n limit s 2\n run 3000\n"
-              "believes 1 s none\n run 2000\n known s\n reset\n"
-              "run 10000\n count s\n",
-              "s LLLLLLLL\ns kept used\n");
+  limit_run_script ("nodes 8\n load 100\n limit s none\n run 1000\n"
+                    "believes 8 s 0\n run 8000\n known s\n",
+                    "s --------\n");
+  limit_run_script ("nodes 8\n load 100\n limit s 2\n run 3000\n"
+                    "believes 1 s none\n run 2000\n known s\n reset\n"
+                    "run 10000\n count s\n",
+                    "s LLLLLLLL\ns kept used\n");
 }
 
 static enum lim_change
@@ -258,12 +269,12 @@
   struct lim *l = lim_new (1);
   double rate;
 
-  cr_expect_eq (answer (l, 1000, 4, 900), LIM_NAMED);
+  cr_expect_eq (answer (l, 1000, 4, 900), LIM_SET);
   cr_expect_eq (answer (l, 1010, -1, 950), LIM_SAME);
   cr_expect_eq (answer (l, 1020, 9, 990), LIM_SAME);
-  cr_expect_eq (answer (l, 1030, 2, 960), LIM_NAMED);
+  cr_expect_eq (answer (l, 1030, 2, 960), LIM_SET);
   cr_expect (lim_rate (l, 7, &rate) && rate == 2);
-  cr_expect_eq (answer (l, 1200, 5, 1040), LIM_NAMED);
+  cr_expect_eq (answer (l, 1200, 5, 1040), LIM_SET);
   cr_expect_eq (answer (l, 1300, -1, 1199), LIM_SAME);
   cr_expect_eq (answer (l, 1400, -1, 1350), LIM_ENDED);
   cr_expect_not (lim_any (l));
@@ -325,12 +336,12 @@
   struct lim *l = lim_new (1);
   struct lim_word word = { .says = LIM_SAYS_RATE, .rate = 1 };
 
-  for (uint64_t i = 1; i <= 5 * LIM_MOST; i++)
+  for (uint64_t i = 1; i <= 5 * LIM_MAX_SERVERS; i++)
     {
       word.server = i;
       lim_answered (l, (clk_ms)i, &word);
     }
-  cr_expect_eq (lim_figures (l, 0).limited, LIM_MOST);
+  cr_expect_eq (lim_figures (l, 0).limited, LIM_MAX_SERVERS);
   lim_free (l);
 }
 
@@ -346,11 +357,11 @@
   char text[64];
   size_t most;
 
-  limit_fleet_up (f, 8, seed);
-  limit_line (f, "load 200", &log);
-  limit_line (f, "limit s 3", &log);
-  limit_line (f, "run 2000", &log);
-  limit_line (f, "reset", &log);
+  limit_fleet_init (f, 8, seed);
+  limit_run_line (f, "load 200", &log);
+  limit_run_line (f, "limit s 3", &log);
+  limit_run_line (f, "run 2000", &log);
+  limit_run_line (f, "reset", &log);
   for (int i = 0; i < 60; i++)
     {
       int pair = (int)rng_below (&f->rng, 4);
@@ -359,14 +370,14 @@
                       f->node[node].cut, f->node[node].held };
       snprintf (text, sizeof text, "%s %d", words[2 * pair + was[pair]],
                 node + 1);
-      limit_line (f, text, &log);
+      limit_run_line (f, text, &log);
       snprintf (text, sizeof text, "run %d",
                 (int)(100 + rng_below (&f->rng, 2000)));
-      limit_line (f, text, &log);
+      limit_run_line (f, text, &log);
     }
-  most = limit_most (&f->server[0]);
+  most = limit_max_in_window (&f->server[0]);
   cr_expect_leq (most, 23, "seed %d: %zu", (int)seed, most);
-  limit_fleet_down (f);
+  limit_fleet_free (f);
   free (f);
   buf_free (&log);
 }
