--- a/serve/limit-grant.c
+++ b/serve/limit-grant.c
@@ -4,16 +4,17 @@
 
 #include "base/str.h"
 
-/** A follower that was not heard for so long follows no more; it says that it
-    does each tenth of a second. */
+/** A follower that has sent nothing for this long is not counted any more.  A
+    follower reports every 100 ms. */
 #define FOLLOWER_TIMEOUT_MS ((clk_ms)350)
-/** What a follower wants holds for so long: until it says so again, or while
-    the request waits. */
+/** How long the demand of a follower is valid: until its next periodic report,
+    or as long as the request waits at the follower. */
 #define PERIODIC_DEMAND_TTL_MS ((clk_ms)120)
 #define URGENT_DEMAND_TTL_MS ((clk_ms)20)
-/** A server for which no permit was wanted for so long is idle. */
+/** A server without any demand for this long is idle. */
 #define IDLE_MS ((clk_ms)1000)
-/** Of the rate, what is kept while it is not wanted, and one permit more. */
+/** Credit accrues for at most this many seconds of the rate, plus one permit,
+    while there is no demand. */
 #define BURST_S 0.5
 
 static struct lim_follower *
@@ -37,7 +38,8 @@
   return f;
 }
 
-/** Drop those that were granted, once they are most of them. */
+/** Remove the demands that were processed once they are at least half of the
+    list. */
 static void
 compact (struct lim_row *r)
 {
@@ -57,7 +59,8 @@
   r->has_new_demand = true;
 }
 
-/** Come to know the same limit as the follower: the newer one of both. */
+/** If the follower has recorded another limit, adopt the newer one of the two.
+    If this node's limit is the newer one, queue it as an update. */
 static void
 reconcile (struct lim *l, clk_ms now, const struct lim_permits *wanted)
 {
@@ -138,10 +141,10 @@
   l->grants = grants;
 }
 
-/* --- what is due -------------------------------------------------------- */
+/* --- credit ------------------------------------------------------------- */
 
-/** Part of the rate that this node grants: its own, and that of each node that
-    follows it. */
+/** Share of the rate that this node grants: its own share plus the shares of
+    its followers. */
 static double
 rate_share (const struct lim *l, clk_ms now)
 {
@@ -150,7 +153,7 @@
   return l->nodes > active ? active / l->nodes : 1;
 }
 
-/** What is kept of the part while no permit is wanted. */
+/** Maximum credit that accrues while there is no demand. */
 static double
 max_credit (const struct lim_row *r, double share)
 {
@@ -172,10 +175,12 @@
 }
 
 /**
- * Take at most @p n permits from what is due.  Many nodes that grant to
- * themselves must not do so at the same moment, nor keep a whole permit each
- * while they are idle: such a node grants its next one at a point between none
- * and one that is due, and makes up for it afterwards.
+ * Deduct up to @p n permits from the credit.  If the maximum credit is less
+ * than one permit, the next permit is granted at a random threshold between 0
+ * and 1, and the credit becomes negative until it is paid back.  Otherwise
+ * many nodes that grant to themselves would either send at the same time or
+ * each hold a whole permit while idle.
+ * @return  number of permits
  */
 static unsigned
 spend_credit (struct lim *l, struct lim_row *r, double share, unsigned n)
@@ -190,9 +195,9 @@
   return n;
 }
 
-/* --- whose turn it is ---------------------------------------------------- */
+/* --- demand -------------------------------------------------------------- */
 
-/** What this node wants itself joins the others' wants. */
+/** Append the demand of this node, unless an earlier one is still valid. */
 static void
 add_own_demand (struct lim_row *r, clk_ms now)
 {
@@ -206,7 +211,7 @@
   add_demand (r, &demand);
 }
 
-/** The want that came first and still holds, or NULL. */
+/** The oldest demand that is neither satisfied nor expired, or NULL. */
 static struct lim_demand *
 next_demand (struct lim_row *r, clk_ms now)
 {
--- a/serve/limit-int.h
+++ b/serve/limit-int.h
@@ -1,9 +1,9 @@
 /**
  * @file
- * Inner structures of the rates that servers ask for.
+ * Internal structures of the server rate limits.
  *
- *   limit.c        what is known of servers, and the permits of this node
- *   limit-grant.c  granting permits to this node and to those that follow it
+ *   limit.c        table of limits, and the permits of this node
+ *   limit-grant.c  grants permits to this node and to its followers
  */
 #ifndef LAPISLINE_SERVE_LIMIT_INT_H
 #define LAPISLINE_SERVE_LIMIT_INT_H
@@ -13,42 +13,44 @@
 #include "base/rng.h"
 #include "serve/limit.h"
 
+/** Node id of this node in struct lim_demand. */
 #define LIM_SELF 0
 
-/** Permits that a node wants for a server. */
+/** Demand of one node for permits of a server. */
 struct lim_demand
 {
-  uint64_t node; /**< LIM_SELF: this one */
-  unsigned n;
-  clk_ms until;
+  uint64_t node; /**< LIM_SELF: this node */
+  unsigned n;    /**< permits not granted yet */
+  clk_ms until;  /**< the demand expires at this time */
 };
 
-/** A server that has named a limit. */
+/** A server that has set a limit, now or earlier. */
 struct lim_row
 {
   uint64_t server;
   bool limited;
-  bool unreadable; /**< what it said could not be read, which was reported */
+  bool unreadable; /**< a malformed limit of this server was logged */
   double rate;
-  clk_ms reported_at; /**< when the newest answer came that said so */
-  uint64_t sent;
-  unsigned permits;
+  clk_ms reported_at; /**< when the newest response with this limit came */
+  uint64_t sent;      /**< by this node since the limit was set */
+  unsigned permits;   /**< unused permits of this node */
   clk_ms permits_until;
-  clk_ms wanted_at;     /**< by this node; 0: never */
-  clk_ms wanted_since;  /**< without a permit; 0: it is not */
-  bool repeated_demand; /**< by more than one request */
-  /* Of a node that grants: */
-  GArray *demands;   /**< of struct lim_demand, in the order of their coming */
-  guint next_index;  /**< of them that was not granted */
-  clk_ms self_until; /**< this node's own is among them until then */
-  bool has_new_demand;   /**< something is wanted since the last look */
+  clk_ms wanted_at;     /**< latest demand of this node; 0: never */
+  clk_ms wanted_since;  /**< start of demand without a grant; 0: no demand */
+  bool repeated_demand; /**< more than one request needed a permit */
+  /* The following are used while this node grants permits. */
+  GArray *demands;       /**< struct lim_demand in order of arrival */
+  guint next_index;      /**< first demand in the list not granted in full */
+  clk_ms self_until;     /**< when this node's demand in the list expires */
+  bool has_new_demand;   /**< demand was added since the last grant */
   double credit;         /**< permits that may be granted */
-  clk_ms credit_at;      /**< when that was */
-  double threshold;      /**< of the next one, where a part is less than one */
-  clk_ms last_wanted_at; /**< any node wanted one; 0: never */
+  clk_ms credit_at;      /**< when credit was last accrued */
+  double threshold;      /**< credit needed for the next permit, where the
+                              maximum credit is less than one permit */
+  clk_ms last_wanted_at; /**< latest demand of any node; 0: never */
 };
 
-/** A node that takes its permits from this one. */
+/** A node that requests its permits from this node. */
 struct lim_follower
 {
   uint64_t node;
@@ -57,32 +59,33 @@
 
 struct lim
 {
-  GHashTable *rows; /**< by server */
-  size_t limited;   /**< of them */
+  GHashTable *rows; /**< struct lim_row by server */
+  size_t limited;   /**< rows with a limit now */
   struct rng rng;
-  bool grants;
+  bool grants; /**< this node grants permits; false: it is a follower */
   bool has_new_demand;
   unsigned nodes;
   struct lim_follower *followers;
   size_t nfollowers;
-  GArray *changed;     /**< servers with something new, of uint64_t */
-  GArray *update_list; /**< handed out last, of struct lim_update */
-  GArray *permits;     /**< likewise, of struct lim_permits */
+  GArray *changed;     /**< uint64_t: servers with unreported changes */
+  GArray *update_list; /**< struct lim_update: storage for returned lists */
+  GArray *permits;     /**< struct lim_permits: storage for returned lists */
   uint64_t sent, granted;
 };
 
 struct lim_row *lim_find (const struct lim *l, uint64_t server);
 
-/** Requests a second that are granted for. */
+/** Requests per second at which permits are granted. */
 double lim_effective_rate (const struct lim_row *r);
 
-/** Permits that a node asks for at a time. */
+/** Maximum number of permits that a node requests at once. */
 unsigned lim_batch_size (const struct lim_row *r);
 
-/** Permits for the server that this node wants beside those that it has. */
+/** Number of permits for the server that this node needs in addition to those
+    that it holds. */
 unsigned lim_permits_needed (const struct lim_row *r, clk_ms now);
 
-/** Nodes that take their permits from this one. */
+/** Number of nodes that request their permits from this node. */
 size_t lim_count_followers (const struct lim *l, clk_ms now);
 
 #endif
--- a/serve/limit.c
+++ b/serve/limit.c
@@ -4,17 +4,18 @@
 
 #include "base/str.h"
 
-/** A permit that is not used within this lapses. */
+/** Lifetime of an unused permit. */
 #define PERMIT_TTL_MS CLK_SECOND
-/** Permits are wanted for so long after a request that would have gone to the
-    server: it has gone elsewhere by then, or was refused. */
+/** How long the demand of a request lasts.  By then the request was sent to
+    another server or refused. */
 #define DEMAND_TTL_MS ((clk_ms)50)
-/** The node that grants has answered within this, if it has one to grant. */
+/** If the granting node has a permit available, the grant arrives within this
+    time. */
 #define GRANT_TIMEOUT_MS ((clk_ms)20)
-/** How often permits are asked for, about. */
+/** Approximate interval between permit requests, in seconds. */
 #define REQUEST_INTERVAL_S 0.1
 
-/* --- life --------------------------------------------------------------- */
+/* --- creation and release ----------------------------------------------- */
 
 static void
 row_free (void *row)
@@ -55,7 +56,7 @@
   free (l);
 }
 
-/* --- rows --------------------------------------------------------------- */
+/* --- table of servers --------------------------------------------------- */
 
 struct lim_row *
 lim_find (const struct lim *l, uint64_t server)
@@ -63,7 +64,7 @@
   return g_hash_table_lookup (l->rows, &server);
 }
 
-/** Make room: the server that has said nothing for longest goes. */
+/** Remove the server with the oldest report, to make room in the table. */
 static void
 evict_oldest (struct lim *l)
 {
@@ -108,7 +109,7 @@
   return n > 1 ? (unsigned)n : 1;
 }
 
-/* --- what servers say --------------------------------------------------- */
+/* --- limits of servers -------------------------------------------------- */
 
 static enum lim_change
 set_limit (struct lim *l, struct lim_row *r, clk_ms at, bool limited,
@@ -131,7 +132,8 @@
   return limited ? LIM_SET : LIM_ENDED;
 }
 
-/** The row of the server; a new one only if there is something to remember. */
+/** Find the row of the server.  Adds one only if the response has a limit,
+    which may be malformed. @return  NULL if there is no row */
 static struct lim_row *
 find_or_add_row (struct lim *l, const struct lim_word *report)
 {
@@ -147,7 +149,8 @@
   return limited == r->limited && (!limited || rate == r->rate);
 }
 
-/** Whether the answer holds instead of what is known. */
+/** Whether the response replaces the recorded limit: it is either stricter or
+    known to be newer. */
 static bool
 supersedes (const struct lim_word *report, const struct lim_row *r)
 {
@@ -200,7 +203,8 @@
     r = add_row (l, update->server);
   if (is_same (r, update->limited, update->rate))
     return false;
-  /* Of two words of one moment the stricter holds, at all nodes. */
+  /* Of two updates with the same timestamp the stricter one applies, so that
+     all nodes arrive at the same limit. */
   if (at < r->reported_at
       || (at == r->reported_at && !is_stricter (update, r)))
     return false;
@@ -381,8 +385,8 @@
   return (const struct lim_permits *)(void *)l->permits->data;
 }
 
-/** Grants that were held up on their way come together; no more of them are
-    kept than are asked for at a time. */
+/** Delayed grants can arrive at the same time.  The total is capped at one
+    batch, so that they don't add up to a burst. */
 void
 lim_granted (struct lim *l, clk_ms now, uint64_t server, unsigned n)
 {
--- a/serve/limit.h
+++ b/serve/limit.h
@@ -1,28 +1,31 @@
 /**
  * @file
- * Request rates that backend servers ask for (decision core).
+ * Request rate limits requested by backend servers (decision core).
  *
- * A server in trouble names in its answers how many requests a second it takes
- * from all nodes together, for as long as its answers say so.
+ * An overloaded server puts a limit into its responses: the number of requests
+ * per second that it accepts from all nodes together.  The limit ends with the
+ * first response that carries none.
  *
- * What is known.  An answer proves that it is newer than another one if its
- * request was sent after that one had come.  Answers on different connections
- * may overtake each other, so a limit is raised or ended only by an answer
- * that is proved to be newer; a lower one holds at once.  Nodes tell each
- * other what has changed by lim_updates().
+ * Ordering of responses: response B is known to be newer than response A if
+ * the request of B was sent after A was received.  Responses on different
+ * connections can be reordered, so a limit is raised or removed only by a
+ * response that is known to be newer; a lower limit is applied immediately.
+ * Nodes exchange changes through lim_updates().
  *
- * Who may send.  Each request to a limited server takes a permit.  One node
- * grants them, at the rate that is named; the others follow it, and say for
- * which servers they want one.  Each node stands for an equal part of the
- * rate, and the one that grants hands out the parts of those that follow it:
- * so the rate holds over all nodes also while links are cut, where several
- * grant.  A node that has nobody to follow grants to itself, of its own part.
+ * Permits: each request to a limited server uses up one permit.  One node
+ * grants permits at the rate of the limit.  All other nodes are its followers
+ * and send it their demand.  Each node is entitled to an equal share of the
+ * rate, and the granting node distributes its own share and the shares of its
+ * followers.  While links are down, several nodes may grant; the sum of their
+ * shares still doesn't exceed the limit.  A node that reaches no granting node
+ * grants permits to itself from its own share.
  *
- * A permit that isn't used soon lapses, so that no number of nodes can save
- * them up and use them together.
+ * An unused permit expires after a short time, so that nodes can't accumulate
+ * permits and spend them in one burst.
  *
- * Servers are known by dsp_place_hash() without a generation: a limit is one
- * of the process, not of the replica that it leads.  Events and time go in.
+ * A server is identified by dsp_place_hash() without a generation, because the
+ * limit belongs to the process and not to the replica that it leads.  The core
+ * does no I/O: its caller passes in events and the current time.
  */
 #ifndef LAPISLINE_SERVE_LIMIT_H
 #define LAPISLINE_SERVE_LIMIT_H
@@ -33,54 +36,56 @@
 
 #include "base/clock.h"
 
-/** Servers that are remembered. */
+/** Maximum number of servers in the table. */
 #define LIM_MAX_SERVERS 1024
-/** Requests a second that a limited server is sent at least: only answers tell
-    that a limit has ended. */
+/** Minimum rate in requests per second at which permits are granted for a
+    limited server.  It must not be 0, because the end of a limit is only
+    reported in responses. */
 #define LIM_RATE_LEAST 0.25
 
-/** What an answer says of the rate that its server takes. */
+/** Limit found in a response. */
 enum lim_says
 {
-  LIM_SAYS_NOTHING, /**< the server takes any rate */
+  LIM_SAYS_NOTHING, /**< none: the server accepts any rate */
   LIM_SAYS_RATE,
-  LIM_SAYS_UNREADABLE /**< ignored, but reported once for each server */
+  LIM_SAYS_UNREADABLE /**< malformed: ignored, and logged once per server */
 };
 
-/** What an answer has changed. */
+/** Effect of a response on the limit of its server. */
 enum lim_change
 {
   LIM_SAME,
-  LIM_SET, /**< a limit, or another one than before */
+  LIM_SET, /**< the limit is new or has another rate */
   LIM_ENDED,
-  LIM_UNREADABLE /**< nothing, and it is the first one of its server */
+  LIM_UNREADABLE /**< limit unchanged; first malformed limit of this server */
 };
 
+/** Limit reported by a response. */
 struct lim_word
 {
   uint64_t server;
   enum lim_says says;
-  double rate;    /**< requests a second, if LIM_SAYS_RATE */
-  clk_ms sent_at; /**< when the answer's request was sent */
+  double rate;    /**< requests per second, if LIM_SAYS_RATE */
+  clk_ms sent_at; /**< when the request of this response was sent */
 };
 
-/** What a node knows of a server. */
+/** Current limit of a server, as exchanged between nodes. */
 struct lim_update
 {
   uint64_t server;
   bool limited;
-  double rate;   /**< requests a second, if limited */
-  clk_ms age_ms; /**< since the answer came that says so */
+  double rate;   /**< requests per second, if limited */
+  clk_ms age_ms; /**< time since the response with this limit was received */
 };
 
-/** Permits for requests to a server: wanted, or granted. */
+/** Permits for a server, either requested or granted. */
 struct lim_permits
 {
   uint64_t node;
   uint64_t server;
   unsigned n;
-  double rate;   /**< of what is wanted: the limit that the node knows */
-  clk_ms age_ms; /**< and since when */
+  double rate; /**< if requested: the limit recorded at the requesting node */
+  clk_ms age_ms; /**< if requested: the age of that limit */
 };
 
 struct lim;
@@ -88,21 +93,22 @@
 struct lim *lim_new (uint64_t seed);
 void lim_free (struct lim *l);
 
-/* --- what servers say --------------------------------------------------- */
+/* --- limits of servers -------------------------------------------------- */
 
-/** An answer has come at @p now. */
+/** Process the limit in a response that was received at @p now. */
 enum lim_change lim_answered (struct lim *l, clk_ms now,
                               const struct lim_word *word);
 
-/** Another node tells. @return  whether it was new */
+/** Apply an update from another node.
+    @return  whether it changed the limit recorded here */
 bool lim_apply (struct lim *l, clk_ms now, const struct lim_update *update);
 
-/** What was new since the last call, to be told to the other nodes; valid
-    until the next event. */
+/** Changes since the last call, to be sent to the other nodes.  The list is
+    valid until the next call that modifies @p l. */
 const struct lim_update *lim_updates (struct lim *l, clk_ms now, size_t *n);
 
-/** All limits, for a node that has just been linked; valid until the next
-    event. */
+/** All current limits, to be sent to a node that has just connected.  The list
+    is valid until the next call that modifies @p l. */
 const struct lim_update *lim_snapshot (struct lim *l, clk_ms now, size_t *n);
 
 /** Whether any server is limited. */
@@ -113,70 +119,75 @@
 
 /* --- requests of this node ---------------------------------------------- */
 
-/** Whether a request may be sent to the server now. */
+/** Whether this node may send a request to the server now. */
 bool lim_allows (const struct lim *l, clk_ms now, uint64_t server);
 
-/** A request that has just come would have gone there. */
+/** Record demand: a new request would be sent to the server if this node had a
+    permit. */
 void lim_want (struct lim *l, clk_ms now, uint64_t server);
 
-/** A request is sent there. */
+/** Use up one permit: a request is being sent to the server. */
 void lim_take (struct lim *l, clk_ms now, uint64_t server);
 
-/** Requests that this node has sent to the server since it was limited. */
+/** Number of requests that this node has sent to the server since the limit
+    was set. */
 uint64_t lim_count_sent (const struct lim *l, uint64_t server);
 
-/** Whether permits are wanted since the last call that were not wanted before:
-    they are to be asked for at once. */
+/** Whether new demand was recorded since the last call.  If so, permits must
+    be requested immediately. */
 bool lim_wants_more (struct lim *l);
 
-/** Whether a permit for the server has been asked for in vain: the node that
-    grants had none left.  Requests need not wait for it. */
+/** Whether the granting node had no permit left: this node requested one for
+    the server and the response time has passed.  Requests need not wait. */
 bool lim_is_spent (const struct lim *l, clk_ms now, uint64_t server);
 
 /**
- * Permits that the node this one follows is to be asked for; valid until the
- * next event.
- * @param again  only those that request after request wants; else all
+ * Permits to request from the granting node.  The list is valid until the next
+ * call that modifies @p l.
+ * @param again  periodic report: includes only servers for which more than one
+ *               request needed a permit; false: includes all demand
  */
 const struct lim_permits *lim_wanted (struct lim *l, clk_ms now, bool again,
                                       size_t *n);
 
-/** That node grants permits. */
+/** Add permits that the granting node has sent to this node. */
 void lim_granted (struct lim *l, clk_ms now, uint64_t server, unsigned n);
 
 /* --- granting ----------------------------------------------------------- */
 
-/** This node grants, or follows another one. @param nodes  that there are, as
-    far as it knows */
+/** Set whether this node grants permits or follows another node.
+    @param nodes  number of nodes that this node has recorded */
 void lim_lead (struct lim *l, clk_ms now, bool grants, unsigned nodes);
 
 /**
- * Another node follows this one, and wants these permits.  Where the two know
- * different limits, the newer one becomes an update.
- * @param again  it says so each tenth of a second; else at once, for a request
- *               that waits for a moment only
+ * Process the demand of a follower, and record the node as a follower.  If the
+ * two nodes have recorded different limits, the newer one becomes an update.
+ * @param again  periodic report, sent every 100 ms; false: sent immediately
+ *               for a request that waits only briefly for a permit
  */
 void lim_followed (struct lim *l, clk_ms now, uint64_t node, bool again,
                    const struct lim_permits *wanted, size_t n);
 
-/** It does no longer. */
+/** The node is no longer a follower of this one. */
 void lim_unfollowed (struct lim *l, uint64_t node);
 
 /**
- * Grant what is due.
- * @param all  else only where more is wanted since the last call
- * @return  what other nodes get, valid until the next event
+ * Grant all permits that are available.
+ * @param all  process all servers; false: only those with new demand since the
+ *             last call
+ * @return  permits for other nodes; the list is valid until the next call that
+ *          modifies @p l
  */
 const struct lim_permits *lim_grant (struct lim *l, clk_ms now, bool all,
                                      size_t *n);
 
-/** Counters since the start, and what holds now. */
+/** Current gauges, and counters since the start of the process. */
 struct lim_figures
 {
-  size_t limited;   /**< servers */
-  size_t followers; /**< nodes */
-  uint64_t sent;    /**< requests to servers that were limited */
-  uint64_t granted; /**< permits, by this node */
+  size_t limited;   /**< limited servers */
+  size_t followers; /**< nodes that follow this one */
+  uint64_t sent;    /**< requests sent to limited servers */
+  uint64_t granted; /**< permits granted by this node */
 };
 struct lim_figures lim_figures (const struct lim *l, clk_ms now);
 
