--- a/serve/poison-int.h
+++ b/serve/poison-int.h
@@ -86,9 +86,10 @@
     not the other way round. */
 bool psn_is_subset (const struct psn_suspect *a, struct psn_suspect *b);
 /** Once the evidence suffices it is due. */
-void psn_set_due (const struct psn *p, clk_ms now, struct psn_suspect *s);
+void psn_update_pending_time (const struct psn *p, clk_ms now,
+                              struct psn_suspect *s);
 /** The one with the most evidence, once one that is due has settled; NULL:
     none. */
-struct psn_suspect *psn_next_due (const struct psn *p, clk_ms now);
+struct psn_suspect *psn_next_pending (const struct psn *p, clk_ms now);
 
 #endif
--- a/serve/poison-store.c
+++ b/serve/poison-store.c
@@ -22,7 +22,7 @@
 /** After a call that failed. */
 #define RETRY_MS ((clk_ms)1000)
 /** Keys that are written within this share a lease. */
-#define SHARE_LEASE_MS ((clk_ms)30000)
+#define LEASE_REUSE_MS ((clk_ms)30000)
 /** How long a key says that its request was cleared: until all nodes that
     reach the store have seen it. */
 #define CLEARED_LEASE_MS ((clk_ms)30000)
@@ -47,7 +47,7 @@
   clk_ms granted_at;
   bool call_pending;
   uint64_t call_digest; /**< that the call is about */
-  bool writes_blocked;  /**< as blocked, else as cleared */
+  bool as_blocked;      /**< as blocked, else as cleared */
   struct buf key;
 };
 
@@ -191,8 +191,8 @@
     k->lease = 0;
   if (b && status == STORE_OK)
     {
-      b->stored = k->writes_blocked;
-      b->cleared = b->cleared && k->writes_blocked;
+      b->stored = k->as_blocked;
+      b->cleared = b->cleared && k->as_blocked;
     }
   else if (b)
     b->not_before = now + RETRY_MS;
@@ -213,7 +213,7 @@
   struct store_txn txn = { .puts = &put, .nputs = 1 };
   clk_ms until = clk_wall () + PSN_HOLD_MS;
 
-  if (k->writes_blocked)
+  if (k->as_blocked)
     buf_addf (&value, "{\"until\":%lld}", (long long)until);
   else
     buf_add_c (&value, "{\"cleared\":true}");
@@ -232,7 +232,7 @@
       call_ended (k, r->status);
       return;
     }
-  if (k->writes_blocked)
+  if (k->as_blocked)
     {
       k->lease = r->lease;
       k->granted_at = clk_now ();
@@ -245,16 +245,16 @@
 {
   k->call_pending = true;
   k->call_digest = b->digest;
-  k->writes_blocked = !b->cleared;
+  k->as_blocked = !b->cleared;
   buf_clear (&k->key);
   buf_addf (&k->key, "%sblocked/%016llx", k->s->ad->own_prefix,
             (unsigned long long)b->digest);
   pau_called (&k->s->store_pause);
-  if (k->writes_blocked && k->lease && now - k->granted_at < SHARE_LEASE_MS)
+  if (k->as_blocked && k->lease && now - k->granted_at < LEASE_REUSE_MS)
     write_key (k, k->lease);
   else
     store_lease_grant (k->s->store,
-                       k->writes_blocked ? PSN_HOLD_MS : CLEARED_LEASE_MS,
+                       k->as_blocked ? PSN_HOLD_MS : CLEARED_LEASE_MS,
                        on_granted, k);
 }
 
--- a/serve/poison-suspect.c
+++ b/serve/poison-suspect.c
@@ -170,7 +170,8 @@
 }
 
 void
-psn_set_due (const struct psn *p, clk_ms now, struct psn_suspect *s)
+psn_update_pending_time (const struct psn *p, clk_ms now,
+                         struct psn_suspect *s)
 {
   if (!is_block_due (p, s))
     s->pending_at = CLK_NEVER;
@@ -200,7 +201,7 @@
       if (s->state != PSN_S_OBSERVED || !r)
         continue;
       r->attributed = true;
-      psn_set_due (p, now, s);
+      psn_update_pending_time (p, now, s);
     }
 }
 
@@ -231,7 +232,7 @@
 }
 
 struct psn_suspect *
-psn_next_due (const struct psn *p, clk_ms now)
+psn_next_pending (const struct psn *p, clk_ms now)
 {
   struct psn_suspect *most = NULL;
   bool settled = false;
--- a/serve/poison.c
+++ b/serve/poison.c
@@ -66,7 +66,7 @@
     return;
   p->aggregates = aggregates;
   for (size_t i = 0; i < p->n; i++)
-    psn_set_due (p, now, &p->suspects[i]);
+    psn_update_pending_time (p, now, &p->suspects[i]);
 }
 
 /* --- pending, blocked, cleared ----------------------------------------- */
@@ -100,13 +100,13 @@
 
 /** Requests that were blamed for some of its crashes were there by chance. */
 static void
-clear_subsets (struct psn *p, clk_ms now, struct psn_suspect *was_blocked)
+clear_subsets (struct psn *p, clk_ms now, struct psn_suspect *culprit)
 {
   for (size_t i = 0; i < p->n; i++)
     {
       struct psn_suspect *s = &p->suspects[i];
-      if (s != was_blocked && psn_is_pending_or_blocked (s)
-          && psn_is_subset (s, was_blocked))
+      if (s != culprit && psn_is_pending_or_blocked (s)
+          && psn_is_subset (s, culprit))
         clear (p, now, s, true);
     }
 }
@@ -166,7 +166,7 @@
 apply_crash (struct psn *p, clk_ms now, const struct psn_update *update)
 {
   struct psn_suspect *s = psn_find (p, update->digest);
-  bool was_blocked = s && psn_is_pending_or_blocked (s);
+  bool decided = s && psn_is_pending_or_blocked (s);
 
   if (s && (s->state == PSN_S_CLEARED || psn_find_run (s, update->place)))
     return;
@@ -175,11 +175,11 @@
     {
       s->runs[s->nruns++]
           = (struct psn_run){ update->place, update->ran_ms,
-                              !was_blocked
+                              !decided
                                   && psn_is_attributed (p, update->place) };
       add_update (p, update);
     }
-  if (was_blocked)
+  if (decided)
     {
       psn_attribute_crashes (p, now, s);
       /* The node that let it run does not know of the block. */
@@ -188,7 +188,7 @@
       return;
     }
   s->until = now + PSN_HOLD_MS;
-  psn_set_due (p, now, s);
+  psn_update_pending_time (p, now, s);
 }
 
 static void
@@ -306,7 +306,7 @@
 {
   struct psn_suspect *s;
 
-  while ((s = psn_next_due (p, now)) != NULL)
+  while ((s = psn_next_pending (p, now)) != NULL)
     set_pending (p, now, s);
   expire (p, now);
 }
