--- a/serve/poison-int.h
+++ b/serve/poison-int.h
@@ -1,44 +1,45 @@
 /**
  * @file
- * Inner structures of the core of requests that crash servers.
+ * Internal structures of the detection of poison requests.
  *
- *   poison.c          updates in and out, blocks, time
- *   poison-suspect.c  the evidence against each request, and whom to blame
+ *   poison.c          updates, states and timeouts
+ *   poison-suspect.c  table of requests, and the evidence against each one
  */
 #ifndef LAPISLINE_SERVE_POISON_INT_H
 #define LAPISLINE_SERVE_POISON_INT_H
 
 #include "serve/poison.h"
 
-/** Crashes that are remembered of a request. */
+/** Maximum number of crashes recorded per request. */
 #define PSN_MAX_RUNS 8
-/** Crashes of which it is remembered that a request is to blame for them. */
+/** Number of recent crashes recorded as attributed to a request. */
 #define PSN_MAX_ATTRIBUTED 64
-/** Requests that have completed, as far as they are remembered. */
+/** Number of recent completions recorded. */
 #define PSN_MAX_COMPLETED 1024
 
 enum psn_state
 {
   PSN_S_OBSERVED,
-  PSN_S_PENDING, /**< blocked soon */
+  PSN_S_PENDING, /**< blocked when the pending time ends */
   PSN_S_BLOCKED,
-  PSN_S_CLEARED /**< late updates about it are ignored */
+  PSN_S_CLEARED /**< delayed updates about the request are ignored */
 };
 
-/** A run that was under way in a crash. */
+/** A run of the request that was in progress when its server crashed. */
 struct psn_run
 {
-  uint64_t endpoint; /**< 0: stands for a crash of long ago */
+  uint64_t endpoint; /**< 0: placeholder for a crash before the last block */
   clk_ms ran_ms;
-  bool attributed; /**< another request is to blame for the crash */
+  bool attributed; /**< the crash is attributed to another request */
 };
 
 struct psn_suspect
 {
   uint64_t digest;
   enum psn_state state;
-  clk_ms until;      /**< end of the state */
-  clk_ms pending_at; /**< observed: pending from then on; CLK_NEVER: not yet */
+  clk_ms until;      /**< when the state ends */
+  clk_ms pending_at; /**< when an observed request becomes pending; CLK_NEVER:
+                          not enough evidence */
   struct psn_run runs[PSN_MAX_RUNS];
   size_t nruns;
 };
@@ -55,41 +56,42 @@
   size_t n, room;
   struct psn_completion completed[PSN_MAX_COMPLETED]; /**< a ring */
   size_t next_completed;
-  uint64_t attributed[PSN_MAX_ATTRIBUTED]; /**< places, a ring */
+  uint64_t attributed[PSN_MAX_ATTRIBUTED]; /**< endpoints, a ring */
   size_t next_attributed;
   bool aggregates;
   struct psn_update *updates;
   size_t nupdates, updates_room;
-  bool fetched; /**< the updates were handed out; the next begin anew */
+  bool fetched; /**< the list was returned; the next update starts a new one */
   struct psn_update *snapshot;
 };
 
 /* poison-suspect.c */
 struct psn_suspect *psn_find (const struct psn *p, uint64_t digest);
-/** The same, added if it is not there; the least suspect one then goes when
-    there are too many. */
+/** Find the request or add it.  In a full table, it replaces the request with
+    the least evidence; a blocked request only if all of them are blocked. */
 struct psn_suspect *psn_find_or_add (struct psn *p, clk_ms now,
                                      uint64_t digest);
 void psn_remove (struct psn *p, struct psn_suspect *s);
-/** Its run at that place, or NULL. */
+/** Find the run of the request at an endpoint, or NULL. */
 struct psn_run *psn_find_run (struct psn_suspect *s, uint64_t place);
-/** Whether crashes are put down to it. */
+/** Whether the request is pending or blocked, so that its crashes are
+    attributed to it. */
 bool psn_is_pending_or_blocked (const struct psn_suspect *s);
-/** Whether one more crash would get it blocked. */
+/** Whether one more crash would block the request. */
 bool psn_is_near_block (const struct psn_suspect *s);
-/** Whether the crash at @p place is put down to some request. */
+/** Whether the crash at an endpoint is attributed to any request. */
 bool psn_is_attributed (const struct psn *p, uint64_t place);
-/** Put all its crashes down to it: they count less against the others. */
+/** Attribute all crashes of the request to it; they then count less against
+    other requests. */
 void psn_attribute_crashes (struct psn *p, clk_ms now,
                             const struct psn_suspect *s);
-/** Whether all crashes that @p a was running in are among those of @p b, and
-    not the other way round. */
+/** Whether the crashes of @p a are a proper subset of the crashes of @p b. */
 bool psn_is_subset (const struct psn_suspect *a, struct psn_suspect *b);
-/** Once the evidence suffices it is due. */
+/** Update when the request becomes pending, according to its evidence. */
 void psn_update_pending_time (const struct psn *p, clk_ms now,
                               struct psn_suspect *s);
-/** The one with the most evidence, once one that is due has settled; NULL:
-    none. */
+/** The request with the most evidence among those with a pending time, once
+    any of these times has passed; else NULL. */
 struct psn_suspect *psn_next_pending (const struct psn *p, clk_ms now);
 
 #endif
--- a/serve/poison-node.c
+++ b/serve/poison-node.c
@@ -40,7 +40,7 @@
 
   if (n == 0)
     return;
-  /* Ending requests may bring further updates. */
+  /* Refusing blocked requests below can add updates to the list. */
   copy = xmalloc (n * sizeof *copy);
   memcpy (copy, updates, n * sizeof *copy);
   srv_peers_poison (s, copy, n);
--- a/serve/poison-store.c
+++ b/serve/poison-store.c
@@ -5,37 +5,37 @@
 #include "base/json.h"
 
 /*
- * Requests that are blocked are kept in the store under a lease as long as the
- * block: nodes that have all been stopped find them there, and so do nodes
- * that are cut off from each other.
+ * Blocked requests are written to the store with a lease that lasts as long as
+ * the block.  Nodes read them there after all nodes were stopped, and while
+ * they can't reach each other.
  *
  *   blocked/DIGEST  {"until": Unix ms}, or {"cleared": true}
  *
- * The first node in the order of hubs writes these keys; each of the others
- * does so only if those before it have not.  A key that goes says nothing: its
- * lease may have ended early, and whoever still refuses the request writes it
- * again.
+ * The node with the lowest relay rank writes these keys.  Each node with a
+ * higher rank waits longer and writes a key only if no other node has written
+ * it.  A deleted key doesn't clear its request, because the lease may have
+ * ended early: a node that still blocks the request writes the key again.
  */
 
-/** Between two nodes that may write the same key, so that one does. */
+/** Delay per rank, so that only one node writes a key. */
 #define STAGGER_MS ((clk_ms)150)
-/** After a call that failed. */
+/** Delay before a failed call is repeated. */
 #define RETRY_MS ((clk_ms)1000)
-/** Keys that are written within this share a lease. */
+/** How long a lease is reused for further keys after it was granted. */
 #define LEASE_REUSE_MS ((clk_ms)30000)
-/** How long a key says that its request was cleared: until all nodes that
-    reach the store have seen it. */
+/** Lease of a key that marks its request as cleared.  All nodes that reach the
+    store must read the key in this time. */
 #define CLEARED_LEASE_MS ((clk_ms)30000)
-/** Keys that are kept track of. */
+/** Maximum number of tracked keys. */
 #define MAX_KEYS 256
 
-/** A request that is blocked, or has a key in the store. */
+/** A request that is blocked or has a key in the store. */
 struct blocked_key
 {
   uint64_t digest;
-  bool stored;       /**< as blocked */
-  bool cleared;      /**< the store is to say so */
-  clk_ms not_before; /**< no call about it before */
+  bool stored;       /**< the store has it as blocked */
+  bool cleared;      /**< to be written as cleared */
+  clk_ms not_before; /**< earliest time of the next call */
 };
 
 struct srv_poison
@@ -46,8 +46,8 @@
   int64_t lease;
   clk_ms granted_at;
   bool call_pending;
-  uint64_t call_digest; /**< that the call is about */
-  bool as_blocked;      /**< as blocked, else as cleared */
+  uint64_t call_digest; /**< request whose key is being written */
+  bool as_blocked;      /**< written as blocked; false: as cleared */
   struct buf key;
 };
 
@@ -91,7 +91,7 @@
   b->not_before = now + stagger_ms (s);
 }
 
-/* --- what the store has -------------------------------------------------- */
+/* --- keys read from the store -------------------------------------------- */
 
 static void
 apply_blocked (struct srv_poison *k, clk_ms now, uint64_t digest, clk_ms hold)
@@ -178,7 +178,7 @@
     }
 }
 
-/* --- calls --------------------------------------------------------------- */
+/* --- writing keys -------------------------------------------------------- */
 
 static void
 call_ended (struct srv_poison *k, enum store_status status)
--- a/serve/poison-suspect.c
+++ b/serve/poison-suspect.c
@@ -5,9 +5,9 @@
 
 #include "base/str.h"
 
-/** A request that crashes servers does so as it begins to run.  So the less
-    there was of the run the more a crash counts, and half of that when another
-    request is to blame for it. */
+/** Weights of a crash as evidence.  A poison request crashes its server when
+   it starts to run, so a crash counts more the shorter the run was.  It counts
+    half if it is attributed to another request. */
 #define WEIGHT_NO_EVENT 4
 #define WEIGHT_EARLY 3
 #define WEIGHT_LONG 2
@@ -15,11 +15,12 @@
 #define WEIGHT_BLOCK ((PSN_CRASHES - 1) * WEIGHT_NO_EVENT + WEIGHT_EARLY)
 #define WEIGHT_SUSPECT (WEIGHT_BLOCK - WEIGHT_NO_EVENT)
 
-/** From the crash that suffices until it is acted upon: other nodes report the
-    requests that they had in the same crash meanwhile. */
+/** Delay between the crash that completes the evidence and the decision.  In
+    this time, other nodes report the requests that they had running in the
+   same crash. */
 #define SETTLE_MS ((clk_ms)100)
 
-/* --- the table --------------------------------------------------------- */
+/* --- table of requests -------------------------------------------------- */
 
 struct psn_suspect *
 psn_find (const struct psn *p, uint64_t digest)
@@ -38,7 +39,7 @@
   return r->ran_ms < EARLY_MS ? WEIGHT_EARLY : WEIGHT_LONG;
 }
 
-/** What there is against it, whoever else is to blame. */
+/** Weight of all crashes, regardless of attribution. */
 static unsigned
 total_weight (const struct psn_suspect *s)
 {
@@ -59,7 +60,7 @@
   return w;
 }
 
-/** Whether @p a goes before @p b when there are too many. */
+/** Whether @p a is evicted before @p b from a full table. */
 static bool
 is_evicted_before (const struct psn_suspect *a, const struct psn_suspect *b)
 {
@@ -116,7 +117,7 @@
   *s = p->suspects[--p->n];
 }
 
-/* --- whom to blame ----------------------------------------------------- */
+/* --- attribution of crashes --------------------------------------------- */
 
 struct psn_run *
 psn_find_run (struct psn_suspect *s, uint64_t place)
@@ -148,8 +149,8 @@
   return a->nruns > 0 && a->nruns < b->nruns;
 }
 
-/** Whether servers went on crashing under it after another request was blamed
-    for all crashes until then. */
+/** Whether servers that ran @p s continued to crash after all earlier crashes
+    had been attributed to another request. */
 static bool
 crashes_continue (const struct psn *p, struct psn_suspect *s)
 {
@@ -212,8 +213,8 @@
     attribute_crash (p, now, s->runs[i].endpoint);
 }
 
-/** Whether there is more against @p a; the less it had run the more likely it
-    is to blame. */
+/** Whether the evidence against @p a is stronger.  At equal weight, the
+   request with the shorter runs is the more likely cause. */
 static bool
 is_more_suspect (const struct psn_suspect *a, const struct psn_suspect *b)
 {
--- a/serve/poison.c
+++ b/serve/poison.c
@@ -4,15 +4,15 @@
 
 #include "base/str.h"
 
-/** From pending to blocked: time for nodes at which the request has completed
-    to say so. */
+/** How long a request stays pending.  In this time, nodes at which it has
+    completed can clear it. */
 #define PENDING_MS ((clk_ms)200)
-/** When a caller who is refused meanwhile may come back. */
+/** Retry delay reported to a client whose request is pending. */
 #define PENDING_RETRY_MS ((clk_ms)300)
-/** Updates about a request that was cleared are ignored for so long: they were
-    sent before it was. */
+/** How long updates about a cleared request are ignored, because they may have
+    been sent before the request was cleared. */
 #define CLEARED_TTL_MS ((clk_ms)2000)
-/** A run that completed this long ago still speaks for its request. */
+/** How long a completed run is evidence that the request is harmless. */
 #define COMPLETION_TTL_MS ((clk_ms)10000)
 
 struct psn *
@@ -98,7 +98,8 @@
   return false;
 }
 
-/** Requests that were blamed for some of its crashes were there by chance. */
+/** Clear requests that are pending or blocked because of a subset of the
+    crashes of @p culprit: they were running in them by coincidence. */
 static void
 clear_subsets (struct psn *p, clk_ms now, struct psn_suspect *culprit)
 {
@@ -146,8 +147,9 @@
 }
 
 /**
- * The hold is over: the request may run again, as the servers' software may
- * have been mended, but one more crash gets it blocked.
+ * End a block when its hold time is over.  The request may run again, because
+ * the software of the servers may have been fixed, but one more crash blocks
+ * it again.
  */
 static void
 end_block (struct psn_suspect *s, clk_ms now)
@@ -160,7 +162,7 @@
     s->runs[s->nruns++] = (struct psn_run){ 0, PSN_NO_EVENT, false };
 }
 
-/* --- what is found, here and elsewhere --------------------------------- */
+/* --- applying updates --------------------------------------------------- */
 
 static void
 apply_crash (struct psn *p, clk_ms now, const struct psn_update *update)
@@ -182,7 +184,8 @@
   if (decided)
     {
       psn_attribute_crashes (p, now, s);
-      /* The node that let it run does not know of the block. */
+      /* The node that ran the request has not received the block: send it
+         again. */
       if (s->state == PSN_S_BLOCKED)
         block (p, now, s, PSN_HOLD_MS);
       return;
@@ -256,7 +259,7 @@
     clear (p, now, s, false);
 }
 
-/* --- questions, time --------------------------------------------------- */
+/* --- queries and timeouts ----------------------------------------------- */
 
 bool
 psn_refuses (struct psn *p, clk_ms now, uint64_t digest, clk_ms *again_ms)
@@ -283,7 +286,8 @@
   return s && (psn_is_pending_or_blocked (s) || psn_is_near_block (s));
 }
 
-/** What was observed or cleared long ago is forgotten. */
+/** End states whose time is over, and remove requests that were observed or
+    cleared long ago. */
 static void
 expire (struct psn *p, clk_ms now)
 {
--- a/serve/poison.h
+++ b/serve/poison.h
@@ -1,22 +1,26 @@
 /**
  * @file
- * Requests that crash the backend servers that run them (decision core).
+ * Detection of poison requests, which crash the backend servers that process
+ * them (decision core).
  *
- * Such a request comes back under a new id, to any node.  Each node reports
- * which requests were running as a server's process ended, and which of these
- * ran to their end elsewhere.  Once PSN_CRASHES servers have ended under a
- * request as it began (more, if it had run for a while), a block is pending:
- * all nodes hear of it, and one where the request has completed lately clears
- * it.  Otherwise it is blocked at all nodes for PSN_HOLD_MS.
+ * A client sends a poison request again with a new id and to any node.  Each
+ * node therefore reports which requests were running when the process of a
+ * server ended, and which of these requests completed elsewhere.  When
+ * PSN_CRASHES servers have ended while they ran a request that had just begun
+ * (more servers, if it had run for a while), the request enters the state
+ * pending.  All nodes receive this state, and a node at which the request has
+ * completed recently clears it.  Otherwise all nodes block the request for
+ * PSN_HOLD_MS.
  *
- * A server runs many requests when it crashes, and only one is to blame.  The
- * one with the most evidence is blocked first; its crashes then count less
- * against the others.  If it was the wrong one, the crashes continue without
- * it: the one that was running in all of them is blocked, and the first is
- * cleared.
+ * A server runs many requests when it crashes, and only one of them is the
+ * cause.  The request with the most evidence is blocked first.  Its crashes
+ * are then attributed to it and count less against the other requests.  If the
+ * wrong request was blocked, crashes continue: the request that was running in
+ * all crashes is then blocked, and the first one is cleared.
  *
- * Requests are known by a digest that is the same each time.  Events and time
- * go in; what other nodes need comes out of psn_updates().
+ * A request is identified by a digest that is the same for every repetition.
+ * The core does no I/O: its caller passes in events and the current time, and
+ * psn_updates() returns what must be sent to other nodes.
  */
 #ifndef LAPISLINE_SERVE_POISON_H
 #define LAPISLINE_SERVE_POISON_H
@@ -27,34 +31,36 @@
 
 #include "base/clock.h"
 
-/** Crashes that get a request blocked, if in all but one of them its run had
-    brought no event. */
+/** Number of crashes after which a request is blocked, if the request had
+    produced no event in all of them but one. */
 #define PSN_CRASHES 3
-/** How long a request stays blocked; the longest lease of a store. */
+/** How long a request stays blocked; also the longest lease that a store
+    grants. */
 #define PSN_HOLD_MS (10 * CLK_MINUTE)
-/** Requests that are remembered. */
+/** Maximum number of requests in the table. */
 #define PSN_MAX_REQUESTS 1024
 
-/** `ran_ms` of a run that had brought no event. */
+/** Value of `ran_ms` if the run had produced no event. */
 #define PSN_NO_EVENT (-1)
 
 enum psn_kind
 {
-  PSN_CRASH,   /**< place, ran_ms: it was running there in a crash */
-  PSN_PENDING, /**< blocked soon, unless some node clears it */
-  PSN_BLOCKED, /**< hold_ms: for so long */
-  PSN_CLEARED  /**< it has run to its end */
+  PSN_CRASH,   /**< place, ran_ms: the request was running there in a crash */
+  PSN_PENDING, /**< to be blocked soon, unless a node clears it */
+  PSN_BLOCKED, /**< hold_ms: remaining duration */
+  PSN_CLEARED  /**< a run of the request completed */
 };
 
-/** What a node has found out of a request. */
+/** Evidence about a request or a change of its state. */
 struct psn_update
 {
   enum psn_kind kind;
   uint64_t digest; /**< of the request */
-  uint64_t place;  /**< where it ran; differs when the server starts again */
-  clk_ms ran_ms;   /**< since its first event, or PSN_NO_EVENT */
+  uint64_t
+      place;     /**< endpoint that ran it; changes when the server restarts */
+  clk_ms ran_ms; /**< time since its first event, or PSN_NO_EVENT */
   clk_ms hold_ms;
-  bool broadcast; /**< all nodes need it; else those that aggregate */
+  bool broadcast; /**< to all nodes; false: to aggregating nodes only */
 };
 
 struct psn;
@@ -62,44 +68,48 @@
 struct psn *psn_new (void);
 void psn_free (struct psn *p);
 
-/** Time passes; call it at psn_next_deadline() at the latest. */
+/** Process timeouts; call it at psn_next_deadline() at the latest. */
 void psn_tick (struct psn *p, clk_ms now);
 clk_ms psn_next_deadline (const struct psn *p);
 
-/** This node has seen it, or another node or the store says so. */
+/** Apply an update that this node observed, or that came from another node or
+    from the store. */
 void psn_apply (struct psn *p, clk_ms now, const struct psn_update *update);
 
 /**
- * Whether this node hears of all crashes and decides, as it does at first; one
- * that does not only reports.
+ * Set whether this node aggregates: it receives the crashes reported by all
+ * nodes and decides which requests to block.  This is the initial setting.  A
+ * node that doesn't aggregate only reports crashes.
  */
 void psn_set_aggregating (struct psn *p, clk_ms now, bool aggregates);
 
-/** A run has come to its end at this node. */
+/** A run of the request has completed at this node. */
 void psn_completed (struct psn *p, clk_ms now, uint64_t digest);
 
 /**
- * Whether a request that arrives has to be refused.
- * @param again_ms  receives when to come back, as it is not decided yet
- * whether it is blocked; 0: it is, and to come back is of no use
+ * Whether a request that arrives must be refused.
+ * @param again_ms  receives the delay after which the client may retry, as the
+ *                  request is not blocked yet; 0: the request is blocked and a
+ *                  retry is useless
  */
 bool psn_refuses (struct psn *p, clk_ms now, uint64_t digest,
                   clk_ms *again_ms);
 
-/** Whether it is blocked, or one more crash would do: it is not worth another
-    server until its caller asks again. */
+/** Whether the request is pending or blocked, or would be blocked after one
+    more crash.  A node doesn't retry it on another server. */
 bool psn_suspects (const struct psn *p, uint64_t digest);
 
-/** What was new since the last call; valid until the next event. */
+/** Changes since the last call.  The list is valid until the next call that
+    modifies @p p. */
 const struct psn_update *psn_updates (struct psn *p, size_t *n);
 
-/** All that is known, for a node that has just been linked; valid until the
-    next event. */
+/** The complete state, for a node that has just connected.  The list is valid
+    until the next call that modifies @p p. */
 const struct psn_update *psn_snapshot (struct psn *p, clk_ms now, size_t *n);
 
 bool psn_is_blocked (const struct psn *p, uint64_t digest);
 
-/** How many requests are blocked. */
+/** Number of blocked requests. */
 size_t psn_count_blocked (const struct psn *p);
 
 #endif
