--- a/serve/check.c
+++ b/serve/check.c
@@ -3,18 +3,17 @@
 #include <stdlib.h>
 
 /*
- * Whether a backend server's process has ended, or only the connection to it
- * was lost.  A VM whose process is gone refuses connections at once; one that
- * can't be reached says nothing.
+ * Determines whether the process of a backend server has ended, or whether
+ * only the connection to it was lost.  A VM without the process refuses
+ * connections immediately; connections to an unreachable VM time out.
  */
 
-/** Longest wait for a connection: a lost first packet is sent again by then.
- */
+/** Timeout for the connection; allows for one retransmission of a lost SYN. */
 #define CONNECT_MS ((clk_ms)400)
-/** Longest wait for the answer, which a server gives from memory. */
+/** Timeout for the response, which a server generates from memory. */
 #define RESPONSE_MS ((clk_ms)300)
-/** HTTP's answer of a server that is not the one meant: the address has gone
-    to another, and the one that was asked is no more. */
+/** HTTP status 421: the address now belongs to another server, so the process
+    of the expected server has ended. */
 #define STATUS_MISDIRECTED 421
 
 struct check
--- a/serve/exchange.c
+++ b/serve/exchange.c
@@ -6,11 +6,11 @@
 
 #include "base/digest.h"
 
-/** Longest wait for a connection to a backend server: some times the way
-    between two availability zones, and one repeat of a lost first packet. */
+/** Timeout for a connection to a backend server: several times the latency
+    between two availability zones, and one retransmission of a lost SYN. */
 #define CONNECT_MS ((clk_ms)400)
 
-/* --- heads ------------------------------------------------------------- */
+/* --- response heads ---------------------------------------------------- */
 
 static struct str
 copy_text (struct buf *text, struct str s)
@@ -31,7 +31,8 @@
     size += h[i].name.len + h[i].value.len;
   head->status = status;
   head->list = xcalloc (n + 1, sizeof *head->list);
-  /* All room at once: the views must not move. */
+  /* Reserve the whole buffer now: growing it later would invalidate the
+     views into it. */
   buf_reserve (&head->text, size + 1);
   for (size_t i = 0; i < n; i++)
     if (s->ad->passes (&h[i]))
@@ -40,7 +41,8 @@
                                   copy_text (&head->text, h[i].value) };
 }
 
-/** A stream's length is not known once it may go on elsewhere. */
+/** Remove Content-Length from the head of a stream: the length can change if
+    the stream is resumed on another server. */
 static void
 drop_content_length (struct srv_response_head *head)
 {
@@ -82,7 +84,7 @@
   free (at);
 }
 
-/** An attempt that brought no whole answer, and why. */
+/** Log an attempt that didn't return a complete response, and the reason. */
 static void
 log_attempt_lost (const struct srv_attempt *at, const char *why)
 {
@@ -105,15 +107,16 @@
   return dsp_sent (at->ex->s->dispatch, clk_now (), at->ex->id, at->number);
 }
 
-/** Statuses that say "not run" to callers.  From a backend server that does
-    not say so itself they promise nothing, and must not be passed on. */
+/** Whether the status tells clients that the request was not run.  A backend
+    server that doesn't state this explicitly may have run the request, so
+    such a response must not be forwarded. */
 static bool
 is_not_run_status (int status)
 {
   return status == 408 || status == 421 || status == 429 || status == 503;
 }
 
-/** Whether these bytes can be taken for the answer to this request at all. */
+/** Whether the response is a valid response to this request. */
 static bool
 is_valid_response (const struct srv_attempt *at, int status)
 {
@@ -135,7 +138,7 @@
   return status >= 300 ? DSP_HEAD_FINAL : DSP_HEAD_GOOD;
 }
 
-/** What the answer says of the rate that its server takes. */
+/** Process the rate limit in a response, and log changes. */
 static void
 handle_rate_limit (const struct srv_attempt *at)
 {
@@ -144,8 +147,8 @@
   enum lim_change change = LIM_SAME;
   char rate[32];
 
-  /* Another server's answer, or another request's, says nothing of this one.
-   */
+  /* Ignore the limit if the response comes from another server or belongs to
+     another request. */
   if (!at->response.misdirected && at->response.same_request)
     change = dsp_answer_limit (d, clk_now (), ex->id, at->number,
                                at->response.limit, at->response.rate);
@@ -202,7 +205,8 @@
          && at->head.status == 200;
 }
 
-/** Note when events pass: callers feel pauses between them. */
+/** Record the time to the first event and the longest gap between events, as
+    clients notice both. */
 static void
 record_event_gap (struct srv_exchange *ex)
 {
@@ -261,7 +265,7 @@
   switch (end)
     {
     case HTTPC_WHOLE:
-    case HTTPC_UNBOUNDED: /* closed in order, without a length */
+    case HTTPC_UNBOUNDED: /* closed cleanly, without a length */
       if (at->head.status != 0 && !(is_stream (at) && at->split.rest.len > 0))
         {
           dsp_whole (s->dispatch, now, ex->id, at->number);
@@ -284,7 +288,8 @@
   srv_act (s);
 }
 
-/** Make the headers and open the connection; false when it can't be sent. */
+/** Build the request headers and start the call.
+    @retval false  the request has too many headers */
 static bool
 start_call (struct srv_attempt *at, const struct dsp_action *a)
 {
@@ -353,7 +358,7 @@
     dsp_connect_failed (ex->s->dispatch, clk_now (), ex->id, a->attempt);
 }
 
-/* --- what makes two requests the same ---------------------------------- */
+/* --- digest of a request ------------------------------------------------ */
 
 static void
 add_digest_part (struct buf *text, struct str part)
@@ -383,7 +388,7 @@
   return digest ? digest : 1;
 }
 
-/* --- the caller's answer ----------------------------------------------- */
+/* --- response to the client --------------------------------------------- */
 
 void
 srv_refuse (struct srv *s, struct httpd_req *req, int status, const char *code,
@@ -406,7 +411,7 @@
   buf_free (&body);
 }
 
-/** One line and the counters of a request that has ended. */
+/** Write the log line of a request that has ended, and update the metrics. */
 static void
 log_end (struct srv_exchange *ex, int status, const char *code)
 {
@@ -423,7 +428,8 @@
        LOG_I ("ms", ms), LOG_I ("config", ex->table->version));
 }
 
-/** The caller has all that it will get. */
+/** Log the end of the request, and detach it from the client's connection.
+    @return  the connection, for the rest of the response */
 static struct httpd_req *
 release_req (struct srv_exchange *ex, int status, const char *code)
 {
@@ -517,11 +523,11 @@
       break;
     case DSP_ACT_STALLED:
     case DSP_ACT_CHECK:
-      break; /* concern no request */
+      break; /* not related to a request */
     }
 }
 
-/* --- life -------------------------------------------------------------- */
+/* --- creation and release ----------------------------------------------- */
 
 static void
 on_disconnected (void *ctx)
