--- a/t/lib-limit.c
+++ b/t/lib-limit.c
@@ -8,37 +8,37 @@
 #include <string.h>
 
 #define STEP_MS ((clk_ms)10)
-#define TELL_MS ((clk_ms)100)
+#define REPORT_MS ((clk_ms)100)
 /** A hub that was not heard for so long grants nothing; after the longer one
     the next hub takes its place. */
-#define GRANTS_MS ((clk_ms)1000)
+#define GRANT_TIMEOUT_MS ((clk_ms)1000)
 #define DEAD_MS ((clk_ms)2500)
 #define WINDOW_MS ((clk_ms)4000)
 /** A process that starts has so long to learn of limits. */
-#define TOLD_MS ((clk_ms)500)
+#define LEARN_MS ((clk_ms)500)
 /** A request waits so long for a permit. */
 #define WAIT_MS ((clk_ms)40)
-#define LIST_MOST 16
+#define MAX_LIST 16
 
 /** What a node sends to another. */
-struct limit_frame
+struct limit_message
 {
-  struct limit_frame *next;
+  struct limit_message *next;
   int from;
   clk_ms due;
-  bool tells, follows, grants;
-  struct lim_permits permits[LIST_MOST]; /**< wanted, or granted */
+  bool periodic, is_follower, grants;
+  struct lim_permits permits[MAX_LIST]; /**< wanted, or granted */
   size_t npermits;
-  struct lim_update updates[LIST_MOST];
+  struct lim_update updates[MAX_LIST];
   size_t nupdates;
 };
 
-struct limit_answer
+struct limit_response
 {
-  struct limit_answer *next;
+  struct limit_response *next;
   int node;
   struct limit_server *server;
-  struct lim *asker; /**< the process that asked */
+  struct lim *sender; /**< the process that asked */
   clk_ms sent, due;
 };
 
@@ -47,19 +47,20 @@
 static bool
 is_linked (const struct limit_fleet *f, int a, int b)
 {
-  return a != b && (a < LIMIT_HUBS || b < LIMIT_HUBS) && f->node[a].l
+  return a != b && (a < LIMIT_RELAYS || b < LIMIT_RELAYS) && f->node[a].l
          && f->node[b].l && !f->node[a].cut && !f->node[b].cut;
 }
 
 static void
-post (struct limit_fleet *f, int to, const struct limit_frame *frame)
+send_message (struct limit_fleet *f, int to,
+              const struct limit_message *message)
 {
-  struct limit_frame **end = &f->node[to].inbox, *copy;
+  struct limit_message **end = &f->node[to].inbox, *copy;
 
-  if (!is_linked (f, frame->from, to))
+  if (!is_linked (f, message->from, to))
     return;
   copy = xmalloc (sizeof *copy);
-  *copy = *frame;
+  *copy = *message;
   copy->next = NULL;
   copy->due = f->now + STEP_MS;
   while (*end)
@@ -68,45 +69,45 @@
 }
 
 static void
-fill_updates (struct limit_frame *frame, const struct lim_update *list,
+fill_updates (struct limit_message *message, const struct lim_update *list,
               size_t n)
 {
-  frame->nupdates = n < LIST_MOST ? n : LIST_MOST;
+  message->nupdates = n < MAX_LIST ? n : MAX_LIST;
   if (n)
-    memcpy (frame->updates, list, frame->nupdates * sizeof *list);
+    memcpy (message->updates, list, message->nupdates * sizeof *list);
 }
 
 static void
-post_new (struct limit_fleet *f, int from)
+send_updates (struct limit_fleet *f, int from)
 {
-  struct limit_frame frame = { .from = from };
+  struct limit_message message = { .from = from };
   size_t n;
   const struct lim_update *list = lim_updates (f->node[from].l, f->now, &n);
 
-  fill_updates (&frame, list, n);
+  fill_updates (&message, list, n);
   for (int to = 0; n > 0 && to < f->n; to++)
-    post (f, to, &frame);
+    send_message (f, to, &message);
 }
 
 static void
-post_all (struct limit_fleet *f, int from, int to)
+send_snapshot (struct limit_fleet *f, int from, int to)
 {
-  struct limit_frame frame = { .from = from };
+  struct limit_message message = { .from = from };
   size_t n;
   const struct lim_update *list = lim_snapshot (f->node[from].l, f->now, &n);
 
-  fill_updates (&frame, list, n);
-  post (f, to, &frame);
+  fill_updates (&message, list, n);
+  send_message (f, to, &message);
 }
 
 static void
-link_again (struct limit_fleet *f, int node)
+exchange_snapshots (struct limit_fleet *f, int node)
 {
   for (int i = 0; i < f->n; i++)
     if (is_linked (f, node, i))
       {
-        post_all (f, node, i);
-        post_all (f, i, node);
+        send_snapshot (f, node, i);
+        send_snapshot (f, i, node);
       }
 }
 
@@ -114,32 +115,33 @@
 
 /** The hub that a node takes its permits from, or -1: it grants. */
 static int
-leader_of (const struct limit_fleet *f, int node)
+granting_node (const struct limit_fleet *f, int node)
 {
-  for (int i = 0; i < LIMIT_HUBS && i < f->n; i++)
+  for (int i = 0; i < LIMIT_RELAYS && i < f->n; i++)
     {
-      clk_ms silent = f->now - f->node[node].heard[i];
+      clk_ms silent = f->now - f->node[node].last_seen[i];
       if (i == node)
         return -1;
       if (silent < DEAD_MS)
-        return silent < GRANTS_MS ? i : -1;
+        return silent < GRANT_TIMEOUT_MS ? i : -1;
     }
   return -1;
 }
 
 /** What a node wants, to the one it follows. */
 static void
-post_wanted (struct limit_fleet *f, int node, int leader, bool tells)
+send_demand (struct limit_fleet *f, int node, int granting, bool periodic)
 {
-  struct limit_frame frame = { .from = node, .tells = tells, .follows = true };
+  struct limit_message message
+      = { .from = node, .periodic = periodic, .is_follower = true };
   size_t n;
   const struct lim_permits *list
-      = lim_wanted (f->node[node].l, f->now, tells, &n);
+      = lim_wanted (f->node[node].l, f->now, periodic, &n);
 
-  frame.npermits = n < LIST_MOST ? n : LIST_MOST;
+  message.npermits = n < MAX_LIST ? n : MAX_LIST;
   if (n)
-    memcpy (frame.permits, list, frame.npermits * sizeof *list);
-  post (f, leader, &frame);
+    memcpy (message.permits, list, message.npermits * sizeof *list);
+  send_message (f, granting, &message);
 }
 
 static void
@@ -148,49 +150,50 @@
   struct lim *l = f->node[node].l;
   size_t n;
 
-  lim_lead (l, f->now, leader_of (f, node) < 0, (unsigned)f->n);
+  lim_lead (l, f->now, granting_node (f, node) < 0, (unsigned)f->n);
   const struct lim_permits *due = lim_grant (l, f->now, true, &n);
   for (size_t i = 0; i < n; i++)
     {
-      struct limit_frame frame = { .from = node, .grants = true };
-      frame.npermits = 1;
-      frame.permits[0] = due[i];
-      post (f, (int)due[i].node - 1, &frame);
+      struct limit_message message = { .from = node, .grants = true };
+      message.npermits = 1;
+      message.permits[0] = due[i];
+      send_message (f, (int)due[i].node - 1, &message);
     }
 }
 
 static void
-tell (struct limit_fleet *f, int node)
+send_report (struct limit_fleet *f, int node)
 {
-  int leader = leader_of (f, node);
-  struct limit_frame frame = { .from = node, .tells = true };
+  int granting = granting_node (f, node);
+  struct limit_message message = { .from = node, .periodic = true };
 
-  if (leader >= 0)
-    post_wanted (f, node, leader, true);
+  if (granting >= 0)
+    send_demand (f, node, granting, true);
   for (int to = 0; to < f->n; to++)
-    if (to != leader && (node < LIMIT_HUBS || to < LIMIT_HUBS))
-      post (f, to, &frame);
+    if (to != granting && (node < LIMIT_RELAYS || to < LIMIT_RELAYS))
+      send_message (f, to, &message);
   grant (f, node);
 }
 
 static void
-take_frame (struct limit_fleet *f, int node, const struct limit_frame *in)
+receive_message (struct limit_fleet *f, int node,
+                 const struct limit_message *in)
 {
   struct lim *l = f->node[node].l;
 
-  if (in->from < LIMIT_HUBS)
-    f->node[node].heard[in->from] = f->now;
+  if (in->from < LIMIT_RELAYS)
+    f->node[node].last_seen[in->from] = f->now;
   for (size_t i = 0; i < in->nupdates; i++)
     lim_apply (l, f->now, &in->updates[i]);
   for (size_t i = 0; in->grants && i < in->npermits; i++)
-    if (leader_of (f, node) == in->from)
+    if (granting_node (f, node) == in->from)
       lim_granted (l, f->now, in->permits[i].server, in->permits[i].n);
-  if (in->follows)
-    lim_followed (l, f->now, (uint64_t)in->from + 1, in->tells, in->permits,
+  if (in->is_follower)
+    lim_followed (l, f->now, (uint64_t)in->from + 1, in->periodic, in->permits,
                   in->npermits);
-  else if (in->tells)
+  else if (in->periodic)
     lim_unfollowed (l, (uint64_t)in->from + 1);
-  if (in->follows)
+  if (in->is_follower)
     grant (f, node);
 }
 
@@ -210,40 +213,41 @@
 static void
 send_request (struct limit_fleet *f, int node, struct limit_server *s)
 {
-  struct limit_answer *a = xmalloc (sizeof *a);
+  struct limit_response *a = xmalloc (sizeof *a);
 
   lim_take (f->node[node].l, f->now, (uint64_t)s->name);
-  if (f->now - f->node[node].started_at >= TOLD_MS)
+  if (f->now - f->node[node].started_at >= LEARN_MS)
     add_arrival (s, f->now);
-  *a = (struct limit_answer){ .next = f->answers,
-                              .node = node,
-                              .server = s,
-                              .asker = f->node[node].l,
-                              .sent = f->now };
+  *a = (struct limit_response){ .next = f->responses,
+                                .node = node,
+                                .server = s,
+                                .sender = f->node[node].l,
+                                .sent = f->now };
   a->due = f->now + 100 + (clk_ms)rng_below (&f->rng, 100);
-  f->answers = a;
+  f->responses = a;
 }
 
 /** Ask at once for what has come to be wanted. */
 static void
-ask_more (struct limit_fleet *f, int node)
+request_permits (struct limit_fleet *f, int node)
 {
-  int leader = leader_of (f, node);
+  int granting = granting_node (f, node);
 
   if (!lim_wants_more (f->node[node].l))
     return;
-  if (leader < 0)
+  if (granting < 0)
     grant (f, node);
   else
-    post_wanted (f, node, leader, false);
+    send_demand (f, node, granting, false);
 }
 
 static void
-ask (struct limit_fleet *f)
+start_request (struct limit_fleet *f)
 {
-  int node = f->at ? f->at - 1 : (int)rng_below (&f->rng, (uint64_t)f->n);
+  int node
+      = f->target ? f->target - 1 : (int)rng_below (&f->rng, (uint64_t)f->n);
   struct limit_node *x = &f->node[node];
-  struct limit_server *s = &f->server[f->turn++ % f->nservers];
+  struct limit_server *s = &f->server[f->next_server++ % f->nservers];
 
   if (!x->l || x->frozen)
     return;
@@ -253,7 +257,7 @@
       return;
     }
   lim_want (x->l, f->now, (uint64_t)s->name);
-  ask_more (f, node);
+  request_permits (f, node);
   if (!lim_is_spent (x->l, f->now, (uint64_t)s->name))
     x->waiting[s - f->server] = f->now + WAIT_MS;
 }
@@ -284,17 +288,17 @@
     return;
   while (x->inbox && x->inbox->due <= f->now && !x->held)
     {
-      struct limit_frame *in = x->inbox;
+      struct limit_message *in = x->inbox;
       x->inbox = in->next;
-      take_frame (f, node, in);
+      receive_message (f, node, in);
       free (in);
     }
-  if (f->now >= x->next_tell)
+  if (f->now >= x->next_report)
     {
-      x->next_tell = f->now + TELL_MS;
-      tell (f, node);
+      x->next_report = f->now + REPORT_MS;
+      send_report (f, node);
     }
-  post_new (f, node);
+  send_updates (f, node);
   send_waiting (f, node);
 }
 
@@ -305,9 +309,9 @@
 
   *x = (struct limit_node){ .l = lim_new (rng_next (&f->rng)) };
   x->started_at = f->now;
-  x->next_tell = f->now + (clk_ms)rng_below (&f->rng, TELL_MS);
-  for (int i = 0; i < LIMIT_HUBS; i++)
-    x->heard[i] = f->now;
+  x->next_report = f->now + (clk_ms)rng_below (&f->rng, REPORT_MS);
+  for (int i = 0; i < LIMIT_RELAYS; i++)
+    x->last_seen[i] = f->now;
 }
 
 static void
@@ -315,7 +319,7 @@
 {
   while (x->inbox)
     {
-      struct limit_frame *next = x->inbox->next;
+      struct limit_message *next = x->inbox->next;
       free (x->inbox);
       x->inbox = next;
     }
@@ -325,12 +329,12 @@
 kill_node (struct limit_fleet *f, int node)
 {
   struct limit_node *x = &f->node[node];
-  struct limit_answer **at = &f->answers;
+  struct limit_response **at = &f->responses;
 
   while (*at)
-    if ((*at)->asker == x->l)
+    if ((*at)->sender == x->l)
       {
-        struct limit_answer *gone = *at;
+        struct limit_response *gone = *at;
         *at = gone->next;
         free (gone);
       }
@@ -344,20 +348,20 @@
 /* --- time ---------------------------------------------------------------- */
 
 static void
-take_answers (struct limit_fleet *f)
+receive_responses (struct limit_fleet *f)
 {
-  struct limit_answer **at = &f->answers;
+  struct limit_response **at = &f->responses;
 
   while (*at)
     {
-      struct limit_answer *a = *at;
+      struct limit_response *a = *at;
       struct limit_server *s = a->server;
       if (a->due > f->now || f->node[a->node].frozen)
         {
           at = &a->next;
           continue;
         }
-      lim_answered (a->asker, f->now,
+      lim_answered (a->sender, f->now,
                     &(struct lim_word){ .server = (uint64_t)s->name,
                                         .says = s->limited ? LIM_SAYS_RATE
                                                            : LIM_SAYS_NOTHING,
@@ -372,14 +376,14 @@
 step (struct limit_fleet *f)
 {
   f->now += STEP_MS;
-  take_answers (f);
+  receive_responses (f);
   for (int i = 0; i < f->n; i++)
     step_node (f, i);
   if (f->nservers == 0)
     return;
-  f->owed += f->load * (double)STEP_MS / (double)CLK_SECOND;
-  for (; f->owed >= 1; f->owed--)
-    ask (f);
+  f->credit += f->load * (double)STEP_MS / (double)CLK_SECOND;
+  for (; f->credit >= 1; f->credit--)
+    start_request (f);
 }
 
 /* --- the script ---------------------------------------------------------- */
@@ -411,7 +415,7 @@
 }
 
 static const char *
-grade (size_t n, double owed)
+classify_usage (size_t n, double owed)
 {
   if ((double)n >= 0.8 * owed)
     return "used";
@@ -431,12 +435,12 @@
     buf_add_c (log, "kept");
   else
     buf_addf (log, "%zu of %d", most, (int)allowed);
-  buf_addf (log, " %s\n", grade (s->n, owed));
+  buf_addf (log, " %s\n", classify_usage (s->n, owed));
 }
 
 static void
-log_known (const struct limit_fleet *f, const struct limit_server *s,
-           struct buf *log)
+log_limited (const struct limit_fleet *f, const struct limit_server *s,
+             struct buf *log)
 {
   double rate;
 
@@ -470,7 +474,7 @@
 }
 
 static void
-set_belief (struct limit_fleet *f, int node, char server, const char *rate)
+record_limit (struct limit_fleet *f, int node, char server, const char *rate)
 {
   struct lim_update update = { .server = (uint64_t)server };
   size_t n;
@@ -482,26 +486,26 @@
 }
 
 static void
-change_node (struct limit_fleet *f, const char *word, int node)
+change_node (struct limit_fleet *f, const char *command, int node)
 {
   struct limit_node *x = &f->node[node];
 
-  if (strcmp (word, "cut") == 0)
+  if (strcmp (command, "cut") == 0)
     x->cut = true;
-  else if (strcmp (word, "freeze") == 0 || strcmp (word, "wake") == 0)
-    x->frozen = word[0] == 'f';
-  else if (strcmp (word, "hold") == 0 || strcmp (word, "pass") == 0)
-    x->held = word[0] == 'h';
-  else if (strcmp (word, "kill") == 0)
+  else if (strcmp (command, "freeze") == 0 || strcmp (command, "wake") == 0)
+    x->frozen = command[0] == 'f';
+  else if (strcmp (command, "hold") == 0 || strcmp (command, "pass") == 0)
+    x->held = command[0] == 'h';
+  else if (strcmp (command, "kill") == 0)
     kill_node (f, node);
-  else if (strcmp (word, "start") == 0)
+  else if (strcmp (command, "start") == 0)
     start_node (f, node);
-  else if (strcmp (word, "join") == 0)
+  else if (strcmp (command, "join") == 0)
     x->cut = false;
   else
-    cr_assert (false, "no such word: %s", word);
-  if (strcmp (word, "start") == 0 || strcmp (word, "join") == 0)
-    link_again (f, node);
+    cr_assert (false, "no such word: %s", command);
+  if (strcmp (command, "start") == 0 || strcmp (command, "join") == 0)
+    exchange_snapshots (f, node);
 }
 
 void
@@ -528,34 +532,34 @@
 void
 limit_run_line (struct limit_fleet *f, const char *text, struct buf *log)
 {
-  char word[16] = "", x[16] = "", y[16] = "", z[16] = "";
+  char command[16] = "", x[16] = "", y[16] = "", z[16] = "";
 
-  if (sscanf (text, " %15s %15s %15s %15s", word, x, y, z) <= 0)
+  if (sscanf (text, " %15s %15s %15s %15s", command, x, y, z) <= 0)
     return;
-  if (strcmp (word, "nodes") == 0)
+  if (strcmp (command, "nodes") == 0)
     limit_fleet_init (f, atoi (x), 1);
-  else if (strcmp (word, "alone") == 0)
+  else if (strcmp (command, "alone") == 0)
     for (int i = 0; i < f->n; i++)
       f->node[i].cut = true;
-  else if (strcmp (word, "load") == 0)
+  else if (strcmp (command, "load") == 0)
     f->load = atof (x);
-  else if (strcmp (word, "at") == 0)
-    f->at = atoi (x);
-  else if (strcmp (word, "limit") == 0)
+  else if (strcmp (command, "at") == 0)
+    f->target = atoi (x);
+  else if (strcmp (command, "limit") == 0)
     set_limit (f, x[0], y);
-  else if (strcmp (word, "believes") == 0)
-    set_belief (f, atoi (x) - 1, y[0], z);
-  else if (strcmp (word, "reset") == 0)
+  else if (strcmp (command, "believes") == 0)
+    record_limit (f, atoi (x) - 1, y[0], z);
+  else if (strcmp (command, "reset") == 0)
     reset (f);
-  else if (strcmp (word, "count") == 0)
+  else if (strcmp (command, "count") == 0)
     log_count (f, server_of (f, x[0]), log);
-  else if (strcmp (word, "known") == 0)
-    log_known (f, server_of (f, x[0]), log);
-  else if (strcmp (word, "run") == 0)
+  else if (strcmp (command, "known") == 0)
+    log_limited (f, server_of (f, x[0]), log);
+  else if (strcmp (command, "run") == 0)
     for (clk_ms end = f->now + atoi (x); f->now < end;)
       step (f);
   else
-    change_node (f, word, atoi (x) - 1);
+    change_node (f, command, atoi (x) - 1);
 }
 
 void
--- a/t/lib-limit.h
+++ b/t/lib-limit.h
@@ -33,20 +33,20 @@
 #include "serve/limit.h"
 
 #define LIMIT_NODES 300
-#define LIMIT_HUBS 4
+#define LIMIT_RELAYS 4
 #define LIMIT_SERVERS 4
 
-struct limit_frame;
-struct limit_answer;
+struct limit_message;
+struct limit_response;
 
 struct limit_node
 {
   struct lim *l; /**< NULL: no process */
   bool cut, frozen, held;
   clk_ms started_at;
-  clk_ms heard[LIMIT_HUBS];
-  clk_ms next_tell;
-  struct limit_frame *inbox;
+  clk_ms last_seen[LIMIT_RELAYS];
+  clk_ms next_report;
+  struct limit_message *inbox;
   clk_ms waiting[LIMIT_SERVERS]; /**< a request waits until then; 0: none */
 };
 
@@ -64,11 +64,11 @@
 {
   struct limit_node node[LIMIT_NODES];
   int n;
-  int at; /**< node that requests come to; 0: any */
-  double load, owed;
+  int target; /**< node that requests come to; 0: any */
+  double load, credit;
   struct limit_server server[LIMIT_SERVERS];
-  int nservers, turn;
-  struct limit_answer *answers;
+  int nservers, next_server;
+  struct limit_response *responses;
   struct rng rng;
   clk_ms now;
 };
--- a/t/lib-poison.c
+++ b/t/lib-poison.c
@@ -12,12 +12,12 @@
 static bool
 aggregates (const struct psn_fleet *f, int node)
 {
-  return f->hubs == 0 || node < f->hubs;
+  return f->relays == 0 || node < f->relays;
 }
 
 static void
-post (struct psn_fleet *f, int from, int to, const struct psn_update *list,
-      size_t n)
+queue_updates (struct psn_fleet *f, int from, int to,
+               const struct psn_update *list, size_t n)
 {
   f->queue[to] = xrealloc (f->queue[to],
                            (f->nqueue[to] + n + 1) * sizeof (*f->queue[to]));
@@ -30,13 +30,13 @@
 }
 
 static void
-post_new (struct psn_fleet *f, int from)
+send_updates (struct psn_fleet *f, int from)
 {
   size_t n;
   const struct psn_update *list = psn_updates (f->node[from], &n);
 
   for (int to = 0; to < f->n; to++)
-    post (f, from, to, list, n);
+    queue_updates (f, from, to, list, n);
 }
 
 void
@@ -56,7 +56,7 @@
         psn_tick (f->node[i], f->now);
     }
   for (int i = 0; i < f->n; i++)
-    post_new (f, i);
+    send_updates (f, i);
 }
 
 void
@@ -80,15 +80,15 @@
   if (!linked)
     return;
   list = psn_snapshot (f->node[a], f->now, &n);
-  post (f, a, b, list, n);
+  queue_updates (f, a, b, list, n);
   list = psn_snapshot (f->node[b], f->now, &n);
-  post (f, b, a, list, n);
+  queue_updates (f, b, a, list, n);
 }
 
 static bool
 may_link (const struct psn_fleet *f, int a, int b)
 {
-  return a != b && (f->hubs == 0 || a < f->hubs || b < f->hubs);
+  return a != b && (f->relays == 0 || a < f->relays || b < f->relays);
 }
 
 void
@@ -108,7 +108,7 @@
 {
   memset (f, 0, sizeof *f);
   f->n = nodes;
-  f->hubs = hubs;
+  f->relays = hubs;
   f->now = 100000;
   for (int i = 0; i < nodes; i++)
     {
@@ -133,7 +133,7 @@
 /* --- the script ---------------------------------------------------------- */
 
 static void
-ask (struct psn_fleet *f, const char *request, struct buf *log)
+query (struct psn_fleet *f, const char *request, struct buf *log)
 {
   clk_ms again_ms;
 
@@ -148,43 +148,43 @@
 }
 
 static void
-line (struct psn_fleet *f, const char *word, const char *x, const char *y,
-      const char *z, const char *ms, struct buf *log)
+run_line (struct psn_fleet *f, const char *command, const char *x,
+          const char *y, const char *z, const char *ms, struct buf *log)
 {
   int node = atoi (x) - 1;
 
-  if (strcmp (word, "nodes") == 0)
+  if (strcmp (command, "nodes") == 0)
     psn_fleet_init (f, atoi (x), 0);
-  else if (strcmp (word, "hubs") == 0)
+  else if (strcmp (command, "hubs") == 0)
     psn_fleet_init (f, atoi (x), 4);
-  else if (strcmp (word, "ran") == 0)
+  else if (strcmp (command, "ran") == 0)
     psn_fleet_crash (f, node, (uint64_t)y[0], (uint64_t)atoi (z), atoi (ms));
-  else if (strcmp (word, "whole") == 0)
+  else if (strcmp (command, "whole") == 0)
     psn_completed (f->node[node], f->now, (uint64_t)y[0]);
-  else if (strcmp (word, "cut") == 0 || strcmp (word, "join") == 0)
-    psn_fleet_link (f, node, atoi (y) - 1, word[0] == 'j');
-  else if (strcmp (word, "alone") == 0)
+  else if (strcmp (command, "cut") == 0 || strcmp (command, "join") == 0)
+    psn_fleet_link (f, node, atoi (y) - 1, command[0] == 'j');
+  else if (strcmp (command, "alone") == 0)
     psn_set_aggregating (f->node[node], f->now, true);
-  else if (strcmp (word, "restart") == 0)
+  else if (strcmp (command, "restart") == 0)
     psn_fleet_restart (f, node);
-  else if (strcmp (word, "store") == 0)
+  else if (strcmp (command, "store") == 0)
     psn_apply (f->node[node], f->now,
                &(struct psn_update){ .kind = PSN_BLOCKED,
                                      .digest = (uint64_t)y[0],
                                      .hold_ms = PSN_HOLD_MS,
                                      .broadcast = true });
-  else if (strcmp (word, "lift") == 0)
+  else if (strcmp (command, "lift") == 0)
     psn_apply (f->node[node], f->now,
                &(struct psn_update){ .kind = PSN_CLEARED,
                                      .digest = (uint64_t)y[0],
                                      .broadcast = true });
-  else if (strcmp (word, "ask") == 0)
-    ask (f, x, log);
-  else if (strcmp (word, "run") == 0)
+  else if (strcmp (command, "ask") == 0)
+    query (f, x, log);
+  else if (strcmp (command, "run") == 0)
     for (clk_ms end = f->now + atoi (x); f->now < end;)
       psn_fleet_step (f);
   else
-    cr_assert (false, "no such word: %s", word);
+    cr_assert (false, "no such word: %s", command);
 }
 
 void
@@ -196,9 +196,9 @@
 
   while ((text = strsep (&next, "\n")) != NULL)
     {
-      char word[16] = "", x[16] = "", y[16] = "", z[16] = "", ms[16] = "";
-      if (sscanf (text, " %15s %15s %15s %15s %15s", word, x, y, z, ms) > 0)
-        line (&f, word, x, y, z, ms, &log);
+      char command[16] = "", x[16] = "", y[16] = "", z[16] = "", ms[16] = "";
+      if (sscanf (text, " %15s %15s %15s %15s %15s", command, x, y, z, ms) > 0)
+        run_line (&f, command, x, y, z, ms, &log);
     }
   cr_expect_str_eq (buf_c (&log), expected, "got:\n%s\nexpected:\n%s",
                     buf_c (&log), expected);
--- a/t/lib-poison.h
+++ b/t/lib-poison.h
@@ -31,7 +31,7 @@
 {
   struct psn *node[PSN_NODES];
   bool linked[PSN_NODES][PSN_NODES];
-  int n, hubs;
+  int n, relays;
   clk_ms now;
   struct psn_update
       *queue[PSN_NODES]; /**< to be heard there at the next step */
--- a/t/t9207-poison.c
+++ b/t/t9207-poison.c
@@ -232,9 +232,9 @@
   struct psn_fleet f;
 
   psn_fleet_init (&f, 8, 0);
-  for (uint64_t place = 1; place <= 40; place++)
+  for (uint64_t endpoint = 1; endpoint <= 40; endpoint++)
     for (int i = 0; i < 8; i++)
-      psn_fleet_crash (&f, i, 'h', place, PSN_NO_EVENT);
+      psn_fleet_crash (&f, i, 'h', endpoint, PSN_NO_EVENT);
   for (int i = 0; i < 100; i++)
     psn_fleet_step (&f);
   f.sent = 0;
@@ -247,10 +247,10 @@
 /* --- random days --------------------------------------------------------- */
 
 #define SEEDS 100
-#define DAY_STEPS 3000 /* 30 s */
-#define CONTACT_MS ((clk_ms)3000)
+#define SIM_STEPS 3000 /* 30 s */
+#define MAX_BLOCK_DELAY_MS ((clk_ms)3000)
 #define RUNS 120
-#define PLACES 12
+#define ENDPOINTS 12
 #define POISON 'p'
 
 /** A run that is under way. */
@@ -258,33 +258,33 @@
 {
   uint64_t digest; /* 0: none */
   int node;
-  uint64_t place;
-  clk_ms since, ends; /* ends: it completes */
+  uint64_t endpoint;
+  clk_ms started_at, ends; /* ends: it completes */
   unsigned crashes;
 };
 
-struct day
+struct sim
 {
   struct psn_fleet f;
   struct rng rng;
   struct run runs[RUNS];
-  uint64_t places[PLACES];
-  uint64_t next_place, next_request;
+  uint64_t endpoints[ENDPOINTS];
+  uint64_t next_endpoint, next_request;
   clk_ms crash_at; /* of the poison's server; 0: it does not run */
-  clk_ms asks_at;
+  clk_ms next_send_at;
   unsigned poison_crashes, late_sends;
-  clk_ms third_at;
+  clk_ms threshold_at;
   unsigned attempts;
 };
 
 static clk_ms
-draw (struct day *d, clk_ms least, clk_ms span)
+draw (struct sim *d, clk_ms least, clk_ms span)
 {
   return least + (clk_ms)rng_below (&d->rng, (uint64_t)span);
 }
 
 static struct run *
-free_run (struct day *d)
+find_free_run (struct sim *d)
 {
   for (int i = 0; i < RUNS; i++)
     if (!d->runs[i].digest)
@@ -293,14 +293,14 @@
 }
 
 static void
-begin (struct day *d, uint64_t digest, int node, unsigned crashes)
+begin_run (struct sim *d, uint64_t digest, int node, unsigned crashes)
 {
-  struct run *r = free_run (d);
+  struct run *r = find_free_run (d);
 
   if (r)
     *r = (struct run){ digest,
                        node,
-                       d->places[rng_below (&d->rng, PLACES)],
+                       d->endpoints[rng_below (&d->rng, ENDPOINTS)],
                        d->f.now,
                        d->f.now + draw (d, 300, 3000),
                        crashes };
@@ -308,48 +308,48 @@
 
 /** The caller of the poison asks again, soon after its last answer. */
 static void
-ask_poison (struct day *d, bool again)
+send_poison (struct sim *d, bool retry)
 {
   int node = (int)rng_below (&d->rng, (uint64_t)d->f.n);
   clk_ms again_ms;
 
-  if (!again)
+  if (!retry)
     d->attempts = 0;
-  if (again ? psn_suspects (d->f.node[node], POISON) || ++d->attempts > 1
+  if (retry ? psn_suspects (d->f.node[node], POISON) || ++d->attempts > 1
             : psn_refuses (d->f.node[node], d->f.now, POISON, &again_ms))
     {
-      d->asks_at = d->f.now + draw (d, 50, 500);
+      d->next_send_at = d->f.now + draw (d, 50, 500);
       return;
     }
-  if (d->third_at && d->f.now > d->third_at + CONTACT_MS)
+  if (d->threshold_at && d->f.now > d->threshold_at + MAX_BLOCK_DELAY_MS)
     d->late_sends++;
-  begin (d, POISON, node, 0);
+  begin_run (d, POISON, node, 0);
   d->crash_at = d->f.now + draw (d, 100, 200);
 }
 
 /** The server at a place ends: runs that were under way begin anew. */
 static void
-crash (struct day *d, uint64_t place)
+crash_endpoint (struct sim *d, uint64_t endpoint)
 {
-  for (int i = 0; i < PLACES; i++)
-    if (d->places[i] == place)
-      d->places[i] = ++d->next_place;
+  for (int i = 0; i < ENDPOINTS; i++)
+    if (d->endpoints[i] == endpoint)
+      d->endpoints[i] = ++d->next_endpoint;
   for (int i = 0; i < RUNS; i++)
     {
       struct run r = d->runs[i];
-      clk_ms ran = d->f.now - r.since - 100;
-      if (!r.digest || r.place != place)
+      clk_ms ran = d->f.now - r.started_at - 100;
+      if (!r.digest || r.endpoint != endpoint)
         continue;
-      psn_fleet_crash (&d->f, r.node, r.digest, place,
+      psn_fleet_crash (&d->f, r.node, r.digest, endpoint,
                        ran < 0 ? PSN_NO_EVENT : ran);
       d->runs[i].digest = 0;
       if (r.digest != POISON)
-        begin (d, r.digest, r.node, r.crashes + 1);
+        begin_run (d, r.digest, r.node, r.crashes + 1);
     }
 }
 
 static void
-crash_poison (struct day *d)
+crash_poison_endpoint (struct sim *d)
 {
   for (int i = 0; i < RUNS; i++)
     if (d->runs[i].digest == POISON)
@@ -357,15 +357,15 @@
         d->crash_at = 0;
         d->poison_crashes++;
         if (d->poison_crashes == PSN_CRASHES)
-          d->third_at = d->f.now;
-        crash (d, d->runs[i].place);
-        ask_poison (d, true);
+          d->threshold_at = d->f.now;
+        crash_endpoint (d, d->runs[i].endpoint);
+        send_poison (d, true);
         return;
       }
 }
 
 static void
-check_bystander (struct day *d, const struct run *r, uint64_t seed)
+check_other_request (struct sim *d, const struct run *r, uint64_t seed)
 {
   clk_ms again_ms;
   bool refused
@@ -377,44 +377,44 @@
 }
 
 static void
-step (struct day *d, uint64_t seed)
+step (struct sim *d, uint64_t seed)
 {
   psn_fleet_step (&d->f);
   if (d->crash_at && d->f.now >= d->crash_at)
-    crash_poison (d);
-  else if (!d->crash_at && d->f.now >= d->asks_at)
-    ask_poison (d, false);
+    crash_poison_endpoint (d);
+  else if (!d->crash_at && d->f.now >= d->next_send_at)
+    send_poison (d, false);
   if (rng_below (&d->rng, 400) == 0)
-    crash (d, d->places[rng_below (&d->rng, PLACES)]);
+    crash_endpoint (d, d->endpoints[rng_below (&d->rng, ENDPOINTS)]);
   if (rng_below (&d->rng, 10) == 0)
-    begin (d, 1000 + ++d->next_request,
-           (int)rng_below (&d->rng, (uint64_t)d->f.n), 0);
+    begin_run (d, 1000 + ++d->next_request,
+               (int)rng_below (&d->rng, (uint64_t)d->f.n), 0);
   for (int i = 0; i < RUNS; i++)
     {
       struct run *r = &d->runs[i];
       if (!r->digest || r->digest == POISON || d->f.now < r->ends)
         continue;
-      check_bystander (d, r, seed);
+      check_other_request (d, r, seed);
       psn_completed (d->f.node[r->node], d->f.now, r->digest);
       r->digest = 0;
     }
 }
 
 static void
-play_day (uint64_t seed)
+run_simulation (uint64_t seed)
 {
-  struct day d = { 0 };
+  struct sim d = { 0 };
 
   rng_seed (&d.rng, seed);
   psn_fleet_init (&d.f, seed % 2 ? 8 : 20, seed % 2 ? 0 : 4);
-  d.next_place = PLACES;
-  for (uint64_t i = 0; i < PLACES; i++)
-    d.places[i] = i + 1;
-  d.asks_at = d.f.now + 1000;
-  for (int i = 0; i < DAY_STEPS; i++)
+  d.next_endpoint = ENDPOINTS;
+  for (uint64_t i = 0; i < ENDPOINTS; i++)
+    d.endpoints[i] = i + 1;
+  d.next_send_at = d.f.now + 1000;
+  for (int i = 0; i < SIM_STEPS; i++)
     {
-      if (d.crash_at == 0 && d.asks_at == 0)
-        d.asks_at = d.f.now;
+      if (d.crash_at == 0 && d.next_send_at == 0)
+        d.next_send_at = d.f.now;
       step (&d, seed);
     }
   cr_expect_leq (d.late_sends, 3, "seed %d: sent %u times late", (int)seed,
@@ -429,7 +429,7 @@
 Test (poison, random_days)
 {
   for (uint64_t seed = 1; seed <= SEEDS; seed++)
-    play_day (seed);
+    run_simulation (seed);
 }
 
 /* Seeds that once failed: in the first two bystanders were blocked, in the
@@ -439,5 +439,5 @@
   static const uint64_t seeds[] = { 231, 287, 2406 };
 
   for (size_t i = 0; i < sizeof seeds / sizeof seeds[0]; i++)
-    play_day (seeds[i]);
+    run_simulation (seeds[i]);
 }
--- a/t/t9208-limit.c
+++ b/t/t9208-limit.c
@@ -254,12 +254,12 @@
 }
 
 static enum lim_change
-answer (struct lim *l, clk_ms now, double rate, clk_ms sent_at)
+respond (struct lim *l, clk_ms now, double rate, clk_ms sent_at)
 {
-  struct lim_word word = { .server = 7, .rate = rate, .sent_at = sent_at };
+  struct lim_word report = { .server = 7, .rate = rate, .sent_at = sent_at };
 
-  word.says = rate < 0 ? LIM_SAYS_NOTHING : LIM_SAYS_RATE;
-  return lim_answered (l, now, &word);
+  report.says = rate < 0 ? LIM_SAYS_NOTHING : LIM_SAYS_RATE;
+  return lim_answered (l, now, &report);
 }
 
 /* Guards against an older answer that arrives late: it must not end a limit,
@@ -269,14 +269,14 @@
   struct lim *l = lim_new (1);
   double rate;
 
-  cr_expect_eq (answer (l, 1000, 4, 900), LIM_SET);
-  cr_expect_eq (answer (l, 1010, -1, 950), LIM_SAME);
-  cr_expect_eq (answer (l, 1020, 9, 990), LIM_SAME);
-  cr_expect_eq (answer (l, 1030, 2, 960), LIM_SET);
+  cr_expect_eq (respond (l, 1000, 4, 900), LIM_SET);
+  cr_expect_eq (respond (l, 1010, -1, 950), LIM_SAME);
+  cr_expect_eq (respond (l, 1020, 9, 990), LIM_SAME);
+  cr_expect_eq (respond (l, 1030, 2, 960), LIM_SET);
   cr_expect (lim_rate (l, 7, &rate) && rate == 2);
-  cr_expect_eq (answer (l, 1200, 5, 1040), LIM_SET);
-  cr_expect_eq (answer (l, 1300, -1, 1199), LIM_SAME);
-  cr_expect_eq (answer (l, 1400, -1, 1350), LIM_ENDED);
+  cr_expect_eq (respond (l, 1200, 5, 1040), LIM_SET);
+  cr_expect_eq (respond (l, 1300, -1, 1199), LIM_SAME);
+  cr_expect_eq (respond (l, 1400, -1, 1350), LIM_ENDED);
   cr_expect_not (lim_any (l));
   lim_free (l);
 }
@@ -286,7 +286,7 @@
 {
   struct lim *l = lim_new (1);
 
-  answer (l, 1000, 2, 900);
+  respond (l, 1000, 2, 900);
   lim_granted (l, 1100, 7, 1);
   lim_granted (l, 1110, 7, 1);
   lim_granted (l, 1120, 7, 5);
@@ -306,7 +306,7 @@
   struct lim *l = lim_new (1);
   struct lim_update ended = { .server = 7, .age_ms = 300 };
 
-  answer (l, 1000, 4, 900);
+  respond (l, 1000, 4, 900);
   cr_expect_not (lim_apply (l, 1100, &ended));
   ended.age_ms = 50;
   cr_expect (lim_apply (l, 1100, &ended));
@@ -319,12 +319,12 @@
 Test (limit, nonsense_is_reported_once)
 {
   struct lim *l = lim_new (1);
-  struct lim_word word = { .server = 7, .says = LIM_SAYS_UNREADABLE };
+  struct lim_word report = { .server = 7, .says = LIM_SAYS_UNREADABLE };
   double rate;
 
-  answer (l, 1000, 4, 900);
-  cr_expect_eq (lim_answered (l, 1100, &word), LIM_UNREADABLE);
-  cr_expect_eq (lim_answered (l, 1200, &word), LIM_SAME);
+  respond (l, 1000, 4, 900);
+  cr_expect_eq (lim_answered (l, 1100, &report), LIM_UNREADABLE);
+  cr_expect_eq (lim_answered (l, 1200, &report), LIM_SAME);
   cr_expect (lim_rate (l, 7, &rate) && rate == 4);
   lim_free (l);
 }
@@ -334,12 +334,12 @@
 Test (limit, memory_is_bounded)
 {
   struct lim *l = lim_new (1);
-  struct lim_word word = { .says = LIM_SAYS_RATE, .rate = 1 };
+  struct lim_word report = { .says = LIM_SAYS_RATE, .rate = 1 };
 
   for (uint64_t i = 1; i <= 5 * LIM_MAX_SERVERS; i++)
     {
-      word.server = i;
-      lim_answered (l, (clk_ms)i, &word);
+      report.server = i;
+      lim_answered (l, (clk_ms)i, &report);
     }
   cr_expect_eq (lim_figures (l, 0).limited, LIM_MAX_SERVERS);
   lim_free (l);
@@ -348,9 +348,9 @@
 /** A day of faults drawn from @p seed: what reaches the server stays within
    its rate over all nodes. */
 static void
-random_day (uint64_t seed)
+run_random_faults (uint64_t seed)
 {
-  static const char *const words[]
+  static const char *const commands[]
       = { "kill", "start", "freeze", "wake", "cut", "join", "hold", "pass" };
   struct limit_fleet *f = xcalloc (1, sizeof *f);
   struct buf log = BUF_INIT;
@@ -368,7 +368,7 @@
       int node = (int)rng_below (&f->rng, 8);
       bool was[4] = { !f->node[node].l, f->node[node].frozen,
                       f->node[node].cut, f->node[node].held };
-      snprintf (text, sizeof text, "%s %d", words[2 * pair + was[pair]],
+      snprintf (text, sizeof text, "%s %d", commands[2 * pair + was[pair]],
                 node + 1);
       limit_run_line (f, text, &log);
       snprintf (text, sizeof text, "run %d",
@@ -389,7 +389,7 @@
   uint64_t n = seeds ? strtoull (seeds, NULL, 10) : 100;
 
   for (uint64_t seed = 1; seed <= n; seed++)
-    random_day (seed);
+    run_random_faults (seed);
 }
 
 /* Guards against a limited place that draws all requests, as it looks idle. */
