--- a/t/lib-limit.c
+++ b/t/lib-limit.c
@@ -9,25 +9,27 @@
 
 #define STEP_MS ((clk_ms)10)
 #define REPORT_MS ((clk_ms)100)
-/** A hub that was not heard for so long grants nothing; after the longer one
-    the next hub takes its place. */
+/** A node requests no permits from a relay that has sent nothing for the
+    shorter time, and grants to itself.  After the longer time, it selects the
+    next relay. */
 #define GRANT_TIMEOUT_MS ((clk_ms)1000)
 #define DEAD_MS ((clk_ms)2500)
 #define WINDOW_MS ((clk_ms)4000)
-/** A process that starts has so long to learn of limits. */
+/** Requests of a started process are not counted for this long, as it must
+    receive the limits first. */
 #define LEARN_MS ((clk_ms)500)
-/** A request waits so long for a permit. */
+/** How long a request waits for a permit. */
 #define WAIT_MS ((clk_ms)40)
 #define MAX_LIST 16
 
-/** What a node sends to another. */
+/** A message between two nodes. */
 struct limit_message
 {
   struct limit_message *next;
   int from;
   clk_ms due;
   bool periodic, is_follower, grants;
-  struct lim_permits permits[MAX_LIST]; /**< wanted, or granted */
+  struct lim_permits permits[MAX_LIST]; /**< requested or granted */
   size_t npermits;
   struct lim_update updates[MAX_LIST];
   size_t nupdates;
@@ -38,7 +40,7 @@
   struct limit_response *next;
   int node;
   struct limit_server *server;
-  struct lim *sender; /**< the process that asked */
+  struct lim *sender; /**< process that sent the request */
   clk_ms sent, due;
 };
 
@@ -113,7 +115,8 @@
 
 /* --- nodes --------------------------------------------------------------- */
 
-/** The hub that a node takes its permits from, or -1: it grants. */
+/** The relay that grants permits to a node; -1: the node grants them itself.
+ */
 static int
 granting_node (const struct limit_fleet *f, int node)
 {
@@ -128,7 +131,7 @@
   return -1;
 }
 
-/** What a node wants, to the one it follows. */
+/** Send the demand of a node to the granting node. */
 static void
 send_demand (struct limit_fleet *f, int node, int granting, bool periodic)
 {
@@ -227,7 +230,7 @@
   f->responses = a;
 }
 
-/** Ask at once for what has come to be wanted. */
+/** Request permits immediately if there is new demand. */
 static void
 request_permits (struct limit_fleet *f, int node)
 {
@@ -262,7 +265,7 @@
     x->waiting[s - f->server] = f->now + WAIT_MS;
 }
 
-/** Requests that wait for a permit. */
+/** Send the waiting requests for which a permit has arrived. */
 static void
 send_waiting (struct limit_fleet *f, int node)
 {
@@ -277,7 +280,7 @@
       }
 }
 
-/* --- life ---------------------------------------------------------------- */
+/* --- processes ----------------------------------------------------------- */
 
 static void
 step_node (struct limit_fleet *f, int node)
@@ -492,19 +495,19 @@
 
   if (strcmp (command, "cut") == 0)
     x->cut = true;
-  else if (strcmp (command, "freeze") == 0 || strcmp (command, "wake") == 0)
+  else if (strcmp (command, "freeze") == 0 || strcmp (command, "thaw") == 0)
     x->frozen = command[0] == 'f';
-  else if (strcmp (command, "hold") == 0 || strcmp (command, "pass") == 0)
+  else if (strcmp (command, "hold") == 0 || strcmp (command, "release") == 0)
     x->held = command[0] == 'h';
   else if (strcmp (command, "kill") == 0)
     kill_node (f, node);
   else if (strcmp (command, "start") == 0)
     start_node (f, node);
-  else if (strcmp (command, "join") == 0)
+  else if (strcmp (command, "link") == 0)
     x->cut = false;
   else
-    cr_assert (false, "no such word: %s", command);
-  if (strcmp (command, "start") == 0 || strcmp (command, "join") == 0)
+    cr_assert (false, "unknown command: %s", command);
+  if (strcmp (command, "start") == 0 || strcmp (command, "link") == 0)
     exchange_snapshots (f, node);
 }
 
@@ -538,22 +541,22 @@
     return;
   if (strcmp (command, "nodes") == 0)
     limit_fleet_init (f, atoi (x), 1);
-  else if (strcmp (command, "alone") == 0)
+  else if (strcmp (command, "isolate") == 0)
     for (int i = 0; i < f->n; i++)
       f->node[i].cut = true;
   else if (strcmp (command, "load") == 0)
     f->load = atof (x);
-  else if (strcmp (command, "at") == 0)
+  else if (strcmp (command, "target") == 0)
     f->target = atoi (x);
   else if (strcmp (command, "limit") == 0)
     set_limit (f, x[0], y);
-  else if (strcmp (command, "believes") == 0)
+  else if (strcmp (command, "record") == 0)
     record_limit (f, atoi (x) - 1, y[0], z);
   else if (strcmp (command, "reset") == 0)
     reset (f);
   else if (strcmp (command, "count") == 0)
     log_count (f, server_of (f, x[0]), log);
-  else if (strcmp (command, "known") == 0)
+  else if (strcmp (command, "show") == 0)
     log_limited (f, server_of (f, x[0]), log);
   else if (strcmp (command, "run") == 0)
     for (clk_ms end = f->now + atoi (x); f->now < end;)
--- a/t/lib-limit.h
+++ b/t/lib-limit.h
@@ -1,30 +1,36 @@
 /**
  * @file
- * Nodes that share the request rate of limited servers, by a script.
+ * Simulation of nodes that share the request rate of limited servers, driven
+ * by a script.  Commands, one per line:
  *
- *   nodes N          so many nodes; the first four are hubs: all link to them,
- *                    and the first one that a node has heard lately grants
- *                    permits
- *   alone            no node is linked to any other from now on
- *   load N           requests a second, at nodes drawn by chance
- *   at NODE          all of them come to that node; 0: to any
- *   limit SERVER N   what its answers say from now on; "none": nothing
- *   cut NODE, join NODE      its links; they fall silent
- *   kill NODE, start NODE    its process; it knows nothing of before
- *   freeze NODE, wake NODE
- *   hold NODE, pass NODE     what is sent to it waits, then comes at once
- *   believes NODE SERVER N   that node alone knows this limit, or "none", and
- *                    has told nobody
- *   run MS           time passes; frames take 10 ms, answers 100 to 200
- *   reset            count anew
- *   count SERVER     a line of the log
- *   known SERVER     a line: a letter for each node, "L" where it is limited,
- *                    "-" where not, "." where no process is
+ *   nodes N          create N nodes; the first four are relays, and every node
+ *                    is linked to all relays.  Permits are granted by the
+ *                    first relay from which a node received a message recently
+ *   isolate          cut the links of all nodes
+ *   load N           N requests per second, at randomly selected nodes
+ *   target NODE      all requests arrive at this node; 0: at any node
+ *   limit SERVER N   limit in the responses of the server from now on; "none":
+ *                    no limit
+ *   cut NODE, link NODE      its links; messages to and from it are lost
+ *   kill NODE, start NODE    its process; a started process has no state
+ *   freeze NODE, thaw NODE   its process; it does nothing while frozen
+ *   hold NODE, release NODE  messages to the node are queued, then delivered
+ *                    all at once
+ *   record NODE SERVER N     set the limit, or "none", at this node only,
+ *                    without an update to other nodes
+ *   run MS           let time pass; messages take 10 ms, responses 100 to 200
+ *   reset            restart the counts
+ *   count SERVER     write a line to the log, see below
+ *   show SERVER      write a line with a letter for each node: "L" if it has
+ *                    recorded a limit, "-" if not, "." if it has no process
  *
- * A server is a letter; requests go to each that "limit" named, in turn, and
- * to others where no permit is to be had.  Of `count` the line says "kept" if
- * in no 4 s more requests came than one and a half times the limit and 5, else
- * how many, and the part of the allowance that was used, in tens of a hundred.
+ * A server is a letter.  Requests go to the servers named by "limit" in turn.
+ * A request that gets no permit is not sent to its server.
+ *
+ * The line of "count" has two words.  The first is "kept" if the number of
+ * requests in any 4 s was at most 1.5 times that allowed by the limit, plus 5;
+ * else the largest number.  The second is the part of the allowed requests
+ * that arrived: "used" from 80 %, "half" from 50 %, else "little".
  */
 #ifndef LAPISLINE_T_LIB_LIMIT_H
 #define LAPISLINE_T_LIB_LIMIT_H
@@ -47,7 +53,8 @@
   clk_ms last_seen[LIMIT_RELAYS];
   clk_ms next_report;
   struct limit_message *inbox;
-  clk_ms waiting[LIMIT_SERVERS]; /**< a request waits until then; 0: none */
+  clk_ms waiting[LIMIT_SERVERS]; /**< a request waits for a permit until then;
+                                    0: none */
 };
 
 struct limit_server
@@ -64,7 +71,7 @@
 {
   struct limit_node node[LIMIT_NODES];
   int n;
-  int target; /**< node that requests come to; 0: any */
+  int target; /**< node at which requests arrive; 0: any */
   double load, credit;
   struct limit_server server[LIMIT_SERVERS];
   int nservers, next_server;
@@ -75,11 +82,11 @@
 
 void limit_fleet_init (struct limit_fleet *f, int nodes, uint64_t seed);
 void limit_fleet_free (struct limit_fleet *f);
-/** One line of a script. */
+/** Run one line of a script. */
 void limit_run_line (struct limit_fleet *f, const char *text, struct buf *log);
-/** Most requests in any 4 s since the last reset. */
+/** Maximum number of requests in any 4 s since the last reset. */
 size_t limit_max_in_window (const struct limit_server *s);
-/** Play @p script and compare the log with @p expected. */
+/** Run @p script and compare its log with @p expected. */
 void limit_run_script (const char *script, const char *expected);
 
 #endif
--- a/t/lib-poison.c
+++ b/t/lib-poison.c
@@ -155,36 +155,36 @@
 
   if (strcmp (command, "nodes") == 0)
     psn_fleet_init (f, atoi (x), 0);
-  else if (strcmp (command, "hubs") == 0)
+  else if (strcmp (command, "relays") == 0)
     psn_fleet_init (f, atoi (x), 4);
-  else if (strcmp (command, "ran") == 0)
+  else if (strcmp (command, "crash") == 0)
     psn_fleet_crash (f, node, (uint64_t)y[0], (uint64_t)atoi (z), atoi (ms));
-  else if (strcmp (command, "whole") == 0)
+  else if (strcmp (command, "complete") == 0)
     psn_completed (f->node[node], f->now, (uint64_t)y[0]);
-  else if (strcmp (command, "cut") == 0 || strcmp (command, "join") == 0)
-    psn_fleet_link (f, node, atoi (y) - 1, command[0] == 'j');
-  else if (strcmp (command, "alone") == 0)
+  else if (strcmp (command, "cut") == 0 || strcmp (command, "link") == 0)
+    psn_fleet_link (f, node, atoi (y) - 1, command[0] == 'l');
+  else if (strcmp (command, "aggregate") == 0)
     psn_set_aggregating (f->node[node], f->now, true);
   else if (strcmp (command, "restart") == 0)
     psn_fleet_restart (f, node);
-  else if (strcmp (command, "store") == 0)
+  else if (strcmp (command, "stored") == 0)
     psn_apply (f->node[node], f->now,
                &(struct psn_update){ .kind = PSN_BLOCKED,
                                      .digest = (uint64_t)y[0],
                                      .hold_ms = PSN_HOLD_MS,
                                      .broadcast = true });
-  else if (strcmp (command, "lift") == 0)
+  else if (strcmp (command, "clear") == 0)
     psn_apply (f->node[node], f->now,
                &(struct psn_update){ .kind = PSN_CLEARED,
                                      .digest = (uint64_t)y[0],
                                      .broadcast = true });
-  else if (strcmp (command, "ask") == 0)
+  else if (strcmp (command, "query") == 0)
     query (f, x, log);
   else if (strcmp (command, "run") == 0)
     for (clk_ms end = f->now + atoi (x); f->now < end;)
       psn_fleet_step (f);
   else
-    cr_assert (false, "no such word: %s", command);
+    cr_assert (false, "unknown command: %s", command);
 }
 
 void
--- a/t/lib-poison.h
+++ b/t/lib-poison.h
@@ -1,24 +1,28 @@
 /**
  * @file
- * Nodes that tell each other of requests that crash servers, by a script.
+ * Simulation of nodes that exchange updates about poison requests, driven by a
+ * script.  Commands, one per line:
  *
- *   nodes N          so many nodes, 1 to N, linked each to each
- *   hubs N           the same with 1 to 4 as hubs; the others are linked to
- *                    these only
- *   ran NODE REQUEST PLACE MS   seen there: REQUEST was running at PLACE when
- *                    its server ended, MS after its first event; -1: none
- *   whole NODE REQUEST          a run has come to its end there
- *   cut A B, join A B           the link between two nodes
- *   alone NODE       it has no hub any more
- *   restart NODE     it knows nothing of before, and is linked again
- *   store NODE REQUEST          the store tells that it is blocked
- *   lift NODE REQUEST           the store tells that it is cleared
- *   ask REQUEST      at each node
- *   run MS           time passes; updates take 10 ms over a link
+ *   nodes N          create the nodes 1 to N, each linked to all others
+ *   relays N         the same with nodes 1 to 4 as relays; the other nodes are
+ *                    linked to the relays only
+ *   crash NODE REQUEST ENDPOINT MS   the node reports that REQUEST was running
+ *                    at ENDPOINT when its server ended, MS after the first
+ *                    event; -1: there was no event
+ *   complete NODE REQUEST    a run completed at the node
+ *   cut A B, link A B        the link between two nodes
+ *   aggregate NODE   the node aggregates crashes, as it has no relay
+ *   restart NODE     drop the state of the node and link it again
+ *   stored NODE REQUEST      the node reads from the store that the request is
+ *                    blocked
+ *   clear NODE REQUEST       the node reads from the store that the request
+ *                    was cleared
+ *   query REQUEST    write a line to the log, see below
+ *   run MS           let time pass; updates take 10 ms per link
  *
- * A request is a letter, a place a number.  The log has a line for each ask:
- * the request and a letter for each node: "-" it takes it, "w" it refuses it
- * for a moment, "B" it refuses it.
+ * A request is a letter, an endpoint a number.  A query logs the request and a
+ * letter for each node: "-" if it accepts the request, "w" if it refuses it
+ * temporarily, "B" if it has blocked it.
  */
 #ifndef LAPISLINE_T_LIB_POISON_H
 #define LAPISLINE_T_LIB_POISON_H
@@ -34,21 +38,21 @@
   int n, relays;
   clk_ms now;
   struct psn_update
-      *queue[PSN_NODES]; /**< to be heard there at the next step */
+      *queue[PSN_NODES]; /**< to be applied there in the next step */
   size_t nqueue[PSN_NODES];
-  size_t sent; /**< updates over links */
+  size_t sent; /**< number of updates sent over links */
 };
 
 void psn_fleet_init (struct psn_fleet *f, int nodes, int hubs);
 void psn_fleet_free (struct psn_fleet *f);
-/** 10 ms pass. */
+/** Simulate 10 ms. */
 void psn_fleet_step (struct psn_fleet *f);
 void psn_fleet_crash (struct psn_fleet *f, int node, uint64_t digest,
                       uint64_t place, clk_ms ran_ms);
 void psn_fleet_link (struct psn_fleet *f, int a, int b, bool linked);
 void psn_fleet_restart (struct psn_fleet *f, int node);
 
-/** Play @p script and compare the log with @p expected. */
+/** Run @p script and compare its log with @p expected. */
 void poison_run_script (const char *script, const char *expected);
 
 #endif
--- a/t/t9207-poison.c
+++ b/t/t9207-poison.c
@@ -14,9 +14,9 @@
 Test (poison, three_crashes_at_three_nodes_block_it_everywhere)
 {
   poison_run_script (
-      "nodes 4\n ran 1 p 1 -1\n run 300\n ask p\n ran 2 p 2 40\n"
-      "run 300\n ask p\n ran 3 p 3 -1\n run 50\n ask p\n run 350\n"
-      "ask p\n ask q\n",
+      "nodes 4\n crash 1 p 1 -1\n run 300\n query p\n crash 2 p 2 40\n"
+      "run 300\n query p\n crash 3 p 3 -1\n run 50\n query p\n run 350\n"
+      "query p\n query q\n",
       "p ----\np ----\np wwww\np BBBB\nq ----\n");
 }
 
@@ -25,8 +25,8 @@
 Test (poison, hubs_collect_crashes_and_all_hear_the_verdict)
 {
   poison_run_script (
-      "hubs 8\n ran 5 p 1 -1\n run 100\n ran 6 p 2 -1\n run 100\n"
-      "ran 8 p 3 -1\n run 500\n ask p\n",
+      "relays 8\n crash 5 p 1 -1\n run 100\n crash 6 p 2 -1\n run 100\n"
+      "crash 8 p 3 -1\n run 500\n query p\n",
       "p BBBBBBBB\n");
 }
 
@@ -34,21 +34,22 @@
    three crashes of another one. */
 Test (poison, a_bystander_in_three_crashes_is_served)
 {
-  poison_run_script ("nodes 3\n"
-                     "ran 1 b 1 -1\n ran 2 p 1 -1\n run 300\n"
-                     "ran 1 b 2 30\n ran 3 p 2 -1\n run 300\n"
-                     "ran 1 b 3 -1\n ran 1 p 3 -1\n run 500\n ask b\n ask p\n",
-                     "b ---\np BBB\n");
+  poison_run_script (
+      "nodes 3\n"
+      "crash 1 b 1 -1\n crash 2 p 1 -1\n run 300\n"
+      "crash 1 b 2 30\n crash 3 p 2 -1\n run 300\n"
+      "crash 1 b 3 -1\n crash 1 p 3 -1\n run 500\n query b\n query p\n",
+      "b ---\np BBB\n");
 }
 
 /* Guards against the same when the other one's run is heard a little later. */
 Test (poison, the_most_suspect_is_blocked_though_heard_last)
 {
   poison_run_script ("nodes 2\n"
-                     "ran 1 b 1 300\n ran 2 p 1 -1\n run 300\n"
-                     "ran 1 b 2 30\n ran 2 p 2 -1\n run 300\n"
-                     "ran 1 b 3 500\n run 60\n ran 2 p 3 -1\n run 600\n"
-                     "ask b\n ask p\n",
+                     "crash 1 b 1 300\n crash 2 p 1 -1\n run 300\n"
+                     "crash 1 b 2 30\n crash 2 p 2 -1\n run 300\n"
+                     "crash 1 b 3 500\n run 60\n crash 2 p 3 -1\n run 600\n"
+                     "query b\n query p\n",
                      "b --\np BB\n");
 }
 
@@ -57,19 +58,20 @@
 Test (poison, a_request_that_completes_elsewhere_is_served)
 {
   poison_run_script (
-      "nodes 3\n whole 3 h\n run 500\n"
-      "ran 1 h 1 -1\n ran 1 h 2 -1\n ran 2 h 3 -1\n ran 2 h 4 -1\n"
-      "run 50\n ask h\n run 350\n ask h\n"
-      "ran 1 h 5 -1\n run 500\n ask h\n",
+      "nodes 3\n complete 3 h\n run 500\n"
+      "crash 1 h 1 -1\n crash 1 h 2 -1\n crash 2 h 3 -1\n crash 2 h 4 -1\n"
+      "run 50\n query h\n run 350\n query h\n"
+      "crash 1 h 5 -1\n run 500\n query h\n",
       "h www\nh ---\nh ---\n");
 }
 
 /* Guards against a request that stays blocked though it runs to its end. */
 Test (poison, a_run_that_completes_lifts_the_block)
 {
-  poison_run_script ("nodes 3\n ran 1 h 1 -1\n ran 1 h 2 -1\n ran 2 h 3 -1\n"
-                     "run 500\n ask h\n whole 2 h\n run 50\n ask h\n",
-                     "h BBB\nh ---\n");
+  poison_run_script (
+      "nodes 3\n crash 1 h 1 -1\n crash 1 h 2 -1\n crash 2 h 3 -1\n"
+      "run 500\n query h\n complete 2 h\n run 50\n query h\n",
+      "h BBB\nh ---\n");
 }
 
 /* Guards against a block of streams that had run for a while when their
@@ -77,10 +79,10 @@
 Test (poison, the_longer_the_run_the_less_a_crash_counts)
 {
   poison_run_script (
-      "nodes 2\n ran 1 b 1 1500\n ran 1 b 2 2000\n ran 1 b 3 3000\n"
-      "ran 1 c 11 100\n ran 1 c 12 0\n ran 2 c 13 499\n"
-      "run 500\n ask b\n ask c\n ran 1 b 4 1500\n ran 1 b 5 1500\n"
-      "ran 2 b 6 1500\n ran 1 c 14 200\n run 500\n ask b\n ask c\n",
+      "nodes 2\n crash 1 b 1 1500\n crash 1 b 2 2000\n crash 1 b 3 3000\n"
+      "crash 1 c 11 100\n crash 1 c 12 0\n crash 2 c 13 499\n"
+      "run 500\n query b\n query c\n crash 1 b 4 1500\n crash 1 b 5 1500\n"
+      "crash 2 b 6 1500\n crash 1 c 14 200\n run 500\n query b\n query c\n",
       "b --\nc --\nb BB\nc BB\n");
 }
 
@@ -88,41 +90,45 @@
    that one's crashes alone. */
 Test (poison, who_has_not_heard_of_all_crashes_does_not_decide)
 {
-  poison_run_script ("hubs 6\n"
-                     "ran 6 b 1 -1\n ran 5 p 1 -1\n run 300\n"
-                     "ran 6 b 2 30\n ran 5 p 2 -1\n run 300\n"
-                     "ran 6 b 3 -1\n ran 5 p 3 -1\n run 500\n ask b\n ask p\n",
-                     "b ------\np BBBBBB\n");
+  poison_run_script (
+      "relays 6\n"
+      "crash 6 b 1 -1\n crash 5 p 1 -1\n run 300\n"
+      "crash 6 b 2 30\n crash 5 p 2 -1\n run 300\n"
+      "crash 6 b 3 -1\n crash 5 p 3 -1\n run 500\n query b\n query p\n",
+      "b ------\np BBBBBB\n");
 }
 
 /* Guards against a verdict that hangs on the hubs: a node that has lost them
    decides by itself. */
 Test (poison, a_node_without_hubs_decides_by_itself)
 {
-  poison_run_script ("hubs 6\n cut 6 1\n cut 6 2\n cut 6 3\n cut 6 4\n"
-                     "ran 6 p 1 -1\n ran 6 p 2 -1\n alone 6\n ran 6 p 3 -1\n"
-                     "run 500\n ask p\n",
-                     "p -----B\n");
+  poison_run_script (
+      "relays 6\n cut 6 1\n cut 6 2\n cut 6 3\n cut 6 4\n"
+      "crash 6 p 1 -1\n crash 6 p 2 -1\n aggregate 6\n crash 6 p 3 -1\n"
+      "run 500\n query p\n",
+      "p -----B\n");
 }
 
 /* Guards against one crash that several nodes report and that counts as
    several. */
 Test (poison, one_crash_counts_once)
 {
-  poison_run_script ("nodes 3\n ran 1 b 7 -1\n ran 2 b 7 -1\n ran 3 b 7 -1\n"
-                     "run 500\n ask b\n",
-                     "b ---\n");
+  poison_run_script (
+      "nodes 3\n crash 1 b 7 -1\n crash 2 b 7 -1\n crash 3 b 7 -1\n"
+      "run 500\n query b\n",
+      "b ---\n");
 }
 
 /* Guards against a wrong verdict that stands: a bystander of the same crashes
    had run less in each.  The first crash without it shows which one it is. */
 Test (poison, the_wrong_one_is_cleared_once_crashes_go_on)
 {
-  poison_run_script ("nodes 2\n ran 1 b 1 -1\n ran 2 p 1 20\n run 300\n"
-                     "ran 1 b 2 -1\n ran 2 p 2 20\n run 300\n"
-                     "ran 1 b 3 -1\n ran 2 p 3 20\n run 500\n ask b\n ask p\n"
-                     "ran 2 p 4 20\n run 500\n ask b\n ask p\n",
-                     "b BB\np --\nb --\np BB\n");
+  poison_run_script (
+      "nodes 2\n crash 1 b 1 -1\n crash 2 p 1 20\n run 300\n"
+      "crash 1 b 2 -1\n crash 2 p 2 20\n run 300\n"
+      "crash 1 b 3 -1\n crash 2 p 3 20\n run 500\n query b\n query p\n"
+      "crash 2 p 4 20\n run 500\n query b\n query p\n",
+      "b BB\np --\nb --\np BB\n");
 }
 
 /* Guards against nodes that miss a verdict while their links are cut: others
@@ -131,8 +137,8 @@
 {
   poison_run_script (
       "nodes 4\n cut 1 2\n cut 1 3\n cut 4 1\n cut 4 2\n"
-      "ran 2 p 1 -1\n ran 2 p 2 -1\n ran 2 p 3 -1\n run 500\n ask p\n"
-      "join 1 4\n run 50\n ask p\n",
+      "crash 2 p 1 -1\n crash 2 p 2 -1\n crash 2 p 3 -1\n run 500\n query p\n"
+      "link 1 4\n run 50\n query p\n",
       "p -BBB\np BBBB\n");
 }
 
@@ -140,9 +146,9 @@
 Test (poison, a_node_that_starts_is_told)
 {
   poison_run_script (
-      "nodes 3\n ran 2 p 1 -1\n ran 2 p 2 -1\n run 50\n restart 2\n"
-      "run 50\n ran 2 p 3 -1\n run 500\n ask p\n restart 1\n run 20\n"
-      "ask p\n",
+      "nodes 3\n crash 2 p 1 -1\n crash 2 p 2 -1\n run 50\n restart 2\n"
+      "run 50\n crash 2 p 3 -1\n run 500\n query p\n restart 1\n run 20\n"
+      "query p\n",
       "p BBB\np BBB\n");
 }
 
@@ -151,9 +157,9 @@
 Test (poison, a_node_that_starts_is_told_of_crashes)
 {
   poison_run_script (
-      "nodes 3\n ran 2 p 1 -1\n ran 2 p 2 -1\n run 50\n restart 2\n"
-      "run 50\n cut 2 1\n cut 2 3\n ran 2 p 3 -1\n run 500\n"
-      "ask p\n",
+      "nodes 3\n crash 2 p 1 -1\n crash 2 p 2 -1\n run 50\n restart 2\n"
+      "run 50\n cut 2 1\n cut 2 3\n crash 2 p 3 -1\n run 500\n"
+      "query p\n",
       "p -B-\n");
 }
 
@@ -161,10 +167,11 @@
    tells the others. */
 Test (poison, the_store_tells_after_all_have_stopped)
 {
-  poison_run_script ("nodes 3\n ran 1 p 1 -1\n ran 1 p 2 -1\n ran 1 p 3 -1\n"
-                     "run 500\n cut 1 2\n cut 1 3\n cut 2 3\n restart 1\n"
-                     "restart 2\n restart 3\n store 2 p\n run 50\n ask p\n",
-                     "p BBB\n");
+  poison_run_script (
+      "nodes 3\n crash 1 p 1 -1\n crash 1 p 2 -1\n crash 1 p 3 -1\n"
+      "run 500\n cut 1 2\n cut 1 3\n cut 2 3\n restart 1\n"
+      "restart 2\n restart 3\n stored 2 p\n run 50\n query p\n",
+      "p BBB\n");
 }
 
 /* Guards against crashes that were reported before a block was lifted and are
@@ -172,11 +179,11 @@
 Test (poison, late_reports_don_t_bring_a_lifted_block_back)
 {
   poison_run_script (
-      "nodes 2\n ran 1 p 1 -1\n ran 1 p 2 -1\n ran 1 p 3 -1\n"
-      "run 500\n ask p\n lift 1 p\n run 50\n ran 2 p 4 -1\n"
-      "ran 2 p 5 -1\n ran 2 p 6 -1\n run 1000\n ask p\n run 1500\n"
-      "ran 2 p 7 -1\n ran 2 p 8 -1\n ran 2 p 9 -1\n run 500\n"
-      "ask p\n",
+      "nodes 2\n crash 1 p 1 -1\n crash 1 p 2 -1\n crash 1 p 3 -1\n"
+      "run 500\n query p\n clear 1 p\n run 50\n crash 2 p 4 -1\n"
+      "crash 2 p 5 -1\n crash 2 p 6 -1\n run 1000\n query p\n run 1500\n"
+      "crash 2 p 7 -1\n crash 2 p 8 -1\n crash 2 p 9 -1\n run 500\n"
+      "query p\n",
       "p BB\np --\np BB\n");
 }
 
@@ -185,9 +192,9 @@
 Test (poison, a_block_ends_and_one_crash_brings_it_back)
 {
   poison_run_script (
-      "nodes 2\n ran 1 p 1 -1\n ran 1 p 2 -1\n ran 1 p 3 -1\n"
-      "run 500\n ask p\n run 600000\n ask p\n ran 2 p 9 -1\n run 500\n"
-      "ask p\n",
+      "nodes 2\n crash 1 p 1 -1\n crash 1 p 2 -1\n crash 1 p 3 -1\n"
+      "run 500\n query p\n run 600000\n query p\n crash 2 p 9 -1\n run 500\n"
+      "query p\n",
       "p BB\np --\np BB\n");
 }
 
--- a/t/t9208-limit.c
+++ b/t/t9208-limit.c
@@ -71,7 +71,7 @@
 Test (limit, one_rate_for_all_nodes)
 {
   limit_run_script (
-      "nodes 8\n load 100\n limit s 2\n run 3000\n known s\n reset\n"
+      "nodes 8\n load 100\n limit s 2\n run 3000\n show s\n reset\n"
       "run 20000\n count s\n",
       "s LLLLLLLL\ns kept used\n");
   limit_run_script ("nodes 78\n load 500\n limit s 2\n run 3000\n reset\n"
@@ -86,7 +86,7 @@
 Test (limit, all_nodes_know_within_moments)
 {
   limit_run_script (
-      "nodes 18\n load 100\n at 18\n limit s 2\n run 250\n known s\n",
+      "nodes 18\n load 100\n target 18\n limit s 2\n run 250\n show s\n",
       "s LLLLLLLLLLLLLLLLLL\n");
 }
 
@@ -117,8 +117,8 @@
 {
   limit_run_script (
       "nodes 8\n load 100\n limit s 2\n run 5000\n reset\n kill 1\n"
-      "run 10000\n count s\n known s\n reset\n start 1\n run 10000\n"
-      "count s\n known s\n",
+      "run 10000\n count s\n show s\n reset\n start 1\n run 10000\n"
+      "count s\n show s\n",
       "s kept half\ns .LLLLLLL\ns kept used\ns LLLLLLLL\n");
 }
 
@@ -127,7 +127,7 @@
 {
   limit_run_script (
       "nodes 8\n load 100\n limit s 2\n run 5000\n reset\n freeze 1\n"
-      "run 6000\n count s\n reset\n wake 1\n run 10000\n count s\n",
+      "run 6000\n count s\n reset\n thaw 1\n run 10000\n count s\n",
       "s kept half\ns kept used\n");
 }
 
@@ -136,11 +136,11 @@
 {
   limit_run_script (
       "nodes 8\n load 100\n limit s 2\n run 5000\n cut 1\n cut 2\n"
-      "cut 3\n reset\n run 20000\n count s\n reset\n join 1\n"
-      "join 2\n join 3\n run 10000\n count s\n",
+      "cut 3\n reset\n run 20000\n count s\n reset\n link 1\n"
+      "link 2\n link 3\n run 10000\n count s\n",
       "s kept used\ns kept used\n");
   limit_run_script (
-      "nodes 8\n load 100\n limit s 2\n run 5000\n alone\n reset\n"
+      "nodes 8\n load 100\n limit s 2\n run 5000\n isolate\n reset\n"
       "run 20000\n count s\n",
       "s kept used\n");
 }
@@ -149,11 +149,11 @@
 Test (limit, nodes_on_their_own_dont_send_together)
 {
   limit_run_script (
-      "nodes 78\n load 500\n limit s 2\n run 3000\n alone\n run 3000\n"
+      "nodes 78\n load 500\n limit s 2\n run 3000\n isolate\n run 3000\n"
       "reset\n run 90000\n count s\n",
       "s kept used\n");
   limit_run_script (
-      "nodes 78\n load 500\n limit s 2\n run 3000\n alone\n run 60000\n"
+      "nodes 78\n load 500\n limit s 2\n run 3000\n isolate\n run 60000\n"
       "load 0\n run 60000\n reset\n load 500\n run 4000\n count s\n",
       "s kept little\n");
 }
@@ -165,7 +165,7 @@
       "nodes 8\n load 100\n limit s 2\n run 5000\n kill 1\n kill 2\n"
       "kill 3\n kill 4\n kill 5\n kill 6\n kill 7\n kill 8\n"
       "start 1\n start 2\n start 3\n start 4\n start 5\n start 6\n"
-      "start 7\n start 8\n run 500\n known s\n reset\n run 10000\n"
+      "start 7\n start 8\n run 500\n show s\n reset\n run 10000\n"
       "count s\n",
       "s LLLLLLLL\ns kept used\n");
 }
@@ -174,8 +174,8 @@
 Test (limit, a_node_that_starts_is_told)
 {
   limit_run_script (
-      "nodes 8\n load 100\n at 1\n limit s 2\n run 3000\n kill 8\n"
-      "start 8\n run 20\n known s\n",
+      "nodes 8\n load 100\n target 1\n limit s 2\n run 3000\n kill 8\n"
+      "start 8\n run 20\n show s\n",
       "s LLLLLLLL\n");
 }
 
@@ -184,8 +184,8 @@
 Test (limit, late_permits_dont_add_up)
 {
   limit_run_script (
-      "nodes 8\n load 400\n at 5\n limit s 10\n run 3000\n hold 5\n"
-      "run 900\n reset\n pass 5\n run 1000\n count s\n",
+      "nodes 8\n load 400\n target 5\n limit s 10\n run 3000\n hold 5\n"
+      "run 900\n reset\n release 5\n run 1000\n count s\n",
       "s kept used\n");
 }
 
@@ -196,7 +196,7 @@
   limit_run_script ("nodes 8\n load 100\n limit s 8\n run 5000\n limit s 1\n"
                     "run 2000\n reset\n run 20000\n count s\n limit s 12\n"
                     "run 3000\n reset\n run 10000\n count s\n limit s none\n"
-                    "run 1000\n known s\n",
+                    "run 1000\n show s\n",
                     "s kept used\ns kept used\ns --------\n");
 }
 
@@ -206,7 +206,7 @@
 {
   limit_run_script (
       "nodes 8\n load 100\n limit s 0\n run 3000\n reset\n run 30000\n"
-      "count s\n limit s none\n run 9000\n known s\n",
+      "count s\n limit s none\n run 9000\n show s\n",
       "s kept used\ns --------\n");
 }
 
@@ -235,7 +235,7 @@
 {
   limit_run_script (
       "nodes 8\n load 200\n limit s 2\n limit t 6\n limit u none\n"
-      "run 3000\n known s\n known t\n known u\n reset\n run 20000\n"
+      "run 3000\n show s\n show t\n show u\n reset\n run 20000\n"
       "count s\n count t\n",
       "s LLLLLLLL\nt LLLLLLLL\nu --------\ns kept used\nt kept used\n");
 }
@@ -245,10 +245,10 @@
 Test (limit, nodes_that_disagree_come_together)
 {
   limit_run_script ("nodes 8\n load 100\n limit s none\n run 1000\n"
-                    "believes 8 s 0\n run 8000\n known s\n",
+                    "record 8 s 0\n run 8000\n show s\n",
                     "s --------\n");
   limit_run_script ("nodes 8\n load 100\n limit s 2\n run 3000\n"
-                    "believes 1 s none\n run 2000\n known s\n reset\n"
+                    "record 1 s none\n run 2000\n show s\n reset\n"
                     "run 10000\n count s\n",
                     "s LLLLLLLL\ns kept used\n");
 }
@@ -350,8 +350,9 @@
 static void
 run_random_faults (uint64_t seed)
 {
-  static const char *const commands[]
-      = { "kill", "start", "freeze", "wake", "cut", "join", "hold", "pass" };
+  static const char *const commands[] = {
+    "kill", "start", "freeze", "thaw", "cut", "link", "hold", "release"
+  };
   struct limit_fleet *f = xcalloc (1, sizeof *f);
   struct buf log = BUF_INIT;
   char text[64];
