--- a/t/t9207-poison.c
+++ b/t/t9207-poison.c
@@ -11,7 +11,7 @@
 
 /* Guards against a request that ends server after server by way of one node
    after the other, none of which has seen three ends. */
-Test (poison, three_crashes_at_three_nodes_block_it_everywhere)
+Test (poison, crashes_at_three_nodes_block_on_all_nodes)
 {
   poison_run_script (
       "nodes 4\n crash 1 p 1 -1\n run 300\n query p\n crash 2 p 2 40\n"
@@ -22,7 +22,7 @@
 
 /* Guards against a verdict that stays with the hubs, where not all nodes are
    linked to each other. */
-Test (poison, hubs_collect_crashes_and_all_hear_the_verdict)
+Test (poison, relays_aggregate_and_all_nodes_block)
 {
   poison_run_script (
       "relays 8\n crash 5 p 1 -1\n run 100\n crash 6 p 2 -1\n run 100\n"
@@ -32,7 +32,7 @@
 
 /* Guards against a refusal of requests that were running by chance in each of
    three crashes of another one. */
-Test (poison, a_bystander_in_three_crashes_is_served)
+Test (poison, unrelated_request_in_three_crashes_is_accepted)
 {
   poison_run_script (
       "nodes 3\n"
@@ -43,7 +43,7 @@
 }
 
 /* Guards against the same when the other one's run is heard a little later. */
-Test (poison, the_most_suspect_is_blocked_though_heard_last)
+Test (poison, strongest_evidence_is_blocked_despite_late_report)
 {
   poison_run_script ("nodes 2\n"
                      "crash 1 b 1 300\n crash 2 p 1 -1\n run 300\n"
@@ -55,7 +55,7 @@
 
 /* Guards against a refusal of what many callers ask for, when a rack with
    several replicas that run it fails at once. */
-Test (poison, a_request_that_completes_elsewhere_is_served)
+Test (poison, request_completed_elsewhere_is_accepted)
 {
   poison_run_script (
       "nodes 3\n complete 3 h\n run 500\n"
@@ -66,7 +66,7 @@
 }
 
 /* Guards against a request that stays blocked though it runs to its end. */
-Test (poison, a_run_that_completes_lifts_the_block)
+Test (poison, completed_run_clears_block)
 {
   poison_run_script (
       "nodes 3\n crash 1 h 1 -1\n crash 1 h 2 -1\n crash 2 h 3 -1\n"
@@ -76,7 +76,7 @@
 
 /* Guards against a block of streams that had run for a while when their
    replicas ended: these count less. */
-Test (poison, the_longer_the_run_the_less_a_crash_counts)
+Test (poison, crash_weight_decreases_with_run_time)
 {
   poison_run_script (
       "nodes 2\n crash 1 b 1 1500\n crash 1 b 2 2000\n crash 1 b 3 3000\n"
@@ -88,7 +88,7 @@
 
 /* Guards against a node that is no hub and blocks a bystander, as it has seen
    that one's crashes alone. */
-Test (poison, who_has_not_heard_of_all_crashes_does_not_decide)
+Test (poison, node_without_all_reports_does_not_decide)
 {
   poison_run_script (
       "relays 6\n"
@@ -100,7 +100,7 @@
 
 /* Guards against a verdict that hangs on the hubs: a node that has lost them
    decides by itself. */
-Test (poison, a_node_without_hubs_decides_by_itself)
+Test (poison, node_without_relays_decides)
 {
   poison_run_script (
       "relays 6\n cut 6 1\n cut 6 2\n cut 6 3\n cut 6 4\n"
@@ -111,7 +111,7 @@
 
 /* Guards against one crash that several nodes report and that counts as
    several. */
-Test (poison, one_crash_counts_once)
+Test (poison, crash_reported_by_several_nodes_counts_once)
 {
   poison_run_script (
       "nodes 3\n crash 1 b 7 -1\n crash 2 b 7 -1\n crash 3 b 7 -1\n"
@@ -121,7 +121,7 @@
 
 /* Guards against a wrong verdict that stands: a bystander of the same crashes
    had run less in each.  The first crash without it shows which one it is. */
-Test (poison, the_wrong_one_is_cleared_once_crashes_go_on)
+Test (poison, wrong_block_is_cleared_when_crashes_continue)
 {
   poison_run_script (
       "nodes 2\n crash 1 b 1 -1\n crash 2 p 1 20\n run 300\n"
@@ -133,7 +133,7 @@
 
 /* Guards against nodes that miss a verdict while their links are cut: others
    hand it on, and whoever is linked again is told. */
-Test (poison, a_verdict_passes_around_cut_links)
+Test (poison, block_is_forwarded_around_cut_links)
 {
   poison_run_script (
       "nodes 4\n cut 1 2\n cut 1 3\n cut 4 1\n cut 4 2\n"
@@ -143,7 +143,7 @@
 }
 
 /* Guards against a node that starts and takes what all others refuse. */
-Test (poison, a_node_that_starts_is_told)
+Test (poison, started_node_receives_blocks)
 {
   poison_run_script (
       "nodes 3\n crash 2 p 1 -1\n crash 2 p 2 -1\n run 50\n restart 2\n"
@@ -154,7 +154,7 @@
 
 /* Guards against a node that starts, is cut off, and has to see three crashes
    of its own. */
-Test (poison, a_node_that_starts_is_told_of_crashes)
+Test (poison, started_node_receives_crashes)
 {
   poison_run_script (
       "nodes 3\n crash 2 p 1 -1\n crash 2 p 2 -1\n run 50\n restart 2\n"
@@ -165,7 +165,7 @@
 
 /* Guards against nodes that were all stopped: one that finds it in the store
    tells the others. */
-Test (poison, the_store_tells_after_all_have_stopped)
+Test (poison, block_is_read_from_store_after_restart_of_all)
 {
   poison_run_script (
       "nodes 3\n crash 1 p 1 -1\n crash 1 p 2 -1\n crash 1 p 3 -1\n"
@@ -176,7 +176,7 @@
 
 /* Guards against crashes that were reported before a block was lifted and are
    heard after it: they would bring it back. */
-Test (poison, late_reports_don_t_bring_a_lifted_block_back)
+Test (poison, delayed_reports_do_not_restore_cleared_block)
 {
   poison_run_script (
       "nodes 2\n crash 1 p 1 -1\n crash 1 p 2 -1\n crash 1 p 3 -1\n"
@@ -189,7 +189,7 @@
 
 /* Guards against a block for ever: servers may have been mended.  If not, one
    more crash suffices. */
-Test (poison, a_block_ends_and_one_crash_brings_it_back)
+Test (poison, expired_block_returns_after_one_crash)
 {
   poison_run_script (
       "nodes 2\n crash 1 p 1 -1\n crash 1 p 2 -1\n crash 1 p 3 -1\n"
@@ -200,7 +200,7 @@
 
 /* Guards against callers that make nodes forget a verdict, or fill their
    memory, by ten thousand other requests that were running in crashes. */
-Test (poison, ten_thousand_others_don_t_push_it_out)
+Test (poison, ten_thousand_requests_do_not_evict_blocked_ones)
 {
   struct psn_fleet f;
   clk_ms again_ms;
@@ -234,7 +234,7 @@
 }
 
 /* Guards against updates that nodes hand on to each other for ever. */
-Test (poison, updates_come_to_rest)
+Test (poison, forwarding_of_updates_ends)
 {
   struct psn_fleet f;
 
@@ -433,7 +433,7 @@
 
 /* Guards against orders of crashes, completions and updates in which it goes
    on crashing servers, or others are blocked for it. */
-Test (poison, random_days)
+Test (poison, random_schedules)
 {
   for (uint64_t seed = 1; seed <= SEEDS; seed++)
     run_simulation (seed);
@@ -441,7 +441,7 @@
 
 /* Seeds that once failed: in the first two bystanders were blocked, in the
    last a wrong verdict let it crash five more servers. */
-Test (poison, days_that_once_failed)
+Test (poison, regression_seeds)
 {
   static const uint64_t seeds[] = { 231, 287, 2406 };
 
--- a/t/t9208-limit.c
+++ b/t/t9208-limit.c
@@ -68,7 +68,7 @@
 
 /* Guards against each node taking the number for its own: it is one for all of
    them, however many they are. */
-Test (limit, one_rate_for_all_nodes)
+Test (limit, rate_is_shared_by_all_nodes)
 {
   limit_run_script (
       "nodes 8\n load 100\n limit s 2\n run 3000\n show s\n reset\n"
@@ -83,7 +83,7 @@
 }
 
 /* Guards against a limit that only those nodes heed that were told. */
-Test (limit, all_nodes_know_within_moments)
+Test (limit, all_nodes_receive_limit_within_250_ms)
 {
   limit_run_script (
       "nodes 18\n load 100\n target 18\n limit s 2\n run 250\n show s\n",
@@ -92,7 +92,7 @@
 
 /* Guards against permits that many nodes save up while nobody asks, and use
    together. */
-Test (limit, nothing_is_saved_up)
+Test (limit, idle_nodes_accumulate_no_burst)
 {
   limit_run_script ("nodes 78\n load 500\n limit s 2\n run 3000\n load 0\n"
                     "run 60000\n reset\n load 500\n run 4000\n count s\n",
@@ -101,7 +101,7 @@
 
 /* Guards against an allowance that is left lying where few requests come, each
    at another node. */
-Test (limit, few_requests_use_it_up)
+Test (limit, low_load_can_use_full_rate)
 {
   limit_run_script ("nodes 8\n load 3\n limit s 2\n run 10000\n reset\n"
                     "run 60000\n count s\n",
@@ -113,7 +113,7 @@
 
 /* Guards against a server that gets nothing, or twice its rate, as the node
    that grants permits ends and starts again. */
-Test (limit, the_node_that_grants_ends)
+Test (limit, granting_node_is_killed)
 {
   limit_run_script (
       "nodes 8\n load 100\n limit s 2\n run 5000\n reset\n kill 1\n"
@@ -123,7 +123,7 @@
 }
 
 /* The same for one that freezes, and wakes with what it believed before. */
-Test (limit, the_node_that_grants_freezes)
+Test (limit, granting_node_freezes)
 {
   limit_run_script (
       "nodes 8\n load 100\n limit s 2\n run 5000\n reset\n freeze 1\n"
@@ -146,7 +146,7 @@
 }
 
 /* Guards against many nodes that grant to themselves at the same moment. */
-Test (limit, nodes_on_their_own_dont_send_together)
+Test (limit, isolated_nodes_do_not_send_at_same_time)
 {
   limit_run_script (
       "nodes 78\n load 500\n limit s 2\n run 3000\n isolate\n run 3000\n"
@@ -159,7 +159,7 @@
 }
 
 /* Guards against nodes that start, all at once, without knowing of it. */
-Test (limit, all_nodes_start_again)
+Test (limit, all_nodes_restart)
 {
   limit_run_script (
       "nodes 8\n load 100\n limit s 2\n run 5000\n kill 1\n kill 2\n"
@@ -171,7 +171,7 @@
 }
 
 /* Guards against a node that joins and takes the server for unlimited. */
-Test (limit, a_node_that_starts_is_told)
+Test (limit, started_node_receives_limits)
 {
   limit_run_script (
       "nodes 8\n load 100\n target 1\n limit s 2\n run 3000\n kill 8\n"
@@ -181,7 +181,7 @@
 
 /* Guards against permits that were held up on their way and are used
    together. */
-Test (limit, late_permits_dont_add_up)
+Test (limit, delayed_permits_do_not_accumulate)
 {
   limit_run_script (
       "nodes 8\n load 400\n target 5\n limit s 10\n run 3000\n hold 5\n"
@@ -191,7 +191,7 @@
 
 /* Guards against a limit that outlives its server's trouble, and against one
    that is missed as it falls. */
-Test (limit, it_changes_and_ends)
+Test (limit, limit_changes_and_ends)
 {
   limit_run_script ("nodes 8\n load 100\n limit s 8\n run 5000\n limit s 1\n"
                     "run 2000\n reset\n run 20000\n count s\n limit s 12\n"
@@ -202,7 +202,7 @@
 
 /* Guards against a limit of zero that never ends, as nobody sends what would
    tell so. */
-Test (limit, none_at_all_is_tried_now_and_then)
+Test (limit, limit_of_zero_is_probed)
 {
   limit_run_script (
       "nodes 8\n load 100\n limit s 0\n run 3000\n reset\n run 30000\n"
@@ -211,7 +211,7 @@
 }
 
 /* Guards against a limit far above what is asked that holds requests up. */
-Test (limit, a_limit_that_does_not_bind)
+Test (limit, limit_above_load)
 {
   struct limit_fleet *f = xcalloc (1, sizeof *f);
   struct buf log = BUF_INIT;
@@ -231,7 +231,7 @@
 }
 
 /* Guards against one server's limit counting for another. */
-Test (limit, servers_apart)
+Test (limit, servers_have_separate_limits)
 {
   limit_run_script (
       "nodes 8\n load 200\n limit s 2\n limit t 6\n limit u none\n"
@@ -242,7 +242,7 @@
 
 /* Guards against a node that waits for ever for permits of one that takes the
    server to be unlimited. */
-Test (limit, nodes_that_disagree_come_together)
+Test (limit, different_limits_converge)
 {
   limit_run_script ("nodes 8\n load 100\n limit s none\n run 1000\n"
                     "record 8 s 0\n run 8000\n show s\n",
@@ -264,7 +264,7 @@
 
 /* Guards against an older answer that arrives late: it must not end a limit,
    or raise it. */
-Test (limit, answers_overtake_each_other)
+Test (limit, reordered_responses)
 {
   struct lim *l = lim_new (1);
   double rate;
@@ -282,7 +282,7 @@
 }
 
 /* Guards against permits that a node keeps, and uses long after. */
-Test (limit, permits_lapse_and_dont_pile_up)
+Test (limit, permits_expire_and_are_capped)
 {
   struct lim *l = lim_new (1);
 
@@ -301,7 +301,7 @@
 
 /* Guards against a word of another node that is older than what this one has
    seen itself. */
-Test (limit, the_newer_word_holds)
+Test (limit, newer_update_applies)
 {
   struct lim *l = lim_new (1);
   struct lim_update ended = { .server = 7, .age_ms = 300 };
@@ -316,7 +316,7 @@
 }
 
 /* Guards against a line of log for each answer that can't be read. */
-Test (limit, nonsense_is_reported_once)
+Test (limit, malformed_limit_is_reported_once)
 {
   struct lim *l = lim_new (1);
   struct lim_word report = { .server = 7, .says = LIM_SAYS_UNREADABLE };
@@ -384,7 +384,7 @@
 }
 
 /* Guards against kills, freezes, cuts and late frames in any order. */
-Test (limit, random_days)
+Test (limit, random_faults)
 {
   const char *seeds = getenv ("LIMIT_SEEDS");
   uint64_t n = seeds ? strtoull (seeds, NULL, 10) : 100;
@@ -394,7 +394,7 @@
 }
 
 /* Guards against a limited place that draws all requests, as it looks idle. */
-Test (limit, a_limited_place_counts_as_full)
+Test (limit, limited_endpoint_counts_as_full)
 {
   dispatch_play ("places app 2 10\n limit app1 2\n ask 1 safe\n ask 2 safe\n"
                  "ask 3 safe\n permit app1\n ask 4 safe\n ask 5 safe\n"
@@ -407,7 +407,7 @@
 /* Guards against a request that waits for what it can't get, where all places
    are limited: at first for the answer to this node's asking, then not at
    all. */
-Test (limit, refused_at_once_when_all_are_spent)
+Test (limit, refused_immediately_without_permits)
 {
   dispatch_play (
       "nodes 8\n places app 1 10\n limit app1 2\n ask 1 safe\n"
@@ -417,7 +417,7 @@
 
 /* Guards against a permit that comes for a request which waits, and is not
    used. */
-Test (limit, a_permit_goes_to_what_waits)
+Test (limit, permit_is_used_by_waiting_request)
 {
   dispatch_play ("nodes 8\n places app 1 10\n limit app1 2\n ask 1 safe\n"
                  "permit app1\n permit app1\n ask 2 safe\n",
@@ -425,7 +425,7 @@
 }
 
 /* Guards against less urgent requests that use up what a limit allows. */
-Test (limit, urgent_requests_go_first)
+Test (limit, higher_priority_gets_permits_first)
 {
   dispatch_play ("nodes 8\n places app 1 10\n limit app1 2\n permit app1\n"
                  "minor 1 safe\n permit app1\n ask 2 safe\n permit app1\n"
@@ -435,7 +435,7 @@
 }
 
 /* Guards against further attempts that go where first ones may not. */
-Test (limit, further_attempts_need_a_permit)
+Test (limit, retries_need_a_permit)
 {
   dispatch_play ("places app 2 10\n limit app2 2\n ask 1 safe\n sent 1\n"
                  "error 1\n run 40\n",
@@ -456,7 +456,7 @@
 
 /* Guards against a place that failed and is tried, as there is no other,
    beyond its limit. */
-Test (limit, the_last_resort_needs_a_permit)
+Test (limit, only_remaining_endpoint_needs_a_permit)
 {
   dispatch_play ("places app 2 10\n closed app2\n ask 1 once\n sent 1\n"
                  "broken 1\n ask 2 once\n sent 2\n broken 2\n ask 3 once\n"
