--- a/t/lib-poison.c
+++ b/t/lib-poison.c
@@ -104,11 +104,11 @@
 }
 
 void
-psn_fleet_init (struct psn_fleet *f, int nodes, int hubs)
+psn_fleet_init (struct psn_fleet *f, int nodes, int relays)
 {
   memset (f, 0, sizeof *f);
   f->n = nodes;
-  f->relays = hubs;
+  f->relays = relays;
   f->now = 100000;
   for (int i = 0; i < nodes; i++)
     {
--- a/t/lib-poison.h
+++ b/t/lib-poison.h
@@ -43,7 +43,7 @@
   size_t sent; /**< number of updates sent over links */
 };
 
-void psn_fleet_init (struct psn_fleet *f, int nodes, int hubs);
+void psn_fleet_init (struct psn_fleet *f, int nodes, int relays);
 void psn_fleet_free (struct psn_fleet *f);
 /** Simulate 10 ms. */
 void psn_fleet_step (struct psn_fleet *f);
--- a/t/t9207-poison.c
+++ b/t/t9207-poison.c
@@ -1,6 +1,6 @@
 /*
- * Requests that crash the servers that run them, as the nodes tell each other;
- * see t/lib-poison.h for the script.
+ * Detection of poison requests, in a simulation of nodes that exchange
+ * updates; t/lib-poison.h describes the scripts.
  */
 #include <criterion/criterion.h>
 #include <stdio.h>
@@ -9,8 +9,8 @@
 #include "base/str.h"
 #include "t/lib-poison.h"
 
-/* Guards against a request that ends server after server by way of one node
-   after the other, none of which has seen three ends. */
+/* A poison request sent to one node after another would never be blocked if
+   each node counted only the crashes that it observed itself. */
 Test (poison, crashes_at_three_nodes_block_on_all_nodes)
 {
   poison_run_script (
@@ -20,8 +20,7 @@
       "p ----\np ----\np wwww\np BBBB\nq ----\n");
 }
 
-/* Guards against a verdict that stays with the hubs, where not all nodes are
-   linked to each other. */
+/* Nodes that are linked to the relays only must receive the block as well. */
 Test (poison, relays_aggregate_and_all_nodes_block)
 {
   poison_run_script (
@@ -30,8 +29,8 @@
       "p BBBBBBBB\n");
 }
 
-/* Guards against a refusal of requests that were running by chance in each of
-   three crashes of another one. */
+/* A request that was running by coincidence in three crashes caused by another
+   request must not be blocked. */
 Test (poison, unrelated_request_in_three_crashes_is_accepted)
 {
   poison_run_script (
@@ -42,7 +41,8 @@
       "b ---\np BBB\n");
 }
 
-/* Guards against the same when the other one's run is heard a little later. */
+/* The same, if the crashes of the poison request are reported a little later
+   than those of the unrelated request. */
 Test (poison, strongest_evidence_is_blocked_despite_late_report)
 {
   poison_run_script ("nodes 2\n"
@@ -53,8 +53,8 @@
                      "b --\np BB\n");
 }
 
-/* Guards against a refusal of what many callers ask for, when a rack with
-   several replicas that run it fails at once. */
+/* A request that many clients send must not be blocked when a rack fails with
+   several replicas that were running it, as long as it completes elsewhere. */
 Test (poison, request_completed_elsewhere_is_accepted)
 {
   poison_run_script (
@@ -65,7 +65,8 @@
       "h www\nh ---\nh ---\n");
 }
 
-/* Guards against a request that stays blocked though it runs to its end. */
+/* A request that was blocked by mistake must be cleared when a run of it
+   completes. */
 Test (poison, completed_run_clears_block)
 {
   poison_run_script (
@@ -74,8 +75,8 @@
       "h BBB\nh ---\n");
 }
 
-/* Guards against a block of streams that had run for a while when their
-   replicas ended: these count less. */
+/* Streams that had been running for a while when their replica ended must not
+   be blocked early: such a crash has less weight. */
 Test (poison, crash_weight_decreases_with_run_time)
 {
   poison_run_script (
@@ -86,8 +87,9 @@
       "b --\nc --\nb BB\nc BB\n");
 }
 
-/* Guards against a node that is no hub and blocks a bystander, as it has seen
-   that one's crashes alone. */
+/* A node that is not a relay receives only a part of the crash reports.  It
+   must not block an unrelated request because it has no reports about the
+   poison request. */
 Test (poison, node_without_all_reports_does_not_decide)
 {
   poison_run_script (
@@ -98,8 +100,8 @@
       "b ------\np BBBBBB\n");
 }
 
-/* Guards against a verdict that hangs on the hubs: a node that has lost them
-   decides by itself. */
+/* A node without a link to any relay must still block a poison request, based
+   on the crashes that it has observed. */
 Test (poison, node_without_relays_decides)
 {
   poison_run_script (
@@ -109,8 +111,7 @@
       "p -----B\n");
 }
 
-/* Guards against one crash that several nodes report and that counts as
-   several. */
+/* A crash that several nodes report must not be counted several times. */
 Test (poison, crash_reported_by_several_nodes_counts_once)
 {
   poison_run_script (
@@ -119,8 +120,9 @@
       "b ---\n");
 }
 
-/* Guards against a wrong verdict that stands: a bystander of the same crashes
-   had run less in each.  The first crash without it shows which one it is. */
+/* An unrelated request can be blocked first if it had the shorter run in each
+   crash.  The first crash without it identifies the poison request, and the
+   wrong block must be cleared. */
 Test (poison, wrong_block_is_cleared_when_crashes_continue)
 {
   poison_run_script (
@@ -131,8 +133,8 @@
       "b BB\np --\nb --\np BB\n");
 }
 
-/* Guards against nodes that miss a verdict while their links are cut: others
-   hand it on, and whoever is linked again is told. */
+/* Nodes must receive a block although some links are cut: other nodes forward
+   it, and a node that is linked again receives a snapshot. */
 Test (poison, block_is_forwarded_around_cut_links)
 {
   poison_run_script (
@@ -142,7 +144,8 @@
       "p -BBB\np BBBB\n");
 }
 
-/* Guards against a node that starts and takes what all others refuse. */
+/* A started node must not accept a request that all other nodes have blocked.
+ */
 Test (poison, started_node_receives_blocks)
 {
   poison_run_script (
@@ -152,8 +155,8 @@
       "p BBB\np BBB\n");
 }
 
-/* Guards against a node that starts, is cut off, and has to see three crashes
-   of its own. */
+/* A started node must receive the earlier crashes.  Otherwise it would have to
+   observe three new ones if its links are cut afterwards. */
 Test (poison, started_node_receives_crashes)
 {
   poison_run_script (
@@ -163,8 +166,8 @@
       "p -B-\n");
 }
 
-/* Guards against nodes that were all stopped: one that finds it in the store
-   tells the others. */
+/* After a restart of all nodes, a node that reads the block from the store
+   must forward it to the others. */
 Test (poison, block_is_read_from_store_after_restart_of_all)
 {
   poison_run_script (
@@ -174,8 +177,8 @@
       "p BBB\n");
 }
 
-/* Guards against crashes that were reported before a block was lifted and are
-   heard after it: they would bring it back. */
+/* Crash reports that were sent before a block was cleared and arrive after it
+   must not block the request again. */
 Test (poison, delayed_reports_do_not_restore_cleared_block)
 {
   poison_run_script (
@@ -187,8 +190,8 @@
       "p BB\np --\np BB\n");
 }
 
-/* Guards against a block for ever: servers may have been mended.  If not, one
-   more crash suffices. */
+/* A block must end, because the servers may have been fixed.  If they have
+   not, one more crash is enough to block the request again. */
 Test (poison, expired_block_returns_after_one_crash)
 {
   poison_run_script (
@@ -198,8 +201,8 @@
       "p BB\np --\np BB\n");
 }
 
-/* Guards against callers that make nodes forget a verdict, or fill their
-   memory, by ten thousand other requests that were running in crashes. */
+/* Ten thousand other requests that were running in crashes must neither evict
+   blocked requests from the table nor use unbounded memory. */
 Test (poison, ten_thousand_requests_do_not_evict_blocked_ones)
 {
   struct psn_fleet f;
@@ -209,7 +212,7 @@
   psn_fleet_init (&f, 2, 0);
   for (uint64_t i = 0; i < 3; i++)
     psn_fleet_crash (&f, 0, 'p', 1 + i, PSN_NO_EVENT);
-  /* Another one is known from the store, without its crashes. */
+  /* Another request is blocked according to the store, without crashes. */
   psn_apply (f.node[0], f.now,
              &(struct psn_update){ .kind = PSN_BLOCKED,
                                    .digest = 's',
@@ -233,7 +236,7 @@
   psn_fleet_free (&f);
 }
 
-/* Guards against updates that nodes hand on to each other for ever. */
+/* Nodes must not forward the same updates to each other endlessly. */
 Test (poison, forwarding_of_updates_ends)
 {
   struct psn_fleet f;
@@ -251,7 +254,7 @@
   psn_fleet_free (&f);
 }
 
-/* --- random days --------------------------------------------------------- */
+/* --- random schedules ---------------------------------------------------- */
 
 #define SEEDS 100
 #define SIM_STEPS 3000 /* 30 s */
@@ -260,13 +263,13 @@
 #define ENDPOINTS 12
 #define POISON 'p'
 
-/** A run that is under way. */
+/** A run in progress. */
 struct run
 {
   uint64_t digest; /* 0: none */
   int node;
   uint64_t endpoint;
-  clk_ms started_at, ends; /* ends: it completes */
+  clk_ms started_at, ends; /* ends: when the run completes */
   unsigned crashes;
 };
 
@@ -277,7 +280,7 @@
   struct run runs[RUNS];
   uint64_t endpoints[ENDPOINTS];
   uint64_t next_endpoint, next_request;
-  clk_ms crash_at; /* of the poison's server; 0: it does not run */
+  clk_ms crash_at; /* of the server that runs the poison request; 0: none */
   clk_ms next_send_at;
   unsigned poison_crashes, late_sends;
   clk_ms threshold_at;
@@ -313,7 +316,8 @@
                        crashes };
 }
 
-/** The caller of the poison asks again, soon after its last answer. */
+/** Send the poison request again, soon after the last response.
+    @param retry  a retry by the node, not a new request of the client */
 static void
 send_poison (struct sim *d, bool retry)
 {
@@ -334,7 +338,7 @@
   d->crash_at = d->f.now + draw (d, 100, 200);
 }
 
-/** The server at a place ends: runs that were under way begin anew. */
+/** End the server at an endpoint, and restart the runs that it had. */
 static void
 crash_endpoint (struct sim *d, uint64_t endpoint)
 {
@@ -431,16 +435,17 @@
   psn_fleet_free (&d.f);
 }
 
-/* Guards against orders of crashes, completions and updates in which it goes
-   on crashing servers, or others are blocked for it. */
+/* No order of crashes, completions and updates may let a poison request go on
+   crashing servers, or block other requests instead. */
 Test (poison, random_schedules)
 {
   for (uint64_t seed = 1; seed <= SEEDS; seed++)
     run_simulation (seed);
 }
 
-/* Seeds that once failed: in the first two bystanders were blocked, in the
-   last a wrong verdict let it crash five more servers. */
+/* Seeds of earlier failures.  In the first two, unrelated requests were
+   blocked; in the last one, a block of the wrong request let the poison
+   request crash five more servers. */
 Test (poison, regression_seeds)
 {
   static const uint64_t seeds[] = { 231, 287, 2406 };
--- a/t/t9208-limit.c
+++ b/t/t9208-limit.c
@@ -1,6 +1,7 @@
 /*
- * Request rates that backend servers ask for: what answers say, and what
- * follows from it at one node and at many.
+ * Request rate limits of backend servers: parsing of the response header, and
+ * enforcement at a single node and across many nodes (scripts of t/lib-limit.h
+ * and t/lib-dispatch.h).
  */
 #include <criterion/criterion.h>
 #include <stdio.h>
@@ -11,7 +12,7 @@
 #include "t/lib-dispatch.h"
 #include "t/lib-limit.h"
 
-/** What the adapter reads from an answer with these values of the header. */
+/** Parse a response with one or two rate headers, and format the result. */
 static const char *
 read_header (const char *first, const char *second)
 {
@@ -28,7 +29,7 @@
   return a.limit == LIM_SAYS_RATE ? text : "nothing";
 }
 
-/* Guards against a limit that is misread: nonsense must change nothing. */
+/* A malformed header must not be taken for a limit. */
 Test (limit, header_values)
 {
   static const char *const row[][3] = {
@@ -57,7 +58,7 @@
                       row[i][0]);
 }
 
-/* Guards against a limit that is read from an answer that names none. */
+/* A response without the header must not set a limit. */
 Test (limit, no_header)
 {
   struct srv_answer a;
@@ -66,8 +67,8 @@
   cr_expect_eq (a.limit, LIM_SAYS_NOTHING);
 }
 
-/* Guards against each node taking the number for its own: it is one for all of
-   them, however many they are. */
+/* The limit is the total of all nodes.  Nodes that each applied it to their
+   own requests would send a multiple of it. */
 Test (limit, rate_is_shared_by_all_nodes)
 {
   limit_run_script (
@@ -82,7 +83,7 @@
                     "s kept used\n");
 }
 
-/* Guards against a limit that only those nodes heed that were told. */
+/* A limit must also be applied by nodes that received no response with it. */
 Test (limit, all_nodes_receive_limit_within_250_ms)
 {
   limit_run_script (
@@ -90,8 +91,8 @@
       "s LLLLLLLLLLLLLLLLLL\n");
 }
 
-/* Guards against permits that many nodes save up while nobody asks, and use
-   together. */
+/* Nodes must not accumulate permits while there is no load and then spend them
+   in one burst. */
 Test (limit, idle_nodes_accumulate_no_burst)
 {
   limit_run_script ("nodes 78\n load 500\n limit s 2\n run 3000\n load 0\n"
@@ -99,8 +100,8 @@
                     "s kept used\n");
 }
 
-/* Guards against an allowance that is left lying where few requests come, each
-   at another node. */
+/* With few requests, each at another node, the permitted rate must still be
+   used up. */
 Test (limit, low_load_can_use_full_rate)
 {
   limit_run_script ("nodes 8\n load 3\n limit s 2\n run 10000\n reset\n"
@@ -111,8 +112,8 @@
                     "s kept used\n");
 }
 
-/* Guards against a server that gets nothing, or twice its rate, as the node
-   that grants permits ends and starts again. */
+/* A server must get neither no requests nor twice its rate while the granting
+   node ends and starts again. */
 Test (limit, granting_node_is_killed)
 {
   limit_run_script (
@@ -122,7 +123,7 @@
       "s kept half\ns .LLLLLLL\ns kept used\ns LLLLLLLL\n");
 }
 
-/* The same for one that freezes, and wakes with what it believed before. */
+/* The same for a granting node that freezes and resumes with stale state. */
 Test (limit, granting_node_freezes)
 {
   limit_run_script (
@@ -131,7 +132,7 @@
       "s kept half\ns kept used\n");
 }
 
-/* Guards against a rate for each side where links are cut. */
+/* While links are cut, the two sides must not each grant the full rate. */
 Test (limit, two_nodes_grant_while_links_are_cut)
 {
   limit_run_script (
@@ -145,7 +146,7 @@
       "s kept used\n");
 }
 
-/* Guards against many nodes that grant to themselves at the same moment. */
+/* Many nodes that grant to themselves must not send at the same time. */
 Test (limit, isolated_nodes_do_not_send_at_same_time)
 {
   limit_run_script (
@@ -158,7 +159,8 @@
       "s kept little\n");
 }
 
-/* Guards against nodes that start, all at once, without knowing of it. */
+/* Nodes that all restart have no recorded limits, and must receive them
+   soon. */
 Test (limit, all_nodes_restart)
 {
   limit_run_script (
@@ -170,7 +172,7 @@
       "s LLLLLLLL\ns kept used\n");
 }
 
-/* Guards against a node that joins and takes the server for unlimited. */
+/* A started node must not treat a limited server as unlimited. */
 Test (limit, started_node_receives_limits)
 {
   limit_run_script (
@@ -179,8 +181,8 @@
       "s LLLLLLLL\n");
 }
 
-/* Guards against permits that were held up on their way and are used
-   together. */
+/* Permits that were delayed and arrive at the same time must not be used in
+   one burst. */
 Test (limit, delayed_permits_do_not_accumulate)
 {
   limit_run_script (
@@ -189,8 +191,8 @@
       "s kept used\n");
 }
 
-/* Guards against a limit that outlives its server's trouble, and against one
-   that is missed as it falls. */
+/* A limit must end with the responses that carry it, and a lower limit must be
+   applied immediately. */
 Test (limit, limit_changes_and_ends)
 {
   limit_run_script ("nodes 8\n load 100\n limit s 8\n run 5000\n limit s 1\n"
@@ -200,8 +202,8 @@
                     "s kept used\ns kept used\ns --------\n");
 }
 
-/* Guards against a limit of zero that never ends, as nobody sends what would
-   tell so. */
+/* A limit of zero would never end without requests, because its end is only
+   reported in responses. */
 Test (limit, limit_of_zero_is_probed)
 {
   limit_run_script (
@@ -210,7 +212,7 @@
       "s kept used\ns --------\n");
 }
 
-/* Guards against a limit far above what is asked that holds requests up. */
+/* A limit far above the load must not delay requests. */
 Test (limit, limit_above_load)
 {
   struct limit_fleet *f = xcalloc (1, sizeof *f);
@@ -230,7 +232,7 @@
   buf_free (&log);
 }
 
-/* Guards against one server's limit counting for another. */
+/* The limit of one server must not affect another one. */
 Test (limit, servers_have_separate_limits)
 {
   limit_run_script (
@@ -240,8 +242,8 @@
       "s LLLLLLLL\nt LLLLLLLL\nu --------\ns kept used\nt kept used\n");
 }
 
-/* Guards against a node that waits for ever for permits of one that takes the
-   server to be unlimited. */
+/* A node must not wait forever for permits from a granting node that has
+   recorded no limit for the server. */
 Test (limit, different_limits_converge)
 {
   limit_run_script ("nodes 8\n load 100\n limit s none\n run 1000\n"
@@ -262,8 +264,8 @@
   return lim_answered (l, now, &report);
 }
 
-/* Guards against an older answer that arrives late: it must not end a limit,
-   or raise it. */
+/* An older response that arrives late must neither end a limit nor raise it.
+ */
 Test (limit, reordered_responses)
 {
   struct lim *l = lim_new (1);
@@ -281,7 +283,7 @@
   lim_free (l);
 }
 
-/* Guards against permits that a node keeps, and uses long after. */
+/* A node must not keep permits and use them much later. */
 Test (limit, permits_expire_and_are_capped)
 {
   struct lim *l = lim_new (1);
@@ -299,8 +301,8 @@
   lim_free (l);
 }
 
-/* Guards against a word of another node that is older than what this one has
-   seen itself. */
+/* An update from another node that is older than the recorded limit must be
+   ignored. */
 Test (limit, newer_update_applies)
 {
   struct lim *l = lim_new (1);
@@ -315,7 +317,7 @@
   lim_free (l);
 }
 
-/* Guards against a line of log for each answer that can't be read. */
+/* Malformed limits must not cause a log line for every response. */
 Test (limit, malformed_limit_is_reported_once)
 {
   struct lim *l = lim_new (1);
@@ -329,8 +331,7 @@
   lim_free (l);
 }
 
-/* Guards against memory that grows with each server that ever named a limit.
- */
+/* Memory must not grow with every server that has ever set a limit. */
 Test (limit, memory_is_bounded)
 {
   struct lim *l = lim_new (1);
@@ -345,8 +346,8 @@
   lim_free (l);
 }
 
-/** A day of faults drawn from @p seed: what reaches the server stays within
-   its rate over all nodes. */
+/** Run a random sequence of faults.  The requests of all nodes together must
+    stay within the rate of the server. */
 static void
 run_random_faults (uint64_t seed)
 {
@@ -383,7 +384,8 @@
   buf_free (&log);
 }
 
-/* Guards against kills, freezes, cuts and late frames in any order. */
+/* The limit must be kept with kills, freezes, cuts and delayed messages in any
+   order. */
 Test (limit, random_faults)
 {
   const char *seeds = getenv ("LIMIT_SEEDS");
@@ -393,7 +395,7 @@
     run_random_faults (seed);
 }
 
-/* Guards against a limited place that draws all requests, as it looks idle. */
+/* A limited endpoint looks idle, but must not attract all requests. */
 Test (limit, limited_endpoint_counts_as_full)
 {
   dispatch_play ("places app 2 10\n limit app1 2\n ask 1 safe\n ask 2 safe\n"
@@ -404,9 +406,9 @@
                  "send 5 app2\nsend 6 app1\n");
 }
 
-/* Guards against a request that waits for what it can't get, where all places
-   are limited: at first for the answer to this node's asking, then not at
-   all. */
+/* A request must not wait for a permit that will not come, if all endpoints
+   are limited.  The first one waits until the permit request is answered;
+   later ones are refused immediately. */
 Test (limit, refused_immediately_without_permits)
 {
   dispatch_play (
@@ -415,8 +417,7 @@
       "answer 2 rate-limited 503 retry\nanswer 1 rate-limited 503 retry\n");
 }
 
-/* Guards against a permit that comes for a request which waits, and is not
-   used. */
+/* A permit that arrives while a request waits must be used by this request. */
 Test (limit, permit_is_used_by_waiting_request)
 {
   dispatch_play ("nodes 8\n places app 1 10\n limit app1 2\n ask 1 safe\n"
@@ -424,7 +425,7 @@
                  "send 1 app1\nsend 2 app1\n");
 }
 
-/* Guards against less urgent requests that use up what a limit allows. */
+/* Requests of lower priority must not use up the permits. */
 Test (limit, higher_priority_gets_permits_first)
 {
   dispatch_play ("nodes 8\n places app 1 10\n limit app1 2\n permit app1\n"
@@ -434,7 +435,7 @@
                  "answer 3 rate-limited 503 retry\nsend 4 app1\n");
 }
 
-/* Guards against further attempts that go where first ones may not. */
+/* Retries must not bypass the limit that applies to first attempts. */
 Test (limit, retries_need_a_permit)
 {
   dispatch_play ("places app 2 10\n limit app2 2\n ask 1 safe\n sent 1\n"
@@ -445,7 +446,7 @@
                  "send 1 app1\ncancel 1\nsend 1 app2\n");
 }
 
-/* Guards against streams that go on where first attempts may not. */
+/* Resumed streams must not bypass the limit. */
 Test (limit, resumed_streams_need_a_permit)
 {
   dispatch_play ("streams lm 2 10\n limit lm2 2\n ask 1 stream\n sent 1\n"
@@ -454,8 +455,8 @@
                  "send 1 lm2 resume p0\n");
 }
 
-/* Guards against a place that failed and is tried, as there is no other,
-   beyond its limit. */
+/* A failed endpoint that is tried because no other is left must not be sent
+   more requests than its limit allows. */
 Test (limit, only_remaining_endpoint_needs_a_permit)
 {
   dispatch_play ("places app 2 10\n closed app2\n ask 1 once\n sent 1\n"
