--- a/serve/limit-grant.c
+++ b/serve/limit-grant.c
@@ -77,14 +77,14 @@
 }
 
 void
-lim_followed (struct lim *l, clk_ms now, uint64_t node, bool again,
+lim_followed (struct lim *l, clk_ms now, uint64_t node, bool periodic,
               const struct lim_permits *wanted, size_t n)
 {
   struct lim_follower *f = find_follower (l, node);
   struct lim_demand demand
       = { .node = node,
           .until
-          = now + (again ? PERIODIC_DEMAND_TTL_MS : URGENT_DEMAND_TTL_MS) };
+          = now + (periodic ? PERIODIC_DEMAND_TTL_MS : URGENT_DEMAND_TTL_MS) };
 
   if (!f)
     f = add_follower (l, node);
--- a/serve/limit.c
+++ b/serve/limit.c
@@ -365,7 +365,7 @@
 }
 
 const struct lim_permits *
-lim_wanted (struct lim *l, clk_ms now, bool again, size_t *n)
+lim_wanted (struct lim *l, clk_ms now, bool periodic, size_t *n)
 {
   struct lim_row *r;
   GHashTableIter at;
@@ -378,7 +378,7 @@
                                .n = lim_permits_needed (r, now),
                                .rate = r->rate,
                                .age_ms = now - r->reported_at };
-      if (p.n > 0 && (r->repeated_demand || !again))
+      if (p.n > 0 && (r->repeated_demand || !periodic))
         g_array_append_val (l->permits, p);
     }
   *n = l->permits->len;
--- a/serve/limit.h
+++ b/serve/limit.h
@@ -97,7 +97,7 @@
 
 /** Process the limit in a response that was received at @p now. */
 enum lim_change lim_answered (struct lim *l, clk_ms now,
-                              const struct lim_word *word);
+                              const struct lim_word *report);
 
 /** Apply an update from another node.
     @return  whether it changed the limit recorded here */
@@ -144,10 +144,10 @@
 /**
  * Permits to request from the granting node.  The list is valid until the next
  * call that modifies @p l.
- * @param again  periodic report: includes only servers for which more than one
- *               request needed a permit; false: includes all demand
+ * @param periodic  only servers for which more than one request needed a
+ *                  permit, for the periodic report; false: all demand
  */
-const struct lim_permits *lim_wanted (struct lim *l, clk_ms now, bool again,
+const struct lim_permits *lim_wanted (struct lim *l, clk_ms now, bool periodic,
                                       size_t *n);
 
 /** Add permits that the granting node has sent to this node. */
@@ -162,10 +162,10 @@
 /**
  * Process the demand of a follower, and record the node as a follower.  If the
  * two nodes have recorded different limits, the newer one becomes an update.
- * @param again  periodic report, sent every 100 ms; false: sent immediately
- *               for a request that waits only briefly for a permit
+ * @param periodic  sent every 100 ms; false: sent immediately for a request
+ *                  that waits only briefly for a permit
  */
-void lim_followed (struct lim *l, clk_ms now, uint64_t node, bool again,
+void lim_followed (struct lim *l, clk_ms now, uint64_t node, bool periodic,
                    const struct lim_permits *wanted, size_t n);
 
 /** The node is no longer a follower of this one. */
