--- a/t/t9207-poison.c
+++ b/t/t9207-poison.c
@@ -1,6 +1,6 @@
 /*
- * Requests that crash the servers that run them, as the nodes tell each other;
- * see t/lib-poison.h for the script.
+ * Detection of poison requests, in a simulation of nodes that exchange
+ * updates; t/lib-poison.h describes the scripts.
  */
 #include <criterion/criterion.h>
 #include <stdio.h>
@@ -9,192 +9,210 @@
 #include "base/str.h"
 #include "t/lib-poison.h"
 
-/* Guards against a request that ends server after server by way of one node
-   after the other, none of which has seen three ends. */
-Test (poison, three_crashes_at_three_nodes_block_it_everywhere)
+/* A poison request sent to one node after another would never be blocked if
+   each node counted only the crashes that it observed itself. */
+Test (poison, crashes_at_three_nodes_block_on_all_nodes)
 {
-  poison_play ("nodes 4\n ran 1 p 1 -1\n run 300\n ask p\n ran 2 p 2 40\n"
-               "run 300\n ask p\n ran 3 p 3 -1\n run 50\n ask p\n run 350\n"
-               "ask p\n ask q\n",
-               "p ----\np ----\np wwww\np BBBB\nq ----\n");
+  poison_run_script (
+      "nodes 4\n crash 1 p 1 -1\n run 300\n query p\n crash 2 p 2 40\n"
+      "run 300\n query p\n crash 3 p 3 -1\n run 50\n query p\n run 350\n"
+      "query p\n query q\n",
+      "p ----\np ----\np wwww\np BBBB\nq ----\n");
 }
 
-/* Guards against a verdict that stays with the hubs, where not all nodes are
-   linked to each other. */
-Test (poison, hubs_collect_crashes_and_all_hear_the_verdict)
+/* Nodes that are linked to the relays only must receive the block as well. */
+Test (poison, relays_aggregate_and_all_nodes_block)
 {
-  poison_play ("hubs 8\n ran 5 p 1 -1\n run 100\n ran 6 p 2 -1\n run 100\n"
-               "ran 8 p 3 -1\n run 500\n ask p\n",
-               "p BBBBBBBB\n");
+  poison_run_script (
+      "relays 8\n crash 5 p 1 -1\n run 100\n crash 6 p 2 -1\n run 100\n"
+      "crash 8 p 3 -1\n run 500\n query p\n",
+      "p BBBBBBBB\n");
 }
 
-/* Guards against a refusal of requests that were running by chance in each of
-   three crashes of another one. */
-Test (poison, a_bystander_in_three_crashes_is_served)
+/* A request that was running by coincidence in three crashes caused by another
+   request must not be blocked. */
+Test (poison, unrelated_request_in_three_crashes_is_accepted)
 {
-  poison_play ("nodes 3\n"
-               "ran 1 b 1 -1\n ran 2 p 1 -1\n run 300\n"
-               "ran 1 b 2 30\n ran 3 p 2 -1\n run 300\n"
-               "ran 1 b 3 -1\n ran 1 p 3 -1\n run 500\n ask b\n ask p\n",
-               "b ---\np BBB\n");
+  poison_run_script (
+      "nodes 3\n"
+      "crash 1 b 1 -1\n crash 2 p 1 -1\n run 300\n"
+      "crash 1 b 2 30\n crash 3 p 2 -1\n run 300\n"
+      "crash 1 b 3 -1\n crash 1 p 3 -1\n run 500\n query b\n query p\n",
+      "b ---\np BBB\n");
 }
 
-/* Guards against the same when the other one's run is heard a little later. */
-Test (poison, the_most_suspect_is_blocked_though_heard_last)
+/* The same, if the crashes of the poison request are reported a little later
+   than those of the unrelated request. */
+Test (poison, strongest_evidence_is_blocked_despite_late_report)
 {
-  poison_play ("nodes 2\n"
-               "ran 1 b 1 300\n ran 2 p 1 -1\n run 300\n"
-               "ran 1 b 2 30\n ran 2 p 2 -1\n run 300\n"
-               "ran 1 b 3 500\n run 60\n ran 2 p 3 -1\n run 600\n"
-               "ask b\n ask p\n",
-               "b --\np BB\n");
+  poison_run_script ("nodes 2\n"
+                     "crash 1 b 1 300\n crash 2 p 1 -1\n run 300\n"
+                     "crash 1 b 2 30\n crash 2 p 2 -1\n run 300\n"
+                     "crash 1 b 3 500\n run 60\n crash 2 p 3 -1\n run 600\n"
+                     "query b\n query p\n",
+                     "b --\np BB\n");
 }
 
-/* Guards against a refusal of what many callers ask for, when a rack with
-   several replicas that run it fails at once. */
-Test (poison, a_request_that_completes_elsewhere_is_served)
+/* A request that many clients send must not be blocked when a rack fails with
+   several replicas that were running it, as long as it completes elsewhere. */
+Test (poison, request_completed_elsewhere_is_accepted)
 {
-  poison_play ("nodes 3\n whole 3 h\n run 500\n"
-               "ran 1 h 1 -1\n ran 1 h 2 -1\n ran 2 h 3 -1\n ran 2 h 4 -1\n"
-               "run 50\n ask h\n run 350\n ask h\n"
-               "ran 1 h 5 -1\n run 500\n ask h\n",
-               "h www\nh ---\nh ---\n");
+  poison_run_script (
+      "nodes 3\n complete 3 h\n run 500\n"
+      "crash 1 h 1 -1\n crash 1 h 2 -1\n crash 2 h 3 -1\n crash 2 h 4 -1\n"
+      "run 50\n query h\n run 350\n query h\n"
+      "crash 1 h 5 -1\n run 500\n query h\n",
+      "h www\nh ---\nh ---\n");
 }
 
-/* Guards against a request that stays blocked though it runs to its end. */
-Test (poison, a_run_that_completes_lifts_the_block)
+/* A request that was blocked by mistake must be cleared when a run of it
+   completes. */
+Test (poison, completed_run_clears_block)
 {
-  poison_play ("nodes 3\n ran 1 h 1 -1\n ran 1 h 2 -1\n ran 2 h 3 -1\n"
-               "run 500\n ask h\n whole 2 h\n run 50\n ask h\n",
-               "h BBB\nh ---\n");
+  poison_run_script (
+      "nodes 3\n crash 1 h 1 -1\n crash 1 h 2 -1\n crash 2 h 3 -1\n"
+      "run 500\n query h\n complete 2 h\n run 50\n query h\n",
+      "h BBB\nh ---\n");
 }
 
-/* Guards against a block of streams that had run for a while when their
-   replicas ended: these count less. */
-Test (poison, the_longer_the_run_the_less_a_crash_counts)
+/* Streams that had been running for a while when their replica ended must not
+   be blocked early: such a crash has less weight. */
+Test (poison, crash_weight_decreases_with_run_time)
 {
-  poison_play ("nodes 2\n ran 1 b 1 1500\n ran 1 b 2 2000\n ran 1 b 3 3000\n"
-               "ran 1 c 11 100\n ran 1 c 12 0\n ran 2 c 13 499\n"
-               "run 500\n ask b\n ask c\n ran 1 b 4 1500\n ran 1 b 5 1500\n"
-               "ran 2 b 6 1500\n ran 1 c 14 200\n run 500\n ask b\n ask c\n",
-               "b --\nc --\nb BB\nc BB\n");
+  poison_run_script (
+      "nodes 2\n crash 1 b 1 1500\n crash 1 b 2 2000\n crash 1 b 3 3000\n"
+      "crash 1 c 11 100\n crash 1 c 12 0\n crash 2 c 13 499\n"
+      "run 500\n query b\n query c\n crash 1 b 4 1500\n crash 1 b 5 1500\n"
+      "crash 2 b 6 1500\n crash 1 c 14 200\n run 500\n query b\n query c\n",
+      "b --\nc --\nb BB\nc BB\n");
 }
 
-/* Guards against a node that is no hub and blocks a bystander, as it has seen
-   that one's crashes alone. */
-Test (poison, who_has_not_heard_of_all_crashes_does_not_decide)
-{
-  poison_play ("hubs 6\n"
-               "ran 6 b 1 -1\n ran 5 p 1 -1\n run 300\n"
-               "ran 6 b 2 30\n ran 5 p 2 -1\n run 300\n"
-               "ran 6 b 3 -1\n ran 5 p 3 -1\n run 500\n ask b\n ask p\n",
-               "b ------\np BBBBBB\n");
+/* A node that is not a relay receives only a part of the crash reports.  It
+   must not block an unrelated request because it has no reports about the
+   poison request. */
+Test (poison, node_without_all_reports_does_not_decide)
+{
+  poison_run_script (
+      "relays 6\n"
+      "crash 6 b 1 -1\n crash 5 p 1 -1\n run 300\n"
+      "crash 6 b 2 30\n crash 5 p 2 -1\n run 300\n"
+      "crash 6 b 3 -1\n crash 5 p 3 -1\n run 500\n query b\n query p\n",
+      "b ------\np BBBBBB\n");
 }
 
-/* Guards against a verdict that hangs on the hubs: a node that has lost them
-   decides by itself. */
-Test (poison, a_node_without_hubs_decides_by_itself)
+/* A node without a link to any relay must still block a poison request, based
+   on the crashes that it has observed. */
+Test (poison, node_without_relays_decides)
 {
-  poison_play ("hubs 6\n cut 6 1\n cut 6 2\n cut 6 3\n cut 6 4\n"
-               "ran 6 p 1 -1\n ran 6 p 2 -1\n alone 6\n ran 6 p 3 -1\n"
-               "run 500\n ask p\n",
-               "p -----B\n");
+  poison_run_script (
+      "relays 6\n cut 6 1\n cut 6 2\n cut 6 3\n cut 6 4\n"
+      "crash 6 p 1 -1\n crash 6 p 2 -1\n aggregate 6\n crash 6 p 3 -1\n"
+      "run 500\n query p\n",
+      "p -----B\n");
 }
 
-/* Guards against one crash that several nodes report and that counts as
-   several. */
-Test (poison, one_crash_counts_once)
+/* A crash that several nodes report must not be counted several times. */
+Test (poison, crash_reported_by_several_nodes_counts_once)
 {
-  poison_play ("nodes 3\n ran 1 b 7 -1\n ran 2 b 7 -1\n ran 3 b 7 -1\n"
-               "run 500\n ask b\n",
-               "b ---\n");
+  poison_run_script (
+      "nodes 3\n crash 1 b 7 -1\n crash 2 b 7 -1\n crash 3 b 7 -1\n"
+      "run 500\n query b\n",
+      "b ---\n");
 }
 
-/* Guards against a wrong verdict that stands: a bystander of the same crashes
-   had run less in each.  The first crash without it shows which one it is. */
-Test (poison, the_wrong_one_is_cleared_once_crashes_go_on)
-{
-  poison_play ("nodes 2\n ran 1 b 1 -1\n ran 2 p 1 20\n run 300\n"
-               "ran 1 b 2 -1\n ran 2 p 2 20\n run 300\n"
-               "ran 1 b 3 -1\n ran 2 p 3 20\n run 500\n ask b\n ask p\n"
-               "ran 2 p 4 20\n run 500\n ask b\n ask p\n",
-               "b BB\np --\nb --\np BB\n");
+/* An unrelated request can be blocked first if it had the shorter run in each
+   crash.  The first crash without it identifies the poison request, and the
+   wrong block must be cleared. */
+Test (poison, wrong_block_is_cleared_when_crashes_continue)
+{
+  poison_run_script (
+      "nodes 2\n crash 1 b 1 -1\n crash 2 p 1 20\n run 300\n"
+      "crash 1 b 2 -1\n crash 2 p 2 20\n run 300\n"
+      "crash 1 b 3 -1\n crash 2 p 3 20\n run 500\n query b\n query p\n"
+      "crash 2 p 4 20\n run 500\n query b\n query p\n",
+      "b BB\np --\nb --\np BB\n");
 }
 
-/* Guards against nodes that miss a verdict while their links are cut: others
-   hand it on, and whoever is linked again is told. */
-Test (poison, a_verdict_passes_around_cut_links)
+/* Nodes must receive a block although some links are cut: other nodes forward
+   it, and a node that is linked again receives a snapshot. */
+Test (poison, block_is_forwarded_around_cut_links)
 {
-  poison_play ("nodes 4\n cut 1 2\n cut 1 3\n cut 4 1\n cut 4 2\n"
-               "ran 2 p 1 -1\n ran 2 p 2 -1\n ran 2 p 3 -1\n run 500\n ask p\n"
-               "join 1 4\n run 50\n ask p\n",
-               "p -BBB\np BBBB\n");
+  poison_run_script (
+      "nodes 4\n cut 1 2\n cut 1 3\n cut 4 1\n cut 4 2\n"
+      "crash 2 p 1 -1\n crash 2 p 2 -1\n crash 2 p 3 -1\n run 500\n query p\n"
+      "link 1 4\n run 50\n query p\n",
+      "p -BBB\np BBBB\n");
 }
 
-/* Guards against a node that starts and takes what all others refuse. */
-Test (poison, a_node_that_starts_is_told)
+/* A started node must not accept a request that all other nodes have blocked.
+ */
+Test (poison, started_node_receives_blocks)
 {
-  poison_play ("nodes 3\n ran 2 p 1 -1\n ran 2 p 2 -1\n run 50\n restart 2\n"
-               "run 50\n ran 2 p 3 -1\n run 500\n ask p\n restart 1\n run 20\n"
-               "ask p\n",
-               "p BBB\np BBB\n");
+  poison_run_script (
+      "nodes 3\n crash 2 p 1 -1\n crash 2 p 2 -1\n run 50\n restart 2\n"
+      "run 50\n crash 2 p 3 -1\n run 500\n query p\n restart 1\n run 20\n"
+      "query p\n",
+      "p BBB\np BBB\n");
 }
 
-/* Guards against a node that starts, is cut off, and has to see three crashes
-   of its own. */
-Test (poison, a_node_that_starts_is_told_of_crashes)
+/* A started node must receive the earlier crashes.  Otherwise it would have to
+   observe three new ones if its links are cut afterwards. */
+Test (poison, started_node_receives_crashes)
 {
-  poison_play ("nodes 3\n ran 2 p 1 -1\n ran 2 p 2 -1\n run 50\n restart 2\n"
-               "run 50\n cut 2 1\n cut 2 3\n ran 2 p 3 -1\n run 500\n"
-               "ask p\n",
-               "p -B-\n");
+  poison_run_script (
+      "nodes 3\n crash 2 p 1 -1\n crash 2 p 2 -1\n run 50\n restart 2\n"
+      "run 50\n cut 2 1\n cut 2 3\n crash 2 p 3 -1\n run 500\n"
+      "query p\n",
+      "p -B-\n");
 }
 
-/* Guards against nodes that were all stopped: one that finds it in the store
-   tells the others. */
-Test (poison, the_store_tells_after_all_have_stopped)
+/* After a restart of all nodes, a node that reads the block from the store
+   must forward it to the others. */
+Test (poison, block_is_read_from_store_after_restart_of_all)
 {
-  poison_play ("nodes 3\n ran 1 p 1 -1\n ran 1 p 2 -1\n ran 1 p 3 -1\n"
-               "run 500\n cut 1 2\n cut 1 3\n cut 2 3\n restart 1\n"
-               "restart 2\n restart 3\n store 2 p\n run 50\n ask p\n",
-               "p BBB\n");
+  poison_run_script (
+      "nodes 3\n crash 1 p 1 -1\n crash 1 p 2 -1\n crash 1 p 3 -1\n"
+      "run 500\n cut 1 2\n cut 1 3\n cut 2 3\n restart 1\n"
+      "restart 2\n restart 3\n stored 2 p\n run 50\n query p\n",
+      "p BBB\n");
 }
 
-/* Guards against crashes that were reported before a block was lifted and are
-   heard after it: they would bring it back. */
-Test (poison, late_reports_don_t_bring_a_lifted_block_back)
+/* Crash reports that were sent before a block was cleared and arrive after it
+   must not block the request again. */
+Test (poison, delayed_reports_do_not_restore_cleared_block)
 {
-  poison_play ("nodes 2\n ran 1 p 1 -1\n ran 1 p 2 -1\n ran 1 p 3 -1\n"
-               "run 500\n ask p\n lift 1 p\n run 50\n ran 2 p 4 -1\n"
-               "ran 2 p 5 -1\n ran 2 p 6 -1\n run 1000\n ask p\n run 1500\n"
-               "ran 2 p 7 -1\n ran 2 p 8 -1\n ran 2 p 9 -1\n run 500\n"
-               "ask p\n",
-               "p BB\np --\np BB\n");
+  poison_run_script (
+      "nodes 2\n crash 1 p 1 -1\n crash 1 p 2 -1\n crash 1 p 3 -1\n"
+      "run 500\n query p\n clear 1 p\n run 50\n crash 2 p 4 -1\n"
+      "crash 2 p 5 -1\n crash 2 p 6 -1\n run 1000\n query p\n run 1500\n"
+      "crash 2 p 7 -1\n crash 2 p 8 -1\n crash 2 p 9 -1\n run 500\n"
+      "query p\n",
+      "p BB\np --\np BB\n");
 }
 
-/* Guards against a block for ever: servers may have been mended.  If not, one
-   more crash suffices. */
-Test (poison, a_block_ends_and_one_crash_brings_it_back)
+/* A block must end, because the servers may have been fixed.  If they have
+   not, one more crash is enough to block the request again. */
+Test (poison, expired_block_returns_after_one_crash)
 {
-  poison_play (
-      "nodes 2\n ran 1 p 1 -1\n ran 1 p 2 -1\n ran 1 p 3 -1\n"
-      "run 500\n ask p\n run 600000\n ask p\n ran 2 p 9 -1\n run 500\n"
-      "ask p\n",
+  poison_run_script (
+      "nodes 2\n crash 1 p 1 -1\n crash 1 p 2 -1\n crash 1 p 3 -1\n"
+      "run 500\n query p\n run 600000\n query p\n crash 2 p 9 -1\n run 500\n"
+      "query p\n",
       "p BB\np --\np BB\n");
 }
 
-/* Guards against callers that make nodes forget a verdict, or fill their
-   memory, by ten thousand other requests that were running in crashes. */
-Test (poison, ten_thousand_others_don_t_push_it_out)
+/* Ten thousand other requests that were running in crashes must neither evict
+   blocked requests from the table nor use unbounded memory. */
+Test (poison, ten_thousand_requests_do_not_evict_blocked_ones)
 {
   struct psn_fleet f;
   clk_ms again_ms;
   size_t n;
 
-  psn_fleet_up (&f, 2, 0);
+  psn_fleet_init (&f, 2, 0);
   for (uint64_t i = 0; i < 3; i++)
-    psn_fleet_ran (&f, 0, 'p', 1 + i, PSN_NO_EVENT);
-  /* Another one is known from the store, without its crashes. */
+    psn_fleet_crash (&f, 0, 'p', 1 + i, PSN_NO_EVENT);
+  /* Another request is blocked according to the store, without crashes. */
   psn_apply (f.node[0], f.now,
              &(struct psn_update){ .kind = PSN_BLOCKED,
                                    .digest = 's',
@@ -204,7 +222,7 @@
     psn_fleet_step (&f);
   for (uint64_t i = 0; i < 10000; i++)
     {
-      psn_fleet_ran (&f, (int)(i % 2), 1000 + i, 1000 + i / 20, 50);
+      psn_fleet_crash (&f, (int)(i % 2), 1000 + i, 1000 + i / 20, 50);
       if (i % 100 == 0)
         psn_fleet_step (&f);
     }
@@ -213,70 +231,70 @@
       cr_expect (psn_refuses (f.node[i], f.now, 'p', &again_ms));
       cr_expect (psn_refuses (f.node[i], f.now, 's', &again_ms));
       psn_snapshot (f.node[i], f.now, &n);
-      cr_expect_leq (n, PSN_MOST * 9);
+      cr_expect_leq (n, PSN_MAX_REQUESTS * 9);
     }
-  psn_fleet_down (&f);
+  psn_fleet_free (&f);
 }
 
-/* Guards against updates that nodes hand on to each other for ever. */
-Test (poison, updates_come_to_rest)
+/* Nodes must not forward the same updates to each other endlessly. */
+Test (poison, forwarding_of_updates_ends)
 {
   struct psn_fleet f;
 
-  psn_fleet_up (&f, 8, 0);
-  for (uint64_t place = 1; place <= 40; place++)
+  psn_fleet_init (&f, 8, 0);
+  for (uint64_t endpoint = 1; endpoint <= 40; endpoint++)
     for (int i = 0; i < 8; i++)
-      psn_fleet_ran (&f, i, 'h', place, PSN_NO_EVENT);
+      psn_fleet_crash (&f, i, 'h', endpoint, PSN_NO_EVENT);
   for (int i = 0; i < 100; i++)
     psn_fleet_step (&f);
   f.sent = 0;
   for (int i = 0; i < 100; i++)
     psn_fleet_step (&f);
   cr_expect_eq (f.sent, 0);
-  psn_fleet_down (&f);
+  psn_fleet_free (&f);
 }
 
-/* --- random days --------------------------------------------------------- */
+/* --- random schedules ---------------------------------------------------- */
 
 #define SEEDS 100
-#define DAY_STEPS 3000 /* 30 s */
-#define CONTACT_MS ((clk_ms)3000)
+#define SIM_STEPS 3000 /* 30 s */
+#define MAX_BLOCK_DELAY_MS ((clk_ms)3000)
 #define RUNS 120
-#define PLACES 12
+#define ENDPOINTS 12
 #define POISON 'p'
 
-/** A run that is under way. */
+/** A run in progress. */
 struct run
 {
   uint64_t digest; /* 0: none */
   int node;
-  uint64_t place;
-  clk_ms since, ends; /* ends: it completes */
+  uint64_t endpoint;
+  clk_ms started_at, ends; /* ends: when the run completes */
   unsigned crashes;
 };
 
-struct day
+struct sim
 {
   struct psn_fleet f;
   struct rng rng;
   struct run runs[RUNS];
-  uint64_t places[PLACES];
-  uint64_t next_place, next_request;
-  clk_ms crash_at; /* of the poison's server; 0: it does not run */
-  clk_ms asks_at;
+  uint64_t endpoints[ENDPOINTS];
+  uint64_t next_endpoint, next_request;
+  clk_ms crash_at; /* of the server that runs the poison request; 0: none */
+  clk_ms next_send_at;
   unsigned poison_crashes, late_sends;
-  clk_ms third_at;
+  clk_ms threshold_at;
   unsigned attempts;
 };
 
 static clk_ms
-draw (struct day *d, clk_ms least, clk_ms span)
+draw (struct sim *d, clk_ms least, clk_ms span)
 {
   return least + (clk_ms)rng_below (&d->rng, (uint64_t)span);
 }
 
 static struct run *
-free_run (struct day *d)
+find_free_run (struct sim *d)
 {
   for (int i = 0; i < RUNS; i++)
     if (!d->runs[i].digest)
@@ -285,63 +303,64 @@
 }
 
 static void
-begin (struct day *d, uint64_t digest, int node, unsigned crashes)
+begin_run (struct sim *d, uint64_t digest, int node, unsigned crashes)
 {
-  struct run *r = free_run (d);
+  struct run *r = find_free_run (d);
 
   if (r)
     *r = (struct run){ digest,
                        node,
-                       d->places[rng_below (&d->rng, PLACES)],
+                       d->endpoints[rng_below (&d->rng, ENDPOINTS)],
                        d->f.now,
                        d->f.now + draw (d, 300, 3000),
                        crashes };
 }
 
-/** The caller of the poison asks again, soon after its last answer. */
+/** Send the poison request again, soon after the last response.
+    @param retry  a retry by the node, not a new request of the client */
 static void
-ask_poison (struct day *d, bool again)
+send_poison (struct sim *d, bool retry)
 {
   int node = (int)rng_below (&d->rng, (uint64_t)d->f.n);
   clk_ms again_ms;
 
-  if (!again)
+  if (!retry)
     d->attempts = 0;
-  if (again ? psn_suspects (d->f.node[node], POISON) || ++d->attempts > 1
+  if (retry ? psn_suspects (d->f.node[node], POISON) || ++d->attempts > 1
             : psn_refuses (d->f.node[node], d->f.now, POISON, &again_ms))
     {
-      d->asks_at = d->f.now + draw (d, 50, 500);
+      d->next_send_at = d->f.now + draw (d, 50, 500);
       return;
     }
-  if (d->third_at && d->f.now > d->third_at + CONTACT_MS)
+  if (d->threshold_at && d->f.now > d->threshold_at + MAX_BLOCK_DELAY_MS)
     d->late_sends++;
-  begin (d, POISON, node, 0);
+  begin_run (d, POISON, node, 0);
   d->crash_at = d->f.now + draw (d, 100, 200);
 }
 
-/** The server at a place ends: runs that were under way begin anew. */
+/** End the server at an endpoint, and restart the runs that it had. */
 static void
-crash (struct day *d, uint64_t place)
+crash_endpoint (struct sim *d, uint64_t endpoint)
 {
-  for (int i = 0; i < PLACES; i++)
-    if (d->places[i] == place)
-      d->places[i] = ++d->next_place;
+  for (int i = 0; i < ENDPOINTS; i++)
+    if (d->endpoints[i] == endpoint)
+      d->endpoints[i] = ++d->next_endpoint;
   for (int i = 0; i < RUNS; i++)
     {
       struct run r = d->runs[i];
-      clk_ms ran = d->f.now - r.since - 100;
-      if (!r.digest || r.place != place)
+      clk_ms ran = d->f.now - r.started_at - 100;
+      if (!r.digest || r.endpoint != endpoint)
         continue;
-      psn_fleet_ran (&d->f, r.node, r.digest, place,
-                     ran < 0 ? PSN_NO_EVENT : ran);
+      psn_fleet_crash (&d->f, r.node, r.digest, endpoint,
+                       ran < 0 ? PSN_NO_EVENT : ran);
       d->runs[i].digest = 0;
       if (r.digest != POISON)
-        begin (d, r.digest, r.node, r.crashes + 1);
+        begin_run (d, r.digest, r.node, r.crashes + 1);
     }
 }
 
 static void
-crash_poison (struct day *d)
+crash_poison_endpoint (struct sim *d)
 {
   for (int i = 0; i < RUNS; i++)
     if (d->runs[i].digest == POISON)
@@ -349,15 +368,15 @@
         d->crash_at = 0;
         d->poison_crashes++;
         if (d->poison_crashes == PSN_CRASHES)
-          d->third_at = d->f.now;
-        crash (d, d->runs[i].place);
-        ask_poison (d, true);
+          d->threshold_at = d->f.now;
+        crash_endpoint (d, d->runs[i].endpoint);
+        send_poison (d, true);
         return;
       }
 }
 
 static void
-check_bystander (struct day *d, const struct run *r, uint64_t seed)
+check_other_request (struct sim *d, const struct run *r, uint64_t seed)
 {
   clk_ms again_ms;
   bool refused
@@ -369,67 +388,68 @@
 }
 
 static void
-step (struct day *d, uint64_t seed)
+step (struct sim *d, uint64_t seed)
 {
   psn_fleet_step (&d->f);
   if (d->crash_at && d->f.now >= d->crash_at)
-    crash_poison (d);
-  else if (!d->crash_at && d->f.now >= d->asks_at)
-    ask_poison (d, false);
+    crash_poison_endpoint (d);
+  else if (!d->crash_at && d->f.now >= d->next_send_at)
+    send_poison (d, false);
   if (rng_below (&d->rng, 400) == 0)
-    crash (d, d->places[rng_below (&d->rng, PLACES)]);
+    crash_endpoint (d, d->endpoints[rng_below (&d->rng, ENDPOINTS)]);
   if (rng_below (&d->rng, 10) == 0)
-    begin (d, 1000 + ++d->next_request,
-           (int)rng_below (&d->rng, (uint64_t)d->f.n), 0);
+    begin_run (d, 1000 + ++d->next_request,
+               (int)rng_below (&d->rng, (uint64_t)d->f.n), 0);
   for (int i = 0; i < RUNS; i++)
     {
       struct run *r = &d->runs[i];
       if (!r->digest || r->digest == POISON || d->f.now < r->ends)
         continue;
-      check_bystander (d, r, seed);
+      check_other_request (d, r, seed);
       psn_completed (d->f.node[r->node], d->f.now, r->digest);
       r->digest = 0;
     }
 }
 
 static void
-play_day (uint64_t seed)
+run_simulation (uint64_t seed)
 {
-  struct day d = { 0 };
+  struct sim d = { 0 };
 
   rng_seed (&d.rng, seed);
-  psn_fleet_up (&d.f, seed % 2 ? 8 : 20, seed % 2 ? 0 : 4);
-  d.next_place = PLACES;
-  for (uint64_t i = 0; i < PLACES; i++)
-    d.places[i] = i + 1;
-  d.asks_at = d.f.now + 1000;
-  for (int i = 0; i < DAY_STEPS; i++)
+  psn_fleet_init (&d.f, seed % 2 ? 8 : 20, seed % 2 ? 0 : 4);
+  d.next_endpoint = ENDPOINTS;
+  for (uint64_t i = 0; i < ENDPOINTS; i++)
+    d.endpoints[i] = i + 1;
+  d.next_send_at = d.f.now + 1000;
+  for (int i = 0; i < SIM_STEPS; i++)
     {
-      if (d.crash_at == 0 && d.asks_at == 0)
-        d.asks_at = d.f.now;
+      if (d.crash_at == 0 && d.next_send_at == 0)
+        d.next_send_at = d.f.now;
       step (&d, seed);
     }
   cr_expect_leq (d.late_sends, 3, "seed %d: sent %u times late", (int)seed,
                  d.late_sends);
   cr_expect_leq (d.poison_crashes, PSN_CRASHES + 3, "seed %d: %u crashes",
                  (int)seed, d.poison_crashes);
-  psn_fleet_down (&d.f);
+  psn_fleet_free (&d.f);
 }
 
-/* Guards against orders of crashes, completions and updates in which it goes
-   on crashing servers, or others are blocked for it. */
-Test (poison, random_days)
+/* No order of crashes, completions and updates may let a poison request go on
+   crashing servers, or block other requests instead. */
+Test (poison, random_schedules)
 {
   for (uint64_t seed = 1; seed <= SEEDS; seed++)
-    play_day (seed);
+    run_simulation (seed);
 }
 
-/* Seeds that once failed: in the first two bystanders were blocked, in the
-   last a wrong verdict let it crash five more servers. */
-Test (poison, days_that_once_failed)
+/* Seeds of earlier failures.  In the first two, unrelated requests were
+   blocked; in the last one, a block of the wrong request let the poison
+   request crash five more servers. */
+Test (poison, regression_seeds)
 {
   static const uint64_t seeds[] = { 231, 287, 2406 };
 
   for (size_t i = 0; i < sizeof seeds / sizeof seeds[0]; i++)
-    play_day (seeds[i]);
+    run_simulation (seeds[i]);
 }
--- a/t/t9208-limit.c
+++ b/t/t9208-limit.c
@@ -1,6 +1,7 @@
 /*
- * Request rates that backend servers ask for: what answers say, and what
- * follows from it at one node and at many.
+ * Request rate limits of backend servers: parsing of the response header, and
+ * enforcement at a single node and across many nodes (scripts of t/lib-limit.h
+ * and t/lib-dispatch.h).
  */
 #include <criterion/criterion.h>
 #include <stdio.h>
@@ -11,7 +12,7 @@
 #include "t/lib-dispatch.h"
 #include "t/lib-limit.h"
 
-/** What the adapter reads from an answer with these values of the header. */
+/** Parse a response with one or two rate headers, and format the result. */
 static const char *
 read_header (const char *first, const char *second)
 {
@@ -28,7 +29,7 @@
   return a.limit == LIM_SAYS_RATE ? text : "nothing";
 }
 
-/* Guards against a limit that is misread: nonsense must change nothing. */
+/* A malformed header must not be taken for a limit. */
 Test (limit, header_values)
 {
   static const char *const row[][3] = {
@@ -57,7 +58,7 @@
                       row[i][0]);
 }
 
-/* Guards against a limit that is read from an answer that names none. */
+/* A response without the header must not set a limit. */
 Test (limit, no_header)
 {
   struct srv_answer a;
@@ -66,216 +67,228 @@
   cr_expect_eq (a.limit, LIM_SAYS_NOTHING);
 }
 
-/* Guards against each node taking the number for its own: it is one for all of
-   them, however many they are. */
-Test (limit, one_rate_for_all_nodes)
+/* The limit is the total of all nodes.  Nodes that each applied it to their
+   own requests would send a multiple of it. */
+Test (limit, rate_is_shared_by_all_nodes)
 {
-  limit_play ("nodes 8\n load 100\n limit s 2\n run 3000\n known s\n reset\n"
-              "run 20000\n count s\n",
-              "s LLLLLLLL\ns kept used\n");
-  limit_play ("nodes 78\n load 500\n limit s 2\n run 3000\n reset\n"
-              "run 20000\n count s\n",
-              "s kept used\n");
-  limit_play ("nodes 295\n load 800\n limit s 2\n run 3000\n reset\n"
-              "run 20000\n count s\n",
-              "s kept used\n");
+  limit_run_script (
+      "nodes 8\n load 100\n limit s 2\n run 3000\n show s\n reset\n"
+      "run 20000\n count s\n",
+      "s LLLLLLLL\ns kept used\n");
+  limit_run_script ("nodes 78\n load 500\n limit s 2\n run 3000\n reset\n"
+                    "run 20000\n count s\n",
+                    "s kept used\n");
+  limit_run_script ("nodes 295\n load 800\n limit s 2\n run 3000\n reset\n"
+                    "run 20000\n count s\n",
+                    "s kept used\n");
 }
 
-/* Guards against a limit that only those nodes heed that were told. */
-Test (limit, all_nodes_know_within_moments)
+/* A limit must also be applied by nodes that received no response with it. */
+Test (limit, all_nodes_receive_limit_within_250_ms)
 {
-  limit_play ("nodes 18\n load 100\n at 18\n limit s 2\n run 250\n known s\n",
-              "s LLLLLLLLLLLLLLLLLL\n");
+  limit_run_script (
+      "nodes 18\n load 100\n target 18\n limit s 2\n run 250\n show s\n",
+      "s LLLLLLLLLLLLLLLLLL\n");
 }
 
-/* Guards against permits that many nodes save up while nobody asks, and use
-   together. */
-Test (limit, nothing_is_saved_up)
+/* Nodes must not accumulate permits while there is no load and then spend them
+   in one burst. */
+Test (limit, idle_nodes_accumulate_no_burst)
 {
-  limit_play ("nodes 78\n load 500\n limit s 2\n run 3000\n load 0\n"
-              "run 60000\n reset\n load 500\n run 4000\n count s\n",
-              "s kept used\n");
+  limit_run_script ("nodes 78\n load 500\n limit s 2\n run 3000\n load 0\n"
+                    "run 60000\n reset\n load 500\n run 4000\n count s\n",
+                    "s kept used\n");
 }
 
-/* Guards against an allowance that is left lying where few requests come, each
-   at another node. */
-Test (limit, few_requests_use_it_up)
+/* With few requests, each at another node, the permitted rate must still be
+   used up. */
+Test (limit, low_load_can_use_full_rate)
 {
-  limit_play ("nodes 8\n load 3\n limit s 2\n run 10000\n reset\n"
-              "run 60000\n count s\n",
-              "s kept used\n");
-  limit_play ("nodes 78\n load 3\n limit s 2\n run 60000\n reset\n"
-              "run 60000\n count s\n",
-              "s kept used\n");
+  limit_run_script ("nodes 8\n load 3\n limit s 2\n run 10000\n reset\n"
+                    "run 60000\n count s\n",
+                    "s kept used\n");
+  limit_run_script ("nodes 78\n load 3\n limit s 2\n run 60000\n reset\n"
+                    "run 60000\n count s\n",
+                    "s kept used\n");
 }
 
-/* Guards against a server that gets nothing, or twice its rate, as the node
-   that grants permits ends and starts again. */
-Test (limit, the_node_that_grants_ends)
+/* A server must get neither no requests nor twice its rate while the granting
+   node ends and starts again. */
+Test (limit, granting_node_is_killed)
 {
-  limit_play ("nodes 8\n load 100\n limit s 2\n run 5000\n reset\n kill 1\n"
-              "run 10000\n count s\n known s\n reset\n start 1\n run 10000\n"
-              "count s\n known s\n",
-              "s kept half\ns .LLLLLLL\ns kept used\ns LLLLLLLL\n");
+  limit_run_script (
+      "nodes 8\n load 100\n limit s 2\n run 5000\n reset\n kill 1\n"
+      "run 10000\n count s\n show s\n reset\n start 1\n run 10000\n"
+      "count s\n show s\n",
+      "s kept half\ns .LLLLLLL\ns kept used\ns LLLLLLLL\n");
 }
 
-/* The same for one that freezes, and wakes with what it believed before. */
-Test (limit, the_node_that_grants_freezes)
+/* The same for a granting node that freezes and resumes with stale state. */
+Test (limit, granting_node_freezes)
 {
-  limit_play ("nodes 8\n load 100\n limit s 2\n run 5000\n reset\n freeze 1\n"
-              "run 6000\n count s\n reset\n wake 1\n run 10000\n count s\n",
-              "s kept half\ns kept used\n");
+  limit_run_script (
+      "nodes 8\n load 100\n limit s 2\n run 5000\n reset\n freeze 1\n"
+      "run 6000\n count s\n reset\n thaw 1\n run 10000\n count s\n",
+      "s kept half\ns kept used\n");
 }
 
-/* Guards against a rate for each side where links are cut. */
+/* While links are cut, the two sides must not each grant the full rate. */
 Test (limit, two_nodes_grant_while_links_are_cut)
 {
-  limit_play ("nodes 8\n load 100\n limit s 2\n run 5000\n cut 1\n cut 2\n"
-              "cut 3\n reset\n run 20000\n count s\n reset\n join 1\n"
-              "join 2\n join 3\n run 10000\n count s\n",
-              "s kept used\ns kept used\n");
-  limit_play ("nodes 8\n load 100\n limit s 2\n run 5000\n alone\n reset\n"
-              "run 20000\n count s\n",
-              "s kept used\n");
-}
-
-/* Guards against many nodes that grant to themselves at the same moment. */
-Test (limit, nodes_on_their_own_dont_send_together)
-{
-  limit_play ("nodes 78\n load 500\n limit s 2\n run 3000\n alone\n run 3000\n"
-              "reset\n run 90000\n count s\n",
-              "s kept used\n");
-  limit_play (
-      "nodes 78\n load 500\n limit s 2\n run 3000\n alone\n run 60000\n"
+  limit_run_script (
+      "nodes 8\n load 100\n limit s 2\n run 5000\n cut 1\n cut 2\n"
+      "cut 3\n reset\n run 20000\n count s\n reset\n link 1\n"
+      "link 2\n link 3\n run 10000\n count s\n",
+      "s kept used\ns kept used\n");
+  limit_run_script (
+      "nodes 8\n load 100\n limit s 2\n run 5000\n isolate\n reset\n"
+      "run 20000\n count s\n",
+      "s kept used\n");
+}
+
+/* Many nodes that grant to themselves must not send at the same time. */
+Test (limit, isolated_nodes_do_not_send_at_same_time)
+{
+  limit_run_script (
+      "nodes 78\n load 500\n limit s 2\n run 3000\n isolate\n run 3000\n"
+      "reset\n run 90000\n count s\n",
+      "s kept used\n");
+  limit_run_script (
+      "nodes 78\n load 500\n limit s 2\n run 3000\n isolate\n run 60000\n"
       "load 0\n run 60000\n reset\n load 500\n run 4000\n count s\n",
       "s kept little\n");
 }
 
-/* Guards against nodes that start, all at once, without knowing of it. */
-Test (limit, all_nodes_start_again)
+/* Nodes that all restart have no recorded limits, and must receive them
+   soon. */
+Test (limit, all_nodes_restart)
 {
-  limit_play ("nodes 8\n load 100\n limit s 2\n run 5000\n kill 1\n kill 2\n"
-              "kill 3\n kill 4\n kill 5\n kill 6\n kill 7\n kill 8\n"
-              "start 1\n start 2\n start 3\n start 4\n start 5\n start 6\n"
-              "start 7\n start 8\n run 500\n known s\n reset\n run 10000\n"
-              "count s\n",
-              "s LLLLLLLL\ns kept used\n");
+  limit_run_script (
+      "nodes 8\n load 100\n limit s 2\n run 5000\n kill 1\n kill 2\n"
+      "kill 3\n kill 4\n kill 5\n kill 6\n kill 7\n kill 8\n"
+      "start 1\n start 2\n start 3\n start 4\n start 5\n start 6\n"
+      "start 7\n start 8\n run 500\n show s\n reset\n run 10000\n"
+      "count s\n",
+      "s LLLLLLLL\ns kept used\n");
 }
 
-/* Guards against a node that joins and takes the server for unlimited. */
-Test (limit, a_node_that_starts_is_told)
+/* A started node must not treat a limited server as unlimited. */
+Test (limit, started_node_receives_limits)
 {
-  limit_play ("nodes 8\n load 100\n at 1\n limit s 2\n run 3000\n kill 8\n"
-              "start 8\n run 20\n known s\n",
-              "s LLLLLLLL\n");
+  limit_run_script (
+      "nodes 8\n load 100\n target 1\n limit s 2\n run 3000\n kill 8\n"
+      "start 8\n run 20\n show s\n",
+      "s LLLLLLLL\n");
 }
 
-/* Guards against permits that were held up on their way and are used
-   together. */
-Test (limit, late_permits_dont_add_up)
+/* Permits that were delayed and arrive at the same time must not be used in
+   one burst. */
+Test (limit, delayed_permits_do_not_accumulate)
 {
-  limit_play ("nodes 8\n load 400\n at 5\n limit s 10\n run 3000\n hold 5\n"
-              "run 900\n reset\n pass 5\n run 1000\n count s\n",
-              "s kept used\n");
+  limit_run_script (
+      "nodes 8\n load 400\n target 5\n limit s 10\n run 3000\n hold 5\n"
+      "run 900\n reset\n release 5\n run 1000\n count s\n",
+      "s kept used\n");
 }
 
-/* Guards against a limit that outlives its server's trouble, and against one
-   that is missed as it falls. */
-Test (limit, it_changes_and_ends)
+/* A limit must end with the responses that carry it, and a lower limit must be
+   applied immediately. */
+Test (limit, limit_changes_and_ends)
 {
-  limit_play ("nodes 8\n load 100\n limit s 8\n run 5000\n limit s 1\n"
-              "run 2000\n reset\n run 20000\n count s\n limit s 12\n"
-              "run 3000\n reset\n run 10000\n count s\n limit s none\n"
-              "run 1000\n known s\n",
-              "s kept used\ns kept used\ns --------\n");
+  limit_run_script ("nodes 8\n load 100\n limit s 8\n run 5000\n limit s 1\n"
+                    "run 2000\n reset\n run 20000\n count s\n limit s 12\n"
+                    "run 3000\n reset\n run 10000\n count s\n limit s none\n"
+                    "run 1000\n show s\n",
+                    "s kept used\ns kept used\ns --------\n");
 }
 
-/* Guards against a limit of zero that never ends, as nobody sends what would
-   tell so. */
-Test (limit, none_at_all_is_tried_now_and_then)
+/* A limit of zero would never end without requests, because its end is only
+   reported in responses. */
+Test (limit, limit_of_zero_is_probed)
 {
-  limit_play ("nodes 8\n load 100\n limit s 0\n run 3000\n reset\n run 30000\n"
-              "count s\n limit s none\n run 9000\n known s\n",
-              "s kept used\ns --------\n");
+  limit_run_script (
+      "nodes 8\n load 100\n limit s 0\n run 3000\n reset\n run 30000\n"
+      "count s\n limit s none\n run 9000\n show s\n",
+      "s kept used\ns --------\n");
 }
 
-/* Guards against a limit far above what is asked that holds requests up. */
-Test (limit, a_limit_that_does_not_bind)
+/* A limit far above the load must not delay requests. */
+Test (limit, limit_above_load)
 {
   struct limit_fleet *f = xcalloc (1, sizeof *f);
   struct buf log = BUF_INIT;
 
-  limit_fleet_up (f, 8, 1);
-  limit_line (f, "load 100", &log);
-  limit_line (f, "limit s 1e9", &log);
-  limit_line (f, "run 3000", &log);
-  limit_line (f, "reset", &log);
-  limit_line (f, "run 10000", &log);
+  limit_fleet_init (f, 8, 1);
+  limit_run_line (f, "load 100", &log);
+  limit_run_line (f, "limit s 1e9", &log);
+  limit_run_line (f, "run 3000", &log);
+  limit_run_line (f, "reset", &log);
+  limit_run_line (f, "run 10000", &log);
   cr_expect_geq (f->server[0].n, 950);
   cr_expect_leq (lim_figures (f->node[0].l, f->now).granted,
                  200u * UINT16_MAX);
-  limit_fleet_down (f);
+  limit_fleet_free (f);
   free (f);
   buf_free (&log);
 }
 
-/* Guards against one server's limit counting for another. */
-Test (limit, servers_apart)
+/* The limit of one server must not affect another one. */
+Test (limit, servers_have_separate_limits)
 {
-  limit_play (
+  limit_run_script (
       "nodes 8\n load 200\n limit s 2\n limit t 6\n limit u none\n"
-      "run 3000\n known s\n known t\n known u\n reset\n run 20000\n"
+      "run 3000\n show s\n show t\n show u\n reset\n run 20000\n"
       "count s\n count t\n",
       "s LLLLLLLL\nt LLLLLLLL\nu --------\ns kept used\nt kept used\n");
 }
 
-/* Guards against a node that waits for ever for permits of one that takes the
-   server to be unlimited. */
-Test (limit, nodes_that_disagree_come_together)
+/* A node must not wait forever for permits from a granting node that has
+   recorded no limit for the server. */
+Test (limit, different_limits_converge)
 {
-  limit_play ("nodes 8\n load 100\n limit s none\n run 1000\n"
-              "believes 8 s 0\n run 8000\n known s\n",
-              "s --------\n");
-  limit_play ("nodes 8\n load 100\n limit s 2\n run 3000\n"
-              "believes 1 s none\n run 2000\n known s\n reset\n"
-              "run 10000\n count s\n",
-              "s LLLLLLLL\ns kept used\n");
+  limit_run_script ("nodes 8\n load 100\n limit s none\n run 1000\n"
+                    "record 8 s 0\n run 8000\n show s\n",
+                    "s --------\n");
+  limit_run_script ("nodes 8\n load 100\n limit s 2\n run 3000\n"
+                    "record 1 s none\n run 2000\n show s\n reset\n"
+                    "run 10000\n count s\n",
+                    "s LLLLLLLL\ns kept used\n");
 }
 
 static enum lim_change
-answer (struct lim *l, clk_ms now, double rate, clk_ms sent_at)
+respond (struct lim *l, clk_ms now, double rate, clk_ms sent_at)
 {
-  struct lim_word word = { .server = 7, .rate = rate, .sent_at = sent_at };
+  struct lim_word report = { .server = 7, .rate = rate, .sent_at = sent_at };
 
-  word.says = rate < 0 ? LIM_SAYS_NOTHING : LIM_SAYS_RATE;
-  return lim_answered (l, now, &word);
+  report.says = rate < 0 ? LIM_SAYS_NOTHING : LIM_SAYS_RATE;
+  return lim_answered (l, now, &report);
 }
 
-/* Guards against an older answer that arrives late: it must not end a limit,
-   or raise it. */
-Test (limit, answers_overtake_each_other)
+/* An older response that arrives late must neither end a limit nor raise it.
+ */
+Test (limit, reordered_responses)
 {
   struct lim *l = lim_new (1);
   double rate;
 
-  cr_expect_eq (answer (l, 1000, 4, 900), LIM_NAMED);
-  cr_expect_eq (answer (l, 1010, -1, 950), LIM_SAME);
-  cr_expect_eq (answer (l, 1020, 9, 990), LIM_SAME);
-  cr_expect_eq (answer (l, 1030, 2, 960), LIM_NAMED);
+  cr_expect_eq (respond (l, 1000, 4, 900), LIM_SET);
+  cr_expect_eq (respond (l, 1010, -1, 950), LIM_SAME);
+  cr_expect_eq (respond (l, 1020, 9, 990), LIM_SAME);
+  cr_expect_eq (respond (l, 1030, 2, 960), LIM_SET);
   cr_expect (lim_rate (l, 7, &rate) && rate == 2);
-  cr_expect_eq (answer (l, 1200, 5, 1040), LIM_NAMED);
-  cr_expect_eq (answer (l, 1300, -1, 1199), LIM_SAME);
-  cr_expect_eq (answer (l, 1400, -1, 1350), LIM_ENDED);
+  cr_expect_eq (respond (l, 1200, 5, 1040), LIM_SET);
+  cr_expect_eq (respond (l, 1300, -1, 1199), LIM_SAME);
+  cr_expect_eq (respond (l, 1400, -1, 1350), LIM_ENDED);
   cr_expect_not (lim_any (l));
   lim_free (l);
 }
 
-/* Guards against permits that a node keeps, and uses long after. */
-Test (limit, permits_lapse_and_dont_pile_up)
+/* A node must not keep permits and use them much later. */
+Test (limit, permits_expire_and_are_capped)
 {
   struct lim *l = lim_new (1);
 
-  answer (l, 1000, 2, 900);
+  respond (l, 1000, 2, 900);
   lim_granted (l, 1100, 7, 1);
   lim_granted (l, 1110, 7, 1);
   lim_granted (l, 1120, 7, 5);
@@ -288,14 +301,14 @@
   lim_free (l);
 }
 
-/* Guards against a word of another node that is older than what this one has
-   seen itself. */
-Test (limit, the_newer_word_holds)
+/* An update from another node that is older than the recorded limit must be
+   ignored. */
+Test (limit, newer_update_applies)
 {
   struct lim *l = lim_new (1);
   struct lim_update ended = { .server = 7, .age_ms = 300 };
 
-  answer (l, 1000, 4, 900);
+  respond (l, 1000, 4, 900);
   cr_expect_not (lim_apply (l, 1100, &ended));
   ended.age_ms = 50;
   cr_expect (lim_apply (l, 1100, &ended));
@@ -304,85 +317,86 @@
   lim_free (l);
 }
 
-/* Guards against a line of log for each answer that can't be read. */
-Test (limit, nonsense_is_reported_once)
+/* Malformed limits must not cause a log line for every response. */
+Test (limit, malformed_limit_is_reported_once)
 {
   struct lim *l = lim_new (1);
-  struct lim_word word = { .server = 7, .says = LIM_SAYS_UNREADABLE };
+  struct lim_word report = { .server = 7, .says = LIM_SAYS_UNREADABLE };
   double rate;
 
-  answer (l, 1000, 4, 900);
-  cr_expect_eq (lim_answered (l, 1100, &word), LIM_UNREADABLE);
-  cr_expect_eq (lim_answered (l, 1200, &word), LIM_SAME);
+  respond (l, 1000, 4, 900);
+  cr_expect_eq (lim_answered (l, 1100, &report), LIM_UNREADABLE);
+  cr_expect_eq (lim_answered (l, 1200, &report), LIM_SAME);
   cr_expect (lim_rate (l, 7, &rate) && rate == 4);
   lim_free (l);
 }
 
-/* Guards against memory that grows with each server that ever named a limit.
- */
+/* Memory must not grow with every server that has ever set a limit. */
 Test (limit, memory_is_bounded)
 {
   struct lim *l = lim_new (1);
-  struct lim_word word = { .says = LIM_SAYS_RATE, .rate = 1 };
+  struct lim_word report = { .says = LIM_SAYS_RATE, .rate = 1 };
 
-  for (uint64_t i = 1; i <= 5 * LIM_MOST; i++)
+  for (uint64_t i = 1; i <= 5 * LIM_MAX_SERVERS; i++)
     {
-      word.server = i;
-      lim_answered (l, (clk_ms)i, &word);
+      report.server = i;
+      lim_answered (l, (clk_ms)i, &report);
     }
-  cr_expect_eq (lim_figures (l, 0).limited, LIM_MOST);
+  cr_expect_eq (lim_figures (l, 0).limited, LIM_MAX_SERVERS);
   lim_free (l);
 }
 
-/** A day of faults drawn from @p seed: what reaches the server stays within
-   its rate over all nodes. */
+/** Run a random sequence of faults.  The requests of all nodes together must
+    stay within the rate of the server. */
 static void
-random_day (uint64_t seed)
+run_random_faults (uint64_t seed)
 {
-  static const char *const words[]
-      = { "kill", "start", "freeze", "wake", "cut", "join", "hold", "pass" };
+  static const char *const commands[] = {
+    "kill", "start", "freeze", "thaw", "cut", "link", "hold", "release"
+  };
   struct limit_fleet *f = xcalloc (1, sizeof *f);
   struct buf log = BUF_INIT;
   char text[64];
   size_t most;
 
-  limit_fleet_up (f, 8, seed);
-  limit_line (f, "load 200", &log);
-  limit_line (f, "limit s 3", &log);
-  limit_line (f, "run 2000", &log);
-  limit_line (f, "reset", &log);
+  limit_fleet_init (f, 8, seed);
+  limit_run_line (f, "load 200", &log);
+  limit_run_line (f, "limit s 3", &log);
+  limit_run_line (f, "run 2000", &log);
+  limit_run_line (f, "reset", &log);
   for (int i = 0; i < 60; i++)
     {
       int pair = (int)rng_below (&f->rng, 4);
       int node = (int)rng_below (&f->rng, 8);
       bool was[4] = { !f->node[node].l, f->node[node].frozen,
                       f->node[node].cut, f->node[node].held };
-      snprintf (text, sizeof text, "%s %d", words[2 * pair + was[pair]],
+      snprintf (text, sizeof text, "%s %d", commands[2 * pair + was[pair]],
                 node + 1);
-      limit_line (f, text, &log);
+      limit_run_line (f, text, &log);
       snprintf (text, sizeof text, "run %d",
                 (int)(100 + rng_below (&f->rng, 2000)));
-      limit_line (f, text, &log);
+      limit_run_line (f, text, &log);
     }
-  most = limit_most (&f->server[0]);
+  most = limit_max_in_window (&f->server[0]);
   cr_expect_leq (most, 23, "seed %d: %zu", (int)seed, most);
-  limit_fleet_down (f);
+  limit_fleet_free (f);
   free (f);
   buf_free (&log);
 }
 
-/* Guards against kills, freezes, cuts and late frames in any order. */
-Test (limit, random_days)
+/* The limit must be kept with kills, freezes, cuts and delayed messages in any
+   order. */
+Test (limit, random_faults)
 {
   const char *seeds = getenv ("LIMIT_SEEDS");
   uint64_t n = seeds ? strtoull (seeds, NULL, 10) : 100;
 
   for (uint64_t seed = 1; seed <= n; seed++)
-    random_day (seed);
+    run_random_faults (seed);
 }
 
-/* Guards against a limited place that draws all requests, as it looks idle. */
-Test (limit, a_limited_place_counts_as_full)
+/* A limited endpoint looks idle, but must not attract all requests. */
+Test (limit, limited_endpoint_counts_as_full)
 {
   dispatch_play ("places app 2 10\n limit app1 2\n ask 1 safe\n ask 2 safe\n"
                  "ask 3 safe\n permit app1\n ask 4 safe\n ask 5 safe\n"
@@ -392,10 +406,10 @@
                  "send 5 app2\nsend 6 app1\n");
 }
 
-/* Guards against a request that waits for what it can't get, where all places
-   are limited: at first for the answer to this node's asking, then not at
-   all. */
-Test (limit, refused_at_once_when_all_are_spent)
+/* A request must not wait for a permit that will not come, if all endpoints
+   are limited.  The first one waits until the permit request is answered;
+   later ones are refused immediately. */
+Test (limit, refused_immediately_without_permits)
 {
   dispatch_play (
       "nodes 8\n places app 1 10\n limit app1 2\n ask 1 safe\n"
@@ -403,17 +417,16 @@
       "answer 2 rate-limited 503 retry\nanswer 1 rate-limited 503 retry\n");
 }
 
-/* Guards against a permit that comes for a request which waits, and is not
-   used. */
-Test (limit, a_permit_goes_to_what_waits)
+/* A permit that arrives while a request waits must be used by this request. */
+Test (limit, permit_is_used_by_waiting_request)
 {
   dispatch_play ("nodes 8\n places app 1 10\n limit app1 2\n ask 1 safe\n"
                  "permit app1\n permit app1\n ask 2 safe\n",
                  "send 1 app1\nsend 2 app1\n");
 }
 
-/* Guards against less urgent requests that use up what a limit allows. */
-Test (limit, urgent_requests_go_first)
+/* Requests of lower priority must not use up the permits. */
+Test (limit, higher_priority_gets_permits_first)
 {
   dispatch_play ("nodes 8\n places app 1 10\n limit app1 2\n permit app1\n"
                  "minor 1 safe\n permit app1\n ask 2 safe\n permit app1\n"
@@ -422,8 +435,8 @@
                  "answer 3 rate-limited 503 retry\nsend 4 app1\n");
 }
 
-/* Guards against further attempts that go where first ones may not. */
-Test (limit, further_attempts_need_a_permit)
+/* Retries must not bypass the limit that applies to first attempts. */
+Test (limit, retries_need_a_permit)
 {
   dispatch_play ("places app 2 10\n limit app2 2\n ask 1 safe\n sent 1\n"
                  "error 1\n run 40\n",
@@ -433,7 +446,7 @@
                  "send 1 app1\ncancel 1\nsend 1 app2\n");
 }
 
-/* Guards against streams that go on where first attempts may not. */
+/* Resumed streams must not bypass the limit. */
 Test (limit, resumed_streams_need_a_permit)
 {
   dispatch_play ("streams lm 2 10\n limit lm2 2\n ask 1 stream\n sent 1\n"
@@ -442,9 +455,9 @@
                  "send 1 lm2 resume p0\n");
 }
 
-/* Guards against a place that failed and is tried, as there is no other,
-   beyond its limit. */
-Test (limit, the_last_resort_needs_a_permit)
+/* A failed endpoint that is tried because no other is left must not be sent
+   more requests than its limit allows. */
+Test (limit, only_remaining_endpoint_needs_a_permit)
 {
   dispatch_play ("places app 2 10\n closed app2\n ask 1 once\n sent 1\n"
                  "broken 1\n ask 2 once\n sent 2\n broken 2\n ask 3 once\n"
