--- a/serve/form-demand.c
+++ b/serve/form-demand.c
@@ -27,12 +27,12 @@
             double requests)
 {
   struct frm_demand *d = demand_of (f, service, model);
-  double part = (double)(now - d->at) / (double)AVERAGE_MS;
+  double part = (double)(now - d->updated_at) / (double)AVERAGE_MS;
 
-  if (d->at == 0 || part > 1)
+  if (d->updated_at == 0 || part > 1)
     part = 1;
   d->requests += part * (requests - d->requests);
-  d->at = now;
+  d->updated_at = now;
 }
 
 double
@@ -55,7 +55,7 @@
 void
 frm_count_yield (struct frm *f, const struct frm_group *g)
 {
-  demand_of (f, str_from (g->service), str_from (g->model))->yielded++;
+  demand_of (f, str_from (g->service), str_from (g->model))->reassigned++;
 }
 
 static struct frm_model *
@@ -93,7 +93,7 @@
 {
   f->rows = out;
   f->nrows = 0;
-  if (f->table && f->owner && f->adopted)
+  if (f->config && f->leading && f->adopted)
     {
       frm_count_domains (f);
       frm_each_domain (f, add_plan);
@@ -102,7 +102,7 @@
     {
       const struct frm_demand *d = demand_of (f, out[i].service, out[i].name);
       out[i].requests = d->requests;
-      out[i].yielded = d->yielded;
+      out[i].yielded = d->reassigned;
     }
   return f->nrows;
 }
--- a/serve/form-group.c
+++ b/serve/form-group.c
@@ -21,15 +21,15 @@
 static bool
 member_lost (const struct frm_vm *vm)
 {
-  return !vm || vm->silent;
+  return !vm || vm->unresponsive;
 }
 
 static bool
 all_there (const struct frm *f, const struct frm_group *g)
 {
-  if (!g->spare && (g->size == 0 || g->n < g->size))
+  if (!g->spare && (g->size == 0 || g->nmembers < g->size))
     return false;
-  for (size_t i = 0; i < g->n; i++)
+  for (size_t i = 0; i < g->nmembers; i++)
     if (!g->members[i] || !frm_usable (f, g->members[i]))
       return false;
   return true;
@@ -38,7 +38,7 @@
 static bool
 all_ready (const struct frm_group *g)
 {
-  for (size_t i = 0; i < g->n; i++)
+  for (size_t i = 0; i < g->nmembers; i++)
     if (!frm_reports (g->members[i], g, BKS_READY))
       return false;
   return true;
@@ -48,10 +48,10 @@
 static bool
 has_unknown (const struct frm_group *g)
 {
-  for (size_t i = 0; i < g->n; i++)
+  for (size_t i = 0; i < g->nmembers; i++)
     if (!g->members[i])
       return true;
-  return g->size == 0 || g->n < g->size;
+  return g->size == 0 || g->nmembers < g->size;
 }
 
 /* --- joining and opening ----------------------------------------------- */
@@ -64,13 +64,13 @@
 takes_older_orders (const struct frm *f, const struct frm_group *g,
                     const struct frm_vm *vm)
 {
-  return g->found && !g->spare && vm->fence != f->fence;
+  return g->adopted && !g->spare && vm->accepted_fence != f->fence;
 }
 
 static bool
 any_takes_older_orders (const struct frm *f, const struct frm_group *g)
 {
-  for (size_t i = 0; i < g->n; i++)
+  for (size_t i = 0; i < g->nmembers; i++)
     if (takes_older_orders (f, g, g->members[i]))
       return true;
   return false;
@@ -79,15 +79,15 @@
 static void
 tick_joining (struct frm *f, struct frm_group *g)
 {
-  if (!f->settled && !g->bereft && has_unknown (g))
+  if (!f->list_complete && !g->member_lost && has_unknown (g))
     {
-      g->since = f->now;
+      g->phase_since = f->now;
       return;
     }
   if (!all_there (f, g))
     {
-      if (f->now - g->since > (g->size ? ADOPT_MS : FRM_PATIENCE_MS)
-          || (g->size && g->n >= g->size))
+      if (f->now - g->phase_since > (g->size ? ADOPT_MS : FRM_PATIENCE_MS)
+          || (g->size && g->nmembers >= g->size))
         frm_group_end (f, g);
       return;
     }
@@ -97,12 +97,12 @@
         frm_enter (f, g, FRM_PH_OPENING);
       return;
     }
-  if (f->asked_at - g->since > 3 * g->load_ms + FRM_PATIENCE_MS)
+  if (f->list_requested_at - g->phase_since > 3 * g->load_ms + FRM_PATIENCE_MS)
     {
       frm_group_end (f, g);
       return;
     }
-  for (size_t i = 0; i < g->n; i++)
+  for (size_t i = 0; i < g->nmembers; i++)
     if (!frm_reports (g->members[i], g, BKS_JOINING)
         || takes_older_orders (f, g, g->members[i]))
       frm_order (f, g->members[i], FRM_JOIN, g);
@@ -111,10 +111,10 @@
 static void
 begin_close (struct frm *f, struct frm_group *g, bool cut)
 {
-  g->cut = cut;
-  g->unanswered = false;
-  g->closed_at = 0;
-  f->figures.lost++;
+  g->force = cut;
+  g->close_unanswered = false;
+  g->close_accepted_at = 0;
+  f->stats.lost++;
   frm_enter (f, g, FRM_PH_CLOSING);
 }
 
@@ -129,20 +129,21 @@
 {
   /* By the time of the list: one of thousands of servers is read for seconds,
      and a replica that is open may not show in it yet. */
-  if (!all_there (f, g) || f->asked_at - g->since > FRM_PATIENCE_MS)
+  if (!all_there (f, g)
+      || f->list_requested_at - g->phase_since > FRM_PATIENCE_MS)
     {
       begin_close (f, g, true);
       return;
     }
   if (frm_reports (g->members[0], g, BKS_OPEN))
     {
-      f->figures.formed++;
+      f->stats.formed++;
       frm_enter (f, g, FRM_PH_OPEN);
       return;
     }
   if (!all_ready (g))
     return;
-  g->may_open = true;
+  g->may_be_open = true;
   frm_order (f, g->members[0], FRM_OPEN, g);
 }
 
@@ -158,30 +159,31 @@
 {
   bool all = true;
 
-  for (size_t i = 0; i < g->n; i++)
+  for (size_t i = 0; i < g->nmembers; i++)
     {
       struct frm_vm *vm = g->members[i];
-      if (!vm || vm->answered_at > g->suspect_since)
+      if (!vm || vm->probe_ok_at > g->stall_reported_at)
         continue;
       all = false;
       frm_ask (f, vm);
     }
   if (all)
-    g->suspect = false;
+    g->stall_reported = false;
 }
 
 /** A member is gone, or it says that it is no longer ready. */
 static bool
 has_lost (const struct frm_group *g)
 {
-  for (size_t i = 0; i < g->n; i++)
+  for (size_t i = 0; i < g->nmembers; i++)
     {
       const struct frm_vm *vm = g->members[i];
       if (vm
-          && (vm->silent || (vm->present && !frm_reports (vm, g, BKS_READY))))
+          && (vm->unresponsive
+              || (vm->listed && !frm_reports (vm, g, BKS_READY))))
         return true;
     }
-  return g->bereft;
+  return g->member_lost;
 }
 
 static void
@@ -191,40 +193,41 @@
 
   if (member_lost (leader))
     {
-      f->figures.lost++;
+      f->stats.lost++;
       frm_enter (f, g, FRM_PH_FENCING);
       return;
     }
-  if (!leader->present)
+  if (!leader->listed)
     {
-      if (leader->answered_at)
+      if (leader->probe_ok_at)
         begin_close (f, g, false);
       return;
     }
-  if (!frm_reports (leader, g, BKS_OPEN) || leader->e.part == BKS_BROKEN)
+  if (!frm_reports (leader, g, BKS_OPEN) || leader->entry.part == BKS_BROKEN)
     {
       /* It has closed, broken or moved on; either way it leads no more. */
-      f->figures.lost++;
+      f->stats.lost++;
       frm_group_end (f, g);
       return;
     }
-  if (leader->e.part == BKS_CLOSING)
+  if (leader->entry.part == BKS_CLOSING)
     {
       begin_close (f, g, false);
       return;
     }
-  if (has_lost (g) || ((g->suspect || g->stray) && has_unknown (g)))
+  if (has_lost (g)
+      || ((g->stall_reported || g->appeared_late) && has_unknown (g)))
     {
       begin_close (f, g, true);
       return;
     }
-  for (size_t i = 0; i < g->n; i++)
-    if (g->members[i] && g->members[i]->e.draining)
+  for (size_t i = 0; i < g->nmembers; i++)
+    if (g->members[i] && g->members[i]->entry.draining)
       {
         begin_close (f, g, false);
         return;
       }
-  if (g->suspect)
+  if (g->stall_reported)
     look_closer (f, g);
 }
 
@@ -243,8 +246,8 @@
 
   if (frm_reports (leader, g, BKS_BROKEN))
     return true;
-  return g->closed_at && f->asked_at > g->closed_at && leader->present
-         && !frm_reports (leader, g, BKS_OPEN);
+  return g->close_accepted_at && f->list_requested_at > g->close_accepted_at
+         && leader->listed && !frm_reports (leader, g, BKS_OPEN);
 }
 
 static void
@@ -257,21 +260,21 @@
       frm_enter (f, g, FRM_PH_FENCING);
       return;
     }
-  if (g->unanswered)
+  if (g->close_unanswered)
     frm_ask (f, leader); /* it may be cut off, or only late with orders */
   if (has_closed (f, g)
-      || (!leader->present && g->closed_at
-          && f->now - g->since > LAPSED_CLOSE_MS))
+      || (!leader->listed && g->close_accepted_at
+          && f->now - g->phase_since > LAPSED_CLOSE_MS))
     {
       frm_group_end (f, g);
       return;
     }
-  if (!g->cut && f->now - g->since > CLOSE_MOST_MS)
+  if (!g->force && f->now - g->phase_since > CLOSE_MOST_MS)
     {
-      g->cut = true;
-      g->closed_at = 0;
+      g->force = true;
+      g->close_accepted_at = 0;
     }
-  if (!g->closed_at)
+  if (!g->close_accepted_at)
     frm_order (f, leader, FRM_CLOSE, g);
 }
 
@@ -280,7 +283,7 @@
 {
   if (member_lost (g->members[0]))
     frm_enter (f, g, FRM_PH_FENCING);
-  else if (g->left[0])
+  else if (g->leave_accepted[0])
     frm_group_over (f, g);
   else
     frm_order (f, g->members[0], FRM_LEAVE, g);
@@ -302,22 +305,22 @@
       begin_close (f, g, true);
       return;
     }
-  for (size_t i = 1; i < g->n; i++)
+  for (size_t i = 1; i < g->nmembers; i++)
     {
       struct frm_vm *vm = g->members[i];
-      if (!vm || !vm->present || g->left[i])
+      if (!vm || !vm->listed || g->leave_accepted[i])
         continue;
       if (!frm_reports (vm, g, BKS_JOINING))
         {
-          g->left[i] = true;
+          g->leave_accepted[i] = true;
           continue;
         }
       all_left = false;
       frm_order (f, vm, FRM_LEAVE, g);
     }
   if (!all_left)
-    g->since = f->now;
-  else if (f->now - g->since > f->opt.stall_ms + FENCE_MARGIN_MS)
+    g->phase_since = f->now;
+  else if (f->now - g->phase_since > f->opt.stall_ms + FENCE_MARGIN_MS)
     frm_group_over (f, g);
 }
 
@@ -339,9 +342,9 @@
       tick_closing (f, g);
       break;
     case FRM_PH_LOST:
-      if (!f->settled)
-        g->since = f->now;
-      else if (f->now - g->since > LOST_MS)
+      if (!f->list_complete)
+        g->phase_since = f->now;
+      else if (f->now - g->phase_since > LOST_MS)
         frm_enter (f, g, FRM_PH_FENCING);
       break;
     case FRM_PH_LEAVING:
@@ -363,7 +366,7 @@
 {
   if (result != FRM_REJECTED && result != FRM_UNREACHABLE)
     return;
-  vm->bad_until = f->now + BAD_MS;
+  vm->excluded_until = f->now + BAD_MS;
   if (g->phase == FRM_PH_JOINING)
     frm_group_end (f, g);
 }
@@ -374,9 +377,10 @@
   if (result == FRM_UNREACHABLE)
     frm_group_over (f, g); /* no process is there, so nothing is open */
   else if (result == FRM_UNANSWERED)
-    g->unanswered = true;
-  else if (result != FRM_OUTDATED && !g->closed_at)
-    g->closed_at = f->now; /* or it says that it leads no such replica */
+    g->close_unanswered = true;
+  else if (result != FRM_OUTDATED && !g->close_accepted_at)
+    g->close_accepted_at
+        = f->now; /* or it says that it leads no such replica */
 }
 
 static void
@@ -385,10 +389,10 @@
 {
   if (result == FRM_UNANSWERED || result == FRM_OUTDATED)
     return;
-  for (size_t i = 0; i < g->n; i++)
+  for (size_t i = 0; i < g->nmembers; i++)
     if (g->members[i] == vm)
-      g->left[i] = true;
-  if (g->phase == FRM_PH_LEAVING && g->left[0])
+      g->leave_accepted[i] = true;
+  if (g->phase == FRM_PH_LEAVING && g->leave_accepted[0])
     frm_group_over (f, g);
 }
 
@@ -396,7 +400,7 @@
 frm_group_order_done (struct frm *f, struct frm_vm *vm,
                       enum frm_order_kind kind, enum frm_result result)
 {
-  struct frm_group *g = vm->group;
+  struct frm_group *g = vm->replica;
 
   switch (kind)
     {
@@ -405,7 +409,7 @@
       break;
     case FRM_OPEN:
       if (result == FRM_REJECTED)
-        vm->next_order = f->now + OPEN_AGAIN_MS;
+        vm->next_order_at = f->now + OPEN_AGAIN_MS;
       break;
     case FRM_CLOSE:
       if (g->phase == FRM_PH_CLOSING)
--- a/serve/form-int.h
+++ b/serve/form-int.h
@@ -31,31 +31,32 @@
   char *service;
   char *domain;
   unsigned domain_number; /**< of the service and domain, for quick compares */
-  struct bks_entry e;     /**< as reported; strings borrowed from `servers` */
-  int64_t born;           /**< as in `e`, also while it is not listed */
-  char *held; /**< model of its last replica since its start, or NULL: it holds
-                   the weights on, also where it reports none any more */
-  int64_t after; /**< generation of the replica of its earlier life, which has
-                      to be over before it joins another; 0: none */
-  bool present;  /**< listed; if not, its replica is kept for it */
-  bool named;    /**< by the list that is being read */
-  bool silent;   /**< did not answer when asked; counts as missing */
-  unsigned unanswered; /**< asks in a row */
-  clk_ms next_ask;
-  clk_ms answered_at; /**< last answer to being asked */
-  uint64_t ask;       /**< token under way; 0: none */
-  uint64_t order;     /**< token under way; 0: none */
+  struct bks_entry entry; /**< as reported; strings borrowed from `servers` */
+  int64_t started_at;     /**< as in `e`, also while it is not listed */
+  char *
+      loaded_model; /**< model of its last replica since its start, or NULL: it
+                 holds the weights on, also where it reports none any more */
+  int64_t blocked_by; /**< generation of the replica of its earlier life, which
+                      has to be over before it joins another; 0: none */
+  bool listed;        /**< listed; if not, its replica is kept for it */
+  bool seen_in_list;  /**< by the list that is being read */
+  bool unresponsive;  /**< did not answer when asked; counts as missing */
+  unsigned failed_probes; /**< asks in a row */
+  clk_ms next_probe_at;
+  clk_ms probe_ok_at;   /**< last answer to being asked */
+  uint64_t probe_token; /**< token under way; 0: none */
+  uint64_t order_token; /**< token under way; 0: none */
   enum frm_order_kind order_kind;
-  clk_ms next_order;
+  clk_ms next_order_at;
   enum frm_order_kind accepted_kind; /**< of the last order accepted */
-  int64_t fence;                     /**< of the last order that it accepted */
+  int64_t accepted_fence;            /**< of the last order that it accepted */
   int64_t accepted_generation;       /**< 0: none was */
   clk_ms accepted_at;
-  clk_ms staging_until; /**< its host loads weights on the side, about */
-  int64_t cleared;      /**< generations up to this can't open with it as the
-                             leader any more */
-  clk_ms bad_until;     /**< it rejected an order; use another */
-  struct frm_group *group; /**< the replica it is planned for, or none */
+  clk_ms preload_until; /**< its host loads weights on the side, about */
+  int64_t released_generation; /**< generations up to this can't open with it
+                        as the leader any more */
+  clk_ms excluded_until;       /**< it rejected an order; use another */
+  struct frm_group *replica;   /**< the replica it is planned for, or none */
 };
 
 /** Where a replica is on its way. */
@@ -80,24 +81,25 @@
   char *model;
   int64_t generation;
   enum frm_phase phase;
-  clk_ms since;  /**< of the phase */
-  bool found;    /**< formed by an owner before this one */
-  bool spare;    /**< one VM that only loads; never opened */
-  bool cut;      /**< close without waiting */
-  bool may_open; /**< somebody may have told the leader to open */
-  bool stray;    /**< it appeared under this owner: its members may have been
-                      given to others, so who is not listed is no member */
-  bool bereft;   /**< a member is gone for good */
-  bool suspect;  /**< callers see nothing move */
-  clk_ms suspect_since;
-  bool unanswered;  /**< an order to its leader to close was not answered */
-  clk_ms closed_at; /**< its leader accepted to close; 0: not yet */
+  clk_ms phase_since;  /**< of the phase */
+  bool adopted;        /**< formed by an owner before this one */
+  bool spare;          /**< one VM that only loads; never opened */
+  bool force;          /**< close without waiting */
+  bool may_be_open;    /**< somebody may have told the leader to open */
+  bool appeared_late;  /**< it appeared under this owner: its members may have
+                    been  given to others, so who is not listed is no member */
+  bool member_lost;    /**< a member is gone for good */
+  bool stall_reported; /**< callers see nothing move */
+  clk_ms stall_reported_at;
+  bool close_unanswered; /**< an order to its leader to close was not answered
+                          */
+  clk_ms close_accepted_at; /**< its leader accepted to close; 0: not yet */
   struct frm_vm *members[FRM_MEMBERS]; /**< by rank; NULL: not known, gone */
-  bool left[FRM_MEMBERS];              /**< its leave was accepted */
-  size_t n;
+  bool leave_accepted[FRM_MEMBERS];    /**< its leave was accepted */
+  size_t nmembers;
   unsigned size;  /**< of its model; 0: not known yet, of one that was found */
   clk_ms load_ms; /**< that joining may take */
-  clk_ms ready_at; /**< its members aren't ready before */
+  clk_ms earliest_ready_at; /**< its members aren't ready before */
 };
 
 /** Requests of one model, averaged over some seconds. */
@@ -106,8 +108,8 @@
   char *service;
   char *model;
   double requests;
-  clk_ms at;        /**< when it was told last; 0: never */
-  uint64_t yielded; /**< replicas that closed for another model */
+  clk_ms updated_at;   /**< when it was told last; 0: never */
+  uint64_t reassigned; /**< replicas that closed for another model */
 };
 
 #define FRM_LOADS 512
@@ -116,31 +118,31 @@
 struct frm
 {
   struct frm_options opt;
-  bool owner;
-  bool adopted; /**< what is there was taken over */
-  bool settled; /**< the list is whole: who is missing there is gone */
+  bool leading;
+  bool adopted;       /**< what is there was taken over */
+  bool list_complete; /**< the list is whole: who is missing there is gone */
   bool traffic;
   int64_t fence;
   int64_t generation; /**< last one given */
   clk_ms now;
-  clk_ms arrived_at;       /**< of the newest VM */
-  clk_ms arrived_asked_at; /**< sending of the read that showed it */
-  clk_ms gather_since;     /**< of the first one that this owner saw */
-  clk_ms asked_at;         /**< sending of the read that showed the reports */
+  clk_ms last_arrival_at;           /**< of the newest VM */
+  clk_ms last_arrival_requested_at; /**< sending of the read that showed it */
+  clk_ms first_arrival_at;  /**< of the first one that this owner saw */
+  clk_ms list_requested_at; /**< sending of the read that showed the reports */
   const struct bks *servers;
-  struct tbl *table;
+  struct tbl *config;
   struct frm_vm **vms;
   size_t nvms;
-  struct _GHashTable *by_id; /**< the same by id */
-  unsigned domains;          /**< numbers given */
-  unsigned *domain_vms;      /**< by number: the most VMs seen there at once */
-  size_t ndomain_vms;
-  struct frm_group **groups;
-  size_t ngroups;
-  clk_ms loads[FRM_LOADS]; /**< when the last ones began, a ring */
+  struct _GHashTable *by_id;   /**< the same by id */
+  unsigned last_domain_number; /**< numbers given */
+  unsigned *domain_max_vms; /**< by number: the most VMs seen there at once */
+  size_t ndomain_max_vms;
+  struct frm_group **replicas;
+  size_t nreplicas;
+  clk_ms load_times[FRM_LOADS]; /**< when the last ones began, a ring */
   size_t nloads;
-  int64_t
-      ended[FRM_ENDED]; /**< generations of replicas that are over, a ring */
+  int64_t ended_generations[FRM_ENDED]; /**< generations of replicas that are
+                                           over, a ring */
   size_t nended;
   struct frm_demand *demands;
   size_t ndemands;
@@ -148,7 +150,7 @@
   struct frm_action *queue;
   size_t head, count, cap;
   struct str ids[FRM_MEMBERS]; /**< of the action that was fetched last */
-  struct frm_figures figures;
+  struct frm_figures stats;
   struct frm_model *rows; /**< that frm_models() fills */
   size_t nrows;
 };
--- a/serve/form-order.c
+++ b/serve/form-order.c
@@ -30,7 +30,7 @@
   a->kind = kind;
   a->token = ++f->tokens;
   a->vm = str_from (vm->id);
-  a->addr = vm->e.addr;
+  a->addr = vm->entry.addr;
   return a;
 }
 
@@ -56,7 +56,7 @@
             enum frm_order_kind kind, const struct frm_group *g)
 {
   return vm->accepted_generation == g->generation && vm->accepted_kind == kind
-         && f->asked_at < vm->accepted_at + FRM_SHOWN_MS;
+         && f->list_requested_at < vm->accepted_at + FRM_SHOWN_MS;
 }
 
 bool
@@ -65,7 +65,8 @@
 {
   struct frm_action *a;
 
-  if (vm->order || f->now < vm->next_order || is_pending (f, vm, kind, g))
+  if (vm->order_token || f->now < vm->next_order_at
+      || is_pending (f, vm, kind, g))
     return false;
   a = push (f, FRM_ORDER, vm);
   a->order = kind;
@@ -73,19 +74,19 @@
   a->generation = g->generation;
   a->fence = f->fence;
   a->model = str_from (g->model);
-  a->cut = g->cut;
+  a->cut = g->force;
   if (kind == FRM_JOIN)
     {
-      struct str *ids = xcalloc (g->n + 1, sizeof *ids);
-      for (size_t i = 0; i < g->n; i++)
+      struct str *ids = xcalloc (g->nmembers + 1, sizeof *ids);
+      for (size_t i = 0; i < g->nmembers; i++)
         ids[i] = str_from (g->members[i]->id);
       a->members = ids; /* released by who fetches it: see form.h */
-      a->nmembers = g->n;
+      a->nmembers = g->nmembers;
     }
-  vm->order = a->token;
+  vm->order_token = a->token;
   vm->order_kind = kind;
-  vm->next_order = f->now + FRM_AGAIN_MS;
-  f->figures.orders++;
+  vm->next_order_at = f->now + FRM_AGAIN_MS;
+  f->stats.orders++;
   return true;
 }
 
@@ -97,17 +98,17 @@
   a->order = FRM_STAGE;
   a->fence = f->fence;
   a->model = model;
-  vm->order = a->token;
+  vm->order_token = a->token;
   vm->order_kind = FRM_STAGE;
-  f->figures.orders++;
+  f->stats.orders++;
 }
 
 void
 frm_ask (struct frm *f, struct frm_vm *vm)
 {
-  if (vm->ask || f->now < vm->next_ask)
+  if (vm->probe_token || f->now < vm->next_probe_at)
     return;
-  vm->ask = push (f, FRM_ASK, vm)->token;
+  vm->probe_token = push (f, FRM_ASK, vm)->token;
 }
 
 bool
@@ -115,8 +116,8 @@
 {
   if (str_eq (frm_held (vm), model))
     return true;
-  for (size_t i = 0; i < vm->e.nstaged; i++)
-    if (str_eq (vm->e.staged[i], model))
+  for (size_t i = 0; i < vm->entry.nstaged; i++)
+    if (str_eq (vm->entry.staged[i], model))
       return true;
   return false;
 }
@@ -132,7 +133,7 @@
   if (!f->traffic || s->loads_per_s <= 0)
     return true;
   for (size_t i = 0; i < f->nloads && i < FRM_LOADS; i++)
-    recent += f->loads[i] > from;
+    recent += f->load_times[i] > from;
   /* A replica that alone needs more than the bound has to begin some time. */
   return recent <= most || (recent == n && n <= 2 * most);
 }
@@ -141,6 +142,6 @@
 frm_count_loads (struct frm *f, unsigned n)
 {
   for (unsigned i = 0; i < n; i++)
-    f->loads[f->nloads++ % FRM_LOADS] = f->now;
-  f->figures.loads += n;
+    f->load_times[f->nloads++ % FRM_LOADS] = f->now;
+  f->stats.loads += n;
 }
--- a/serve/form-place.c
+++ b/serve/form-place.c
@@ -79,16 +79,16 @@
       = frm_group_add (f, service, name, m->name, f->generation);
 
   g->spare = spare;
-  g->ready_at = f->now + joining_ms (f, m, c);
-  g->n = c->n;
+  g->earliest_ready_at = f->now + joining_ms (f, m, c);
+  g->nmembers = c->n;
   for (unsigned i = 0; i < c->n; i++)
     {
       struct frm_vm *vm = c->members[i];
-      if (vm->group)
-        frm_group_over (f, vm->group);
+      if (vm->replica)
+        frm_group_over (f, vm->replica);
       g->members[i] = vm;
-      vm->group = g;
-      vm->next_order = f->now;
+      vm->replica = g;
+      vm->next_order_at = f->now;
     }
   frm_count_loads (f, c->loads);
 }
@@ -101,8 +101,9 @@
 static bool
 is_gathering (const struct frm *f)
 {
-  return !f->traffic && f->asked_at - f->arrived_asked_at < GATHER_MS
-         && f->now - f->gather_since < GATHER_MOST_MS;
+  return !f->traffic
+         && f->list_requested_at - f->last_arrival_requested_at < GATHER_MS
+         && f->now - f->first_arrival_at < GATHER_MOST_MS;
 }
 
 /*
@@ -226,7 +227,8 @@
     {
       struct frm_vm *vm = f->vms[i];
       if (frm_in_domain (vm, d) && frm_is_free (f, vm)
-          && vm->e.part != BKS_JOINING && (!vm->group || frm_is_ready (vm)))
+          && vm->entry.part != BKS_JOINING
+          && (!vm->replica || frm_is_ready (vm)))
         load_one (f, d, vm);
     }
 }
@@ -254,6 +256,7 @@
 frm_place (struct frm *f)
 {
   frm_each_domain (f, form_all);
-  if (f->settled && !is_gathering (f) && f->now - f->arrived_at >= ARRIVAL_MS)
+  if (f->list_complete && !is_gathering (f)
+      && f->now - f->last_arrival_at >= ARRIVAL_MS)
     frm_each_domain (f, load_spares);
 }
--- a/serve/form-plan.c
+++ b/serve/form-plan.c
@@ -17,15 +17,15 @@
 bool
 frm_is_free (const struct frm *f, const struct frm_vm *vm)
 {
-  return frm_usable (f, vm) && !vm->order && vm->e.domain.len > 0
-         && vm->e.part < BKS_OPEN && (!vm->group || vm->group->spare);
+  return frm_usable (f, vm) && !vm->order_token && vm->entry.domain.len > 0
+         && vm->entry.part < BKS_OPEN && (!vm->replica || vm->replica->spare);
 }
 
 enum frm_cost
 frm_cost_of (const struct frm_vm *vm, struct str model)
 {
   /* One that is still loading is as far from ready as an empty one. */
-  bool loading = vm->e.part == BKS_JOINING;
+  bool loading = vm->entry.part == BKS_JOINING;
 
   if (str_eq (frm_held (vm), model) && !loading)
     return FRM_COST_SAME;
@@ -94,8 +94,9 @@
   unsigned room = room_of (count_usable (f, d));
   size_t i;
 
-  while (d->main < d->s->nmodels && d->s->models[d->main].size <= room)
-    want (d, d->main, &room);
+  while (d->dedicated_model < d->s->nmodels
+         && d->s->models[d->dedicated_model].size <= room)
+    want (d, d->dedicated_model, &room);
   while ((i = next_model (d, room)) < d->s->nmodels)
     want (d, i, &room);
 }
@@ -105,7 +106,7 @@
 {
   bool any = false;
 
-  for (size_t i = 0; i < g->n; i++)
+  for (size_t i = 0; i < g->nmembers; i++)
     {
       if (g->members[i] && !frm_in_domain (g->members[i], d))
         return false;
@@ -117,9 +118,9 @@
 static void
 count_replicas (const struct frm *f, struct frm_domain *d)
 {
-  for (size_t i = 0; i < f->ngroups; i++)
+  for (size_t i = 0; i < f->nreplicas; i++)
     {
-      const struct frm_group *g = f->groups[i];
+      const struct frm_group *g = f->replicas[i];
       if (g->spare || g->phase > FRM_PH_OPEN || !frm_is_of_domain (g, d))
         continue;
       for (size_t k = 0; k < d->s->nmodels && k < FRM_MODELS; k++)
@@ -130,7 +131,8 @@
 size_t
 frm_held_model (const struct frm_vm *vm, const struct tbl_service *s)
 {
-  struct str name = vm->group ? str_from (vm->group->model) : frm_held (vm);
+  struct str name
+      = vm->replica ? str_from (vm->replica->model) : frm_held (vm);
 
   for (size_t k = 0; k < s->nmodels && k < FRM_MODELS; k++)
     if (str_eq (s->models[k].name, name))
@@ -145,12 +147,12 @@
     {
       const struct frm_vm *vm = f->vms[i];
       if (!frm_in_domain (vm, d) || !frm_usable (f, vm)
-          || (vm->group && !vm->group->spare))
+          || (vm->replica && !vm->replica->spare))
         continue;
       size_t held = frm_held_model (vm, d->s);
       for (size_t k = 0; k < d->s->nmodels && k < FRM_MODELS; k++)
         d->warm[k] += k == held
-                      || (vm->e.part != BKS_JOINING
+                      || (vm->entry.part != BKS_JOINING
                           && frm_is_warm (vm, d->s->models[k].name));
     }
 }
@@ -196,13 +198,13 @@
 count_vms (const struct frm *f, const struct tbl_service *s, struct tally *t)
 {
   memset (t, 0, sizeof *t);
-  for (size_t i = 0; i < f->ngroups; i++)
+  for (size_t i = 0; i < f->nreplicas; i++)
     {
-      const struct frm_group *g = f->groups[i];
+      const struct frm_group *g = f->replicas[i];
       size_t k = model_number (s, g->model);
       if (!g->spare && g->phase <= FRM_PH_OPEN && k < s->nmodels
           && str_is (s->name, g->service))
-        t->vms[k] += (unsigned)g->n;
+        t->vms[k] += (unsigned)g->nmembers;
     }
 }
 
@@ -240,8 +242,8 @@
     {
       const struct frm_vm *vm = f->vms[i];
       struct str held
-          = vm->group ? str_from (vm->group->model) : frm_held (vm);
-      if (!frm_in_domain (vm, d) || (vm->group && vm->group->spare))
+          = vm->replica ? str_from (vm->replica->model) : frm_held (vm);
+      if (!frm_in_domain (vm, d) || (vm->replica && vm->replica->spare))
         continue;
       for (size_t k = 0; k < d->s->nmodels && k < FRM_MODELS; k++)
         n[k] += str_eq (d->s->models[k].name, held);
@@ -262,9 +264,9 @@
   for (size_t i = 0; i < f->nvms; i++)
     {
       const struct frm_vm *vm = f->vms[i];
-      if (f->domain_vms[vm->domain_number] > most
+      if (f->domain_max_vms[vm->domain_number] > most
           && strcmp (vm->service, d->service) == 0)
-        most = f->domain_vms[vm->domain_number];
+        most = f->domain_max_vms[vm->domain_number];
     }
   return most;
 }
@@ -285,32 +287,33 @@
   struct tally t;
   unsigned vms = domain_size (f, d);
 
-  d->main = d->s->nmodels;
+  d->dedicated_model = d->s->nmodels;
   if (!is_tight (d, vms))
     return;
-  d->main = most_held (f, d);
-  if (d->main < d->s->nmodels)
+  d->dedicated_model = most_held (f, d);
+  if (d->dedicated_model < d->s->nmodels)
     return;
   count_vms (f, d->s, &t);
-  d->main = scarcest (d->s, &t, room_of (vms));
+  d->dedicated_model = scarcest (d->s, &t, room_of (vms));
 }
 
 /** A domain that has lost some is not for another model therefore. */
 void
 frm_count_domains (struct frm *f)
 {
-  unsigned *n = xcalloc (f->domains + 1, sizeof *n);
+  unsigned *n = xcalloc (f->last_domain_number + 1, sizeof *n);
 
   for (size_t i = 0; i < f->nvms; i++)
-    n[f->vms[i]->domain_number] += f->vms[i]->present;
-  f->domain_vms
-      = xrealloc (f->domain_vms, (f->domains + 1) * sizeof *f->domain_vms);
-  for (size_t i = f->ndomain_vms; i <= f->domains; i++)
-    f->domain_vms[i] = 0;
-  f->ndomain_vms = f->domains + 1;
-  for (size_t i = 0; i <= f->domains; i++)
-    if (n[i] > f->domain_vms[i])
-      f->domain_vms[i] = n[i];
+    n[f->vms[i]->domain_number] += f->vms[i]->listed;
+  f->domain_max_vms
+      = xrealloc (f->domain_max_vms,
+                  (f->last_domain_number + 1) * sizeof *f->domain_max_vms);
+  for (size_t i = f->ndomain_max_vms; i <= f->last_domain_number; i++)
+    f->domain_max_vms[i] = 0;
+  f->ndomain_max_vms = f->last_domain_number + 1;
+  for (size_t i = 0; i <= f->last_domain_number; i++)
+    if (n[i] > f->domain_max_vms[i])
+      f->domain_max_vms[i] = n[i];
   free (n);
 }
 
@@ -320,7 +323,7 @@
 frm_each_domain (struct frm *f,
                  void (*fn) (struct frm *f, struct frm_domain *d))
 {
-  bool *seen = xcalloc (f->domains + 1, sizeof *seen);
+  bool *seen = xcalloc (f->last_domain_number + 1, sizeof *seen);
 
   for (size_t i = 0; i < f->nvms; i++)
     {
--- a/serve/form-plan.h
+++ b/serve/form-plan.h
@@ -32,8 +32,8 @@
   unsigned want[FRM_MODELS]; /**< replicas that its VMs suffice for */
   unsigned have[FRM_MODELS]; /**< that are there or on their way */
   unsigned warm[FRM_MODELS]; /**< free VMs that hold the model or load it */
-  size_t main; /**< of a domain too small for a replica of each model, the one
-                    that it is for; else the number of models */
+  size_t dedicated_model;    /**< of a domain too small for a replica of each
+                       model, the one    that it is for; else the number of models */
 };
 
 bool frm_in_domain (const struct frm_vm *vm, const struct frm_domain *d);
--- a/serve/form-stage.c
+++ b/serve/form-stage.c
@@ -39,8 +39,8 @@
 static bool
 keeps_other (const struct frm_vm *vm)
 {
-  for (size_t i = 0; i < vm->e.nstaged; i++)
-    if (!str_eq (vm->e.staged[i], frm_held (vm)))
+  for (size_t i = 0; i < vm->entry.nstaged; i++)
+    if (!str_eq (vm->entry.staged[i], frm_held (vm)))
       return true;
   return false;
 }
@@ -48,15 +48,16 @@
 static bool
 is_member (const struct frm_vm *vm)
 {
-  return vm->group && !vm->group->spare;
+  return vm->replica && !vm->replica->spare;
 }
 
 static bool
 may_stage (const struct frm *f, const struct frm_vm *vm)
 {
-  return frm_usable (f, vm) && !vm->order && f->now >= vm->staging_until
-         && vm->e.domain.len > 0 && frm_held (vm).len > 0 && !keeps_other (vm)
-         && (vm->group ? frm_is_ready (vm) : vm->e.part == BKS_ALONE);
+  return frm_usable (f, vm) && !vm->order_token && f->now >= vm->preload_until
+         && vm->entry.domain.len > 0 && frm_held (vm).len > 0
+         && !keeps_other (vm)
+         && (vm->replica ? frm_is_ready (vm) : vm->entry.part == BKS_ALONE);
 }
 
 /**
@@ -89,15 +90,15 @@
   unsigned n = 0;
 
   for (size_t i = 0; i < f->nvms; i++)
-    n += f->now < f->vms[i]->staging_until;
+    n += f->now < f->vms[i]->preload_until;
   return n;
 }
 
 static bool
 is_forming (const struct frm *f)
 {
-  for (size_t i = 0; i < f->ngroups; i++)
-    if (f->groups[i]->phase <= FRM_PH_OPENING && !f->groups[i]->spare)
+  for (size_t i = 0; i < f->nreplicas; i++)
+    if (f->replicas[i]->phase <= FRM_PH_OPENING && !f->replicas[i]->spare)
       return true;
   return false;
 }
@@ -134,14 +135,14 @@
       m = &d->s->models[other_model (vm, d->s)];
       frm_order_stage (f, vm, m->name);
       frm_count_loads (f, 1);
-      vm->staging_until = f->now + 2 * m->load_ms;
+      vm->preload_until = f->now + 2 * m->load_ms;
     }
 }
 
 void
 frm_stage (struct frm *f)
 {
-  if (f->settled && f->now - f->arrived_at >= SETTLE_MS)
+  if (f->list_complete && f->now - f->last_arrival_at >= SETTLE_MS)
     frm_each_domain (f, stage_in);
 }
 
@@ -149,5 +150,5 @@
 frm_stage_done (struct frm *f, struct frm_vm *vm, enum frm_result result)
 {
   if (result == FRM_REJECTED || result == FRM_UNREACHABLE)
-    vm->staging_until = f->now + REFUSED_MS;
+    vm->preload_until = f->now + REFUSED_MS;
 }
--- a/serve/form-yield.c
+++ b/serve/form-yield.c
@@ -21,9 +21,9 @@
 {
   for (size_t k = 0; k < s->nmodels && k < FRM_MODELS; k++)
     n[k] = 0;
-  for (size_t i = 0; i < f->ngroups; i++)
+  for (size_t i = 0; i < f->nreplicas; i++)
     {
-      const struct frm_group *g = f->groups[i];
+      const struct frm_group *g = f->replicas[i];
       for (size_t k = 0; k < s->nmodels && k < FRM_MODELS; k++)
         n[k] += !g->spare && g->phase <= FRM_PH_OPEN
                 && str_is (s->name, g->service)
@@ -54,10 +54,10 @@
 {
   if (!frm_usable (f, vm) || !frm_is_warm (vm, model))
     return false;
-  if (!vm->group)
+  if (!vm->replica)
     return true;
-  return vm->group->spare ? vm->e.part != BKS_JOINING
-                          : vm->group->phase > FRM_PH_OPEN;
+  return vm->replica->spare ? vm->entry.part != BKS_JOINING
+                            : vm->replica->phase > FRM_PH_OPEN;
 }
 
 static unsigned
@@ -78,7 +78,7 @@
 {
   unsigned n = 0;
 
-  for (size_t i = 0; i < g->n; i++)
+  for (size_t i = 0; i < g->nmembers; i++)
     n += g->members[i] && frm_usable (f, g->members[i])
          && frm_is_warm (g->members[i], model);
   return n;
@@ -95,9 +95,9 @@
   unsigned vms = count_coming (f, d, m->name);
   unsigned given = 0;
 
-  for (size_t i = 0; i < f->ngroups && vms < m->size; i++)
+  for (size_t i = 0; i < f->nreplicas && vms < m->size; i++)
     {
-      struct frm_group *g = f->groups[i];
+      struct frm_group *g = f->replicas[i];
       if (g->spare || g->phase != FRM_PH_OPEN || !frm_is_of_domain (g, d)
           || !str_is (d->s->models[a].name, g->model))
         continue;
@@ -147,6 +147,6 @@
 void
 frm_yield (struct frm *f)
 {
-  if (f->traffic && f->settled)
+  if (f->traffic && f->list_complete)
     frm_each_domain (f, yield_in);
 }
--- a/serve/form.c
+++ b/serve/form.c
@@ -50,11 +50,11 @@
 static void
 drop_groups (struct frm *f)
 {
-  for (size_t i = 0; i < f->ngroups; i++)
-    group_free (f->groups[i]);
-  f->ngroups = 0;
+  for (size_t i = 0; i < f->nreplicas; i++)
+    group_free (f->replicas[i]);
+  f->nreplicas = 0;
   for (size_t i = 0; i < f->nvms; i++)
-    f->vms[i]->group = NULL;
+    f->vms[i]->replica = NULL;
 }
 
 static void
@@ -63,7 +63,7 @@
   free (vm->id);
   free (vm->service);
   free (vm->domain);
-  free (vm->held);
+  free (vm->loaded_model);
   free (vm);
 }
 
@@ -86,19 +86,19 @@
   for (size_t i = 0; i < f->nvms; i++)
     vm_free (f->vms[i]);
   frm_demands_free (f);
-  tbl_unref (f->table);
+  tbl_unref (f->config);
   g_hash_table_destroy (f->by_id);
   free (f->vms);
-  free (f->groups);
+  free (f->replicas);
   free (f->queue);
-  free (f->domain_vms);
+  free (f->domain_max_vms);
   free (f);
 }
 
 const struct tbl_service *
 frm_service (const struct frm *f, const char *name)
 {
-  return f->table ? tbl_find_service (f->table, str_from (name)) : NULL;
+  return f->config ? tbl_find_service (f->config, str_from (name)) : NULL;
 }
 
 /* --- groups ------------------------------------------------------------ */
@@ -126,9 +126,10 @@
   g->model = NULL;
   set_model (f, g, model);
   g->generation = generation;
-  g->since = f->now;
-  f->groups = xrealloc (f->groups, (f->ngroups + 1) * sizeof (*f->groups));
-  f->groups[f->ngroups++] = g;
+  g->phase_since = f->now;
+  f->replicas
+      = xrealloc (f->replicas, (f->nreplicas + 1) * sizeof (*f->replicas));
+  f->replicas[f->nreplicas++] = g;
   return g;
 }
 
@@ -136,35 +137,36 @@
 frm_enter (struct frm *f, struct frm_group *g, enum frm_phase phase)
 {
   g->phase = phase;
-  g->since = f->now;
-  for (size_t i = 0; i < g->n; i++)
+  g->phase_since = f->now;
+  for (size_t i = 0; i < g->nmembers; i++)
     if (g->members[i])
-      g->members[i]->next_order = f->now;
+      g->members[i]->next_order_at = f->now;
 }
 
 void
 frm_group_over (struct frm *f, struct frm_group *g)
 {
-  for (size_t i = 0; i < g->n; i++)
+  for (size_t i = 0; i < g->nmembers; i++)
     {
       struct frm_vm *vm = g->members[i];
       if (!vm)
         continue;
-      if (vm->group == g)
-        vm->group = NULL;
-      if (vm->present && !vm->silent && vm->cleared < g->generation)
-        vm->cleared = g->generation;
+      if (vm->replica == g)
+        vm->replica = NULL;
+      if (vm->listed && !vm->unresponsive
+          && vm->released_generation < g->generation)
+        vm->released_generation = g->generation;
     }
   frm_enter (f, g, FRM_PH_OVER);
-  g->n = 0;
-  f->ended[f->nended++ % FRM_ENDED] = g->generation;
+  g->nmembers = 0;
+  f->ended_generations[f->nended++ % FRM_ENDED] = g->generation;
 }
 
 static bool
 has_ended (const struct frm *f, int64_t generation)
 {
   for (size_t i = 0; i < f->nended && i < FRM_ENDED; i++)
-    if (f->ended[i] == generation)
+    if (f->ended_generations[i] == generation)
       return true;
   return false;
 }
@@ -178,7 +180,7 @@
 void
 frm_group_end (struct frm *f, struct frm_group *g)
 {
-  if (g->may_open && !g->spare)
+  if (g->may_be_open && !g->spare)
     frm_enter (f, g, FRM_PH_LEAVING);
   else
     frm_group_over (f, g);
@@ -189,12 +191,12 @@
 {
   size_t kept = 0;
 
-  for (size_t i = 0; i < f->ngroups; i++)
-    if (f->groups[i]->phase != FRM_PH_OVER)
-      f->groups[kept++] = f->groups[i];
+  for (size_t i = 0; i < f->nreplicas; i++)
+    if (f->replicas[i]->phase != FRM_PH_OVER)
+      f->replicas[kept++] = f->replicas[i];
     else
-      group_free (f->groups[i]);
-  f->ngroups = kept;
+      group_free (f->replicas[i]);
+  f->nreplicas = kept;
 }
 
 /* --- VMs --------------------------------------------------------------- */
@@ -217,15 +219,15 @@
     if (strcmp (f->vms[i]->domain, vm->domain) == 0
         && strcmp (f->vms[i]->service, vm->service) == 0)
       return f->vms[i]->domain_number;
-  return ++f->domains;
+  return ++f->last_domain_number;
 }
 
 static bool
 is_held (const struct frm *f, const struct frm_vm *vm)
 {
-  for (size_t i = 0; vm->after && i < f->ngroups; i++)
-    if (f->groups[i]->generation == vm->after
-        && f->groups[i]->phase != FRM_PH_OVER)
+  for (size_t i = 0; vm->blocked_by && i < f->nreplicas; i++)
+    if (f->replicas[i]->generation == vm->blocked_by
+        && f->replicas[i]->phase != FRM_PH_OVER)
       return true;
   return false;
 }
@@ -233,37 +235,37 @@
 bool
 frm_usable (const struct frm *f, const struct frm_vm *vm)
 {
-  return vm->present && !vm->silent && !vm->e.draining
-         && f->now >= vm->bad_until && !is_held (f, vm);
+  return vm->listed && !vm->unresponsive && !vm->entry.draining
+         && f->now >= vm->excluded_until && !is_held (f, vm);
 }
 
 bool
 frm_reports (const struct frm_vm *vm, const struct frm_group *g,
              enum bks_part part)
 {
-  return vm->present && str_is (vm->e.replica, g->name)
-         && vm->e.generation == g->generation && vm->e.part >= part;
+  return vm->listed && str_is (vm->entry.replica, g->name)
+         && vm->entry.generation == g->generation && vm->entry.part >= part;
 }
 
 bool
 frm_is_ready (const struct frm_vm *vm)
 {
-  return vm->group && frm_reports (vm, vm->group, BKS_READY);
+  return vm->replica && frm_reports (vm, vm->replica, BKS_READY);
 }
 
 /** A VM that is gone leaves the replica that it was in. */
 static void
 leave_group (struct frm_vm *vm)
 {
-  struct frm_group *g = vm->group;
+  struct frm_group *g = vm->replica;
 
-  for (size_t k = 0; g && k < g->n; k++)
+  for (size_t k = 0; g && k < g->nmembers; k++)
     if (g->members[k] == vm)
       {
         g->members[k] = NULL;
-        g->bereft = true;
+        g->member_lost = true;
       }
-  vm->group = NULL;
+  vm->replica = NULL;
 }
 
 static void
@@ -284,36 +286,36 @@
 static void
 begin_life (struct frm *f, struct frm_vm *vm)
 {
-  struct frm_group *g = vm->group;
+  struct frm_group *g = vm->replica;
   bool led = g && g->members[0] == vm;
-  int64_t after = g && !led ? g->generation : vm->after;
+  int64_t after = g && !led ? g->generation : vm->blocked_by;
 
   if (led)
     frm_group_over (f, g);
   else
     leave_group (vm);
-  free (vm->held);
+  free (vm->loaded_model);
   *vm = (struct frm_vm){ .id = vm->id,
                          .service = vm->service,
                          .domain = vm->domain,
                          .domain_number = vm->domain_number,
-                         .after = after };
+                         .blocked_by = after };
 }
 
 struct str
 frm_held (const struct frm_vm *vm)
 {
-  return vm->e.model.len ? vm->e.model : str_from (vm->held);
+  return vm->entry.model.len ? vm->entry.model : str_from (vm->loaded_model);
 }
 
 static void
 note_held (struct frm_vm *vm)
 {
-  if (vm->e.model.len == 0 || vm->e.part < BKS_READY
-      || str_is (vm->e.model, vm->held))
+  if (vm->entry.model.len == 0 || vm->entry.part < BKS_READY
+      || str_is (vm->entry.model, vm->loaded_model))
     return;
-  free (vm->held);
-  vm->held = str_dup (vm->e.model);
+  free (vm->loaded_model);
+  vm->loaded_model = str_dup (vm->entry.model);
 }
 
 static void
@@ -328,20 +330,20 @@
       vm->service = str_dup (s->e.service);
       vm->domain = str_dup (s->e.domain);
       vm->domain_number = domain_number (f, vm);
-      vm->born = s->e.born;
+      vm->started_at = s->e.born;
       g_hash_table_insert (f->by_id, vm->id, vm);
       f->vms = xrealloc (f->vms, (f->nvms + 1) * sizeof (*f->vms));
       f->vms[f->nvms++] = vm;
-      f->arrived_at = f->now;
-      f->arrived_asked_at = f->asked_at;
+      f->last_arrival_at = f->now;
+      f->last_arrival_requested_at = f->list_requested_at;
       if (f->nvms == 1)
-        f->gather_since = f->now;
+        f->first_arrival_at = f->now;
     }
-  if (vm->born != s->e.born)
+  if (vm->started_at != s->e.born)
     begin_life (f, vm);
-  vm->born = s->e.born;
-  vm->e = s->e;
-  vm->present = vm->named = true;
+  vm->started_at = s->e.born;
+  vm->entry = s->e;
+  vm->listed = vm->seen_in_list = true;
   note_held (vm);
   /* No owner gave more than its own numbers; another writer's would put all
      that are given from now on beyond what the next owner begins with. */
@@ -359,9 +361,9 @@
 static bool
 may_work_on (const struct frm_vm *vm)
 {
-  const struct frm_group *g = vm->group;
+  const struct frm_group *g = vm->replica;
 
-  return g && !g->spare && !vm->silent && !vm->e.draining
+  return g && !g->spare && !vm->unresponsive && !vm->entry.draining
          && (g->phase == FRM_PH_OPEN || g->phase == FRM_PH_CLOSING
              || g->phase == FRM_PH_LEAVING);
 }
@@ -369,13 +371,14 @@
 static void
 take_lapsed (struct frm_vm *vm)
 {
-  if (vm->present)
+  if (vm->listed)
     {
-      vm->unanswered = 0;
-      vm->next_ask = vm->answered_at = 0;
+      vm->failed_probes = 0;
+      vm->next_probe_at = vm->probe_ok_at = 0;
     }
-  vm->present = false;
-  vm->e = (struct bks_entry){ .addr = vm->e.addr }; /* its text is gone */
+  vm->listed = false;
+  vm->entry
+      = (struct bks_entry){ .addr = vm->entry.addr }; /* its text is gone */
 }
 
 static void
@@ -386,12 +389,12 @@
   for (size_t i = 0; i < f->nvms; i++)
     {
       struct frm_vm *vm = f->vms[i];
-      if (!vm->named && !may_work_on (vm))
+      if (!vm->seen_in_list && !may_work_on (vm))
         {
           forget_vm (f, vm);
           continue;
         }
-      if (!vm->named)
+      if (!vm->seen_in_list)
         take_lapsed (vm);
       f->vms[kept++] = vm;
     }
@@ -412,7 +415,7 @@
 {
   if (!g->members[0])
     frm_enter (f, g, FRM_PH_LOST);
-  else if (g->members[0]->e.part >= BKS_OPEN)
+  else if (g->members[0]->entry.part >= BKS_OPEN)
     frm_enter (f, g, FRM_PH_OPEN);
   else
     frm_enter (f, g, FRM_PH_JOINING);
@@ -426,31 +429,32 @@
 static void
 learn_model (const struct frm *f, struct frm_group *g)
 {
-  for (size_t i = 0; i < g->n && g->size == 0; i++)
+  for (size_t i = 0; i < g->nmembers && g->size == 0; i++)
     if (g->members[i] && frm_reports (g->members[i], g, BKS_READY))
-      set_model (f, g, g->members[i]->e.model);
+      set_model (f, g, g->members[i]->entry.model);
 }
 
 /** Gather the VMs that report the replica of @p first into a group. */
 static struct frm_group *
 adopt_group (struct frm *f, struct frm_vm *first)
 {
-  struct frm_group *g = frm_group_add (f, first->service, first->e.replica,
-                                       STR_EMPTY, first->e.generation);
+  struct frm_group *g = frm_group_add (f, first->service, first->entry.replica,
+                                       STR_EMPTY, first->entry.generation);
 
-  g->spare = is_spare_name (first->e.replica);
-  g->may_open = !g->spare; /* by an owner before us */
-  g->found = true;
+  g->spare = is_spare_name (first->entry.replica);
+  g->may_be_open = !g->spare; /* by an owner before us */
+  g->adopted = true;
   for (size_t i = 0; i < f->nvms; i++)
     {
       struct frm_vm *vm = f->vms[i];
-      if (vm->group || !frm_reports (vm, g, BKS_JOINING)
-          || vm->e.rank >= FRM_MEMBERS || vm->e.generation <= vm->cleared)
+      if (vm->replica || !frm_reports (vm, g, BKS_JOINING)
+          || vm->entry.rank >= FRM_MEMBERS
+          || vm->entry.generation <= vm->released_generation)
         continue;
-      g->members[vm->e.rank] = vm;
-      if (g->n <= vm->e.rank)
-        g->n = vm->e.rank + 1;
-      vm->group = g;
+      g->members[vm->entry.rank] = vm;
+      if (g->nmembers <= vm->entry.rank)
+        g->nmembers = vm->entry.rank + 1;
+      vm->replica = g;
     }
   learn_model (f, g);
   if (g->spare && !g->members[0])
@@ -471,21 +475,21 @@
 {
   drop_groups (f);
   for (size_t i = 0; i < f->nvms; i++)
-    if (!f->vms[i]->group && f->vms[i]->e.part != BKS_ALONE)
+    if (!f->vms[i]->replica && f->vms[i]->entry.part != BKS_ALONE)
       adopt_group (f, f->vms[i]);
-  for (size_t i = 0; i < f->ngroups; i++)
-    f->traffic |= f->groups[i]->phase == FRM_PH_OPEN;
+  for (size_t i = 0; i < f->nreplicas; i++)
+    f->traffic |= f->replicas[i]->phase == FRM_PH_OPEN;
   f->adopted = true;
 }
 
 static struct frm_group *
 find_group (const struct frm *f, const struct frm_vm *vm)
 {
-  for (size_t i = 0; i < f->ngroups; i++)
-    if (str_is (vm->e.replica, f->groups[i]->name)
-        && f->groups[i]->generation == vm->e.generation
-        && f->groups[i]->phase != FRM_PH_OVER)
-      return f->groups[i];
+  for (size_t i = 0; i < f->nreplicas; i++)
+    if (str_is (vm->entry.replica, f->replicas[i]->name)
+        && f->replicas[i]->generation == vm->entry.generation
+        && f->replicas[i]->phase != FRM_PH_OVER)
+      return f->replicas[i];
   return NULL;
 }
 
@@ -493,12 +497,12 @@
 static void
 attach (struct frm *f, struct frm_group *g, struct frm_vm *vm)
 {
-  if (vm->e.rank >= FRM_MEMBERS || g->members[vm->e.rank])
+  if (vm->entry.rank >= FRM_MEMBERS || g->members[vm->entry.rank])
     return;
-  g->members[vm->e.rank] = vm;
-  if (g->n <= vm->e.rank)
-    g->n = vm->e.rank + 1;
-  vm->group = g;
+  g->members[vm->entry.rank] = vm;
+  if (g->nmembers <= vm->entry.rank)
+    g->nmembers = vm->entry.rank + 1;
+  vm->replica = g;
   if (g->phase == FRM_PH_LOST)
     enter_found (f, g);
 }
@@ -515,9 +519,10 @@
   for (size_t i = 0; i < f->nvms; i++)
     {
       struct frm_vm *vm = f->vms[i];
-      if (!vm->group && vm->e.part != BKS_ALONE && vm->e.rank > 0
-          && vm->e.generation > vm->cleared && has_ended (f, vm->e.generation))
-        vm->cleared = vm->e.generation;
+      if (!vm->replica && vm->entry.part != BKS_ALONE && vm->entry.rank > 0
+          && vm->entry.generation > vm->released_generation
+          && has_ended (f, vm->entry.generation))
+        vm->released_generation = vm->entry.generation;
     }
 }
 
@@ -533,14 +538,15 @@
   for (size_t i = 0; i < f->nvms; i++)
     {
       struct frm_vm *vm = f->vms[i];
-      if (vm->group || vm->e.part == BKS_ALONE
-          || vm->e.generation <= vm->cleared || is_spare_name (vm->e.replica))
+      if (vm->replica || vm->entry.part == BKS_ALONE
+          || vm->entry.generation <= vm->released_generation
+          || is_spare_name (vm->entry.replica))
         continue;
       struct frm_group *g = find_group (f, vm);
       if (g)
         attach (f, g, vm);
       else
-        adopt_group (f, vm)->stray = f->settled;
+        adopt_group (f, vm)->appeared_late = f->list_complete;
     }
 }
 
@@ -550,7 +556,7 @@
 frm_owner (struct frm *f, clk_ms now, bool on, int64_t fence)
 {
   f->now = now;
-  f->owner = on;
+  f->leading = on;
   f->adopted = false;
   f->nended = 0; /* another owner may have ordered meanwhile */
   f->fence = fence;
@@ -558,10 +564,10 @@
   drop_actions (f);
   for (size_t i = 0; i < f->nvms; i++)
     {
-      f->vms[i]->order = f->vms[i]->ask = 0;
-      f->vms[i]->silent = false;
-      f->vms[i]->next_order = f->vms[i]->bad_until = 0;
-      f->vms[i]->staging_until = 0;
+      f->vms[i]->order_token = f->vms[i]->probe_token = 0;
+      f->vms[i]->unresponsive = false;
+      f->vms[i]->next_order_at = f->vms[i]->excluded_until = 0;
+      f->vms[i]->preload_until = 0;
     }
   if (on && f->generation < fence * GENERATIONS_PER_FENCE)
     f->generation = fence * GENERATIONS_PER_FENCE;
@@ -575,14 +581,14 @@
   const struct bks_server *const *list = bks_list (servers, &n);
 
   f->now = now;
-  f->asked_at = bks_asked_at (servers);
-  if (f->table != t)
+  f->list_requested_at = bks_asked_at (servers);
+  if (f->config != t)
     {
-      tbl_unref (f->table);
-      f->table = tbl_ref ((struct tbl *)t);
+      tbl_unref (f->config);
+      f->config = tbl_ref ((struct tbl *)t);
     }
   for (size_t i = 0; i < f->nvms; i++)
-    f->vms[i]->named = false;
+    f->vms[i]->seen_in_list = false;
   for (size_t i = 0; i < n; i++)
     {
       const struct tbl_service *s = tbl_find_service (t, list[i]->e.service);
@@ -590,14 +596,14 @@
         take_server (f, list[i]);
     }
   drop_unnamed (f);
-  f->settled = settled;
+  f->list_complete = settled;
   clear_returned (f);
-  if (f->owner && f->adopted)
+  if (f->leading && f->adopted)
     adopt_stray (f);
-  else if (f->owner)
+  else if (f->leading)
     adopt (f);
-  for (size_t i = 0; i < f->ngroups; i++)
-    learn_model (f, f->groups[i]);
+  for (size_t i = 0; i < f->nreplicas; i++)
+    learn_model (f, f->replicas[i]);
 }
 
 void
@@ -610,17 +616,17 @@
 frm_stalled (struct frm *f, clk_ms now, uint64_t place)
 {
   f->now = now;
-  for (size_t i = 0; i < f->ngroups; i++)
+  for (size_t i = 0; i < f->nreplicas; i++)
     {
-      struct frm_group *g = f->groups[i];
+      struct frm_group *g = f->replicas[i];
       if (g->phase == FRM_PH_OPEN && g->members[0]
           && dsp_place_hash (str_from (g->members[0]->id),
-                             g->members[0]->e.born, g->generation)
+                             g->members[0]->entry.born, g->generation)
                  == place
-          && !g->suspect)
+          && !g->stall_reported)
         {
-          g->suspect = true;
-          g->suspect_since = now;
+          g->stall_reported = true;
+          g->stall_reported_at = now;
         }
     }
 }
@@ -631,22 +637,22 @@
 {
   f->now = now;
   for (size_t i = 0; i < f->nvms; i++)
-    if (f->vms[i]->order == token && token != 0)
+    if (f->vms[i]->order_token == token && token != 0)
       {
         struct frm_vm *vm = f->vms[i];
-        vm->order = 0;
+        vm->order_token = 0;
         if (result == FRM_UNANSWERED && vm->order_kind != FRM_STAGE)
-          vm->next_order = now + UNANSWERED_AGAIN_MS;
-        if (result == FRM_ACCEPTED && vm->group)
+          vm->next_order_at = now + UNANSWERED_AGAIN_MS;
+        if (result == FRM_ACCEPTED && vm->replica)
           {
             vm->accepted_kind = vm->order_kind;
-            vm->accepted_generation = vm->group->generation;
+            vm->accepted_generation = vm->replica->generation;
             vm->accepted_at = now;
-            vm->fence = f->fence;
+            vm->accepted_fence = f->fence;
           }
         if (vm->order_kind == FRM_STAGE)
           frm_stage_done (f, vm, result);
-        else if (vm->group)
+        else if (vm->replica)
           frm_group_order_done (f, vm, vm->order_kind, result);
         return;
       }
@@ -655,9 +661,9 @@
 static clk_ms
 ask_every (const struct frm_vm *vm)
 {
-  if (!vm->present && vm->unanswered == 0)
+  if (!vm->listed && vm->failed_probes == 0)
     return ASK_LAPSED_MS;
-  return vm->silent ? ASK_SILENT_MS : ASK_MS;
+  return vm->unresponsive ? ASK_SILENT_MS : ASK_MS;
 }
 
 void
@@ -667,14 +673,14 @@
   for (size_t i = 0; i < f->nvms; i++)
     {
       struct frm_vm *vm = f->vms[i];
-      if (vm->ask != token || token == 0)
+      if (vm->probe_token != token || token == 0)
         continue;
-      vm->ask = 0;
-      vm->unanswered = answered ? 0 : vm->unanswered + 1;
-      vm->silent = vm->unanswered >= UNANSWERED_MOST;
+      vm->probe_token = 0;
+      vm->failed_probes = answered ? 0 : vm->failed_probes + 1;
+      vm->unresponsive = vm->failed_probes >= UNANSWERED_MOST;
       if (answered)
-        vm->answered_at = now;
-      vm->next_ask = now + ask_every (vm);
+        vm->probe_ok_at = now;
+      vm->next_probe_at = now + ask_every (vm);
     }
 }
 
@@ -682,7 +688,8 @@
 ask_doubtful (struct frm *f)
 {
   for (size_t i = 0; i < f->nvms; i++)
-    if (f->vms[i]->present ? f->vms[i]->silent : f->vms[i]->group != NULL)
+    if (f->vms[i]->listed ? f->vms[i]->unresponsive
+                          : f->vms[i]->replica != NULL)
       frm_ask (f, f->vms[i]);
 }
 
@@ -690,10 +697,10 @@
 frm_tick (struct frm *f, clk_ms now)
 {
   f->now = now;
-  if (!f->owner || !f->adopted || !f->table)
+  if (!f->leading || !f->adopted || !f->config)
     return;
-  for (size_t i = 0; i < f->ngroups; i++)
-    frm_group_tick (f, f->groups[i]);
+  for (size_t i = 0; i < f->nreplicas; i++)
+    frm_group_tick (f, f->replicas[i]);
   sweep_groups (f);
   frm_count_domains (f);
   frm_yield (f);
@@ -708,15 +715,16 @@
 {
   if (g->phase == FRM_PH_OPENING || g->phase == FRM_PH_CLOSING)
     return true;
-  return g->phase == FRM_PH_JOINING && !g->spare && f->now >= g->ready_at
-         && f->now - g->since < FRM_PATIENCE_MS;
+  return g->phase == FRM_PH_JOINING && !g->spare
+         && f->now >= g->earliest_ready_at
+         && f->now - g->phase_since < FRM_PATIENCE_MS;
 }
 
 bool
 frm_busy (const struct frm *f)
 {
-  for (size_t i = 0; i < f->ngroups; i++)
-    if (is_due (f, f->groups[i]))
+  for (size_t i = 0; i < f->nreplicas; i++)
+    if (is_due (f, f->replicas[i]))
       return true;
   return false;
 }
@@ -724,12 +732,12 @@
 const struct frm_figures *
 frm_figures (struct frm *f)
 {
-  struct frm_figures *x = &f->figures;
+  struct frm_figures *x = &f->stats;
 
   x->forming = x->open = x->closing = x->spares = x->warm = 0;
-  for (size_t i = 0; i < f->ngroups; i++)
+  for (size_t i = 0; i < f->nreplicas; i++)
     {
-      const struct frm_group *g = f->groups[i];
+      const struct frm_group *g = f->replicas[i];
       if (g->spare)
         x->warm++;
       else if (g->phase <= FRM_PH_OPENING)
@@ -740,7 +748,7 @@
         x->closing++;
     }
   for (size_t i = 0; i < f->nvms; i++)
-    x->spares += f->vms[i]->present
-                 && (!f->vms[i]->group || f->vms[i]->group->spare);
+    x->spares += f->vms[i]->listed
+                 && (!f->vms[i]->replica || f->vms[i]->replica->spare);
   return x;
 }
