--- a/serve/form-demand.c
+++ b/serve/form-demand.c
@@ -36,8 +36,8 @@
 }
 
 double
-frm_use (const struct frm *f, const struct tbl_service *s, size_t model,
-         unsigned n)
+frm_utilization (const struct frm *f, const struct tbl_service *s,
+                 size_t model, unsigned n)
 {
   for (size_t i = 0; i < f->ndemands; i++)
     {
@@ -53,7 +53,7 @@
 }
 
 void
-frm_count_yield (struct frm *f, const struct frm_group *g)
+frm_count_reassigned (struct frm *f, const struct frm_replica *g)
 {
   demand_of (f, str_from (g->service), str_from (g->model))->reassigned++;
 }
@@ -77,8 +77,8 @@
 static void
 add_plan (struct frm *f, struct frm_domain *d)
 {
-  frm_look (f, d);
-  for (size_t k = 0; k < d->s->nmodels && k < FRM_MODELS; k++)
+  frm_plan_domain (f, d);
+  for (size_t k = 0; k < d->s->nmodels && k < FRM_MAX_MODELS; k++)
     {
       struct frm_model *row = row_of (f, d, k);
       if (!row)
@@ -95,8 +95,8 @@
   f->nrows = 0;
   if (f->config && f->leading && f->adopted)
     {
-      frm_count_domains (f);
-      frm_each_domain (f, add_plan);
+      frm_update_domain_sizes (f);
+      frm_for_each_domain (f, add_plan);
     }
   for (size_t i = 0; i < f->nrows; i++)
     {
--- a/serve/form-group.c
+++ b/serve/form-group.c
@@ -25,18 +25,18 @@
 }
 
 static bool
-all_there (const struct frm *f, const struct frm_group *g)
+all_there (const struct frm *f, const struct frm_replica *g)
 {
   if (!g->spare && (g->size == 0 || g->nmembers < g->size))
     return false;
   for (size_t i = 0; i < g->nmembers; i++)
-    if (!g->members[i] || !frm_usable (f, g->members[i]))
+    if (!g->members[i] || !frm_is_usable (f, g->members[i]))
       return false;
   return true;
 }
 
 static bool
-all_ready (const struct frm_group *g)
+all_ready (const struct frm_replica *g)
 {
   for (size_t i = 0; i < g->nmembers; i++)
     if (!frm_reports (g->members[i], g, BKS_READY))
@@ -46,7 +46,7 @@
 
 /** It was found with members that this owner has never seen listed. */
 static bool
-has_unknown (const struct frm_group *g)
+has_unknown (const struct frm_replica *g)
 {
   for (size_t i = 0; i < g->nmembers; i++)
     if (!g->members[i])
@@ -61,14 +61,14 @@
    once that is open.  Whoever has accepted an order of this owner refuses it.
  */
 static bool
-takes_older_orders (const struct frm *f, const struct frm_group *g,
+takes_older_orders (const struct frm *f, const struct frm_replica *g,
                     const struct frm_vm *vm)
 {
   return g->adopted && !g->spare && vm->accepted_fence != f->fence;
 }
 
 static bool
-any_takes_older_orders (const struct frm *f, const struct frm_group *g)
+any_takes_older_orders (const struct frm *f, const struct frm_replica *g)
 {
   for (size_t i = 0; i < g->nmembers; i++)
     if (takes_older_orders (f, g, g->members[i]))
@@ -77,7 +77,7 @@
 }
 
 static void
-tick_joining (struct frm *f, struct frm_group *g)
+tick_joining (struct frm *f, struct frm_replica *g)
 {
   if (!f->list_complete && !g->member_lost && has_unknown (g))
     {
@@ -86,51 +86,52 @@
     }
   if (!all_there (f, g))
     {
-      if (f->now - g->phase_since > (g->size ? ADOPT_MS : FRM_PATIENCE_MS)
+      if (f->now - g->phase_since > (g->size ? ADOPT_MS : FRM_STEP_TIMEOUT_MS)
           || (g->size && g->nmembers >= g->size))
-        frm_group_end (f, g);
+        frm_replica_end (f, g);
       return;
     }
   if (all_ready (g) && !any_takes_older_orders (f, g))
     {
       if (!g->spare)
-        frm_enter (f, g, FRM_PH_OPENING);
+        frm_enter_phase (f, g, FRM_PH_OPENING);
       return;
     }
-  if (f->list_requested_at - g->phase_since > 3 * g->load_ms + FRM_PATIENCE_MS)
+  if (f->list_requested_at - g->phase_since
+      > 3 * g->load_ms + FRM_STEP_TIMEOUT_MS)
     {
-      frm_group_end (f, g);
+      frm_replica_end (f, g);
       return;
     }
   for (size_t i = 0; i < g->nmembers; i++)
     if (!frm_reports (g->members[i], g, BKS_JOINING)
         || takes_older_orders (f, g, g->members[i]))
-      frm_order (f, g->members[i], FRM_JOIN, g);
+      frm_send_order (f, g->members[i], FRM_JOIN, g);
 }
 
 static void
-begin_close (struct frm *f, struct frm_group *g, bool cut)
+begin_close (struct frm *f, struct frm_replica *g, bool cut)
 {
   g->force = cut;
   g->close_unanswered = false;
   g->close_accepted_at = 0;
   f->stats.lost++;
-  frm_enter (f, g, FRM_PH_CLOSING);
+  frm_enter_phase (f, g, FRM_PH_CLOSING);
 }
 
 void
-frm_group_close (struct frm *f, struct frm_group *g)
+frm_replica_close (struct frm *f, struct frm_replica *g)
 {
   begin_close (f, g, false);
 }
 
 static void
-tick_opening (struct frm *f, struct frm_group *g)
+tick_opening (struct frm *f, struct frm_replica *g)
 {
   /* By the time of the list: one of thousands of servers is read for seconds,
      and a replica that is open may not show in it yet. */
   if (!all_there (f, g)
-      || f->list_requested_at - g->phase_since > FRM_PATIENCE_MS)
+      || f->list_requested_at - g->phase_since > FRM_STEP_TIMEOUT_MS)
     {
       begin_close (f, g, true);
       return;
@@ -138,13 +139,13 @@
   if (frm_reports (g->members[0], g, BKS_OPEN))
     {
       f->stats.formed++;
-      frm_enter (f, g, FRM_PH_OPEN);
+      frm_enter_phase (f, g, FRM_PH_OPEN);
       return;
     }
   if (!all_ready (g))
     return;
   g->may_be_open = true;
-  frm_order (f, g->members[0], FRM_OPEN, g);
+  frm_send_order (f, g->members[0], FRM_OPEN, g);
 }
 
 /* --- open -------------------------------------------------------------- */
@@ -155,7 +156,7 @@
  * list drops it.
  */
 static void
-look_closer (struct frm *f, struct frm_group *g)
+look_closer (struct frm *f, struct frm_replica *g)
 {
   bool all = true;
 
@@ -165,7 +166,7 @@
       if (!vm || vm->probe_ok_at > g->stall_reported_at)
         continue;
       all = false;
-      frm_ask (f, vm);
+      frm_probe (f, vm);
     }
   if (all)
     g->stall_reported = false;
@@ -173,7 +174,7 @@
 
 /** A member is gone, or it says that it is no longer ready. */
 static bool
-has_lost (const struct frm_group *g)
+has_lost (const struct frm_replica *g)
 {
   for (size_t i = 0; i < g->nmembers; i++)
     {
@@ -187,14 +188,14 @@
 }
 
 static void
-tick_open (struct frm *f, struct frm_group *g)
+tick_open (struct frm *f, struct frm_replica *g)
 {
   struct frm_vm *leader = g->members[0];
 
   if (member_lost (leader))
     {
       f->stats.lost++;
-      frm_enter (f, g, FRM_PH_FENCING);
+      frm_enter_phase (f, g, FRM_PH_FENCING);
       return;
     }
   if (!leader->listed)
@@ -207,7 +208,7 @@
     {
       /* It has closed, broken or moved on; either way it leads no more. */
       f->stats.lost++;
-      frm_group_end (f, g);
+      frm_replica_end (f, g);
       return;
     }
   if (leader->entry.part == BKS_CLOSING)
@@ -240,7 +241,7 @@
  * after the order to close was accepted.
  */
 static bool
-has_closed (const struct frm *f, const struct frm_group *g)
+has_closed (const struct frm *f, const struct frm_replica *g)
 {
   const struct frm_vm *leader = g->members[0];
 
@@ -251,22 +252,22 @@
 }
 
 static void
-tick_closing (struct frm *f, struct frm_group *g)
+tick_closing (struct frm *f, struct frm_replica *g)
 {
   struct frm_vm *leader = g->members[0];
 
   if (member_lost (leader))
     {
-      frm_enter (f, g, FRM_PH_FENCING);
+      frm_enter_phase (f, g, FRM_PH_FENCING);
       return;
     }
   if (g->close_unanswered)
-    frm_ask (f, leader); /* it may be cut off, or only late with orders */
+    frm_probe (f, leader); /* it may be cut off, or only late with orders */
   if (has_closed (f, g)
       || (!leader->listed && g->close_accepted_at
           && f->now - g->phase_since > LAPSED_CLOSE_MS))
     {
-      frm_group_end (f, g);
+      frm_replica_end (f, g);
       return;
     }
   if (!g->force && f->now - g->phase_since > CLOSE_MOST_MS)
@@ -275,18 +276,18 @@
       g->close_accepted_at = 0;
     }
   if (!g->close_accepted_at)
-    frm_order (f, leader, FRM_CLOSE, g);
+    frm_send_order (f, leader, FRM_CLOSE, g);
 }
 
 static void
-tick_leaving (struct frm *f, struct frm_group *g)
+tick_leaving (struct frm *f, struct frm_replica *g)
 {
   if (member_lost (g->members[0]))
-    frm_enter (f, g, FRM_PH_FENCING);
+    frm_enter_phase (f, g, FRM_PH_FENCING);
   else if (g->leave_accepted[0])
-    frm_group_over (f, g);
+    frm_replica_release (f, g);
   else
-    frm_order (f, g->members[0], FRM_LEAVE, g);
+    frm_send_order (f, g->members[0], FRM_LEAVE, g);
 }
 
 /**
@@ -296,7 +297,7 @@
  * gives up after stall_ms, whatever this node can see of it.
  */
 static void
-tick_fencing (struct frm *f, struct frm_group *g)
+tick_fencing (struct frm *f, struct frm_replica *g)
 {
   bool all_left = true;
 
@@ -316,16 +317,16 @@
           continue;
         }
       all_left = false;
-      frm_order (f, vm, FRM_LEAVE, g);
+      frm_send_order (f, vm, FRM_LEAVE, g);
     }
   if (!all_left)
     g->phase_since = f->now;
   else if (f->now - g->phase_since > f->opt.stall_ms + FENCE_MARGIN_MS)
-    frm_group_over (f, g);
+    frm_replica_release (f, g);
 }
 
 void
-frm_group_tick (struct frm *f, struct frm_group *g)
+frm_replica_tick (struct frm *f, struct frm_replica *g)
 {
   switch (g->phase)
     {
@@ -341,11 +342,11 @@
     case FRM_PH_CLOSING:
       tick_closing (f, g);
       break;
-    case FRM_PH_LOST:
+    case FRM_PH_LEADER_MISSING:
       if (!f->list_complete)
         g->phase_since = f->now;
       else if (f->now - g->phase_since > LOST_MS)
-        frm_enter (f, g, FRM_PH_FENCING);
+        frm_enter_phase (f, g, FRM_PH_FENCING);
       break;
     case FRM_PH_LEAVING:
       tick_leaving (f, g);
@@ -353,7 +354,7 @@
     case FRM_PH_FENCING:
       tick_fencing (f, g);
       break;
-    case FRM_PH_OVER:
+    case FRM_PH_ENDED:
       break;
     }
 }
@@ -361,21 +362,21 @@
 /* --- answers to orders ------------------------------------------------- */
 
 static void
-join_done (struct frm *f, struct frm_group *g, struct frm_vm *vm,
+join_done (struct frm *f, struct frm_replica *g, struct frm_vm *vm,
            enum frm_result result)
 {
-  if (result != FRM_REJECTED && result != FRM_UNREACHABLE)
+  if (result != FRM_REJECTED && result != FRM_CONN_REFUSED)
     return;
   vm->excluded_until = f->now + BAD_MS;
   if (g->phase == FRM_PH_JOINING)
-    frm_group_end (f, g);
+    frm_replica_end (f, g);
 }
 
 static void
-close_done (struct frm *f, struct frm_group *g, enum frm_result result)
+close_done (struct frm *f, struct frm_replica *g, enum frm_result result)
 {
-  if (result == FRM_UNREACHABLE)
-    frm_group_over (f, g); /* no process is there, so nothing is open */
+  if (result == FRM_CONN_REFUSED)
+    frm_replica_release (f, g); /* no process is there, so nothing is open */
   else if (result == FRM_UNANSWERED)
     g->close_unanswered = true;
   else if (result != FRM_OUTDATED && !g->close_accepted_at)
@@ -384,7 +385,7 @@
 }
 
 static void
-leave_done (struct frm *f, struct frm_group *g, const struct frm_vm *vm,
+leave_done (struct frm *f, struct frm_replica *g, const struct frm_vm *vm,
             enum frm_result result)
 {
   if (result == FRM_UNANSWERED || result == FRM_OUTDATED)
@@ -393,14 +394,14 @@
     if (g->members[i] == vm)
       g->leave_accepted[i] = true;
   if (g->phase == FRM_PH_LEAVING && g->leave_accepted[0])
-    frm_group_over (f, g);
+    frm_replica_release (f, g);
 }
 
 void
-frm_group_order_done (struct frm *f, struct frm_vm *vm,
-                      enum frm_order_kind kind, enum frm_result result)
+frm_replica_order_done (struct frm *f, struct frm_vm *vm,
+                        enum frm_order_kind kind, enum frm_result result)
 {
-  struct frm_group *g = vm->replica;
+  struct frm_replica *g = vm->replica;
 
   switch (kind)
     {
--- a/serve/form-int.h
+++ b/serve/form-int.h
@@ -17,12 +17,12 @@
 #include "serve/form.h"
 
 /** After this an order without a sign of its effect is given again. */
-#define FRM_AGAIN_MS ((clk_ms)1500)
+#define FRM_RESEND_MS ((clk_ms)1500)
 /** An order that was accepted shows in lists that were read so much later, as
     its server reports at once. */
-#define FRM_SHOWN_MS ((clk_ms)1000)
+#define FRM_REPORT_DELAY_MS ((clk_ms)1000)
 /** Joining or opening that takes longer than expected by this is given up. */
-#define FRM_PATIENCE_MS ((clk_ms)6000)
+#define FRM_STEP_TIMEOUT_MS ((clk_ms)6000)
 
 /** What the owner knows of one backend server. */
 struct frm_vm
@@ -56,7 +56,7 @@
   int64_t released_generation; /**< generations up to this can't open with it
                         as the leader any more */
   clk_ms excluded_until;       /**< it rejected an order; use another */
-  struct frm_group *replica;   /**< the replica it is planned for, or none */
+  struct frm_replica *replica; /**< the replica it is planned for, or none */
 };
 
 /** Where a replica is on its way. */
@@ -65,16 +65,16 @@
   FRM_PH_JOINING, /**< members get ready */
   FRM_PH_OPENING, /**< all were ready; the leader is told to open */
   FRM_PH_OPEN,
-  FRM_PH_CLOSING, /**< the leader is told to close */
-  FRM_PH_LEAVING, /**< the leader is told to leave, for good */
-  FRM_PH_LOST,    /**< its leader is not listed, and may appear */
-  FRM_PH_FENCING, /**< the leader can't be asked; members leave and time
-                       passes until it must have given up */
-  FRM_PH_OVER     /**< its members are free */
+  FRM_PH_CLOSING,        /**< the leader is told to close */
+  FRM_PH_LEAVING,        /**< the leader is told to leave, for good */
+  FRM_PH_LEADER_MISSING, /**< its leader is not listed, and may appear */
+  FRM_PH_FENCING,        /**< the leader can't be asked; members leave and time
+                              passes until it must have given up */
+  FRM_PH_ENDED           /**< its members are free */
 };
 
 /** One replica, or the members left of one. */
-struct frm_group
+struct frm_replica
 {
   char *name;
   char *service;
@@ -112,8 +112,8 @@
   uint64_t reassigned; /**< replicas that closed for another model */
 };
 
-#define FRM_LOADS 512
-#define FRM_ENDED 512 /**< replicas whose end is remembered */
+#define FRM_LOAD_RING 512
+#define FRM_ENDED_RING 512 /**< replicas whose end is remembered */
 
 struct frm
 {
@@ -137,12 +137,12 @@
   unsigned last_domain_number; /**< numbers given */
   unsigned *domain_max_vms; /**< by number: the most VMs seen there at once */
   size_t ndomain_max_vms;
-  struct frm_group **replicas;
+  struct frm_replica **replicas;
   size_t nreplicas;
-  clk_ms load_times[FRM_LOADS]; /**< when the last ones began, a ring */
+  clk_ms load_times[FRM_LOAD_RING]; /**< when the last ones began, a ring */
   size_t nloads;
-  int64_t ended_generations[FRM_ENDED]; /**< generations of replicas that are
-                                           over, a ring */
+  int64_t ended_generations[FRM_ENDED_RING]; /**< generations of replicas that
+                                           are over, a ring */
   size_t nended;
   struct frm_demand *demands;
   size_t ndemands;
@@ -156,60 +156,63 @@
 };
 
 /* form.c */
-bool frm_usable (const struct frm *f, const struct frm_vm *vm);
+bool frm_is_usable (const struct frm *f, const struct frm_vm *vm);
 /** It is a warm spare whose load has ended. */
 bool frm_is_ready (const struct frm_vm *vm);
 /** It reports this replica and generation, in at least @p part. */
-bool frm_reports (const struct frm_vm *vm, const struct frm_group *g,
+bool frm_reports (const struct frm_vm *vm, const struct frm_replica *g,
                   enum bks_part part);
-const struct tbl_service *frm_service (const struct frm *f, const char *name);
-struct frm_group *frm_group_add (struct frm *f, const char *service,
-                                 struct str name, struct str model,
-                                 int64_t generation);
-void frm_enter (struct frm *f, struct frm_group *g, enum frm_phase phase);
+const struct tbl_service *frm_find_service (const struct frm *f,
+                                            const char *name);
+struct frm_replica *frm_replica_add (struct frm *f, const char *service,
+                                     struct str name, struct str model,
+                                     int64_t generation);
+void frm_enter_phase (struct frm *f, struct frm_replica *g,
+                      enum frm_phase phase);
 /** Free its members for others, at once or once that is safe. */
-void frm_group_end (struct frm *f, struct frm_group *g);
+void frm_replica_end (struct frm *f, struct frm_replica *g);
 /** Its members are free for others. */
-void frm_group_over (struct frm *f, struct frm_group *g);
+void frm_replica_release (struct frm *f, struct frm_replica *g);
 
 /* form-group.c */
-void frm_group_tick (struct frm *f, struct frm_group *g);
+void frm_replica_tick (struct frm *f, struct frm_replica *g);
 /** Close it once what runs there has ended, or some seconds have passed. */
-void frm_group_close (struct frm *f, struct frm_group *g);
-void frm_group_order_done (struct frm *f, struct frm_vm *vm,
-                           enum frm_order_kind kind, enum frm_result result);
+void frm_replica_close (struct frm *f, struct frm_replica *g);
+void frm_replica_order_done (struct frm *f, struct frm_vm *vm,
+                             enum frm_order_kind kind, enum frm_result result);
 
 /* form-place.c */
-void frm_place (struct frm *f);
+void frm_assign_vms (struct frm *f);
 
 /* form-demand.c */
 void frm_demands_free (struct frm *f);
 /** Requests for each slot of @p n replicas of that model; 0: nobody asks. */
-double frm_use (const struct frm *f, const struct tbl_service *s, size_t model,
-                unsigned n);
+double frm_utilization (const struct frm *f, const struct tbl_service *s,
+                        size_t model, unsigned n);
 
 /** A replica of that model closes for one of another. */
-void frm_count_yield (struct frm *f, const struct frm_group *g);
+void frm_count_reassigned (struct frm *f, const struct frm_replica *g);
 
 /* form-yield.c */
 /** Close replicas whose VMs another model needs more. */
-void frm_yield (struct frm *f);
+void frm_reassign (struct frm *f);
 
 /* form-order.c */
-bool frm_order (struct frm *f, struct frm_vm *vm, enum frm_order_kind kind,
-                struct frm_group *g);
-void frm_order_stage (struct frm *f, struct frm_vm *vm, struct str model);
-void frm_ask (struct frm *f, struct frm_vm *vm);
+bool frm_send_order (struct frm *f, struct frm_vm *vm,
+                     enum frm_order_kind kind, struct frm_replica *g);
+void frm_send_preload (struct frm *f, struct frm_vm *vm, struct str model);
+void frm_probe (struct frm *f, struct frm_vm *vm);
 /** Whether @p n loads may begin now. */
 bool frm_may_load (const struct frm *f, const struct tbl_service *s,
                    unsigned n);
 void frm_count_loads (struct frm *f, unsigned n);
 /* form-stage.c */
-void frm_stage (struct frm *f);
-void frm_stage_done (struct frm *f, struct frm_vm *vm, enum frm_result result);
+void frm_preload (struct frm *f);
+void frm_preload_done (struct frm *f, struct frm_vm *vm,
+                       enum frm_result result);
 
 /** The model whose weights the VM holds, or empty. */
-struct str frm_held (const struct frm_vm *vm);
+struct str frm_loaded_model (const struct frm_vm *vm);
 /** Whether joining for @p model needs no load from the weight store. */
 bool frm_is_warm (const struct frm_vm *vm, struct str model);
 
--- a/serve/form-order.c
+++ b/serve/form-order.c
@@ -53,15 +53,15 @@
  */
 static bool
 is_pending (const struct frm *f, const struct frm_vm *vm,
-            enum frm_order_kind kind, const struct frm_group *g)
+            enum frm_order_kind kind, const struct frm_replica *g)
 {
   return vm->accepted_generation == g->generation && vm->accepted_kind == kind
-         && f->list_requested_at < vm->accepted_at + FRM_SHOWN_MS;
+         && f->list_requested_at < vm->accepted_at + FRM_REPORT_DELAY_MS;
 }
 
 bool
-frm_order (struct frm *f, struct frm_vm *vm, enum frm_order_kind kind,
-           struct frm_group *g)
+frm_send_order (struct frm *f, struct frm_vm *vm, enum frm_order_kind kind,
+                struct frm_replica *g)
 {
   struct frm_action *a;
 
@@ -85,13 +85,13 @@
     }
   vm->order_token = a->token;
   vm->order_kind = kind;
-  vm->next_order_at = f->now + FRM_AGAIN_MS;
+  vm->next_order_at = f->now + FRM_RESEND_MS;
   f->stats.orders++;
   return true;
 }
 
 void
-frm_order_stage (struct frm *f, struct frm_vm *vm, struct str model)
+frm_send_preload (struct frm *f, struct frm_vm *vm, struct str model)
 {
   struct frm_action *a = push (f, FRM_ORDER, vm);
 
@@ -104,17 +104,17 @@
 }
 
 void
-frm_ask (struct frm *f, struct frm_vm *vm)
+frm_probe (struct frm *f, struct frm_vm *vm)
 {
   if (vm->probe_token || f->now < vm->next_probe_at)
     return;
-  vm->probe_token = push (f, FRM_ASK, vm)->token;
+  vm->probe_token = push (f, FRM_PROBE, vm)->token;
 }
 
 bool
 frm_is_warm (const struct frm_vm *vm, struct str model)
 {
-  if (str_eq (frm_held (vm), model))
+  if (str_eq (frm_loaded_model (vm), model))
     return true;
   for (size_t i = 0; i < vm->entry.nstaged; i++)
     if (str_eq (vm->entry.staged[i], model))
@@ -132,7 +132,7 @@
 
   if (!f->traffic || s->loads_per_s <= 0)
     return true;
-  for (size_t i = 0; i < f->nloads && i < FRM_LOADS; i++)
+  for (size_t i = 0; i < f->nloads && i < FRM_LOAD_RING; i++)
     recent += f->load_times[i] > from;
   /* A replica that alone needs more than the bound has to begin some time. */
   return recent <= most || (recent == n && n <= 2 * most);
@@ -142,6 +142,6 @@
 frm_count_loads (struct frm *f, unsigned n)
 {
   for (unsigned i = 0; i < n; i++)
-    f->load_times[f->nloads++ % FRM_LOADS] = f->now;
+    f->load_times[f->nloads++ % FRM_LOAD_RING] = f->now;
   f->stats.loads += n;
 }
--- a/serve/form-place.c
+++ b/serve/form-place.c
@@ -30,7 +30,7 @@
                 struct choice *out)
 {
   memset (out, 0, sizeof *out);
-  for (int cost = FRM_COST_SAME; cost <= (int)most; cost++)
+  for (int cost = FRM_COST_LOADED; cost <= (int)most; cost++)
     for (size_t i = 0; i < f->nvms && out->n < m->size; i++)
       {
         struct frm_vm *vm = f->vms[i];
@@ -64,7 +64,7 @@
   clk_ms ms = 0;
 
   for (unsigned i = 0; f->traffic && i < c->n; i++)
-    if (frm_cost_of (c->members[i], m->name) != FRM_COST_SAME)
+    if (frm_cost_of (c->members[i], m->name) != FRM_COST_LOADED)
       ms = m->warm_ms;
   return ms;
 }
@@ -75,8 +75,8 @@
 {
   char text[32];
   struct str name = new_name (f, spare, text, sizeof text);
-  struct frm_group *g
-      = frm_group_add (f, service, name, m->name, f->generation);
+  struct frm_replica *g
+      = frm_replica_add (f, service, name, m->name, f->generation);
 
   g->spare = spare;
   g->earliest_ready_at = f->now + joining_ms (f, m, c);
@@ -85,7 +85,7 @@
     {
       struct frm_vm *vm = c->members[i];
       if (vm->replica)
-        frm_group_over (f, vm->replica);
+        frm_replica_release (f, vm->replica);
       g->members[i] = vm;
       vm->replica = g;
       vm->next_order_at = f->now;
@@ -115,12 +115,12 @@
 static bool
 form_one (struct frm *f, struct frm_domain *d)
 {
-  enum frm_cost most = f->traffic ? FRM_COST_STAGED : FRM_COST_OTHER;
+  enum frm_cost most = f->traffic ? FRM_COST_HOST_MEMORY : FRM_COST_OTHER;
 
   if (is_gathering (f))
     return false;
-  frm_look (f, d);
-  for (size_t k = 0; k < d->s->nmodels && k < FRM_MODELS; k++)
+  frm_plan_domain (f, d);
+  for (size_t k = 0; k < d->s->nmodels && k < FRM_MAX_MODELS; k++)
     {
       const struct tbl_model *m = &d->s->models[k];
       struct choice c;
@@ -151,7 +151,7 @@
   size_t best = d->s->nmodels;
   double most = 0;
 
-  for (size_t k = 0; k < d->s->nmodels && k < FRM_MODELS; k++)
+  for (size_t k = 0; k < d->s->nmodels && k < FRM_MAX_MODELS; k++)
     {
       unsigned need = missing (d, k);
       double part = need > d->warm[k]
@@ -173,7 +173,7 @@
   size_t best = d->s->nmodels;
   double least = 0, members_best = 0;
 
-  for (size_t k = 0; k < d->s->nmodels && k < FRM_MODELS; k++)
+  for (size_t k = 0; k < d->s->nmodels && k < FRM_MAX_MODELS; k++)
     {
       double members = (double)d->want[k] * d->s->models[k].size;
       double spare = (double)d->warm[k] - missing (d, k);
@@ -193,7 +193,7 @@
 static bool
 may_change (const struct frm_domain *d, const struct frm_vm *vm, size_t k)
 {
-  size_t held = frm_held_model (vm, d->s);
+  size_t held = frm_loaded_model_index (vm, d->s);
 
   if (held == d->s->nmodels)
     return true;
@@ -216,13 +216,13 @@
   if (!frm_may_load (f, d->s, c.loads))
     return;
   form (f, d->service, &d->s->models[k], &c, true);
-  frm_look (f, d);
+  frm_plan_domain (f, d);
 }
 
 static void
 load_spares (struct frm *f, struct frm_domain *d)
 {
-  frm_look (f, d);
+  frm_plan_domain (f, d);
   for (size_t i = 0; i < f->nvms; i++)
     {
       struct frm_vm *vm = f->vms[i];
@@ -253,10 +253,10 @@
 }
 
 void
-frm_place (struct frm *f)
+frm_assign_vms (struct frm *f)
 {
-  frm_each_domain (f, form_all);
+  frm_for_each_domain (f, form_all);
   if (f->list_complete && !is_gathering (f)
       && f->now - f->last_arrival_at >= ARRIVAL_MS)
-    frm_each_domain (f, load_spares);
+    frm_for_each_domain (f, load_spares);
 }
--- a/serve/form-plan.c
+++ b/serve/form-plan.c
@@ -17,7 +17,7 @@
 bool
 frm_is_free (const struct frm *f, const struct frm_vm *vm)
 {
-  return frm_usable (f, vm) && !vm->order_token && vm->entry.domain.len > 0
+  return frm_is_usable (f, vm) && !vm->order_token && vm->entry.domain.len > 0
          && vm->entry.part < BKS_OPEN && (!vm->replica || vm->replica->spare);
 }
 
@@ -27,11 +27,11 @@
   /* One that is still loading is as far from ready as an empty one. */
   bool loading = vm->entry.part == BKS_JOINING;
 
-  if (str_eq (frm_held (vm), model) && !loading)
-    return FRM_COST_SAME;
+  if (str_eq (frm_loaded_model (vm), model) && !loading)
+    return FRM_COST_LOADED;
   if (frm_is_warm (vm, model) && !loading)
-    return FRM_COST_STAGED;
-  return frm_held (vm).len ? FRM_COST_OTHER : FRM_COST_EMPTY;
+    return FRM_COST_HOST_MEMORY;
+  return frm_loaded_model (vm).len ? FRM_COST_OTHER : FRM_COST_EMPTY;
 }
 
 /* --- the plan of a domain ---------------------------------------------- */
@@ -51,7 +51,7 @@
   const struct tbl_service *s = d->s;
   size_t best = s->nmodels;
 
-  for (size_t i = 0; i < s->nmodels && i < FRM_MODELS; i++)
+  for (size_t i = 0; i < s->nmodels && i < FRM_MAX_MODELS; i++)
     {
       double x = supply (d->want[i], &s->models[i]);
       if (s->models[i].size > room || s->models[i].size == 0)
@@ -70,7 +70,7 @@
   unsigned n = 0;
 
   for (size_t i = 0; i < f->nvms; i++)
-    n += frm_in_domain (f->vms[i], d) && frm_usable (f, f->vms[i]);
+    n += frm_in_domain (f->vms[i], d) && frm_is_usable (f, f->vms[i]);
   return n;
 }
 
@@ -102,7 +102,7 @@
 }
 
 bool
-frm_is_of_domain (const struct frm_group *g, const struct frm_domain *d)
+frm_replica_in_domain (const struct frm_replica *g, const struct frm_domain *d)
 {
   bool any = false;
 
@@ -120,21 +120,21 @@
 {
   for (size_t i = 0; i < f->nreplicas; i++)
     {
-      const struct frm_group *g = f->replicas[i];
-      if (g->spare || g->phase > FRM_PH_OPEN || !frm_is_of_domain (g, d))
+      const struct frm_replica *g = f->replicas[i];
+      if (g->spare || g->phase > FRM_PH_OPEN || !frm_replica_in_domain (g, d))
         continue;
-      for (size_t k = 0; k < d->s->nmodels && k < FRM_MODELS; k++)
+      for (size_t k = 0; k < d->s->nmodels && k < FRM_MAX_MODELS; k++)
         d->have[k] += str_is (d->s->models[k].name, g->model);
     }
 }
 
 size_t
-frm_held_model (const struct frm_vm *vm, const struct tbl_service *s)
+frm_loaded_model_index (const struct frm_vm *vm, const struct tbl_service *s)
 {
   struct str name
-      = vm->replica ? str_from (vm->replica->model) : frm_held (vm);
+      = vm->replica ? str_from (vm->replica->model) : frm_loaded_model (vm);
 
-  for (size_t k = 0; k < s->nmodels && k < FRM_MODELS; k++)
+  for (size_t k = 0; k < s->nmodels && k < FRM_MAX_MODELS; k++)
     if (str_eq (s->models[k].name, name))
       return k;
   return s->nmodels;
@@ -146,11 +146,11 @@
   for (size_t i = 0; i < f->nvms; i++)
     {
       const struct frm_vm *vm = f->vms[i];
-      if (!frm_in_domain (vm, d) || !frm_usable (f, vm)
+      if (!frm_in_domain (vm, d) || !frm_is_usable (f, vm)
           || (vm->replica && !vm->replica->spare))
         continue;
-      size_t held = frm_held_model (vm, d->s);
-      for (size_t k = 0; k < d->s->nmodels && k < FRM_MODELS; k++)
+      size_t held = frm_loaded_model_index (vm, d->s);
+      for (size_t k = 0; k < d->s->nmodels && k < FRM_MAX_MODELS; k++)
         d->warm[k] += k == held
                       || (vm->entry.part != BKS_JOINING
                           && frm_is_warm (vm, d->s->models[k].name));
@@ -158,7 +158,7 @@
 }
 
 void
-frm_look (const struct frm *f, struct frm_domain *d)
+frm_plan_domain (const struct frm *f, struct frm_domain *d)
 {
   memset (d->want, 0, sizeof d->want);
   memset (d->have, 0, sizeof d->have);
@@ -181,7 +181,7 @@
 /** VMs that replicas of the models have, over all domains of a service. */
 struct tally
 {
-  unsigned vms[FRM_MODELS];
+  unsigned vms[FRM_MAX_MODELS];
 };
 
 static size_t
@@ -189,9 +189,10 @@
 {
   size_t k = 0;
 
-  while (k < s->nmodels && k < FRM_MODELS && !str_is (s->models[k].name, name))
+  while (k < s->nmodels && k < FRM_MAX_MODELS
+         && !str_is (s->models[k].name, name))
     k++;
-  return k < FRM_MODELS ? k : s->nmodels;
+  return k < FRM_MAX_MODELS ? k : s->nmodels;
 }
 
 static void
@@ -200,7 +201,7 @@
   memset (t, 0, sizeof *t);
   for (size_t i = 0; i < f->nreplicas; i++)
     {
-      const struct frm_group *g = f->replicas[i];
+      const struct frm_replica *g = f->replicas[i];
       size_t k = model_number (s, g->model);
       if (!g->spare && g->phase <= FRM_PH_OPEN && k < s->nmodels
           && str_is (s->name, g->service))
@@ -216,7 +217,7 @@
   size_t best = s->nmodels;
   double least = 0;
 
-  for (size_t k = 0; k < s->nmodels && k < FRM_MODELS; k++)
+  for (size_t k = 0; k < s->nmodels && k < FRM_MAX_MODELS; k++)
     {
       const struct tbl_model *m = &s->models[k];
       double x = t->vms[k] / (m->share > 0 ? m->share : 1e-3);
@@ -235,20 +236,20 @@
 static size_t
 most_held (const struct frm *f, const struct frm_domain *d)
 {
-  unsigned n[FRM_MODELS] = { 0 };
+  unsigned n[FRM_MAX_MODELS] = { 0 };
   size_t best = d->s->nmodels;
 
   for (size_t i = 0; i < f->nvms; i++)
     {
       const struct frm_vm *vm = f->vms[i];
-      struct str held
-          = vm->replica ? str_from (vm->replica->model) : frm_held (vm);
+      struct str held = vm->replica ? str_from (vm->replica->model)
+                                    : frm_loaded_model (vm);
       if (!frm_in_domain (vm, d) || (vm->replica && vm->replica->spare))
         continue;
-      for (size_t k = 0; k < d->s->nmodels && k < FRM_MODELS; k++)
+      for (size_t k = 0; k < d->s->nmodels && k < FRM_MAX_MODELS; k++)
         n[k] += str_eq (d->s->models[k].name, held);
     }
-  for (size_t k = 0; k < d->s->nmodels && k < FRM_MODELS; k++)
+  for (size_t k = 0; k < d->s->nmodels && k < FRM_MAX_MODELS; k++)
     if (n[k] > 0 && (best == d->s->nmodels || n[k] > n[best]))
       best = k;
   return best;
@@ -299,7 +300,7 @@
 
 /** A domain that has lost some is not for another model therefore. */
 void
-frm_count_domains (struct frm *f)
+frm_update_domain_sizes (struct frm *f)
 {
   unsigned *n = xcalloc (f->last_domain_number + 1, sizeof *n);
 
@@ -320,15 +321,15 @@
 /* --- all domains ------------------------------------------------------- */
 
 void
-frm_each_domain (struct frm *f,
-                 void (*fn) (struct frm *f, struct frm_domain *d))
+frm_for_each_domain (struct frm *f,
+                     void (*fn) (struct frm *f, struct frm_domain *d))
 {
   bool *seen = xcalloc (f->last_domain_number + 1, sizeof *seen);
 
   for (size_t i = 0; i < f->nvms; i++)
     {
       const struct frm_vm *vm = f->vms[i];
-      struct frm_domain d = { .s = frm_service (f, vm->service),
+      struct frm_domain d = { .s = frm_find_service (f, vm->service),
                               .service = vm->service,
                               .number = vm->domain_number };
       if (!d.s || vm->domain[0] == '\0' || seen[d.number])
--- a/serve/form-stage.c
+++ b/serve/form-stage.c
@@ -29,7 +29,7 @@
   size_t best = s->nmodels;
 
   for (size_t k = 0; k < s->nmodels; k++)
-    if (!str_eq (s->models[k].name, frm_held (vm))
+    if (!str_eq (s->models[k].name, frm_loaded_model (vm))
         && (best == s->nmodels || s->models[k].share > s->models[best].share))
       best = k;
   return best;
@@ -40,7 +40,7 @@
 keeps_other (const struct frm_vm *vm)
 {
   for (size_t i = 0; i < vm->entry.nstaged; i++)
-    if (!str_eq (vm->entry.staged[i], frm_held (vm)))
+    if (!str_eq (vm->entry.staged[i], frm_loaded_model (vm)))
       return true;
   return false;
 }
@@ -54,9 +54,9 @@
 static bool
 may_stage (const struct frm *f, const struct frm_vm *vm)
 {
-  return frm_usable (f, vm) && !vm->order_token && f->now >= vm->preload_until
-         && vm->entry.domain.len > 0 && frm_held (vm).len > 0
-         && !keeps_other (vm)
+  return frm_is_usable (f, vm) && !vm->order_token
+         && f->now >= vm->preload_until && vm->entry.domain.len > 0
+         && frm_loaded_model (vm).len > 0 && !keeps_other (vm)
          && (vm->replica ? frm_is_ready (vm) : vm->entry.part == BKS_ALONE);
 }
 
@@ -68,17 +68,17 @@
 static bool
 may_restart (const struct frm *f, const struct frm_domain *d)
 {
-  unsigned kept[FRM_MODELS] = { 0 };
+  unsigned kept[FRM_MAX_MODELS] = { 0 };
 
   for (size_t i = 0; i < f->nvms; i++)
-    if (frm_in_domain (f->vms[i], d) && frm_usable (f, f->vms[i])
-        && frm_held (f->vms[i]).len > 0)
+    if (frm_in_domain (f->vms[i], d) && frm_is_usable (f, f->vms[i])
+        && frm_loaded_model (f->vms[i]).len > 0)
       {
         size_t k = other_model (f->vms[i], d->s);
-        if (k < FRM_MODELS)
+        if (k < FRM_MAX_MODELS)
           kept[k]++;
       }
-  for (size_t k = 0; k < d->s->nmodels && k < FRM_MODELS; k++)
+  for (size_t k = 0; k < d->s->nmodels && k < FRM_MAX_MODELS; k++)
     if (d->want[k] > 0 && kept[k] < d->s->models[k].size)
       return false;
   return true;
@@ -121,7 +121,7 @@
 
   if (d->s->host_keeps == 0 || d->s->nmodels < 2)
     return;
-  frm_look (f, d);
+  frm_plan_domain (f, d);
   members = !f->traffic && may_restart (f, d);
   for (size_t i = 0; i < f->nvms; i++)
     {
@@ -133,22 +133,22 @@
       if (!has_room (f, d->s))
         return;
       m = &d->s->models[other_model (vm, d->s)];
-      frm_order_stage (f, vm, m->name);
+      frm_send_preload (f, vm, m->name);
       frm_count_loads (f, 1);
       vm->preload_until = f->now + 2 * m->load_ms;
     }
 }
 
 void
-frm_stage (struct frm *f)
+frm_preload (struct frm *f)
 {
   if (f->list_complete && f->now - f->last_arrival_at >= SETTLE_MS)
-    frm_each_domain (f, stage_in);
+    frm_for_each_domain (f, stage_in);
 }
 
 void
-frm_stage_done (struct frm *f, struct frm_vm *vm, enum frm_result result)
+frm_preload_done (struct frm *f, struct frm_vm *vm, enum frm_result result)
 {
-  if (result == FRM_REJECTED || result == FRM_UNREACHABLE)
+  if (result == FRM_REJECTED || result == FRM_CONN_REFUSED)
     vm->preload_until = f->now + REFUSED_MS;
 }
--- a/serve/form-yield.c
+++ b/serve/form-yield.c
@@ -19,12 +19,12 @@
 static void
 count_all (const struct frm *f, const struct tbl_service *s, unsigned *n)
 {
-  for (size_t k = 0; k < s->nmodels && k < FRM_MODELS; k++)
+  for (size_t k = 0; k < s->nmodels && k < FRM_MAX_MODELS; k++)
     n[k] = 0;
   for (size_t i = 0; i < f->nreplicas; i++)
     {
-      const struct frm_group *g = f->replicas[i];
-      for (size_t k = 0; k < s->nmodels && k < FRM_MODELS; k++)
+      const struct frm_replica *g = f->replicas[i];
+      for (size_t k = 0; k < s->nmodels && k < FRM_MAX_MODELS; k++)
         n[k] += !g->spare && g->phase <= FRM_PH_OPEN
                 && str_is (s->name, g->service)
                 && str_is (s->models[k].name, g->model);
@@ -37,10 +37,10 @@
 is_better (const struct frm *f, const struct tbl_service *s, const unsigned *n,
            size_t a, unsigned given, size_t b)
 {
-  double a_now = frm_use (f, s, a, n[a]);
-  double b_now = frm_use (f, s, b, n[b]);
-  double a_then = frm_use (f, s, a, n[a] - given);
-  double b_then = frm_use (f, s, b, n[b] + 1);
+  double a_now = frm_utilization (f, s, a, n[a]);
+  double b_now = frm_utilization (f, s, b, n[b]);
+  double a_then = frm_utilization (f, s, a, n[a] - given);
+  double b_then = frm_utilization (f, s, b, n[b] + 1);
   double now = a_now > b_now ? a_now : b_now;
   double then = a_then > b_then ? a_then : b_then;
 
@@ -52,7 +52,7 @@
 static bool
 is_coming (const struct frm *f, const struct frm_vm *vm, struct str model)
 {
-  if (!frm_usable (f, vm) || !frm_is_warm (vm, model))
+  if (!frm_is_usable (f, vm) || !frm_is_warm (vm, model))
     return false;
   if (!vm->replica)
     return true;
@@ -73,13 +73,13 @@
 
 /** Members that could join a replica of that model without a load. */
 static unsigned
-count_warm_members (const struct frm *f, const struct frm_group *g,
+count_warm_members (const struct frm *f, const struct frm_replica *g,
                     struct str model)
 {
   unsigned n = 0;
 
   for (size_t i = 0; i < g->nmembers; i++)
-    n += g->members[i] && frm_usable (f, g->members[i])
+    n += g->members[i] && frm_is_usable (f, g->members[i])
          && frm_is_warm (g->members[i], model);
   return n;
 }
@@ -97,16 +97,16 @@
 
   for (size_t i = 0; i < f->nreplicas && vms < m->size; i++)
     {
-      struct frm_group *g = f->replicas[i];
-      if (g->spare || g->phase != FRM_PH_OPEN || !frm_is_of_domain (g, d)
+      struct frm_replica *g = f->replicas[i];
+      if (g->spare || g->phase != FRM_PH_OPEN || !frm_replica_in_domain (g, d)
           || !str_is (d->s->models[a].name, g->model))
         continue;
       vms += count_warm_members (f, g, m->name);
       given++;
       if (dry)
         continue;
-      frm_count_yield (f, g);
-      frm_group_close (f, g);
+      frm_count_reassigned (f, g);
+      frm_replica_close (f, g);
     }
   return vms >= m->size ? given : 0;
 }
@@ -114,10 +114,10 @@
 static void
 yield_for (struct frm *f, struct frm_domain *d, size_t b)
 {
-  unsigned n[FRM_MODELS];
+  unsigned n[FRM_MAX_MODELS];
 
   count_all (f, d->s, n);
-  for (size_t a = 0; a < d->s->nmodels && a < FRM_MODELS; a++)
+  for (size_t a = 0; a < d->s->nmodels && a < FRM_MAX_MODELS; a++)
     {
       unsigned given;
       if (a == b || d->have[a] <= d->want[a])
@@ -134,8 +134,8 @@
 static void
 yield_in (struct frm *f, struct frm_domain *d)
 {
-  frm_look (f, d);
-  for (size_t b = 0; b < d->s->nmodels && b < FRM_MODELS; b++)
+  frm_plan_domain (f, d);
+  for (size_t b = 0; b < d->s->nmodels && b < FRM_MAX_MODELS; b++)
     if (d->have[b] < d->want[b]
         && count_coming (f, d, d->s->models[b].name) < d->s->models[b].size)
       {
@@ -145,8 +145,8 @@
 }
 
 void
-frm_yield (struct frm *f)
+frm_reassign (struct frm *f)
 {
   if (f->traffic && f->list_complete)
-    frm_each_domain (f, yield_in);
+    frm_for_each_domain (f, yield_in);
 }
--- a/serve/form.c
+++ b/serve/form.c
@@ -39,7 +39,7 @@
 }
 
 static void
-group_free (struct frm_group *g)
+group_free (struct frm_replica *g)
 {
   free (g->name);
   free (g->service);
@@ -96,7 +96,7 @@
 }
 
 const struct tbl_service *
-frm_service (const struct frm *f, const char *name)
+frm_find_service (const struct frm *f, const char *name)
 {
   return f->config ? tbl_find_service (f->config, str_from (name)) : NULL;
 }
@@ -104,9 +104,9 @@
 /* --- groups ------------------------------------------------------------ */
 
 static void
-set_model (const struct frm *f, struct frm_group *g, struct str model)
+set_model (const struct frm *f, struct frm_replica *g, struct str model)
 {
-  const struct tbl_service *s = frm_service (f, g->service);
+  const struct tbl_service *s = frm_find_service (f, g->service);
   const struct tbl_model *m = s ? tbl_find_model (s, model) : NULL;
 
   free (g->model);
@@ -115,11 +115,11 @@
   g->load_ms = m ? m->load_ms : 0;
 }
 
-struct frm_group *
-frm_group_add (struct frm *f, const char *service, struct str name,
-               struct str model, int64_t generation)
+struct frm_replica *
+frm_replica_add (struct frm *f, const char *service, struct str name,
+                 struct str model, int64_t generation)
 {
-  struct frm_group *g = xcalloc (1, sizeof *g);
+  struct frm_replica *g = xcalloc (1, sizeof *g);
 
   g->name = str_dup (name);
   g->service = xstrdup (service);
@@ -134,7 +134,7 @@
 }
 
 void
-frm_enter (struct frm *f, struct frm_group *g, enum frm_phase phase)
+frm_enter_phase (struct frm *f, struct frm_replica *g, enum frm_phase phase)
 {
   g->phase = phase;
   g->phase_since = f->now;
@@ -144,7 +144,7 @@
 }
 
 void
-frm_group_over (struct frm *f, struct frm_group *g)
+frm_replica_release (struct frm *f, struct frm_replica *g)
 {
   for (size_t i = 0; i < g->nmembers; i++)
     {
@@ -157,15 +157,15 @@
           && vm->released_generation < g->generation)
         vm->released_generation = g->generation;
     }
-  frm_enter (f, g, FRM_PH_OVER);
+  frm_enter_phase (f, g, FRM_PH_ENDED);
   g->nmembers = 0;
-  f->ended_generations[f->nended++ % FRM_ENDED] = g->generation;
+  f->ended_generations[f->nended++ % FRM_ENDED_RING] = g->generation;
 }
 
 static bool
 has_ended (const struct frm *f, int64_t generation)
 {
-  for (size_t i = 0; i < f->nended && i < FRM_ENDED; i++)
+  for (size_t i = 0; i < f->nended && i < FRM_ENDED_RING; i++)
     if (f->ended_generations[i] == generation)
       return true;
   return false;
@@ -178,12 +178,12 @@
  * closed, it could open again while its members join others.
  */
 void
-frm_group_end (struct frm *f, struct frm_group *g)
+frm_replica_end (struct frm *f, struct frm_replica *g)
 {
   if (g->may_be_open && !g->spare)
-    frm_enter (f, g, FRM_PH_LEAVING);
+    frm_enter_phase (f, g, FRM_PH_LEAVING);
   else
-    frm_group_over (f, g);
+    frm_replica_release (f, g);
 }
 
 static void
@@ -192,7 +192,7 @@
   size_t kept = 0;
 
   for (size_t i = 0; i < f->nreplicas; i++)
-    if (f->replicas[i]->phase != FRM_PH_OVER)
+    if (f->replicas[i]->phase != FRM_PH_ENDED)
       f->replicas[kept++] = f->replicas[i];
     else
       group_free (f->replicas[i]);
@@ -227,20 +227,20 @@
 {
   for (size_t i = 0; vm->blocked_by && i < f->nreplicas; i++)
     if (f->replicas[i]->generation == vm->blocked_by
-        && f->replicas[i]->phase != FRM_PH_OVER)
+        && f->replicas[i]->phase != FRM_PH_ENDED)
       return true;
   return false;
 }
 
 bool
-frm_usable (const struct frm *f, const struct frm_vm *vm)
+frm_is_usable (const struct frm *f, const struct frm_vm *vm)
 {
   return vm->listed && !vm->unresponsive && !vm->entry.draining
          && f->now >= vm->excluded_until && !is_held (f, vm);
 }
 
 bool
-frm_reports (const struct frm_vm *vm, const struct frm_group *g,
+frm_reports (const struct frm_vm *vm, const struct frm_replica *g,
              enum bks_part part)
 {
   return vm->listed && str_is (vm->entry.replica, g->name)
@@ -257,7 +257,7 @@
 static void
 leave_group (struct frm_vm *vm)
 {
-  struct frm_group *g = vm->replica;
+  struct frm_replica *g = vm->replica;
 
   for (size_t k = 0; g && k < g->nmembers; k++)
     if (g->members[k] == vm)
@@ -286,12 +286,12 @@
 static void
 begin_life (struct frm *f, struct frm_vm *vm)
 {
-  struct frm_group *g = vm->replica;
+  struct frm_replica *g = vm->replica;
   bool led = g && g->members[0] == vm;
   int64_t after = g && !led ? g->generation : vm->blocked_by;
 
   if (led)
-    frm_group_over (f, g);
+    frm_replica_release (f, g);
   else
     leave_group (vm);
   free (vm->loaded_model);
@@ -303,7 +303,7 @@
 }
 
 struct str
-frm_held (const struct frm_vm *vm)
+frm_loaded_model (const struct frm_vm *vm)
 {
   return vm->entry.model.len ? vm->entry.model : str_from (vm->loaded_model);
 }
@@ -361,7 +361,7 @@
 static bool
 may_work_on (const struct frm_vm *vm)
 {
-  const struct frm_group *g = vm->replica;
+  const struct frm_replica *g = vm->replica;
 
   return g && !g->spare && !vm->unresponsive && !vm->entry.draining
          && (g->phase == FRM_PH_OPEN || g->phase == FRM_PH_CLOSING
@@ -411,14 +411,14 @@
 
 /** Go on with a replica by what its leader reports. */
 static void
-enter_found (struct frm *f, struct frm_group *g)
+enter_found (struct frm *f, struct frm_replica *g)
 {
   if (!g->members[0])
-    frm_enter (f, g, FRM_PH_LOST);
+    frm_enter_phase (f, g, FRM_PH_LEADER_MISSING);
   else if (g->members[0]->entry.part >= BKS_OPEN)
-    frm_enter (f, g, FRM_PH_OPEN);
+    frm_enter_phase (f, g, FRM_PH_OPEN);
   else
-    frm_enter (f, g, FRM_PH_JOINING);
+    frm_enter_phase (f, g, FRM_PH_JOINING);
 }
 
 /**
@@ -427,7 +427,7 @@
  * members, and open without the others.  Who is ready reports the replica's.
  */
 static void
-learn_model (const struct frm *f, struct frm_group *g)
+learn_model (const struct frm *f, struct frm_replica *g)
 {
   for (size_t i = 0; i < g->nmembers && g->size == 0; i++)
     if (g->members[i] && frm_reports (g->members[i], g, BKS_READY))
@@ -435,11 +435,12 @@
 }
 
 /** Gather the VMs that report the replica of @p first into a group. */
-static struct frm_group *
+static struct frm_replica *
 adopt_group (struct frm *f, struct frm_vm *first)
 {
-  struct frm_group *g = frm_group_add (f, first->service, first->entry.replica,
-                                       STR_EMPTY, first->entry.generation);
+  struct frm_replica *g
+      = frm_replica_add (f, first->service, first->entry.replica, STR_EMPTY,
+                         first->entry.generation);
 
   g->spare = is_spare_name (first->entry.replica);
   g->may_be_open = !g->spare; /* by an owner before us */
@@ -458,7 +459,7 @@
     }
   learn_model (f, g);
   if (g->spare && !g->members[0])
-    frm_group_over (f, g);
+    frm_replica_release (f, g);
   else
     enter_found (f, g);
   return g;
@@ -482,20 +483,20 @@
   f->adopted = true;
 }
 
-static struct frm_group *
+static struct frm_replica *
 find_group (const struct frm *f, const struct frm_vm *vm)
 {
   for (size_t i = 0; i < f->nreplicas; i++)
     if (str_is (vm->entry.replica, f->replicas[i]->name)
         && f->replicas[i]->generation == vm->entry.generation
-        && f->replicas[i]->phase != FRM_PH_OVER)
+        && f->replicas[i]->phase != FRM_PH_ENDED)
       return f->replicas[i];
   return NULL;
 }
 
 /** One more member of a replica that was found without it. */
 static void
-attach (struct frm *f, struct frm_group *g, struct frm_vm *vm)
+attach (struct frm *f, struct frm_replica *g, struct frm_vm *vm)
 {
   if (vm->entry.rank >= FRM_MEMBERS || g->members[vm->entry.rank])
     return;
@@ -503,7 +504,7 @@
   if (g->nmembers <= vm->entry.rank)
     g->nmembers = vm->entry.rank + 1;
   vm->replica = g;
-  if (g->phase == FRM_PH_LOST)
+  if (g->phase == FRM_PH_LEADER_MISSING)
     enter_found (f, g);
 }
 
@@ -542,7 +543,7 @@
           || vm->entry.generation <= vm->released_generation
           || is_spare_name (vm->entry.replica))
         continue;
-      struct frm_group *g = find_group (f, vm);
+      struct frm_replica *g = find_group (f, vm);
       if (g)
         attach (f, g, vm);
       else
@@ -618,7 +619,7 @@
   f->now = now;
   for (size_t i = 0; i < f->nreplicas; i++)
     {
-      struct frm_group *g = f->replicas[i];
+      struct frm_replica *g = f->replicas[i];
       if (g->phase == FRM_PH_OPEN && g->members[0]
           && dsp_place_hash (str_from (g->members[0]->id),
                              g->members[0]->entry.born, g->generation)
@@ -651,9 +652,9 @@
             vm->accepted_fence = f->fence;
           }
         if (vm->order_kind == FRM_STAGE)
-          frm_stage_done (f, vm, result);
+          frm_preload_done (f, vm, result);
         else if (vm->replica)
-          frm_group_order_done (f, vm, vm->order_kind, result);
+          frm_replica_order_done (f, vm, vm->order_kind, result);
         return;
       }
 }
@@ -690,7 +691,7 @@
   for (size_t i = 0; i < f->nvms; i++)
     if (f->vms[i]->listed ? f->vms[i]->unresponsive
                           : f->vms[i]->replica != NULL)
-      frm_ask (f, f->vms[i]);
+      frm_probe (f, f->vms[i]);
 }
 
 void
@@ -700,24 +701,24 @@
   if (!f->leading || !f->adopted || !f->config)
     return;
   for (size_t i = 0; i < f->nreplicas; i++)
-    frm_group_tick (f, f->replicas[i]);
+    frm_replica_tick (f, f->replicas[i]);
   sweep_groups (f);
-  frm_count_domains (f);
-  frm_yield (f);
-  frm_place (f);
-  frm_stage (f);
+  frm_update_domain_sizes (f);
+  frm_reassign (f);
+  frm_assign_vms (f);
+  frm_preload (f);
   ask_doubtful (f);
 }
 
 /** Whether the next step of a replica may show in a report by now. */
 static bool
-is_due (const struct frm *f, const struct frm_group *g)
+is_due (const struct frm *f, const struct frm_replica *g)
 {
   if (g->phase == FRM_PH_OPENING || g->phase == FRM_PH_CLOSING)
     return true;
   return g->phase == FRM_PH_JOINING && !g->spare
          && f->now >= g->earliest_ready_at
-         && f->now - g->phase_since < FRM_PATIENCE_MS;
+         && f->now - g->phase_since < FRM_STEP_TIMEOUT_MS;
 }
 
 bool
@@ -737,7 +738,7 @@
   x->forming = x->open = x->closing = x->spares = x->warm = 0;
   for (size_t i = 0; i < f->nreplicas; i++)
     {
-      const struct frm_group *g = f->replicas[i];
+      const struct frm_replica *g = f->replicas[i];
       if (g->spare)
         x->warm++;
       else if (g->phase <= FRM_PH_OPENING)
--- a/serve/form.h
+++ b/serve/form.h
@@ -39,17 +39,17 @@
 /** What became of an order. */
 enum frm_result
 {
-  FRM_ACCEPTED,    /**< it has begun, or holds already */
-  FRM_REJECTED,    /**< it will not be carried out */
-  FRM_OUTDATED,    /**< a newer owner has given orders */
-  FRM_UNREACHABLE, /**< the connection was refused: no process is there */
-  FRM_UNANSWERED   /**< it may be carried out now or later */
+  FRM_ACCEPTED,     /**< it has begun, or holds already */
+  FRM_REJECTED,     /**< it will not be carried out */
+  FRM_OUTDATED,     /**< a newer owner has given orders */
+  FRM_CONN_REFUSED, /**< the connection was refused: no process is there */
+  FRM_UNANSWERED    /**< it may be carried out now or later */
 };
 
 enum frm_action_kind
 {
   FRM_ORDER, /**< vm, token, order, ... */
-  FRM_ASK    /**< vm, token: does it answer? */
+  FRM_PROBE  /**< vm, token: does it answer? */
 };
 
 /** Strings are valid until the next call. */
