--- a/serve/form-int.h
+++ b/serve/form-int.h
@@ -1,79 +1,100 @@
 /**
  * @file
- * What the files of the forming core share.
+ * Internal declarations shared by the files of the replica core.
  *
- *   form.c        events, what is known of VMs, taking over
- *   form-group.c  a replica's way from joining to closed
- *   form-plan.c   which replicas a domain's VMs are for
- *   form-place.c  which VMs become which replica, warm spares
- *   form-demand.c what is asked of each model
- *   form-yield.c  replicas that close for one of another model
- *   form-order.c  orders under way, the pace of loads
- *   form-stage.c  weights that hosts load into their memory ahead of need
+ *   form.c        events, server states, adoption of existing replicas
+ *   form-group.c  state machine of one replica, from joining to closed
+ *   form-plan.c   how many replicas of each model a domain should have
+ *   form-place.c  assignment of VMs to replicas, warm spares
+ *   form-demand.c requests of each model
+ *   form-yield.c  reassignment of VMs from one model to another
+ *   form-order.c  queue of orders and probes, rate limit of loads
+ *   form-stage.c  preloading of weights into host memory
  */
 #ifndef LAPISLINE_SERVE_FORM_INT_H
 #define LAPISLINE_SERVE_FORM_INT_H
 
 #include "serve/form.h"
 
-/** After this an order without a sign of its effect is given again. */
+/** An order whose effect has not been reported is sent again after this. */
 #define FRM_RESEND_MS ((clk_ms)1500)
-/** An order that was accepted shows in lists that were read so much later, as
-    its server reports at once. */
+/**
+ * A list requested this long after an order was accepted shows the order's
+ * effect, because servers report a change at once.
+ */
 #define FRM_REPORT_DELAY_MS ((clk_ms)1000)
-/** Joining or opening that takes longer than expected by this is given up. */
+/** Joining or opening fails when it takes longer than expected by this. */
 #define FRM_STEP_TIMEOUT_MS ((clk_ms)6000)
 
-/** What the owner knows of one backend server. */
+/** State of one backend server, as this leader node has recorded it. */
 struct frm_vm
 {
   char *id;
   char *service;
   char *domain;
-  unsigned domain_number; /**< of the service and domain, for quick compares */
-  struct bks_entry entry; /**< as reported; strings borrowed from `servers` */
-  int64_t started_at;     /**< as in `e`, also while it is not listed */
-  char *
-      loaded_model; /**< model of its last replica since its start, or NULL: it
-                 holds the weights on, also where it reports none any more */
-  int64_t blocked_by; /**< generation of the replica of its earlier life, which
-                      has to be over before it joins another; 0: none */
-  bool listed;        /**< listed; if not, its replica is kept for it */
-  bool seen_in_list;  /**< by the list that is being read */
-  bool unresponsive;  /**< did not answer when asked; counts as missing */
-  unsigned failed_probes; /**< asks in a row */
+  /** One number per service and domain, for cheap comparison. */
+  unsigned domain_number;
+  /** Last report; strings are borrowed from the server list. */
+  struct bks_entry entry;
+  /** Start time of its process, kept while it is not listed. */
+  int64_t started_at;
+  /**
+   * Model of its last replica in this incarnation, or NULL; the VM keeps these
+   * weights after it has left the replica.
+   */
+  char *loaded_model;
+  /**
+   * Generation of the replica of its previous incarnation, which must end
+   * before the VM joins another one; 0: none.
+   */
+  int64_t blocked_by;
+  bool listed;       /**< in the last list; if not, it keeps its replica */
+  bool seen_in_list; /**< in the list that is being processed */
+  bool unresponsive; /**< failed its probes; treated as missing */
+  unsigned failed_probes; /**< consecutive probes without a response */
   clk_ms next_probe_at;
-  clk_ms probe_ok_at;   /**< last answer to being asked */
-  uint64_t probe_token; /**< token under way; 0: none */
-  uint64_t order_token; /**< token under way; 0: none */
+  clk_ms probe_ok_at;   /**< time of the last response to a probe */
+  uint64_t probe_token; /**< probe in flight; 0: none */
+  uint64_t order_token; /**< order in flight; 0: none */
   enum frm_order_kind order_kind;
   clk_ms next_order_at;
-  enum frm_order_kind accepted_kind; /**< of the last order accepted */
-  int64_t accepted_fence;            /**< of the last order that it accepted */
-  int64_t accepted_generation;       /**< 0: none was */
+  /** Kind of the last order that it accepted. */
+  enum frm_order_kind accepted_kind;
+  /** Fencing token of the last order that it accepted. */
+  int64_t accepted_fence;
+  /** Replica of the last order that it accepted; 0: none. */
+  int64_t accepted_generation;
   clk_ms accepted_at;
-  clk_ms preload_until; /**< its host loads weights on the side, about */
-  int64_t released_generation; /**< generations up to this can't open with it
-                        as the leader any more */
-  clk_ms excluded_until;       /**< it rejected an order; use another */
-  struct frm_replica *replica; /**< the replica it is planned for, or none */
+  clk_ms preload_until; /**< no preload is ordered before this: expected end of
+                           the current one */
+  /**
+   * Replicas of generations up to this can no longer open with this VM as
+   * replica leader.
+   */
+  int64_t released_generation;
+  clk_ms excluded_until; /**< it rejected an order; not used until then */
+  struct frm_replica *replica; /**< replica that it is assigned to, or NULL */
 };
 
-/** Where a replica is on its way. */
+/** State of a replica.  The order matters: comparisons use it. */
 enum frm_phase
 {
-  FRM_PH_JOINING, /**< members get ready */
-  FRM_PH_OPENING, /**< all were ready; the leader is told to open */
+  FRM_PH_JOINING, /**< members become ready */
+  FRM_PH_OPENING, /**< all were ready; its leader is ordered to open */
   FRM_PH_OPEN,
-  FRM_PH_CLOSING,        /**< the leader is told to close */
-  FRM_PH_LEAVING,        /**< the leader is told to leave, for good */
-  FRM_PH_LEADER_MISSING, /**< its leader is not listed, and may appear */
-  FRM_PH_FENCING,        /**< the leader can't be asked; members leave and time
-                              passes until it must have given up */
-  FRM_PH_ENDED           /**< its members are free */
+  FRM_PH_CLOSING, /**< its leader is ordered to close */
+  /** Its leader is ordered to leave, so that it can't open again. */
+  FRM_PH_LEAVING,
+  FRM_PH_LEADER_MISSING, /**< its leader is not listed yet */
+  /**
+   * Its leader is unreachable: the members leave, then the core waits until
+   * the leader must have stopped serving.
+   */
+  FRM_PH_FENCING,
+  FRM_PH_ENDED /**< its members are released */
 };
 
-/** One replica, or the members left of one. */
+/** One replica, or the remaining members of one. */
 struct frm_replica
 {
   char *name;
@@ -81,85 +102,99 @@
   char *model;
   int64_t generation;
   enum frm_phase phase;
-  clk_ms phase_since;  /**< of the phase */
-  bool adopted;        /**< formed by an owner before this one */
-  bool spare;          /**< one VM that only loads; never opened */
-  bool force;          /**< close without waiting */
-  bool may_be_open;    /**< somebody may have told the leader to open */
-  bool appeared_late;  /**< it appeared under this owner: its members may have
-                    been  given to others, so who is not listed is no member */
-  bool member_lost;    /**< a member is gone for good */
-  bool stall_reported; /**< callers see nothing move */
+  clk_ms phase_since; /**< start of the phase */
+  bool adopted;       /**< formed by an earlier leader node */
+  /** Warm spare: a single VM that loads a model and never opens. */
+  bool spare;
+  bool force;       /**< close without waiting for running requests */
+  bool may_be_open; /**< an order to open may have been sent to its leader */
+  /**
+   * Reported for the first time during this leadership: unlisted members may
+   * have been assigned elsewhere, so they are not members.
+   */
+  bool appeared_late;
+  bool member_lost;    /**< a member is permanently gone */
+  bool stall_reported; /**< a node reported that requests make no progress */
   clk_ms stall_reported_at;
-  bool close_unanswered; /**< an order to its leader to close was not answered
-                          */
-  clk_ms close_accepted_at; /**< its leader accepted to close; 0: not yet */
-  struct frm_vm *members[FRM_MEMBERS]; /**< by rank; NULL: not known, gone */
-  bool leave_accepted[FRM_MEMBERS];    /**< its leave was accepted */
+  bool close_unanswered; /**< the order to close got no response */
+  /** When its leader accepted the order to close; 0: not yet. */
+  clk_ms close_accepted_at;
+  struct frm_vm *members[FRM_MEMBERS]; /**< by rank; NULL: unknown or gone */
+  /** The member accepted the order to leave. */
+  bool leave_accepted[FRM_MEMBERS];
   size_t nmembers;
-  unsigned size;  /**< of its model; 0: not known yet, of one that was found */
-  clk_ms load_ms; /**< that joining may take */
-  clk_ms earliest_ready_at; /**< its members aren't ready before */
+  /** Members that its model needs; 0: unknown, for an adopted replica. */
+  unsigned size;
+  clk_ms load_ms;           /**< expected time to load the weights */
+  clk_ms earliest_ready_at; /**< members can't be ready before this */
 };
 
-/** Requests of one model, averaged over some seconds. */
+/** Demand for one model. */
 struct frm_demand
 {
   char *service;
   char *model;
   double requests;
-  clk_ms updated_at;   /**< when it was told last; 0: never */
-  uint64_t reassigned; /**< replicas that closed for another model */
+  clk_ms updated_at;   /**< time of the last update; 0: never */
+  uint64_t reassigned; /**< replicas closed to free VMs for another model */
 };
 
 #define FRM_LOAD_RING 512
-#define FRM_ENDED_RING 512 /**< replicas whose end is remembered */
+#define FRM_ENDED_RING 512 /**< ended replicas whose generation is kept */
 
 struct frm
 {
   struct frm_options opt;
   bool leading;
-  bool adopted;       /**< what is there was taken over */
-  bool list_complete; /**< the list is whole: who is missing there is gone */
+  bool adopted; /**< the replicas that servers report have been taken over */
+  bool list_complete; /**< a server missing from the list is gone */
   bool traffic;
   int64_t fence;
-  int64_t generation; /**< last one given */
+  int64_t generation; /**< last one assigned */
   clk_ms now;
-  clk_ms last_arrival_at;           /**< of the newest VM */
-  clk_ms last_arrival_requested_at; /**< sending of the read that showed it */
-  clk_ms first_arrival_at;  /**< of the first one that this owner saw */
-  clk_ms list_requested_at; /**< sending of the read that showed the reports */
+  clk_ms last_arrival_at; /**< when the newest VM was first listed */
+  /** When the read that first listed it was sent. */
+  clk_ms last_arrival_requested_at;
+  clk_ms first_arrival_at; /**< when this node first listed any VM */
+  /** When the read that returned the current list was sent. */
+  clk_ms list_requested_at;
   const struct bks *servers;
   struct tbl *config;
   struct frm_vm **vms;
   size_t nvms;
-  struct _GHashTable *by_id;   /**< the same by id */
-  unsigned last_domain_number; /**< numbers given */
-  unsigned *domain_max_vms; /**< by number: the most VMs seen there at once */
+  struct _GHashTable *by_id; /**< index of `vms` by id */
+  /** Highest domain number in use; the first is 1. */
+  unsigned last_domain_number;
+  /** By domain number: the highest number of VMs listed at once. */
+  unsigned *domain_max_vms;
   size_t ndomain_max_vms;
   struct frm_replica **replicas;
   size_t nreplicas;
-  clk_ms load_times[FRM_LOAD_RING]; /**< when the last ones began, a ring */
+  /** Ring of the start times of recent loads. */
+  clk_ms load_times[FRM_LOAD_RING];
   size_t nloads;
-  int64_t ended_generations[FRM_ENDED_RING]; /**< generations of replicas that
-                                           are over, a ring */
+  /** Ring of the generations of ended replicas. */
+  int64_t ended_generations[FRM_ENDED_RING];
   size_t nended;
   struct frm_demand *demands;
   size_t ndemands;
   uint64_t tokens;
   struct frm_action *queue;
   size_t head, count, cap;
-  struct str ids[FRM_MEMBERS]; /**< of the action that was fetched last */
+  struct str ids[FRM_MEMBERS]; /**< unused */
   struct frm_figures stats;
-  struct frm_model *rows; /**< that frm_models() fills */
+  struct frm_model *rows; /**< output array of frm_models() while it runs */
   size_t nrows;
 };
 
 /* form.c */
 bool frm_is_usable (const struct frm *f, const struct frm_vm *vm);
-/** It is a warm spare whose load has ended. */
+/** Whether it reports itself ready in the replica that it is assigned to. */
 bool frm_is_ready (const struct frm_vm *vm);
-/** It reports this replica and generation, in at least @p part. */
+/**
+ * Whether its last report names this replica and generation, and @p part or a
+ * later stage.
+ */
 bool frm_reports (const struct frm_vm *vm, const struct frm_replica *r,
                   enum bks_part part);
 const struct tbl_service *frm_find_service (const struct frm *f,
@@ -169,14 +204,20 @@
                                      int64_t generation);
 void frm_enter_phase (struct frm *f, struct frm_replica *r,
                       enum frm_phase phase);
-/** Free its members for others, at once or once that is safe. */
+/**
+ * Ends the replica: releases its members at once if it can't be open any more,
+ * otherwise after its leader has left it.
+ */
 void frm_replica_end (struct frm *f, struct frm_replica *r);
-/** Its members are free for others. */
+/** Releases the members for other replicas. */
 void frm_replica_release (struct frm *f, struct frm_replica *r);
 
 /* form-group.c */
 void frm_replica_tick (struct frm *f, struct frm_replica *r);
-/** Close it once what runs there has ended, or some seconds have passed. */
+/**
+ * Closes the replica after its running requests have ended, or after a
+ * timeout.
+ */
 void frm_replica_close (struct frm *f, struct frm_replica *r);
 void frm_replica_order_done (struct frm *f, struct frm_vm *vm,
                              enum frm_order_kind kind, enum frm_result result);
@@ -186,15 +227,15 @@
 
 /* form-demand.c */
 void frm_demands_free (struct frm *f);
-/** Requests for each slot of @p n replicas of that model; 0: nobody asks. */
+/** Requests per slot if the model has @p n replicas; 0: there is no demand. */
 double frm_utilization (const struct frm *f, const struct tbl_service *s,
                         size_t model, unsigned n);
 
-/** A replica of that model closes for one of another. */
+/** Counts a replica that closes to free its VMs for another model. */
 void frm_count_reassigned (struct frm *f, const struct frm_replica *r);
 
 /* form-yield.c */
-/** Close replicas whose VMs another model needs more. */
+/** Closes replicas whose VMs another model needs more. */
 void frm_reassign (struct frm *f);
 
 /* form-order.c */
@@ -202,7 +243,7 @@
                      enum frm_order_kind kind, struct frm_replica *r);
 void frm_send_preload (struct frm *f, struct frm_vm *vm, struct str model);
 void frm_probe (struct frm *f, struct frm_vm *vm);
-/** Whether @p n loads may begin now. */
+/** Whether the rate limit lets @p n loads start now. */
 bool frm_may_load (const struct frm *f, const struct tbl_service *s,
                    unsigned n);
 void frm_count_loads (struct frm *f, unsigned n);
@@ -211,9 +252,12 @@
 void frm_preload_done (struct frm *f, struct frm_vm *vm,
                        enum frm_result result);
 
-/** The model whose weights the VM holds, or empty. */
+/** Model whose weights the VM holds, or empty. */
 struct str frm_loaded_model (const struct frm_vm *vm);
-/** Whether joining for @p model needs no load from the weight store. */
+/**
+ * Whether the VM can join a replica of @p model without a load from the weight
+ * store.
+ */
 bool frm_is_warm (const struct frm_vm *vm, struct str model);
 
 #endif
--- a/serve/form-plan.h
+++ b/serve/form-plan.h
@@ -1,61 +1,67 @@
 /**
  * @file
- * Which replicas a domain's VMs are for (inside the forming core).
+ * Plan of a fabric domain: how many replicas of each model it should have
+ * (internal to the replica core).
  *
- * A domain is a part of the fabric within which the VMs of one service can
- * form replicas.  Its plan says how many replicas of each model it should
- * have; form-place.c chooses their VMs.
+ * A domain is the part of the fabric within which VMs of one service can form
+ * replicas.  The plan of a domain counts replicas; form-place.c assigns VMs to
+ * them.
  */
 #ifndef LAPISLINE_SERVE_FORM_PLAN_H
 #define LAPISLINE_SERVE_FORM_PLAN_H
 
 #include "serve/form-int.h"
 
-#define FRM_MAX_MODELS 16 /**< of one service, at most */
+#define FRM_MAX_MODELS 16 /**< models of one service, at most */
 
-/** What it costs to use a VM for a model, least first. */
+/** Cost of using a VM for a model, in ascending order. */
 enum frm_cost
 {
-  FRM_COST_LOADED,      /**< it is loaded with this model */
-  FRM_COST_HOST_MEMORY, /**< its host's memory holds it */
-  FRM_COST_EMPTY,       /**< it holds nothing that would be lost */
-  FRM_COST_OTHER,       /**< it is warm for another model */
+  FRM_COST_LOADED,      /**< the VM holds the model */
+  FRM_COST_HOST_MEMORY, /**< its host holds the model in memory */
+  FRM_COST_EMPTY,       /**< the VM holds no model */
+  FRM_COST_OTHER,       /**< the VM holds another model, which it would lose */
   FRM_COSTS
 };
 
-/** A fabric domain of one service, as the decisions below see it. */
+/** One fabric domain of a service, with its plan and current state. */
 struct frm_domain
 {
   const struct tbl_service *s;
   const char *service;
-  unsigned number;               /**< frm_vm.domain_number */
-  unsigned want[FRM_MAX_MODELS]; /**< replicas that its VMs suffice for */
-  unsigned have[FRM_MAX_MODELS]; /**< that are there or on their way */
-  unsigned
-      warm[FRM_MAX_MODELS]; /**< free VMs that hold the model or load it */
-  size_t
-      dedicated_model; /**< of a domain too small for a replica of each
-                 model, the one    that it is for; else the number of models */
+  unsigned number;               /**< as in frm_vm.domain_number */
+  unsigned want[FRM_MAX_MODELS]; /**< planned replicas of each model */
+  unsigned have[FRM_MAX_MODELS]; /**< replicas that are open or being formed */
+  /** Free VMs that hold the model or load it. */
+  unsigned warm[FRM_MAX_MODELS];
+  /**
+   * Model that the domain is dedicated to, if it is too small for a replica of
+   * each model; otherwise the number of models.
+   */
+  size_t dedicated_model;
 };
 
 bool frm_in_domain (const struct frm_vm *vm, const struct frm_domain *d);
-/** All its members are of that domain. */
+/** Whether all known members are in that domain. */
 bool frm_replica_in_domain (const struct frm_replica *r,
                             const struct frm_domain *d);
-/** It may join a replica: it is in none, and no order to it is open. */
+/**
+ * Whether the VM may join a replica: it is in none (or only a warm spare), and
+ * no order to it is in flight.
+ */
 bool frm_is_free (const struct frm *f, const struct frm_vm *vm);
 enum frm_cost frm_cost_of (const struct frm_vm *vm, struct str model);
-/** The model that a free VM holds or loads, or nmodels. */
+/** Index of the model that a free VM holds or loads, or nmodels. */
 size_t frm_loaded_model_index (const struct frm_vm *vm,
                                const struct tbl_service *s);
 
-/** Plan the domain and count what it has. */
+/** Plans the domain and counts its replicas and warm VMs. */
 void frm_plan_domain (const struct frm *f, struct frm_domain *d);
 
-/** Note how many VMs each domain has had at most. */
+/** Updates the highest number of VMs listed in each domain. */
 void frm_update_domain_sizes (struct frm *f);
 
-/** Call @p fn for each domain of a service whose replicas are formed here. */
+/** Calls @p fn for each domain of a service whose replicas this core forms. */
 void frm_for_each_domain (struct frm *f,
                           void (*fn) (struct frm *f, struct frm_domain *d));
 
--- a/serve/form.h
+++ b/serve/form.h
@@ -1,23 +1,26 @@
 /**
  * @file
- * Replicas formed from the backend servers of fabric domains by the orders
- * join, open, close and leave (decision core).
+ * Forms replicas from the backend servers of each fabric domain by sending
+ * them the orders join, open, close and leave (decision core, no I/O).
  *
- * Where backend servers report their replica, generation and rank by
- * themselves, no assignment has to be stored: what they report is the
- * assignment, and a new owner takes over what it finds.  One node is owner at
- * a time; it feeds the reports in and carries the orders out.
+ * Backend servers report their replica, generation and rank, so no assignment
+ * is stored: a new leader node rebuilds the assignment from these reports.
+ * One node is the leader node at a time; it passes the reports to this core
+ * and sends the orders that the core returns.  The member of rank 0 is the
+ * replica leader: it accepts the replica's requests.
  *
- * What holds:
- *  - a leader is told to open only after every member has reported ready under
- *    this name, generation and list;
- *  - a backend server joins another replica only once the leader of its old
- *    one has closed, is broken, was never open, or is known to be gone: for
- *    one that can't be asked, the members leave, and as long passes as a
- *    leader without its members needs to give up;
- *  - generations rise over all owners, as each begins above its fencing
- *    number, so an order that is carried out late is refused as old;
- *  - loads from the weight store are paced over all replicas.
+ * Invariants:
+ * - A replica leader receives the order to open only after every member has
+ *   reported that it is ready under this name, generation and member list.
+ * - A backend server joins another replica only after the leader of its
+ *   previous replica has closed, has reported it broken, was never open, or is
+ *   known to be gone.  If that leader is unreachable, the other members leave,
+ *   and the core waits until a replica leader without its members must have
+ *   stopped serving.
+ * - Generations increase across leader nodes, because each leader node starts
+ *   above its fencing token times a constant; servers therefore reject an
+ *   order that arrives late.
+ * - Loads from the weight store are rate limited over all replicas.
  */
 #ifndef LAPISLINE_SERVE_FORM_H
 #define LAPISLINE_SERVE_FORM_H
@@ -25,34 +28,38 @@
 #include "serve/backends.h"
 #include "serve/table.h"
 
-#define FRM_MEMBERS 64 /**< of one replica, at most */
+#define FRM_MEMBERS 64 /**< members of one replica, at most */
 
 enum frm_order_kind
 {
-  FRM_JOIN,  /**< replica, generation, model, members */
-  FRM_OPEN,  /**< replica, generation */
-  FRM_CLOSE, /**< replica, generation, cut */
-  FRM_LEAVE, /**< replica, generation */
-  FRM_STAGE  /**< model: its host loads the weights into its own memory */
+  FRM_JOIN,  /**< uses replica, generation, model, members */
+  FRM_OPEN,  /**< uses replica, generation */
+  FRM_CLOSE, /**< uses replica, generation and the close mode */
+  FRM_LEAVE, /**< uses replica, generation */
+  /** Uses model: the host of the VM loads the weights into host memory. */
+  FRM_STAGE
 };
 
-/** What became of an order. */
+/** Result of an order. */
 enum frm_result
 {
-  FRM_ACCEPTED,     /**< it has begun, or holds already */
-  FRM_REJECTED,     /**< it will not be carried out */
-  FRM_OUTDATED,     /**< a newer owner has given orders */
-  FRM_CONN_REFUSED, /**< the connection was refused: no process is there */
-  FRM_UNANSWERED    /**< it may be carried out now or later */
+  FRM_ACCEPTED, /**< in progress, or already in effect */
+  FRM_REJECTED, /**< not carried out and will not be */
+  FRM_OUTDATED, /**< the server has accepted an order of a newer leader node */
+  FRM_CONN_REFUSED, /**< connection refused: no process is running there */
+  FRM_UNANSWERED    /**< no response: it may still be carried out */
 };
 
 enum frm_action_kind
 {
-  FRM_ORDER, /**< vm, token, order, ... */
-  FRM_PROBE  /**< vm, token: does it answer? */
+  FRM_ORDER, /**< send an order; uses vm, token, order and the fields below */
+  FRM_PROBE  /**< check whether the server responds; uses vm, token */
 };
 
-/** Strings are valid until the next call. */
+/**
+ * One call to a backend server.  Strings are valid until the next call of this
+ * core.  The caller frees the array `members`.
+ */
 struct frm_action
 {
   enum frm_action_kind kind;
@@ -64,16 +71,17 @@
   int64_t generation;
   int64_t fence;
   struct str model;
-  const struct str *members; /**< ids, the leader first */
+  const struct str *members; /**< ids, the replica leader first */
   size_t nmembers;
-  bool cut; /**< close without waiting for what runs */
+  bool cut; /**< close without waiting for running requests */
 };
 
 struct frm_options
 {
-  clk_ms stall_ms; /**< a leader without a member gives up after this */
-  double ceiling_window_s; /**< of the bound on loads */
-  double ceiling_over;     /**< factor on the rate of loads */
+  /** A replica leader that lost a member stops serving after this. */
+  clk_ms stall_ms;
+  double ceiling_window_s; /**< window of the limit on loads */
+  double ceiling_over;     /**< factor on the allowed rate of loads */
 };
 
 struct frm;
@@ -81,62 +89,80 @@
 struct frm *frm_new (const struct frm_options *opt);
 void frm_free (struct frm *f);
 
-/** This node became owner, or no longer is. */
+/**
+ * This node became the leader node, or stopped being it.
+ * @param fence  fencing token of this leadership
+ */
 void frm_owner (struct frm *f, clk_ms now, bool on, int64_t fence);
 
 /**
- * The backend servers as listed, and the table in force.
- * Entries are borrowed: call it again whenever @p servers has changed.
- * @param settled  whether the list is whole: before, who is missing may only
- *                 have lapsed, so nothing is given up or loaded for its sake
+ * Passes the server list and the configuration in force.  The core borrows the
+ * entries: call this function again whenever @p servers has changed.
+ * @param list_complete  whether the list is known to be complete.  As long as
+ *        it is not, a missing server may only have an expired entry, so the
+ *        core neither gives up a replica nor loads weights because of it.
  */
 void frm_servers (struct frm *f, clk_ms now, const struct bks *servers,
                   const struct tbl *config, bool list_complete);
 
-/** Requests have come: from now on loads take their full time and count. */
+/**
+ * Clients have sent requests: from now on loads take their full time and are
+ * rate limited.
+ */
 void frm_traffic (struct frm *f);
 
-/** So many requests of a model have a slot or wait for one, at all nodes;
-    call it each FRM_TICK_MS. */
+/**
+ * Sets how many requests of a model have a slot or wait for one, over all
+ * nodes.  Call it every FRM_TICK_MS.
+ */
 void frm_demand (struct frm *f, clk_ms now, struct str service,
                  struct str model, double requests);
 
-/** A node sees nothing move at the leader of that place hash. */
+/**
+ * A node reports that requests at a replica leader make no progress.
+ * @param endpoint  dsp_place_hash() of that leader
+ */
 void frm_stalled (struct frm *f, clk_ms now, uint64_t endpoint);
 
 void frm_order_done (struct frm *f, clk_ms now, uint64_t token,
                      enum frm_result result);
 void frm_asked (struct frm *f, clk_ms now, uint64_t token, bool answered);
 
-/** Time passes; call it every FRM_TICK_MS. */
+/** Advances all replicas; call it every FRM_TICK_MS. */
 void frm_tick (struct frm *f, clk_ms now);
 #define FRM_TICK_MS ((clk_ms)50)
 
 bool frm_next (struct frm *f, struct frm_action *out);
 
-/** Replicas by state, for metrics and logs. */
+/** Replicas by state and totals, for metrics and logs. */
 struct frm_figures
 {
   unsigned forming, open, closing, spares, warm;
   uint64_t loads, orders, formed, lost;
 };
-/** One model, over all domains. */
+/** State of one model over all domains. */
 struct frm_model
 {
   struct str service, name;
-  unsigned wanted;  /**< replicas that the plans of all domains have */
-  unsigned formed;  /**< open ones, and those on their way */
-  double requests;  /**< under way or waiting, averaged over some seconds */
-  uint64_t yielded; /**< replicas that closed for one of another model */
+  unsigned wanted;  /**< replicas that the plans of all domains contain */
+  unsigned formed;  /**< replicas that are open or being formed */
+  double requests;  /**< running or waiting, moving average */
+  uint64_t yielded; /**< replicas closed to free VMs for another model */
 };
 
 #define FRM_MODEL_ROWS 16
 
-/** All models of which replicas are formed, at most FRM_MODEL_ROWS.
-    @return how many; names are valid until the next table */
+/**
+ * Lists the models whose replicas this core forms, at most FRM_MODEL_ROWS.
+ * @return number of rows in @p out; names are valid until the configuration
+ *        changes
+ */
 size_t frm_models (struct frm *f, struct frm_model *out);
 
-/** Whether a replica is on its way, so that reports should be read often. */
+/**
+ * Whether a replica is about to change state, so that the server list should
+ * be polled at the fast interval.
+ */
 bool frm_busy (const struct frm *f);
 const struct frm_figures *frm_figures (struct frm *f);
 
--- a/serve/split.c
+++ b/serve/split.c
@@ -6,7 +6,7 @@
   buf_free (&s->rest);
 }
 
-/** Value of the event's "id" line. */
+/** Parses the value of the event's "id" line. */
 static bool
 event_id (struct str event, int64_t *id)
 {
--- a/serve/split.h
+++ b/serve/split.h
@@ -1,10 +1,11 @@
 /**
  * @file
- * Server-sent events out of a stream of bytes: whole ones are handed on, the
- * rest waits for its end.
+ * Incremental parser that splits a byte stream into server-sent events (SSE).
  *
- * A backend server may stop in the middle of an event.  Were its part passed
- * on, the stream could not go on at another one without breaking an event.
+ * Only complete events are returned; an incomplete one stays in the buffer.  A
+ * backend server may fail in the middle of an event: if the first part had
+ * been forwarded, the stream couldn't continue at another backend server
+ * without a broken event.
  */
 #ifndef LAPISLINE_SERVE_SPLIT_H
 #define LAPISLINE_SERVE_SPLIT_H
@@ -13,15 +14,15 @@
 
 struct spl
 {
-  struct buf rest; /**< of an event that is not whole yet */
-  int64_t last_id; /**< of the last whole event */
+  struct buf rest; /**< incomplete event at the end of the input */
+  int64_t last_id; /**< id of the last complete event */
   bool has_id;
 };
 
 /**
- * Take bytes; append whole events to @p out.  An event whose id is not above
- * the last one is left out: it came before.
- * @return  number of whole events appended
+ * Parses @p bytes and appends complete events to @p out.  An event whose id is
+ * not greater than the last id is a duplicate and is dropped.
+ * @return  number of events appended
  */
 size_t spl_take (struct spl *s, struct str bytes, struct buf *out);
 
