--- a/serve/form-group.c
+++ b/serve/form-group.c
@@ -326,7 +326,7 @@
  * Handles a replica whose leader is unreachable.  The leader may be cut off
  * from this node and from the store and still accept requests.  If a member
  * joined another replica now, it would belong to two replicas.  After all
- * members have left, the leader can't serve any more and gives up after
+ * members have left, the leader can't serve any more and stops after
  * stall_ms, whether or not this node can see it.
  */
 static void
--- a/serve/form-order.c
+++ b/serve/form-order.c
@@ -125,7 +125,7 @@
 bool
 frm_may_load (const struct frm *f, const struct tbl_service *s, unsigned n)
 {
-  double most = s->loads_per_s * f->opt.ceiling_window_s * LOADS_SHARE;
+  double limit = s->loads_per_s * f->opt.ceiling_window_s * LOADS_SHARE;
   clk_ms from
       = f->now - (clk_ms)(f->opt.ceiling_window_s * (double)CLK_SECOND);
   double recent = n;
@@ -138,7 +138,7 @@
    * A replica that alone needs more loads than the limit must be able to
    * start.
    */
-  return recent <= most || (recent == n && n <= 2 * most);
+  return recent <= limit || (recent == n && n <= 2 * limit);
 }
 
 void
--- a/serve/form-place.c
+++ b/serve/form-place.c
@@ -33,11 +33,11 @@
 /** Selects the cheapest free VMs of the domain for a replica of @p m. */
 static bool
 choose_members (const struct frm *f, const struct frm_domain *d,
-                const struct tbl_model *m, enum frm_cost most,
+                const struct tbl_model *m, enum frm_cost max_cost,
                 struct choice *out)
 {
   memset (out, 0, sizeof *out);
-  for (int cost = FRM_COST_LOADED; cost <= (int)most; cost++)
+  for (int cost = FRM_COST_LOADED; cost <= (int)max_cost; cost++)
     for (size_t i = 0; i < f->nvms && out->n < m->size; i++)
       {
         struct frm_vm *vm = f->vms[i];
@@ -125,7 +125,7 @@
 static bool
 form_next_replica (struct frm *f, struct frm_domain *d)
 {
-  enum frm_cost most = f->traffic ? FRM_COST_HOST_MEMORY : FRM_COST_OTHER;
+  enum frm_cost max_cost = f->traffic ? FRM_COST_HOST_MEMORY : FRM_COST_OTHER;
 
   if (is_settling (f))
     return false;
@@ -135,7 +135,7 @@
       const struct tbl_model *m = &d->s->models[k];
       struct choice c;
       if (d->have[k] >= d->want[k] || m->size > FRM_MEMBERS
-          || !choose_members (f, d, m, most, &c))
+          || !choose_members (f, d, m, max_cost, &c))
         continue;
       form_replica (f, d->service, m, &c, false);
       return true;
@@ -161,7 +161,7 @@
 most_missing_model (const struct frm_domain *d)
 {
   size_t best = d->s->nmodels;
-  double most = 0;
+  double max = 0;
 
   for (size_t k = 0; k < d->s->nmodels && k < FRM_MAX_MODELS; k++)
     {
@@ -169,10 +169,10 @@
       double part = need > d->warm[k]
                         ? (double)(need - d->warm[k]) / d->s->models[k].size
                         : 0;
-      if (part <= most)
+      if (part <= max)
         continue;
       best = k;
-      most = part;
+      max = part;
     }
   return best;
 }
--- a/serve/form-plan.c
+++ b/serve/form-plan.c
@@ -279,16 +279,16 @@
 static unsigned
 largest_domain_size (const struct frm *f, const struct frm_domain *d)
 {
-  unsigned most = 0;
+  unsigned max = 0;
 
   for (size_t i = 0; i < f->nvms; i++)
     {
       const struct frm_vm *vm = f->vms[i];
-      if (f->domain_max_vms[vm->domain_number] > most
+      if (f->domain_max_vms[vm->domain_number] > max
           && strcmp (vm->service, d->service) == 0)
-        most = f->domain_max_vms[vm->domain_number];
+        max = f->domain_max_vms[vm->domain_number];
     }
-  return most;
+  return max;
 }
 
 static bool
