--- a/t/lib-domain.c
+++ b/t/lib-domain.c
@@ -29,7 +29,7 @@
   struct dom_options opt;
   struct rep *reps[2];
   size_t nreps;
-  size_t as; /* index of the core that the script speaks to */
+  size_t current; /* index of the core that the script speaks to */
   int64_t owner_rev;
   struct cfg *cfg;
   clk_ms now;
@@ -37,10 +37,10 @@
   size_t nvms;
   struct buf value;
   int64_t revision, mod_rev;
-  char store[8];
+  char store_mode[8];
   struct buf log;
   unsigned orders, wrong_loads;
-  char shown[16][64];
+  char last_views[16][64];
 };
 
 static struct cfg *
@@ -74,7 +74,7 @@
     d->vms[d->nvms++] = (struct fake_vm){ .name = d->cfg->vms[i].name,
                                           .up = true,
                                           .unloaded = true };
-  snprintf (d->store, sizeof d->store, "up");
+  snprintf (d->store_mode, sizeof d->store_mode, "up");
   ev.cfg = d->cfg;
   for (d->nreps = 0; d->nreps < (opt->two ? 2 : 1); d->nreps++)
     {
@@ -105,7 +105,7 @@
 }
 
 static void
-answer_probe (struct dom *d, struct rep *rep, struct str name)
+handle_probe (struct dom *d, struct rep *rep, struct str name)
 {
   struct fake_vm *vm = find_vm (d, name);
   struct rep_event ev = { .kind = REP_PROBED, .vm = name };
@@ -141,8 +141,8 @@
 }
 
 static bool
-obey (struct dom *d, struct fake_vm *vm, enum rep_order order,
-      struct str replica, int64_t generation, int64_t fence)
+execute_order (struct dom *d, struct fake_vm *vm, enum rep_order order,
+               struct str replica, int64_t generation, int64_t fence)
 {
   if (!vm->up || vm->silent)
     return false;
@@ -166,13 +166,13 @@
 }
 
 static void
-take_order (struct dom *d, struct rep *rep, const struct rep_action *a)
+handle_order (struct dom *d, struct rep *rep, const struct rep_action *a)
 {
   struct fake_vm *vm = find_vm (d, a->vm->name);
   struct rep_event ev
       = { .kind = REP_ORDER_DONE, .vm = a->vm->name, .token = a->token };
 
-  ev.on = obey (d, vm, a->order, a->replica, a->generation, a->fence);
+  ev.on = execute_order (d, vm, a->order, a->replica, a->generation, a->fence);
   d->orders++;
   if (ev.on && a->order == REP_LOAD && !assigned (d, a->vm->name, a->replica))
     d->wrong_loads++;
@@ -187,7 +187,7 @@
 }
 
 static void
-log_write_of (struct dom *d, struct rep *rep, struct str value)
+log_txn (struct dom *d, struct rep *rep, struct str value)
 {
   struct asn a = { 0 };
 
@@ -212,17 +212,18 @@
 }
 
 static void
-take_write (struct dom *d, struct rep *rep, const struct rep_action *a)
+handle_txn (struct dom *d, struct rep *rep, const struct rep_action *a)
 {
   struct store_result res = { .status = STORE_OK };
   struct rep_event ev
       = { .kind = REP_STORE_ANSWER, .token = a->token, .result = &res };
-  bool once = strcmp (d->store, "up") && strcmp (d->store, "down");
+  bool one_shot
+      = strcmp (d->store_mode, "up") && strcmp (d->store_mode, "down");
 
-  log_write_of (d, rep, a->txn.puts[0].value);
-  if (strcmp (d->store, "race") == 0)
+  log_txn (d, rep, a->txn.puts[0].value);
+  if (strcmp (d->store_mode, "race") == 0)
     d->mod_rev = ++d->revision;
-  if (strcmp (d->store, "down") == 0)
+  if (strcmp (d->store_mode, "down") == 0)
     res.status = STORE_UNAVAILABLE;
   else if (a->txn.compares[0].mod_rev != d->mod_rev
            || (a->txn.ncompares == 2
@@ -233,11 +234,11 @@
       buf_clear (&d->value);
       buf_add (&d->value, a->txn.puts[0].value);
       res.revision = d->mod_rev = ++d->revision;
-      if (strcmp (d->store, "lost") == 0)
+      if (strcmp (d->store_mode, "lost") == 0)
         res.status = STORE_UNCERTAIN;
     }
-  if (once)
-    snprintf (d->store, sizeof d->store, "up");
+  if (one_shot)
+    snprintf (d->store_mode, sizeof d->store_mode, "up");
   buf_addf (&d->log, "%s\n",
             res.status == STORE_OK            ? ""
             : res.status == STORE_CONFLICT    ? " (conflict)"
@@ -247,7 +248,7 @@
 }
 
 static void
-take_read (struct dom *d, struct rep *rep, const struct rep_action *a)
+handle_read (struct dom *d, struct rep *rep, const struct rep_action *a)
 {
   struct store_kv kv = { .value = buf_str (&d->value), .mod_rev = d->mod_rev };
   struct store_result res = { .status = STORE_OK,
@@ -256,7 +257,7 @@
   struct rep_event ev
       = { .kind = REP_STORE_ANSWER, .token = a->token, .result = &res };
 
-  if (strcmp (d->store, "down") == 0)
+  if (strcmp (d->store_mode, "down") == 0)
     res.status = STORE_UNAVAILABLE;
   rep_event (rep, d->now, &ev);
 }
@@ -278,9 +279,9 @@
                 chart_state_name (chart, views[i].state),
                 views[i].whole ? " serves" : "",
                 views[i].draining ? " no new work" : "");
-      if (strcmp (line, d->shown[i]) == 0)
+      if (strcmp (line, d->last_views[i]) == 0)
         continue;
-      memcpy (d->shown[i], line, sizeof line);
+      memcpy (d->last_views[i], line, sizeof line);
       buf_addf (&d->log, "%lld %s\n", (long long)d->now, line);
     }
 }
@@ -292,7 +293,7 @@
 {
   for (size_t i = 0; i < n; i++)
     if (a[i].kind == REP_SEND_ORDER)
-      take_order (d, rep, &a[i]);
+      handle_order (d, rep, &a[i]);
 }
 
 static void
@@ -306,11 +307,11 @@
   take_orders (d, rep, a, n);
   for (size_t i = 0; i < n; i++)
     if (a[i].kind == REP_PROBE)
-      answer_probe (d, rep, a[i].vm->name);
+      handle_probe (d, rep, a[i].vm->name);
     else if (a[i].kind == REP_STORE_TXN)
-      take_write (d, rep, &a[i]);
+      handle_txn (d, rep, &a[i]);
     else if (a[i].kind == REP_STORE_READ)
-      take_read (d, rep, &a[i]);
+      handle_read (d, rep, &a[i]);
   if (n)
     pump_core (d, rep);
 }
@@ -351,7 +352,8 @@
   else if (strcmp (verb, "work") == 0)
     vm->load = (uint32_t)atoi (args[1]);
   else if (strcmp (verb, "late") == 0)
-    obey (d, vm, REP_LOAD, str_from (args[1]), atoi (args[2]), atoi (args[3]));
+    execute_order (d, vm, REP_LOAD, str_from (args[1]), atoi (args[2]),
+                   atoi (args[3]));
   else
     {
       vm->up = true;
@@ -369,7 +371,7 @@
 
 /* True when the verb is an event of the core. */
 static bool
-core_event (const char *verb, char **args, struct rep_event *ev)
+parse_core_event (const char *verb, char **args, struct rep_event *ev)
 {
   if (strcmp (verb, "owner") == 0)
     *ev = (struct rep_event){ .kind = REP_OWNER,
@@ -391,7 +393,7 @@
 }
 
 static void
-accept_later (struct dom *d)
+apply_next_config (struct dom *d)
 {
   struct rep_event ev
       = { .kind = REP_CONFIG, .cfg = parse_config (d->opt.later, 2) };
@@ -419,16 +421,16 @@
     }
   if (strcmp (verb, "owner") == 0)
     d->owner_rev = atoi (args[0]);
-  if (core_event (verb, args, &ev))
-    rep_event (d->reps[d->as], d->now, &ev);
+  if (parse_core_event (verb, args, &ev))
+    rep_event (d->reps[d->current], d->now, &ev);
   else if (strcmp (verb, "usurp") == 0)
     d->owner_rev = atoi (args[0]);
   else if (strcmp (verb, "accept") == 0)
-    accept_later (d);
+    apply_next_config (d);
   else if (strcmp (verb, "as") == 0)
-    d->as = *args[0] == '2' && d->nreps > 1;
+    d->current = *args[0] == '2' && d->nreps > 1;
   else if (strcmp (verb, "store") == 0)
-    snprintf (d->store, sizeof d->store, "%s", args[0]);
+    snprintf (d->store_mode, sizeof d->store_mode, "%s", args[0]);
   else if (strcmp (verb, "run"))
     change_vm (d, verb, args);
   pump (d);
--- a/t/lib-form.c
+++ b/t/lib-form.c
@@ -7,7 +7,7 @@
 
 #include "serve/form.h"
 
-#define MOST 256
+#define MAX_VMS 256
 #define STEP_MS 50
 #define LIST_MS 100
 #define JOIN_MS 200
@@ -16,18 +16,18 @@
 struct vm
 {
   char id[16], domain[8], model[16], replica[32], members[256];
-  char held[16]; /* its model until it is ready for the next one */
-  int64_t born;
-  char staged[16], staging[16]; /* by its host; and what comes next */
-  clk_ms staged_at;
+  char previous_model[16]; /* its model until it is ready for the next one */
+  int64_t started_at;
+  char staged[16], preloading[16]; /* by its host; and what comes next */
+  clk_ms preloaded_at;
   int64_t generation;
   unsigned rank;
   enum bks_part part;
   clk_ms ready_at;
-  bool gone, dark, unlisted, lapsed, draining;
+  bool killed, hung, disconnected, expired, draining;
 };
 
-struct late
+struct delayed_order
 {
   struct frm_action a;
   char vm[16], replica[32], model[16], members[256];
@@ -40,21 +40,21 @@
   bool owner[2];
   struct bks *lists[2];
   struct tbl *table;
-  clk_ms now, listed;
+  clk_ms now, last_list_at;
   clk_ms list_ms; /**< between two lists */
-  struct vm vms[MOST];
+  struct vm vms[MAX_VMS];
   size_t n;
-  struct late late[16];
-  size_t nlate;
-  const char *next_late;
-  bool next_lost, all_late, trap, unsettled, quiet;
-  double asked[2]; /**< requests for each model */
-  char joins[64][32];
-  size_t njoins;
+  struct delayed_order delayed[16];
+  size_t ndelayed;
+  const char *delayed_kind;
+  bool drop_delayed, delay_all, apply_on_join, list_incomplete, quiet;
+  double requested[2]; /**< requests for each model */
+  char logged_joins[64][32];
+  size_t nlogged_joins;
   struct buf log;
 };
 
-static const char *const kinds[]
+static const char *const order_names[]
     = { "join", "open", "close", "leave", "stage" };
 
 static struct tbl *
@@ -100,18 +100,19 @@
 }
 
 static void
-check_two (struct world *w, const struct vm *vm, const char *replica)
+check_single_membership (struct world *w, const struct vm *vm,
+                         const char *replica)
 {
   const struct vm *leader = vm->replica[0] ? leader_of (w, vm) : NULL;
 
-  if (leader && !leader->gone && strcmp (vm->replica, replica) != 0
+  if (leader && !leader->killed && strcmp (vm->replica, replica) != 0
       && (leader->part == BKS_OPEN || leader->part == BKS_CLOSING))
     buf_addf (&w->log, "TWO %s joins %s while %s is open\n", vm->id, replica,
               vm->replica);
 }
 
 static void
-check_partial (struct world *w, const struct vm *leader)
+check_all_ready (struct world *w, const struct vm *leader)
 {
   unsigned ready = 0, wanted = 1;
 
@@ -119,21 +120,21 @@
     wanted += *c == ' ';
   for (size_t i = 0; i < w->n; i++)
     ready += strcmp (w->vms[i].replica, leader->replica) == 0
-             && w->vms[i].part >= BKS_READY && !w->vms[i].gone;
+             && w->vms[i].part >= BKS_READY && !w->vms[i].killed;
   if (ready != wanted)
     buf_addf (&w->log, "PARTIAL %s opens with %u of %u\n", leader->replica,
               ready, wanted);
 }
 
 static bool
-in_replica (const struct vm *vm, const struct late *o)
+in_replica (const struct vm *vm, const struct delayed_order *o)
 {
   return strcmp (vm->replica, o->replica) == 0
          && vm->generation == o->a.generation;
 }
 
 static enum frm_result
-do_join (struct world *w, struct vm *vm, const struct late *o)
+execute_join (struct world *w, struct vm *vm, const struct delayed_order *o)
 {
   bool warm = strcmp (vm->model, o->model) == 0
               || strcmp (vm->staged, o->model) == 0;
@@ -142,8 +143,8 @@
     return FRM_OUTDATED;
   if (in_replica (vm, o))
     return FRM_ACCEPTED;
-  check_two (w, vm, o->replica);
-  snprintf (vm->held, sizeof vm->held, "%s", vm->model);
+  check_single_membership (w, vm, o->replica);
+  snprintf (vm->previous_model, sizeof vm->previous_model, "%s", vm->model);
   snprintf (vm->replica, sizeof vm->replica, "%s", o->replica);
   snprintf (vm->model, sizeof vm->model, "%s", o->model);
   snprintf (vm->members, sizeof vm->members, "%s", o->members);
@@ -159,16 +160,16 @@
 }
 
 static enum frm_result
-carry_out (struct world *w, const struct late *o)
+execute_order (struct world *w, const struct delayed_order *o)
 {
   struct vm *vm = find (w, str_from (o->vm));
 
   if (o->a.order == FRM_JOIN)
-    return do_join (w, vm, o);
+    return execute_join (w, vm, o);
   if (o->a.order == FRM_STAGE)
     {
-      snprintf (vm->staging, sizeof vm->staging, "%s", o->model);
-      vm->staged_at = w->now + LOAD_MS;
+      snprintf (vm->preloading, sizeof vm->preloading, "%s", o->model);
+      vm->preloaded_at = w->now + LOAD_MS;
       return FRM_ACCEPTED;
     }
   if (!in_replica (vm, o))
@@ -177,7 +178,7 @@
     {
       if (vm->part != BKS_READY)
         return vm->part == BKS_OPEN ? FRM_ACCEPTED : FRM_REJECTED;
-      check_partial (w, vm);
+      check_all_ready (w, vm);
       vm->part = BKS_OPEN;
     }
   else if (o->a.order == FRM_CLOSE && vm->part >= BKS_OPEN)
@@ -193,12 +194,12 @@
 /* --- orders ------------------------------------------------------------ */
 
 static bool
-seen_join (struct world *w, const char *replica)
+is_join_logged (struct world *w, const char *replica)
 {
-  for (size_t i = 0; i < w->njoins; i++)
-    if (strcmp (w->joins[i], replica) == 0)
+  for (size_t i = 0; i < w->nlogged_joins; i++)
+    if (strcmp (w->logged_joins[i], replica) == 0)
       return true;
-  snprintf (w->joins[w->njoins++ % 64], 32, "%s", replica);
+  snprintf (w->logged_joins[w->nlogged_joins++ % 64], 32, "%s", replica);
   return false;
 }
 
@@ -213,7 +214,7 @@
 }
 
 static void
-log_order (struct world *w, const struct late *o)
+log_order (struct world *w, const struct delayed_order *o)
 {
   char text[128];
 
@@ -223,17 +224,17 @@
     buf_addf (&w->log, "stage %s %s\n", o->model, o->vm);
   else if (o->a.order != FRM_JOIN)
     {
-      snprintf (text, sizeof text, "%s%s %s %s\n", kinds[o->a.order],
+      snprintf (text, sizeof text, "%s%s %s %s\n", order_names[o->a.order],
                 o->a.order == FRM_CLOSE && o->a.cut ? " cut" : "", o->replica,
                 o->vm);
       log_once (w, text);
     }
-  else if (!seen_join (w, o->replica))
+  else if (!is_join_logged (w, o->replica))
     buf_addf (&w->log, "join %s %s: %s\n", o->replica, o->model, o->members);
 }
 
 static void
-copy_order (struct late *o, const struct frm_action *a)
+copy_order (struct delayed_order *o, const struct frm_action *a)
 {
   size_t at = 0;
 
@@ -248,39 +249,40 @@
 }
 
 static void
-apply_late (struct world *w)
+apply_delayed (struct world *w)
 {
-  w->trap = false;
-  for (; w->nlate > 0; w->nlate--)
-    carry_out (w, &w->late[w->nlate - 1]);
+  w->apply_on_join = false;
+  for (; w->ndelayed > 0; w->ndelayed--)
+    execute_order (w, &w->delayed[w->ndelayed - 1]);
 }
 
 static void
-order (struct world *w, size_t core, const struct frm_action *a)
+handle_order (struct world *w, size_t core, const struct frm_action *a)
 {
-  struct late o = { 0 };
+  struct delayed_order o = { 0 };
   const struct vm *vm;
   enum frm_result result = FRM_UNANSWERED;
 
   copy_order (&o, a);
   vm = find (w, a->vm);
-  if (w->trap && a->order == FRM_JOIN)
-    apply_late (w);
+  if (w->apply_on_join && a->order == FRM_JOIN)
+    apply_delayed (w);
   log_order (w, &o);
-  if (w->next_late && strcmp (w->next_late, kinds[a->order]) == 0)
+  if (w->delayed_kind && strcmp (w->delayed_kind, order_names[a->order]) == 0)
     {
-      if (!w->next_lost && w->nlate < sizeof w->late / sizeof w->late[0])
-        w->late[w->nlate++] = o;
-      if (!w->all_late)
-        w->next_late = NULL;
+      if (!w->drop_delayed
+          && w->ndelayed < sizeof w->delayed / sizeof w->delayed[0])
+        w->delayed[w->ndelayed++] = o;
+      if (!w->delay_all)
+        w->delayed_kind = NULL;
     }
-  else if (vm && !vm->gone && !vm->dark && !vm->unlisted)
-    result = carry_out (w, &o);
+  else if (vm && !vm->killed && !vm->hung && !vm->disconnected)
+    result = execute_order (w, &o);
   frm_order_done (w->cores[core], w->now, a->token, result);
 }
 
 static void
-take_actions (struct world *w, size_t core)
+handle_actions (struct world *w, size_t core)
 {
   struct frm_action a;
 
@@ -288,10 +290,10 @@
     {
       const struct vm *vm = find (w, a.vm);
       if (a.kind == FRM_ORDER)
-        order (w, core, &a);
+        handle_order (w, core, &a);
       else
         frm_asked (w->cores[core], w->now, a.token,
-                   vm && !vm->gone && !vm->dark && !vm->unlisted);
+                   vm && !vm->killed && !vm->hung && !vm->disconnected);
       free ((void *)a.members);
     }
 }
@@ -305,22 +307,22 @@
 {
   if (vm->part == BKS_ALONE)
     return STR_EMPTY;
-  return str_from (vm->part == BKS_JOINING ? vm->held : vm->model);
+  return str_from (vm->part == BKS_JOINING ? vm->previous_model : vm->model);
 }
 
 static void
 read_list (struct world *w, size_t core)
 {
-  struct bks_entry list[MOST];
+  struct bks_entry list[MAX_VMS];
   size_t n = 0;
 
   for (size_t i = 0; i < w->n; i++)
     {
       const struct vm *vm = &w->vms[i];
-      if (vm->gone || vm->unlisted || vm->lapsed)
+      if (vm->killed || vm->disconnected || vm->expired)
         continue;
       list[n++] = (struct bks_entry){ .id = str_from (vm->id),
-                                      .born = vm->born,
+                                      .born = vm->started_at,
                                       .service = STR ("lm"),
                                       .zone = STR ("z"),
                                       .domain = str_from (vm->domain),
@@ -336,17 +338,17 @@
     }
   bks_update (w->lists[core], w->now, w->now, list, n);
   frm_servers (w->cores[core], w->now, w->lists[core], w->table,
-               !w->unsettled);
+               !w->list_incomplete);
 }
 
 static void
-tell_demand (struct world *w, size_t core)
+report_demand (struct world *w, size_t core)
 {
   const struct tbl_service *s = &w->table->services[0];
 
   for (size_t k = 0; k < s->nmodels; k++)
     frm_demand (w->cores[core], w->now, s->name, s->models[k].name,
-                w->asked[k]);
+                w->requested[k]);
 }
 
 static void
@@ -358,22 +360,22 @@
       struct vm *vm = &w->vms[i];
       if (vm->part == BKS_JOINING && w->now >= vm->ready_at)
         vm->part = BKS_READY;
-      if (vm->staging[0] && w->now >= vm->staged_at)
+      if (vm->preloading[0] && w->now >= vm->preloaded_at)
         {
-          memcpy (vm->staged, vm->staging, sizeof vm->staged);
-          vm->staging[0] = '\0';
+          memcpy (vm->staged, vm->preloading, sizeof vm->staged);
+          vm->preloading[0] = '\0';
         }
     }
   for (size_t c = 0; c < 2; c++)
     {
-      if (w->now - w->listed >= w->list_ms)
+      if (w->now - w->last_list_at >= w->list_ms)
         read_list (w, c);
-      tell_demand (w, c);
+      report_demand (w, c);
       frm_tick (w->cores[c], w->now);
-      take_actions (w, c);
+      handle_actions (w, c);
     }
-  if (w->now - w->listed >= w->list_ms)
-    w->listed = w->now;
+  if (w->now - w->last_list_at >= w->list_ms)
+    w->last_list_at = w->now;
 }
 
 static void
@@ -400,7 +402,7 @@
       struct vm *vm = &w->vms[w->n++];
       snprintf (vm->domain, sizeof vm->domain, "%s", domain);
       snprintf (vm->id, sizeof vm->id, "%s%d", domain, had + i);
-      vm->born = w->now;
+      vm->started_at = w->now;
     }
 }
 
@@ -410,7 +412,7 @@
   for (size_t i = 0; i < w->n; i++)
     {
       const struct vm *vm = &w->vms[i];
-      if (vm->gone || vm->rank != 0 || !vm->replica[0])
+      if (vm->killed || vm->rank != 0 || !vm->replica[0])
         continue;
       if (vm->part == BKS_OPEN)
         buf_addf (&w->log, "%s %s is open: %s\n", vm->replica, vm->model,
@@ -431,7 +433,7 @@
     {
       unsigned n = 0;
       for (size_t i = 0; i < w->n; i++)
-        n += strcmp (w->vms[i].domain, domain) == 0 && !w->vms[i].gone
+        n += strcmp (w->vms[i].domain, domain) == 0 && !w->vms[i].killed
              && w->vms[i].rank == 0 && w->vms[i].part == BKS_OPEN
              && str_is (s->models[k].name, w->vms[i].model);
       buf_addf (&w->log, " %u %.*s", n, STR_ARG (s->models[k].name));
@@ -468,16 +470,16 @@
       else if (strcmp (word, "pace") == 0)
         m->pace = n / 100.0;
       else
-        w->asked[k] = n;
+        w->requested[k] = n;
     }
 }
 
 /** It starts again under its id: it holds nothing and knows nothing, but for
     what its host keeps. */
 static void
-be_reborn (const struct world *w, struct vm *vm)
+restart_vm (const struct world *w, struct vm *vm)
 {
-  struct vm fresh = { .born = w->now };
+  struct vm fresh = { .started_at = w->now };
 
   memcpy (fresh.id, vm->id, sizeof fresh.id);
   memcpy (fresh.domain, vm->domain, sizeof fresh.domain);
@@ -486,19 +488,19 @@
 }
 
 static void
-mark (struct vm *vm, const char *word)
+set_vm_state (struct vm *vm, const char *word)
 {
   cr_assert_not_null (vm);
   if (strcmp (word, "kill") == 0)
-    vm->gone = true;
+    vm->killed = true;
   else if (strcmp (word, "dark") == 0)
-    vm->dark = true;
+    vm->hung = true;
   else if (strcmp (word, "back") == 0)
-    vm->dark = vm->unlisted = vm->lapsed = false;
+    vm->hung = vm->disconnected = vm->expired = false;
   else if (strcmp (word, "unlist") == 0)
-    vm->unlisted = true;
+    vm->disconnected = true;
   else if (strcmp (word, "lapse") == 0)
-    vm->lapsed = true;
+    vm->expired = true;
   else if (strcmp (word, "drain") == 0)
     vm->draining = true;
   else if (strcmp (word, "broken") == 0)
@@ -508,17 +510,17 @@
 }
 
 static void
-fail_next (struct world *w, const char *kind, bool lost, bool all)
+delay_orders (struct world *w, const char *kind, bool lost, bool all)
 {
-  for (size_t i = 0; i < sizeof kinds / sizeof kinds[0]; i++)
-    if (strcmp (kind, kinds[i]) == 0)
-      w->next_late = kinds[i];
-  w->next_lost = lost;
-  w->all_late = all;
+  for (size_t i = 0; i < sizeof order_names / sizeof order_names[0]; i++)
+    if (strcmp (kind, order_names[i]) == 0)
+      w->delayed_kind = order_names[i];
+  w->drop_delayed = lost;
+  w->delay_all = all;
 }
 
 static void
-line (struct world *w, const char *word, const char *a, int n)
+run_command (struct world *w, const char *word, const char *a, int n)
 {
   struct vm *vm = find (w, str_from (a));
 
@@ -532,19 +534,19 @@
     for (int t = 0; t < atoi (a); t += STEP_MS)
       advance (w);
   else if (strcmp (word, "late") == 0 || strcmp (word, "lose") == 0)
-    fail_next (w, a, word[1] == 'o', false);
+    delay_orders (w, a, word[1] == 'o', false);
   else if (strcmp (word, "late-all") == 0 || strcmp (word, "lose-all") == 0)
-    fail_next (w, a, word[1] == 'o', true);
+    delay_orders (w, a, word[1] == 'o', true);
   else if (strcmp (word, "reborn") == 0)
-    be_reborn (w, vm);
+    restart_vm (w, vm);
   else if (strcmp (word, "prompt") == 0)
-    w->next_late = NULL;
+    w->delayed_kind = NULL;
   else if (strcmp (word, "apply") == 0)
-    apply_late (w);
+    apply_delayed (w);
   else if (strcmp (word, "unsettled") == 0 || strcmp (word, "settled") == 0)
-    w->unsettled = word[0] == 'u';
+    w->list_incomplete = word[0] == 'u';
   else if (strcmp (word, "trap") == 0)
-    w->trap = true;
+    w->apply_on_join = true;
   else if (strcmp (word, "traffic") == 0)
     frm_traffic (w->cores[0]);
   else if (strcmp (word, "hosts") == 0)
@@ -553,7 +555,7 @@
     for (size_t c = 0; c < 2; c++)
       frm_stalled (
           w->cores[c], w->now,
-          dsp_place_hash (str_from (vm->id), vm->born, vm->generation));
+          dsp_place_hash (str_from (vm->id), vm->started_at, vm->generation));
   else if (strcmp (word, "show") == 0)
     show (w);
   else if (strcmp (word, "count") == 0)
@@ -571,11 +573,11 @@
            || strcmp (word, "pace") == 0 || strcmp (word, "ask") == 0)
     set_model (w, word, a, n);
   else
-    mark (vm, word);
+    set_vm_state (vm, word);
 }
 
 static void
-play_lines (struct world *w, const char *script)
+run_script (struct world *w, const char *script)
 {
   char word[16], a[16];
   int n;
@@ -596,14 +598,14 @@
           if (*script == ' ' && sscanf (script, " %d%n", &n, &used) == 1)
             script += used;
         }
-      line (w, word, a, n);
+      run_command (w, word, a, n);
       while (*script == '\n' || *script == ' ')
         script++;
     }
 }
 
 void
-form_play (const char *script, const char *expected)
+form_check (const char *script, const char *expected)
 {
   struct frm_options opt
       = { .stall_ms = 1000, .ceiling_window_s = 5, .ceiling_over = 1.1 };
@@ -614,7 +616,7 @@
       w.cores[i] = frm_new (&opt);
       w.lists[i] = bks_new ();
     }
-  play_lines (&w, script);
+  run_script (&w, script);
   cr_expect_str_eq (buf_c (&w.log), expected, "got:\n%s\nexpected:\n%s",
                     buf_c (&w.log), expected);
   for (size_t i = 0; i < 2; i++)
--- a/t/lib-form.h
+++ b/t/lib-form.h
@@ -48,6 +48,6 @@
 
 /** Play @p script against models big of 3 VMs and small of 2, and compare the
     log with @p expected. */
-void form_play (const char *script, const char *expected);
+void form_check (const char *script, const char *expected);
 
 #endif
--- a/t/t6102-work.c
+++ b/t/t6102-work.c
@@ -21,10 +21,10 @@
  */
 Test (work, half_of_the_vms_are_for_each_model)
 {
-  form_play (MODELS "owner 1\n vms a 37\n vms b 37\n run 9000\n"
-                    "count a\n count b\n",
-             "a: 1 big 5 small\n"
-             "b: 1 big 5 small\n");
+  form_check (MODELS "owner 1\n vms a 37\n vms b 37\n run 9000\n"
+                     "count a\n count b\n",
+              "a: 1 big 5 small\n"
+              "b: 1 big 5 small\n");
 }
 
 /*
@@ -36,10 +36,10 @@
  */
 Test (work, what_is_left_of_small_replicas_completes_a_large_one)
 {
-  form_play (MODELS "hosts\n owner 1\n vms a 37\n run 9000\n traffic\n"
-                    "kill a2\n kill a3\n kill a4\n kill a17\n kill a18\n"
-                    "kill a21\n run 3000\n count a\n",
-             "a: 1 big 3 small\n");
+  form_check (MODELS "hosts\n owner 1\n vms a 37\n run 9000\n traffic\n"
+                     "kill a2\n kill a3\n kill a4\n kill a17\n kill a18\n"
+                     "kill a21\n run 3000\n count a\n",
+              "a: 1 big 3 small\n");
 }
 
 /*
@@ -51,12 +51,12 @@
  */
 Test (work, an_idle_replica_closes_for_one_that_is_missed)
 {
-  form_play (MODELS "hosts\n owner 1\n vms a 37\n run 9000\n traffic\n"
-                    "ask big 6\n ask small 16\n run 6000\n"
-                    "kill a2\n kill a3\n run 3000\n count a\n plan\n",
-             "a: 1 big 4 small\n"
-             "big: wanted 1, formed 1, asked 5, yielded 0\n"
-             "small: wanted 4, formed 4, asked 13, yielded 1\n");
+  form_check (MODELS "hosts\n owner 1\n vms a 37\n run 9000\n traffic\n"
+                     "ask big 6\n ask small 16\n run 6000\n"
+                     "kill a2\n kill a3\n run 3000\n count a\n plan\n",
+              "a: 1 big 4 small\n"
+              "big: wanted 1, formed 1, asked 5, yielded 0\n"
+              "small: wanted 4, formed 4, asked 13, yielded 1\n");
 }
 
 /*
@@ -66,11 +66,11 @@
  */
 Test (work, a_busy_replica_stays)
 {
-  form_play (MODELS "hosts\n owner 1\n vms a 37\n vms b 37\n run 9000\n"
-                    "traffic\n ask big 6\n ask small 76\n run 6000\n"
-                    "kill a2\n kill a3\n run 3000\n count a\n count b\n",
-             "a: 0 big 5 small\n"
-             "b: 1 big 5 small\n");
+  form_check (MODELS "hosts\n owner 1\n vms a 37\n vms b 37\n run 9000\n"
+                     "traffic\n ask big 6\n ask small 76\n run 6000\n"
+                     "kill a2\n kill a3\n run 3000\n count a\n count b\n",
+              "a: 0 big 5 small\n"
+              "b: 1 big 5 small\n");
 }
 
 /*
@@ -79,8 +79,8 @@
  */
 Test (work, a_short_burst_moves_nothing)
 {
-  form_play (MODELS "hosts\n owner 1\n vms a 37\n run 9000\n traffic\n"
-                    "ask big 4\n ask small 16\n run 6000\n ask small 60\n"
-                    "run 3000\n ask small 16\n run 6000\n count a\n",
-             "a: 1 big 5 small\n");
+  form_check (MODELS "hosts\n owner 1\n vms a 37\n run 9000\n traffic\n"
+                     "ask big 4\n ask small 16\n run 6000\n ask small 60\n"
+                     "run 3000\n ask small 16\n run 6000\n count a\n",
+              "a: 1 big 5 small\n");
 }
