--- a/t/lib-form.c
+++ b/t/lib-form.c
@@ -16,9 +16,9 @@
 struct vm
 {
   char id[16], domain[8], model[16], replica[32], members[256];
-  char previous_model[16]; /* its model until it is ready for the next one */
+  char previous_model[16]; /* reported until the VM is ready for the next */
   int64_t started_at;
-  char staged[16], preloading[16]; /* by its host; and what comes next */
+  char preloaded[16], preloading[16]; /* in host memory; being preloaded */
   clk_ms preloaded_at;
   int64_t generation;
   unsigned rank;
@@ -41,7 +41,7 @@
   struct bks *lists[2];
   struct tbl *table;
   clk_ms now, last_list_at;
-  clk_ms list_ms; /**< between two lists */
+  clk_ms list_ms; /**< interval between two lists */
   struct vm vms[MAX_VMS];
   size_t n;
   struct delayed_order delayed[16];
@@ -55,7 +55,7 @@
 };
 
 static const char *const order_names[]
-    = { "join", "open", "close", "leave", "stage" };
+    = { "join", "open", "close", "leave", "preload" };
 
 static struct tbl *
 make_table (void)
@@ -87,7 +87,7 @@
   return NULL;
 }
 
-/* --- the servers ------------------------------------------------------- */
+/* --- simulated servers ------------------------------------------------- */
 
 static struct vm *
 leader_of (struct world *w, const struct vm *vm)
@@ -137,7 +137,7 @@
 execute_join (struct world *w, struct vm *vm, const struct delayed_order *o)
 {
   bool warm = strcmp (vm->model, o->model) == 0
-              || strcmp (vm->staged, o->model) == 0;
+              || strcmp (vm->preloaded, o->model) == 0;
 
   if (o->a.generation < vm->generation)
     return FRM_OUTDATED;
@@ -155,7 +155,7 @@
   vm->part = BKS_JOINING;
   vm->ready_at = w->now + (warm ? JOIN_MS : LOAD_MS);
   if (!warm)
-    snprintf (vm->staged, sizeof vm->staged, "%s", o->model);
+    snprintf (vm->preloaded, sizeof vm->preloaded, "%s", o->model);
   return FRM_ACCEPTED;
 }
 
@@ -203,7 +203,7 @@
   return false;
 }
 
-/** One line for an order that is given again and again. */
+/** Logs a repeated order only once. */
 static void
 log_once (struct world *w, const char *text)
 {
@@ -221,7 +221,7 @@
   if (w->quiet)
     return;
   if (o->a.order == FRM_STAGE)
-    buf_addf (&w->log, "stage %s %s\n", o->model, o->vm);
+    buf_addf (&w->log, "preload %s %s\n", o->model, o->vm);
   else if (o->a.order != FRM_JOIN)
     {
       snprintf (text, sizeof text, "%s%s %s %s\n", order_names[o->a.order],
@@ -300,8 +300,10 @@
 
 /* --- time -------------------------------------------------------------- */
 
-/** While it joins it still reports the model before, and none after it has
-    left; it holds the weights on. */
+/**
+ * Model that the VM reports: the previous one while it joins, and none after
+ * it has left a replica, although it keeps the weights.
+ */
 static struct str
 reported_model (const struct vm *vm)
 {
@@ -329,8 +331,8 @@
                                       .capacity = 8,
                                       .draining = vm->draining,
                                       .model = reported_model (vm),
-                                      .staged = { str_from (vm->staged) },
-                                      .nstaged = vm->staged[0] != '\0',
+                                      .staged = { str_from (vm->preloaded) },
+                                      .nstaged = vm->preloaded[0] != '\0',
                                       .replica = str_from (vm->replica),
                                       .generation = vm->generation,
                                       .rank = vm->rank,
@@ -362,7 +364,7 @@
         vm->part = BKS_READY;
       if (vm->preloading[0] && w->now >= vm->preloaded_at)
         {
-          memcpy (vm->staged, vm->preloading, sizeof vm->staged);
+          memcpy (vm->preloaded, vm->preloading, sizeof vm->preloaded);
           vm->preloading[0] = '\0';
         }
     }
@@ -388,7 +390,7 @@
   w->owner[!core] = false;
 }
 
-/* --- the script -------------------------------------------------------- */
+/* --- script ------------------------------------------------------------ */
 
 static void
 add_vms (struct world *w, const char *domain, int n)
@@ -422,7 +424,7 @@
     }
 }
 
-/** Open replicas of a domain by model. */
+/** Logs the number of open replicas of each model in the domain. */
 static void
 count (struct world *w, const char *domain)
 {
@@ -448,7 +450,8 @@
   size_t n = frm_models (w->cores[0], list);
 
   for (size_t i = 0; i < n; i++)
-    buf_addf (&w->log, "%.*s: wanted %u, formed %u, asked %.0f, yielded %u\n",
+    buf_addf (&w->log,
+              "%.*s: wanted %u, formed %u, requests %.0f, reassigned %u\n",
               STR_ARG (list[i].name), list[i].wanted, list[i].formed,
               list[i].requests, (unsigned)list[i].yielded);
 }
@@ -474,8 +477,10 @@
     }
 }
 
-/** It starts again under its id: it holds nothing and knows nothing, but for
-    what its host keeps. */
+/**
+ * Restarts the VM under its id: it has lost its state and weights, but its
+ * host's memory keeps the preloaded model.
+ */
 static void
 restart_vm (const struct world *w, struct vm *vm)
 {
@@ -483,7 +488,7 @@
 
   memcpy (fresh.id, vm->id, sizeof fresh.id);
   memcpy (fresh.domain, vm->domain, sizeof fresh.domain);
-  memcpy (fresh.staged, vm->staged, sizeof fresh.staged);
+  memcpy (fresh.preloaded, vm->preloaded, sizeof fresh.preloaded);
   *vm = fresh;
 }
 
@@ -493,13 +498,13 @@
   cr_assert_not_null (vm);
   if (strcmp (word, "kill") == 0)
     vm->killed = true;
-  else if (strcmp (word, "dark") == 0)
+  else if (strcmp (word, "hang") == 0)
     vm->hung = true;
   else if (strcmp (word, "back") == 0)
     vm->hung = vm->disconnected = vm->expired = false;
-  else if (strcmp (word, "unlist") == 0)
+  else if (strcmp (word, "disconnect") == 0)
     vm->disconnected = true;
-  else if (strcmp (word, "lapse") == 0)
+  else if (strcmp (word, "expire") == 0)
     vm->expired = true;
   else if (strcmp (word, "drain") == 0)
     vm->draining = true;
@@ -526,9 +531,9 @@
 
   if (strcmp (word, "vms") == 0)
     add_vms (w, a, n);
-  else if (strcmp (word, "owner") == 0)
+  else if (strcmp (word, "lead") == 0)
     set_owner (w, 0, atoi (a));
-  else if (strcmp (word, "other") == 0)
+  else if (strcmp (word, "lead-other") == 0)
     set_owner (w, 1, atoi (a));
   else if (strcmp (word, "run") == 0)
     for (int t = 0; t < atoi (a); t += STEP_MS)
@@ -537,19 +542,19 @@
     delay_orders (w, a, word[1] == 'o', false);
   else if (strcmp (word, "late-all") == 0 || strcmp (word, "lose-all") == 0)
     delay_orders (w, a, word[1] == 'o', true);
-  else if (strcmp (word, "reborn") == 0)
+  else if (strcmp (word, "restart") == 0)
     restart_vm (w, vm);
-  else if (strcmp (word, "prompt") == 0)
+  else if (strcmp (word, "respond") == 0)
     w->delayed_kind = NULL;
   else if (strcmp (word, "apply") == 0)
     apply_delayed (w);
-  else if (strcmp (word, "unsettled") == 0 || strcmp (word, "settled") == 0)
-    w->list_incomplete = word[0] == 'u';
-  else if (strcmp (word, "trap") == 0)
+  else if (strcmp (word, "incomplete") == 0 || strcmp (word, "complete") == 0)
+    w->list_incomplete = word[0] == 'i';
+  else if (strcmp (word, "apply-on-join") == 0)
     w->apply_on_join = true;
   else if (strcmp (word, "traffic") == 0)
     frm_traffic (w->cores[0]);
-  else if (strcmp (word, "hosts") == 0)
+  else if (strcmp (word, "host-memory") == 0)
     w->table->services[0].host_keeps = 1;
   else if (strcmp (word, "stalled") == 0)
     for (size_t c = 0; c < 2; c++)
@@ -567,10 +572,10 @@
               (unsigned)frm_figures (w->cores[0])->orders);
   else if (strcmp (word, "plan") == 0)
     show_plan (w);
-  else if (strcmp (word, "quiet") == 0)
+  else if (strcmp (word, "no-order-log") == 0)
     w->quiet = true;
   else if (strcmp (word, "size") == 0 || strcmp (word, "share") == 0
-           || strcmp (word, "pace") == 0 || strcmp (word, "ask") == 0)
+           || strcmp (word, "pace") == 0 || strcmp (word, "demand") == 0)
     set_model (w, word, a, n);
   else
     set_vm_state (vm, word);
@@ -590,7 +595,7 @@
       if (sscanf (script, " %15[-a-z]%n", word, &used) < 1)
         break;
       script += used;
-      /* What follows on the same line. */
+      /* Arguments on the same line. */
       if (*script == ' ')
         {
           sscanf (script, " %15[a-zA-Z0-9]%n", a, &used);
--- a/t/lib-form.h
+++ b/t/lib-form.h
@@ -1,53 +1,61 @@
 /**
  * @file
- * Backend servers in memory that obey the orders of the forming core, driven
- * by a script.
+ * Script interpreter that runs the replica core against simulated backend
+ * servers which carry out its orders.
  *
- *   vms DOMAIN N         N servers named DOMAIN1 .. appear in that domain
- *   owner FENCE | other FENCE   this core, or a second one, becomes owner; the
- *                        one before no longer is
- *   run MS               time passes; lists are read every 100 ms
- *   kill ID              it is gone: no answer, and the list drops it
- *   dark ID              no answer; the list still names it
- *   back ID              it answers again
- *   reborn ID            it has started again under its id and holds nothing
- *   unlist ID            cut off: the list drops it, and it answers nothing
- *   lapse ID             the list drops it; it works and answers as before
- *   drain ID             it says that it leaves
+ *   vms DOMAIN N         adds N servers to the domain, named DOMAIN1 and so on
+ *   lead FENCE | lead-other FENCE
+ *                        the first or second core becomes the leader node, and
+ *                        the other one stops being it
+ *   run MS               advances the time; lists are read every 100 ms
+ *   kill ID              stops the server: no responses, not listed
+ *   hang ID              no responses, still listed
+ *   back ID              undoes hang, disconnect and expire
+ *   restart ID           starts it again under the same id, without weights
+ *   disconnect ID        no responses, not listed, but it keeps running
+ *   expire ID            not listed; it runs and responds as before
+ *   drain ID             it reports that it is draining
  *   broken ID            it reports its replica as broken
- *   late KIND            the next order of this kind gets no answer and is
+ *   late KIND            the next order of this kind gets no response and is
  *                        carried out by "apply"
- *   lose KIND            the next order of this kind gets no answer, ever
- *   late-all KIND, lose-all KIND   the same for each order of this kind, until
- *   prompt               orders are answered again
- *   apply                late orders are carried out
- *   trap                 late orders are carried out right before the next
- *                        join arrives
- *   unsettled | settled  whether lists count as whole; they do at first
- *   traffic              requests have come
- *   hosts                hosts keep one model in their memory from now on
- *   stalled ID           callers see nothing move there
- *   show                 the open replicas and the warm spares are logged
- *   lists MS             how often lists are read from now on
- *   orders               how many orders the first core has given
- *   count DOMAIN         how many replicas of each model are open there
- *   plan                 what the first core tells of its models
- *   quiet                orders are not logged any more
- *   size MODEL N         VMs of one replica
- *   share MODEL PERCENT  declared part of the work
- *   pace MODEL PERCENT   factor on its times
- *   ask MODEL N          so many requests have or want a slot; one replica has
- *                        eight
+ *   lose KIND            the next order of this kind gets no response and is
+ *                        never carried out
+ *   late-all KIND | lose-all KIND
+ *                        the same for all orders of this kind
+ *   respond              orders get responses again
+ *   apply                carries out the late orders
+ *   apply-on-join        carries out the late orders right before the next
+ *                        order to join
+ *   incomplete | complete
+ *                        sets whether lists are known to be complete; they are
+ *                        at first
+ *   traffic              requests have arrived
+ *   host-memory          hosts can hold one model in memory from now on
+ *   stalled ID           reports that requests to this leader make no progress
+ *   show                 logs the open replicas and the warm spares
+ *   lists MS             sets the interval between lists
+ *   orders               logs how many orders the first core has sent
+ *   count DOMAIN         logs how many replicas of each model are open there
+ *   plan                 logs the first core's frm_models()
+ *   no-order-log         orders are not logged from now on
+ *   size MODEL N         sets the number of VMs of one replica
+ *   share MODEL PERCENT  sets the declared share of the work
+ *   pace MODEL PERCENT   sets the factor on the engine's times
+ *   demand MODEL N       sets how many requests have a slot or wait for one; a
+ *                        replica has eight slots
  *
- * The log has a line for each order but repeated ones, and
- * "TWO ..." or "PARTIAL ..." when a server is joined while its old replica may
- * still serve, or a leader opens without all members ready.
+ * The log has one line for each order; repeated orders are logged once.  It
+ * also has "TWO ..." if a server joins a replica while its previous one may
+ * still serve, and "PARTIAL ..." if a leader opens before all members are
+ * ready.
  */
 #ifndef LAPISLINE_T_LIB_FORM_H
 #define LAPISLINE_T_LIB_FORM_H
 
-/** Play @p script against models big of 3 VMs and small of 2, and compare the
-    log with @p expected. */
+/**
+ * Runs @p script with a model "big" of 3 VMs and a model "small" of 2, and
+ * compares the log with @p expected.
+ */
 void form_check (const char *script, const char *expected);
 
 #endif
--- a/t/t6101-form.c
+++ b/t/t6101-form.c
@@ -20,7 +20,7 @@
  */
 Test (form, a_domain_is_filled)
 {
-  form_check ("owner 1\n vms a 3\n run 100\n vms a 3\n run 5000\n show\n",
+  form_check ("lead 1\n vms a 3\n run 100\n vms a 3\n run 5000\n show\n",
               FORMED "r1001 big is open: a1 a2 a3\n"
                      "r1002 small is open: a4 a5\n"
                      "a6 is warm for big\n");
@@ -32,7 +32,7 @@
  */
 Test (form, a_lost_member_is_replaced_by_the_warm_spare)
 {
-  form_check ("owner 1\n vms a 6\n run 5000\n traffic\n kill a2\n run 1000\n"
+  form_check ("lead 1\n vms a 6\n run 5000\n traffic\n kill a2\n run 1000\n"
               "show\n",
               FORMED "close cut r1001 a1\n"
                      "leave r1001 a1\n"
@@ -50,8 +50,8 @@
 Test (form, an_order_to_open_that_comes_late_finds_nobody)
 {
   form_check (
-      "owner 1\n vms a 4\n late-all open\n run 2600\n prompt\n kill a2\n"
-      "other 2\n trap\n run 1500\n show\n",
+      "lead 1\n vms a 4\n late-all open\n run 2600\n respond\n kill a2\n"
+      "lead-other 2\n apply-on-join\n run 1500\n show\n",
       "join r1001 big: a1 a2 a3\n"
       "join s1002 big: a4\n"
       "open r1001 a1\n"
@@ -67,8 +67,8 @@
  */
 Test (form, an_order_to_open_after_the_close_finds_nobody)
 {
-  form_check ("owner 1\n vms a 4\n late-all open\n run 2600\n prompt\n"
-              "kill a2\n trap\n"
+  form_check ("lead 1\n vms a 4\n late-all open\n run 2600\n respond\n"
+              "kill a2\n apply-on-join\n"
               "run 2000\n show\n",
               "join r1001 big: a1 a2 a3\n"
               "join s1002 big: a4\n"
@@ -86,7 +86,7 @@
  */
 Test (form, members_of_a_silent_leader_wait_until_it_gave_up)
 {
-  form_check ("owner 1\n vms a 4\n run 3000\n unlist a1\n run 1500\n show\n"
+  form_check ("lead 1\n vms a 4\n run 3000\n disconnect a1\n run 1500\n show\n"
               "run 1500\n show\n",
               "join r1001 big: a1 a2 a3\n"
               "join s1002 big: a4\n"
@@ -106,7 +106,7 @@
  */
 Test (form, a_new_owner_changes_nothing)
 {
-  form_check ("owner 1\n vms a 6\n run 5000\n other 2\n run 3000\n show\n",
+  form_check ("lead 1\n vms a 6\n run 5000\n lead-other 2\n run 3000\n show\n",
               FORMED "r1001 big is open: a1 a2 a3\n"
                      "r1002 small is open: a4 a5\n"
                      "a6 is warm for big\n");
@@ -118,7 +118,7 @@
  */
 Test (form, a_stalled_replica_is_mended_before_the_list_tells)
 {
-  form_check ("owner 1\n vms a 4\n run 5000\n traffic\n dark a3\n"
+  form_check ("lead 1\n vms a 4\n run 5000\n traffic\n hang a3\n"
               "stalled a1\n run 1500\n show\n",
               "join r1001 big: a1 a2 a3\n"
               "join s1002 big: a4\n"
@@ -136,7 +136,7 @@
  */
 Test (form, a_leader_that_comes_back_is_closed_first)
 {
-  form_check ("owner 1\n vms a 4\n run 3000\n unlist a1\n run 3000\n"
+  form_check ("lead 1\n vms a 4\n run 3000\n disconnect a1\n run 3000\n"
               "back a1\n run 3000\n show\n",
               "join r1001 big: a1 a2 a3\n"
               "join s1002 big: a4\n"
@@ -157,8 +157,8 @@
  */
 Test (form, members_listed_before_their_leader_are_no_spares)
 {
-  form_check ("owner 1\n vms a 6\n run 5000\n unlist a1\n unlist a2\n"
-              "unsettled\n other 2\n run 500\n settled\n run 500\n"
+  form_check ("lead 1\n vms a 6\n run 5000\n disconnect a1\n disconnect a2\n"
+              "incomplete\n lead-other 2\n run 500\n complete\n run 500\n"
               "back a2\n run 500\n back a1\n run 3000\n show\n",
               FORMED "r1001 big is open: a1 a2 a3\n"
                      "r1002 small is open: a4 a5\n"
@@ -171,7 +171,7 @@
  */
 Test (form, a_member_that_lapses_and_works_on_is_kept)
 {
-  form_check ("owner 1\n vms a 6\n run 5000\n traffic\n lapse a2\n run 5000\n"
+  form_check ("lead 1\n vms a 6\n run 5000\n traffic\n expire a2\n run 5000\n"
               "show\n back a2\n run 1000\n show\n",
               FORMED "r1001 big is open: a1 a2 a3\n"
                      "r1002 small is open: a4 a5\n"
@@ -188,7 +188,7 @@
  */
 Test (form, a_lapsed_member_that_ends_is_replaced)
 {
-  form_check ("owner 1\n vms a 6\n run 5000\n traffic\n lapse a2\n run 2000\n"
+  form_check ("lead 1\n vms a 6\n run 5000\n traffic\n expire a2\n run 2000\n"
               "show\n kill a2\n run 2000\n show\n",
               FORMED "r1001 big is open: a1 a2 a3\n"
                      "r1002 small is open: a4 a5\n"
@@ -208,7 +208,7 @@
  */
 Test (form, a_lapsed_leader_closes_and_leaves)
 {
-  form_check ("owner 1\n vms a 6\n run 5000\n traffic\n lapse a1\n run 4000\n"
+  form_check ("lead 1\n vms a 6\n run 5000\n traffic\n expire a1\n run 4000\n"
               "show\n",
               FORMED "close r1001 a1\n"
                      "leave r1001 a1\n"
@@ -225,18 +225,19 @@
  */
 Test (form, a_new_owner_keeps_a_replica_with_a_lapsed_member)
 {
-  form_check ("owner 1\n vms a 6\n run 5000\n traffic\n lapse a2\n run 500\n"
-              "other 2\n run 2000\n show\n kill a2\n stalled a1\n run 2000\n"
-              "show\n",
-              FORMED "r1001 big is open: a1 a2 a3\n"
-                     "r1002 small is open: a4 a5\n"
-                     "a6 is warm for big\n"
-                     "close cut r1001 a1\n"
-                     "leave r1001 a1\n"
-                     "join r2001 big: a1 a3 a6\n"
-                     "open r2001 a1\n"
-                     "r2001 big is open: a1 a3 a6\n"
-                     "r1002 small is open: a4 a5\n");
+  form_check (
+      "lead 1\n vms a 6\n run 5000\n traffic\n expire a2\n run 500\n"
+      "lead-other 2\n run 2000\n show\n kill a2\n stalled a1\n run 2000\n"
+      "show\n",
+      FORMED "r1001 big is open: a1 a2 a3\n"
+             "r1002 small is open: a4 a5\n"
+             "a6 is warm for big\n"
+             "close cut r1001 a1\n"
+             "leave r1001 a1\n"
+             "join r2001 big: a1 a3 a6\n"
+             "open r2001 a1\n"
+             "r2001 big is open: a1 a3 a6\n"
+             "r1002 small is open: a4 a5\n");
 }
 
 /*
@@ -247,7 +248,7 @@
  */
 Test (form, a_member_that_starts_again_is_a_new_server)
 {
-  form_check ("owner 1\n vms a 3\n run 5000\n traffic\n reborn a2\n"
+  form_check ("lead 1\n vms a 3\n run 5000\n traffic\n restart a2\n"
               "run 4000\n show\n",
               "join r1001 big: a1 a2 a3\n"
               "open r1001 a1\n"
@@ -264,7 +265,7 @@
  */
 Test (form, a_leader_that_starts_again_has_given_up)
 {
-  form_check ("owner 1\n vms a 4\n run 5000\n traffic\n reborn a1\n run 600\n"
+  form_check ("lead 1\n vms a 4\n run 5000\n traffic\n restart a1\n run 600\n"
               "show\n",
               "join r1001 big: a1 a2 a3\n"
               "join s1002 big: a4\n"
@@ -282,8 +283,8 @@
  */
 Test (form, a_new_life_waits_until_its_old_replica_is_over)
 {
-  form_check ("owner 1\n vms a 6\n run 5000\n traffic\n late-all close\n"
-              "reborn a2\n run 1000\n show\n prompt\n run 4000\n show\n",
+  form_check ("lead 1\n vms a 6\n run 5000\n traffic\n late-all close\n"
+              "restart a2\n run 1000\n show\n respond\n run 4000\n show\n",
               FORMED "close cut r1001 a1\n"
                      "r1001 big is open: a1 a2 a3\n"
                      "r1002 small is open: a4 a5\n"
@@ -305,7 +306,7 @@
  */
 Test (form, domains_too_small_for_both_models_share_them)
 {
-  form_check ("owner 1\n vms a 4\n vms b 4\n run 5000\n show\n",
+  form_check ("lead 1\n vms a 4\n vms b 4\n run 5000\n show\n",
               "join r1001 big: a1 a2 a3\n"
               "join r1002 small: b1 b2\n"
               "join r1003 small: b3 b4\n"
@@ -326,7 +327,7 @@
  */
 Test (form, a_small_domain_keeps_its_model)
 {
-  form_check ("hosts\n owner 1\n vms a 4\n vms b 4\n run 5000\n traffic\n"
+  form_check ("host-memory\n lead 1\n vms a 4\n vms b 4\n run 5000\n traffic\n"
               "kill b1\n kill b2\n run 1000\n vms b 2\n run 20000\n show\n",
               "join r1001 big: a1 a2 a3\n"
               "join r1002 small: b1 b2\n"
@@ -335,7 +336,7 @@
               "open r1001 a1\n"
               "open r1002 b1\n"
               "open r1003 b3\n"
-              "stage small a4\n"
+              "preload small a4\n"
               "join s1005 small: b5\n"
               "join s1006 small: b6\n"
               "join r1007 small: b5 b6\n"
@@ -353,7 +354,7 @@
  */
 Test (form, replicas_wait_until_all_have_registered)
 {
-  form_check ("owner 1\n vms a 2\n run 100\n vms a 1\n run 100\n vms a 1\n"
+  form_check ("lead 1\n vms a 2\n run 100\n vms a 1\n run 100\n vms a 1\n"
               "run 100\n vms a 2\n run 5000\n show\n",
               FORMED "r1001 big is open: a1 a2 a3\n"
                      "r1002 small is open: a4 a5\n"
@@ -369,7 +370,7 @@
  */
 Test (form, a_leader_found_alone_is_not_opened)
 {
-  form_check ("vms a 3\n dark a2\n dark a3\n owner 1\n run 300\n other 2\n"
+  form_check ("vms a 3\n hang a2\n hang a3\n lead 1\n run 300\n lead-other 2\n"
               "run 6000\n show\n",
               "join r1001 big: a1 a2 a3\n"
               "join s2001 big: a2\n"
@@ -384,9 +385,9 @@
  */
 Test (form, a_spare_serves_either_model)
 {
-  form_check ("hosts\n owner 1\n vms a 6\n run 8000\n traffic\n kill a5\n"
+  form_check ("host-memory\n lead 1\n vms a 6\n run 8000\n traffic\n kill a5\n"
               "run 1000\n show\n",
-              FORMED "stage small a6\n"
+              FORMED "preload small a6\n"
                      "close cut r1002 a4\n"
                      "leave r1002 a4\n"
                      "join r1004 small: a4 a6\n"
@@ -404,7 +405,7 @@
  */
 Test (form, leftovers_of_two_domains_wait_for_their_own)
 {
-  form_check ("owner 1\n vms a 6\n vms b 6\n run 5000\n traffic\n"
+  form_check ("lead 1\n vms a 6\n vms b 6\n run 5000\n traffic\n"
               "kill a6\n kill b6\n kill a3\n kill b3\n run 5000\n show\n"
               "vms a 1\n run 8000\n show\n",
               "join r1001 big: a1 a2 a3\n"
@@ -438,14 +439,15 @@
  */
 Test (form, what_is_listed_is_repaired_before_the_list_settles)
 {
-  form_check ("owner 1\n vms a 6\n run 5000\n traffic\n unsettled\n other 2\n"
-              "run 200\n kill a2\n run 1500\n show\n",
-              FORMED "close cut r1001 a1\n"
-                     "leave r1001 a1\n"
-                     "join r2001 big: a1 a3 a6\n"
-                     "open r2001 a1\n"
-                     "r2001 big is open: a1 a3 a6\n"
-                     "r1002 small is open: a4 a5\n");
+  form_check (
+      "lead 1\n vms a 6\n run 5000\n traffic\n incomplete\n lead-other 2\n"
+      "run 200\n kill a2\n run 1500\n show\n",
+      FORMED "close cut r1001 a1\n"
+             "leave r1001 a1\n"
+             "join r2001 big: a1 a3 a6\n"
+             "open r2001 a1\n"
+             "r2001 big is open: a1 a3 a6\n"
+             "r1002 small is open: a4 a5\n");
 }
 
 /*
@@ -455,9 +457,10 @@
 Test (form, a_leader_listed_before_its_members_stays_open)
 {
   form_check (
-      "owner 1\n vms a 6\n run 5000\n traffic\n unlist a1\n unlist a2\n"
-      "unlist a3\n unsettled\n other 2\n run 500\n back a1\n run 500\n"
-      "back a2\n back a3\n run 200\n settled\n run 3000\n show\n",
+      "lead 1\n vms a 6\n run 5000\n traffic\n disconnect a1\n disconnect a2\n"
+      "disconnect a3\n incomplete\n lead-other 2\n run 500\n back a1\n run "
+      "500\n"
+      "back a2\n back a3\n run 200\n complete\n run 3000\n show\n",
       FORMED "r1001 big is open: a1 a2 a3\n"
              "r1002 small is open: a4 a5\n"
              "a6 is warm for big\n");
@@ -471,8 +474,8 @@
 Test (form, a_leader_that_left_is_not_asked)
 {
   form_check (
-      "owner 1\n vms a 6\n run 5000\n traffic\n lose-all close\n drain a1\n"
-      "run 300\n lapse a1\n run 200\n show\n",
+      "lead 1\n vms a 6\n run 5000\n traffic\n lose-all close\n drain a1\n"
+      "run 300\n expire a1\n run 200\n show\n",
       FORMED "close r1001 a1\n"
              "leave r1001 a2\n"
              "leave r1001 a3\n"
@@ -490,20 +493,21 @@
  */
 Test (form, a_member_that_returns_to_a_closed_replica_is_free)
 {
-  form_check ("owner 1\n vms a 4\n run 5000\n traffic\n unlist a2\n run 3000\n"
-              "back a2\n run 300\n kill a3\n run 1500\n show\n",
-              "join r1001 big: a1 a2 a3\n"
-              "join s1002 big: a4\n"
-              "open r1001 a1\n"
-              "close cut r1001 a1\n"
-              "leave r1001 a1\n"
-              "join r1003 big: a1 a3 a4\n"
-              "open r1003 a1\n"
-              "close cut r1003 a1\n"
-              "leave r1003 a1\n"
-              "join r1004 big: a1 a4 a2\n"
-              "open r1004 a1\n"
-              "r1004 big is open: a1 a4 a2\n");
+  form_check (
+      "lead 1\n vms a 4\n run 5000\n traffic\n disconnect a2\n run 3000\n"
+      "back a2\n run 300\n kill a3\n run 1500\n show\n",
+      "join r1001 big: a1 a2 a3\n"
+      "join s1002 big: a4\n"
+      "open r1001 a1\n"
+      "close cut r1001 a1\n"
+      "leave r1001 a1\n"
+      "join r1003 big: a1 a3 a4\n"
+      "open r1003 a1\n"
+      "close cut r1003 a1\n"
+      "leave r1003 a1\n"
+      "join r1004 big: a1 a4 a2\n"
+      "open r1004 a1\n"
+      "r1004 big is open: a1 a4 a2\n");
 }
 
 /*
@@ -514,7 +518,7 @@
  */
 Test (form, a_list_that_is_seldom_read_costs_no_orders)
 {
-  form_check ("lists 4000\n owner 1\n vms a 6\n run 30000\n orders\n show\n",
+  form_check ("lists 4000\n lead 1\n vms a 6\n run 30000\n orders\n show\n",
               FORMED "8 orders\n"
                      "r1001 big is open: a1 a2 a3\n"
                      "r1002 small is open: a4 a5\n"
@@ -526,8 +530,8 @@
    Who has had an order of the new owner refuses it. */
 Test (form, a_replica_that_was_found_opens_once_its_members_know_the_owner)
 {
-  form_check ("other 1\n vms a 3\n lose-all open\n run 2600\n prompt\n"
-              "owner 2\n run 1000\n orders\n show\n",
+  form_check ("lead-other 1\n vms a 3\n lose-all open\n run 2600\n respond\n"
+              "lead 2\n run 1000\n orders\n show\n",
               "join r1001 big: a1 a2 a3\n"
               "open r1001 a1\n"
               "4 orders\n"
--- a/t/t6102-work.c
+++ b/t/t6102-work.c
@@ -9,7 +9,8 @@
 #include "t/lib-form.h"
 
 #define MODELS                                                                \
-  "quiet\n size big 16\n size small 4\n share big 50\n share small 50\n"      \
+  "no-order-log\n size big 16\n size small 4\n share big 50\n share small "   \
+  "50\n"                                                                      \
   "pace small 60\n"
 
 /*
@@ -21,7 +22,7 @@
  */
 Test (work, half_of_the_vms_are_for_each_model)
 {
-  form_check (MODELS "owner 1\n vms a 37\n vms b 37\n run 9000\n"
+  form_check (MODELS "lead 1\n vms a 37\n vms b 37\n run 9000\n"
                      "count a\n count b\n",
               "a: 1 big 5 small\n"
               "b: 1 big 5 small\n");
@@ -36,7 +37,7 @@
  */
 Test (work, what_is_left_of_small_replicas_completes_a_large_one)
 {
-  form_check (MODELS "hosts\n owner 1\n vms a 37\n run 9000\n traffic\n"
+  form_check (MODELS "host-memory\n lead 1\n vms a 37\n run 9000\n traffic\n"
                      "kill a2\n kill a3\n kill a4\n kill a17\n kill a18\n"
                      "kill a21\n run 3000\n count a\n",
               "a: 1 big 3 small\n");
@@ -51,12 +52,12 @@
  */
 Test (work, an_idle_replica_closes_for_one_that_is_missed)
 {
-  form_check (MODELS "hosts\n owner 1\n vms a 37\n run 9000\n traffic\n"
-                     "ask big 6\n ask small 16\n run 6000\n"
+  form_check (MODELS "host-memory\n lead 1\n vms a 37\n run 9000\n traffic\n"
+                     "demand big 6\n demand small 16\n run 6000\n"
                      "kill a2\n kill a3\n run 3000\n count a\n plan\n",
               "a: 1 big 4 small\n"
-              "big: wanted 1, formed 1, asked 5, yielded 0\n"
-              "small: wanted 4, formed 4, asked 13, yielded 1\n");
+              "big: wanted 1, formed 1, requests 5, reassigned 0\n"
+              "small: wanted 4, formed 4, requests 13, reassigned 1\n");
 }
 
 /*
@@ -66,8 +67,8 @@
  */
 Test (work, a_busy_replica_stays)
 {
-  form_check (MODELS "hosts\n owner 1\n vms a 37\n vms b 37\n run 9000\n"
-                     "traffic\n ask big 6\n ask small 76\n run 6000\n"
+  form_check (MODELS "host-memory\n lead 1\n vms a 37\n vms b 37\n run 9000\n"
+                     "traffic\n demand big 6\n demand small 76\n run 6000\n"
                      "kill a2\n kill a3\n run 3000\n count a\n count b\n",
               "a: 0 big 5 small\n"
               "b: 1 big 5 small\n");
@@ -79,8 +80,9 @@
  */
 Test (work, a_short_burst_moves_nothing)
 {
-  form_check (MODELS "hosts\n owner 1\n vms a 37\n run 9000\n traffic\n"
-                     "ask big 4\n ask small 16\n run 6000\n ask small 60\n"
-                     "run 3000\n ask small 16\n run 6000\n count a\n",
+  form_check (MODELS
+              "host-memory\n lead 1\n vms a 37\n run 9000\n traffic\n"
+              "demand big 4\n demand small 16\n run 6000\n demand small 60\n"
+              "run 3000\n demand small 16\n run 6000\n count a\n",
               "a: 1 big 5 small\n");
 }
