--- a/t/t6101-form.c
+++ b/t/t6101-form.c
@@ -1,12 +1,12 @@
 /*
- * The forming core against servers in memory that obey its orders; see
- * t/lib-form.h for the script.
+ * Runs the replica core against simulated servers; t/lib-form.h describes the
+ * script.
  */
 #include <criterion/criterion.h>
 
 #include "t/lib-form.h"
 
-/* What six VMs of a domain become. */
+/* Replicas formed from the six VMs of domain a. */
 #define FORMED                                                                \
   "join r1001 big: a1 a2 a3\n"                                                \
   "join r1002 small: a4 a5\n"                                                 \
@@ -15,8 +15,8 @@
   "open r1002 a4\n"
 
 /*
- * Servers of a domain register one after the other.  One replica of each model
- * is formed, and what is left loads a model and waits.
+ * Six servers of a domain register in two steps.  One replica of each model is
+ * formed, and the remaining VM loads a model as a warm spare.
  */
 Test (form, a_domain_is_filled)
 {
@@ -27,8 +27,9 @@
 }
 
 /*
- * Callers wait: a member of an open replica is gone.  The leader closes, the
- * warm spare takes the place, and the replica opens again within a second.
+ * A member of an open replica fails.  Its leader is closed, the warm spare
+ * replaces the member, and the replica opens again within a second, so that
+ * clients wait only briefly.
  */
 Test (form, a_lost_member_is_replaced_by_the_warm_spare)
 {
@@ -43,9 +44,10 @@
 }
 
 /*
- * The old owner told a leader to open and got no answer.  A member is lost, a
- * new owner forms another replica of the rest, and just then the old order is
- * carried out: the leader would be open in one replica and join the next.
+ * Guards against a late order to open.  The old leader node sent it and got no
+ * response.  A member fails, and the new leader node forms another replica
+ * from the rest.  If the old order were carried out then, the VM would be open
+ * in one replica while it joins another.
  */
 Test (form, an_order_to_open_that_comes_late_finds_nobody)
 {
@@ -62,8 +64,8 @@
 }
 
 /*
- * The same within one owner: the order to open is answered late, the leader is
- * told to close, says so, and then the late one opens it again.
+ * The same under one leader node: the leader accepts the close, and then the
+ * late order to open must not open it again.
  */
 Test (form, an_order_to_open_after_the_close_finds_nobody)
 {
@@ -81,8 +83,9 @@
 }
 
 /*
- * The leader falls silent while it may still take requests.  Its members leave
- * it, and only when it must have given up they join another replica.
+ * A leader becomes unreachable while it may still accept requests.  Its
+ * members leave it, and join another replica only after it must have stopped
+ * serving.
  */
 Test (form, members_of_a_silent_leader_wait_until_it_gave_up)
 {
@@ -101,9 +104,7 @@
               "r1003 big is open: a2 a3 a4\n");
 }
 
-/*
- * A new owner takes over what it finds and gives no order at all.
- */
+/* A new leader node adopts the existing replicas and sends no order. */
 Test (form, a_new_owner_changes_nothing)
 {
   form_check ("lead 1\n vms a 6\n run 5000\n lead-other 2\n run 3000\n show\n",
@@ -113,8 +114,8 @@
 }
 
 /*
- * Callers see nothing move at a replica.  The members are asked; the one that
- * does not answer counts as missing though the list still names it.
+ * Requests at a replica make no progress.  Its members are probed; one without
+ * a response is treated as missing although it is still listed.
  */
 Test (form, a_stalled_replica_is_mended_before_the_list_tells)
 {
@@ -131,8 +132,8 @@
 }
 
 /*
- * The same leader comes back, open still and without its members.  It closes
- * and leaves before it becomes a member of anything else.
+ * An unreachable leader returns, still open and without its members.  It is
+ * closed and leaves its replica before it joins another one.
  */
 Test (form, a_leader_that_comes_back_is_closed_first)
 {
@@ -151,9 +152,10 @@
 }
 
 /*
- * All nodes and the store were away, and entries lapsed.  The new owner's
- * first list names two members of an open replica and not its leader; they are
- * no spares.  When the leader is listed again nothing has been ordered.
+ * All nodes and the store were unavailable, and entries expired.  The first
+ * list of the new leader node contains two members of an open replica but not
+ * its leader.  The members must not be used as spares: when the leader is
+ * listed again, no order has been sent.
  */
 Test (form, members_listed_before_their_leader_are_no_spares)
 {
@@ -166,8 +168,9 @@
 }
 
 /*
- * Callers notice nothing: a member can't reach the store, so that its entry
- * lapses, but it works on.  The replica stays open; later the entry is back.
+ * A member can't reach the store, so its entry expires, but it continues to
+ * serve.  The replica stays open, also when the entry is back, and clients
+ * notice nothing.
  */
 Test (form, a_member_that_lapses_and_works_on_is_kept)
 {
@@ -182,9 +185,8 @@
 }
 
 /*
- * Streams stand still: the member whose entry had lapsed ends after all, as
- * one does that leaves without a word.  Within a second of that it is replaced
- * by the warm spare.
+ * A member whose entry had expired stops without deregistering, as one that is
+ * killed does, and streams stall.  The warm spare replaces it within a second.
  */
 Test (form, a_lapsed_member_that_ends_is_replaced)
 {
@@ -202,9 +204,10 @@
 }
 
 /*
- * A leader's entry lapses.  No new call may go there, so the replica closes:
- * what runs gets some time, then the leader leaves.  It answers orders, so
- * nobody has to wait until it must have given up by itself.
+ * A leader's entry expires, so that it may get no new requests and its replica
+ * is closed.  Running requests get some time, then the leader leaves.  It
+ * responds to orders, so the members need not wait until it must have stopped
+ * serving.
  */
 Test (form, a_lapsed_leader_closes_and_leaves)
 {
@@ -219,9 +222,9 @@
 }
 
 /*
- * The owner changes while a member's entry has lapsed.  The new one can't ask
- * whom it has never seen, and changes nothing; it closes the replica once
- * callers see nothing move there.
+ * The leader node changes while the entry of a member is expired.  The new one
+ * can't probe a member that it has never seen, and changes nothing.  It closes
+ * the replica after nodes report that requests there make no progress.
  */
 Test (form, a_new_owner_keeps_a_replica_with_a_lapsed_member)
 {
@@ -241,10 +244,10 @@
 }
 
 /*
- * Callers see a replica stand still: a member has started again under its id.
- * It is listed at once, with nothing of before, so it is no member any more:
- * the replica is closed and formed again, and of the same VMs, since the new
- * life joins like any other.
+ * A member restarts under its id, and requests at its replica stall.  It is
+ * listed at once but has lost its state, so it no longer counts as a member.
+ * The replica is closed and formed again from the same VMs, because the new
+ * incarnation joins like any other VM.
  */
 Test (form, a_member_that_starts_again_is_a_new_server)
 {
@@ -260,8 +263,8 @@
 }
 
 /*
- * The same with the leader: that its process has started again proves that it
- * leads nothing, so its members wait for nobody.
+ * The same for a leader: its restart proves that it no longer leads the
+ * replica, so the members don't wait for it.
  */
 Test (form, a_leader_that_starts_again_has_given_up)
 {
@@ -276,10 +279,10 @@
 }
 
 /*
- * An order to join is answered late, again and again, and its VM starts again
- * meanwhile.  The old replica's leader can't be closed for a while; were the
- * new life used for another replica at once, the late order could make it a
- * member of the open one right before.
+ * Guards against a late order to join.  It is delayed repeatedly, and its VM
+ * restarts in the meantime, while the leader of the old replica can't be
+ * closed.  If the new incarnation were used for another replica at once, the
+ * late order could make it a member of the old replica while that one is open.
  */
 Test (form, a_new_life_waits_until_its_old_replica_is_over)
 {
@@ -300,9 +303,9 @@
 }
 
 /*
- * Callers of both models come.  Each domain has room for a replica of either,
- * not of both, and were each planned by itself all would choose the same: one
- * model would be served nowhere.
+ * Each domain has room for a replica of either model, but not of both.  If
+ * each domain were planned independently, all would choose the same model, and
+ * the other model would have no replica.
  */
 Test (form, domains_too_small_for_both_models_share_them)
 {
@@ -321,9 +324,10 @@
 }
 
 /*
- * The same, and callers are there.  Two VMs of the small model's domain are
- * lost, and blank ones come for them.  They load the model that their domain
- * is for, and its replica is back; for the large one they would wait for good.
+ * The same with traffic.  Two VMs of the small model's domain fail and are
+ * replaced by empty ones.  These load the model that the domain is dedicated
+ * to, and its replica is formed again; if they loaded the large model, it
+ * would stay incomplete.
  */
 Test (form, a_small_domain_keeps_its_model)
 {
@@ -348,9 +352,9 @@
 }
 
 /*
- * Servers register a few at a time over a second.  Were replicas formed of
- * those that are there, the small model would take the VMs of the large one,
- * and its callers would be refused all day.
+ * Servers register a few at a time over a second.  If replicas were formed
+ * from the first ones, the small model would take the VMs of the large one,
+ * whose requests would be rejected all day.
  */
 Test (form, replicas_wait_until_all_have_registered)
 {
@@ -362,11 +366,11 @@
 }
 
 /*
- * Callers get events that only a whole replica may make.  A leader has been
- * told to join, its two members' orders are on their way for seconds, and the
- * next owner takes over.  It finds a leader alone, which reports no model as
- * long as it gets ready: nobody knows then how many members it lacks, and it
- * must not be opened.
+ * Guards against opening an incomplete replica, which may not produce events.
+ * A leader accepted its order to join, the orders to its two members are
+ * delayed for seconds, and the leader node changes.  The new one finds the
+ * leader alone.  As the leader reports no model until it is ready, the number
+ * of missing members is unknown, and it must not be opened.
  */
 Test (form, a_leader_found_alone_is_not_opened)
 {
@@ -379,9 +383,9 @@
 }
 
 /*
- * Callers of one model lose a replica.  The spare is warm for the other model,
- * but before there were callers each host has taken the other model's weights
- * into its memory: the replica is back at once, not after a load.
+ * One model loses a replica, and the spare is warm for the other model.
+ * Before there was traffic, each host preloaded the other model, so the
+ * replica is formed again at once, without a load.
  */
 Test (form, a_spare_serves_either_model)
 {
@@ -397,11 +401,11 @@
 }
 
 /*
- * Callers of the large model have lost both replicas: each domain has two VMs
- * warm for it and nobody that could take the third place before a load of many
- * seconds.  The four wait, as a replica across the domains would be late with
- * every request; when a VM comes to one of the domains it loads the model, and
- * the replica there is formed at once.
+ * Both replicas of the large model are lost: each domain has two VMs that are
+ * warm for it, and none that could complete the replica before a load of many
+ * seconds.  The four VMs wait, because a replica across the domains would be
+ * late with each request.  When a VM appears in one of the domains it loads
+ * the model, and the replica there is formed at once.
  */
 Test (form, leftovers_of_two_domains_wait_for_their_own)
 {
@@ -433,9 +437,10 @@
 }
 
 /*
- * All nodes were away for a moment and a member died meanwhile.  Whether the
- * list is whole is not known yet; but the replica that lacks the member, and
- * the spare, are listed.  Callers don't wait two seconds more for the repair.
+ * All nodes were unavailable for a moment, and a member failed in the
+ * meantime.  The list is not known to be complete yet, but the other members
+ * and the spare are listed.  The repair must not wait two seconds for a
+ * complete list.
  */
 Test (form, what_is_listed_is_repaired_before_the_list_settles)
 {
@@ -452,7 +457,8 @@
 
 /*
  * After an outage of the store a leader is listed before its members.  It is
- * open and its replica whole: nothing is closed, whoever is listed first.
+ * open and its replica complete, so nothing is closed, in whichever order the
+ * members appear.
  */
 Test (form, a_leader_listed_before_its_members_stays_open)
 {
@@ -467,9 +473,10 @@
 }
 
 /*
- * A leader said that it leaves, and its entry goes while it is being closed:
- * it has left.  Nobody asks it first; its members leave at once, as the wait
- * until it must have given up begins only then.
+ * A leader reported that it is draining, and its entry disappears while it is
+ * being closed, so it has shut down.  It isn't probed first: its members leave
+ * at once, because the wait until it must have stopped serving starts only
+ * after that.
  */
 Test (form, a_leader_that_left_is_not_asked)
 {
@@ -485,11 +492,10 @@
 }
 
 /*
- * Callers of the large model wait: a member was cut off, its replica was
- * closed and formed again with the spare, and then another member dies.  The
- * one that was cut off is back and still reports the old replica; as that
- * one's leader was told to leave it, the member takes the dead one's place at
- * once.
+ * A member was disconnected, and its replica was closed and formed again with
+ * the spare; then another member fails.  The disconnected member is back and
+ * still reports the old replica.  Since that replica's leader was ordered to
+ * leave, the returned member replaces the failed one at once.
  */
 Test (form, a_member_that_returns_to_a_closed_replica_is_free)
 {
@@ -511,10 +517,9 @@
 }
 
 /*
- * Callers of a fleet of thousands of servers find no replica: the list is read
- * every four seconds, and a replica that had been opened was closed again as
- * it did not show there in time.  Each server gets one order for each step,
- * and what is open stays so.
+ * With thousands of servers the list is read every four seconds.  A replica
+ * that had opened was closed again because the list didn't show it in time.
+ * Each server gets one order for each step, and open replicas stay open.
  */
 Test (form, a_list_that_is_seldom_read_costs_no_orders)
 {
@@ -525,9 +530,12 @@
                      "a6 is warm for big\n");
 }
 
-/* Guards against a member that an owner in between took for free: its late
-   join to another replica takes the member out of this one once it is open.
-   Who has had an order of the new owner refuses it. */
+/*
+ * Guards against a member that an intermediate leader node considered free:
+ * its late order to join another replica removes the member from this replica
+ * after it has opened.  A VM that has accepted an order of the new leader node
+ * rejects the late one.
+ */
 Test (form, a_replica_that_was_found_opens_once_its_members_know_the_owner)
 {
   form_check ("lead-other 1\n vms a 3\n lose-all open\n run 2600\n respond\n"
--- a/t/t6102-work.c
+++ b/t/t6102-work.c
@@ -1,8 +1,8 @@
 /*
- * Which model gets the VMs, seen by the forming core: domains of 37 VMs, a
- * large model of 16 and a small one of 4 that each take half of the VMs' work.
- * A request to the large model occupies its replica for longer, so ten times
- * as many come for the small one.
+ * Tests how the replica core divides VMs between models: domains of 37 VMs, a
+ * large model of 16 VMs and a small one of 4, each with half of the VMs' work.
+ * A request to the large model occupies its replica for longer, so the small
+ * model gets ten times as many requests.
  */
 #include <criterion/criterion.h>
 
@@ -14,11 +14,12 @@
   "pace small 60\n"
 
 /*
- * Callers of the small model are refused: a replica of it works a little
- * faster than one of the large model, so that counted by replicas one of it
- * had as much to give as one of the large, and each domain held two of the
- * large and one of the small.  A share is of the VMs' work, and four small
- * replicas take as many VMs as one of the large.
+ * Guards against dividing the work by replicas.  A replica of the small model
+ * works a little faster than one of the large model, so counted by replicas it
+ * provided as much as a large one; each domain held two large replicas and one
+ * small one, and requests to the small model were rejected.  A share refers to
+ * the work of the VMs, and four small replicas take as many VMs as a large
+ * one.
  */
 Test (work, half_of_the_vms_are_for_each_model)
 {
@@ -29,11 +30,10 @@
 }
 
 /*
- * Callers of the large model wait: its replica has lost more VMs than there
- * are to spare, and two small replicas have lost a member each.  What is left
- * of these could only wait for loads; as the hosts of their members took the
- * large model's weights before there was traffic, it completes the large
- * replica within seconds.
+ * A large replica has lost more VMs than the reserve, and two small replicas
+ * have lost a member each.  The remaining VMs of the small replicas could only
+ * wait for loads.  As their hosts preloaded the large model before there was
+ * traffic, they complete the large replica within seconds.
  */
 Test (work, what_is_left_of_small_replicas_completes_a_large_one)
 {
@@ -44,11 +44,11 @@
 }
 
 /*
- * Callers of the large model wait: its only replica has lost two members, and
- * one VM was to spare.  Beside it five replicas of the small model have more
- * slots than requests.  One of them closes, and its VMs, whose hosts keep the
- * large model's weights, complete the large replica within three seconds; a
- * load would take many.
+ * The only replica of the large model has lost two members, and the reserve is
+ * one VM.  The domain's five small replicas have more slots than requests.
+ * One of them is closed, and its VMs, whose hosts hold the large model's
+ * weights, complete the large replica within three seconds, while a load would
+ * take much longer.
  */
 Test (work, an_idle_replica_closes_for_one_that_is_missed)
 {
@@ -61,9 +61,9 @@
 }
 
 /*
- * The same, but the small model's callers need all of its replicas: one less
- * would make them wait more than those of the large model do.  Nothing closes;
- * the large replica waits for loads.
+ * The same, but the small model needs all its replicas: with one less, its
+ * requests would wait longer than those of the large model.  Nothing is
+ * closed; the large replica waits for loads.
  */
 Test (work, a_busy_replica_stays)
 {
@@ -75,8 +75,8 @@
 }
 
 /*
- * The small model's callers come in a burst of three seconds that takes all of
- * its slots, while the large model's replica is whole.  Nothing moves.
+ * Requests to the small model take all its slots for a burst of three seconds,
+ * while the large replica is complete.  No VM is reassigned.
  */
 Test (work, a_short_burst_moves_nothing)
 {
