--- a/t/t6101-form.c
+++ b/t/t6101-form.c
@@ -18,7 +18,7 @@
  * Six servers of a domain register in two steps.  One replica of each model is
  * formed, and the remaining VM loads a model as a warm spare.
  */
-Test (form, a_domain_is_filled)
+Test (form, forms_a_replica_of_each_model_and_a_spare)
 {
   form_check ("lead 1\n vms a 3\n run 100\n vms a 3\n run 5000\n show\n",
               FORMED "r1001 big is open: a1 a2 a3\n"
@@ -49,7 +49,7 @@
  * from the rest.  If the old order were carried out then, the VM would be open
  * in one replica while it joins another.
  */
-Test (form, an_order_to_open_that_comes_late_finds_nobody)
+Test (form, late_order_to_open_is_rejected_after_leader_change)
 {
   form_check (
       "lead 1\n vms a 4\n late-all open\n run 2600\n respond\n kill a2\n"
@@ -67,7 +67,7 @@
  * The same under one leader node: the leader accepts the close, and then the
  * late order to open must not open it again.
  */
-Test (form, an_order_to_open_after_the_close_finds_nobody)
+Test (form, late_order_to_open_is_rejected_after_close)
 {
   form_check ("lead 1\n vms a 4\n late-all open\n run 2600\n respond\n"
               "kill a2\n apply-on-join\n"
@@ -87,7 +87,7 @@
  * members leave it, and join another replica only after it must have stopped
  * serving.
  */
-Test (form, members_of_a_silent_leader_wait_until_it_gave_up)
+Test (form, members_of_unreachable_leader_wait_until_it_stopped)
 {
   form_check ("lead 1\n vms a 4\n run 3000\n disconnect a1\n run 1500\n show\n"
               "run 1500\n show\n",
@@ -105,7 +105,7 @@
 }
 
 /* A new leader node adopts the existing replicas and sends no order. */
-Test (form, a_new_owner_changes_nothing)
+Test (form, a_new_leader_node_changes_nothing)
 {
   form_check ("lead 1\n vms a 6\n run 5000\n lead-other 2\n run 3000\n show\n",
               FORMED "r1001 big is open: a1 a2 a3\n"
@@ -117,7 +117,7 @@
  * Requests at a replica make no progress.  Its members are probed; one without
  * a response is treated as missing although it is still listed.
  */
-Test (form, a_stalled_replica_is_mended_before_the_list_tells)
+Test (form, a_stalled_replica_is_repaired_before_the_list_changes)
 {
   form_check ("lead 1\n vms a 4\n run 5000\n traffic\n hang a3\n"
               "stalled a1\n run 1500\n show\n",
@@ -135,7 +135,7 @@
  * An unreachable leader returns, still open and without its members.  It is
  * closed and leaves its replica before it joins another one.
  */
-Test (form, a_leader_that_comes_back_is_closed_first)
+Test (form, a_returning_leader_is_closed_first)
 {
   form_check ("lead 1\n vms a 4\n run 3000\n disconnect a1\n run 3000\n"
               "back a1\n run 3000\n show\n",
@@ -157,7 +157,7 @@
  * its leader.  The members must not be used as spares: when the leader is
  * listed again, no order has been sent.
  */
-Test (form, members_listed_before_their_leader_are_no_spares)
+Test (form, members_listed_before_their_leader_are_not_spares)
 {
   form_check ("lead 1\n vms a 6\n run 5000\n disconnect a1\n disconnect a2\n"
               "incomplete\n lead-other 2\n run 500\n complete\n run 500\n"
@@ -172,7 +172,7 @@
  * serve.  The replica stays open, also when the entry is back, and clients
  * notice nothing.
  */
-Test (form, a_member_that_lapses_and_works_on_is_kept)
+Test (form, a_serving_member_with_expired_entry_is_kept)
 {
   form_check ("lead 1\n vms a 6\n run 5000\n traffic\n expire a2\n run 5000\n"
               "show\n back a2\n run 1000\n show\n",
@@ -188,7 +188,7 @@
  * A member whose entry had expired stops without deregistering, as one that is
  * killed does, and streams stall.  The warm spare replaces it within a second.
  */
-Test (form, a_lapsed_member_that_ends_is_replaced)
+Test (form, a_stopped_member_with_expired_entry_is_replaced)
 {
   form_check ("lead 1\n vms a 6\n run 5000\n traffic\n expire a2\n run 2000\n"
               "show\n kill a2\n run 2000\n show\n",
@@ -209,7 +209,7 @@
  * responds to orders, so the members need not wait until it must have stopped
  * serving.
  */
-Test (form, a_lapsed_leader_closes_and_leaves)
+Test (form, a_leader_with_expired_entry_closes_and_leaves)
 {
   form_check ("lead 1\n vms a 6\n run 5000\n traffic\n expire a1\n run 4000\n"
               "show\n",
@@ -226,7 +226,7 @@
  * can't probe a member that it has never seen, and changes nothing.  It closes
  * the replica after nodes report that requests there make no progress.
  */
-Test (form, a_new_owner_keeps_a_replica_with_a_lapsed_member)
+Test (form, a_new_leader_node_keeps_a_replica_with_an_expired_member)
 {
   form_check (
       "lead 1\n vms a 6\n run 5000\n traffic\n expire a2\n run 500\n"
@@ -249,7 +249,7 @@
  * The replica is closed and formed again from the same VMs, because the new
  * incarnation joins like any other VM.
  */
-Test (form, a_member_that_starts_again_is_a_new_server)
+Test (form, a_restarted_member_is_a_new_server)
 {
   form_check ("lead 1\n vms a 3\n run 5000\n traffic\n restart a2\n"
               "run 4000\n show\n",
@@ -266,7 +266,7 @@
  * The same for a leader: its restart proves that it no longer leads the
  * replica, so the members don't wait for it.
  */
-Test (form, a_leader_that_starts_again_has_given_up)
+Test (form, a_restarted_leader_leads_no_replica)
 {
   form_check ("lead 1\n vms a 4\n run 5000\n traffic\n restart a1\n run 600\n"
               "show\n",
@@ -284,7 +284,7 @@
  * closed.  If the new incarnation were used for another replica at once, the
  * late order could make it a member of the old replica while that one is open.
  */
-Test (form, a_new_life_waits_until_its_old_replica_is_over)
+Test (form, a_restarted_member_waits_until_its_old_replica_ended)
 {
   form_check ("lead 1\n vms a 6\n run 5000\n traffic\n late-all close\n"
               "restart a2\n run 1000\n show\n respond\n run 4000\n show\n",
@@ -307,7 +307,7 @@
  * each domain were planned independently, all would choose the same model, and
  * the other model would have no replica.
  */
-Test (form, domains_too_small_for_both_models_share_them)
+Test (form, small_domains_are_dedicated_to_different_models)
 {
   form_check ("lead 1\n vms a 4\n vms b 4\n run 5000\n show\n",
               "join r1001 big: a1 a2 a3\n"
@@ -356,7 +356,7 @@
  * from the first ones, the small model would take the VMs of the large one,
  * whose requests would be rejected all day.
  */
-Test (form, replicas_wait_until_all_have_registered)
+Test (form, replicas_are_formed_after_all_servers_registered)
 {
   form_check ("lead 1\n vms a 2\n run 100\n vms a 1\n run 100\n vms a 1\n"
               "run 100\n vms a 2\n run 5000\n show\n",
@@ -372,7 +372,7 @@
  * leader alone.  As the leader reports no model until it is ready, the number
  * of missing members is unknown, and it must not be opened.
  */
-Test (form, a_leader_found_alone_is_not_opened)
+Test (form, an_adopted_leader_without_members_is_not_opened)
 {
   form_check ("vms a 3\n hang a2\n hang a3\n lead 1\n run 300\n lead-other 2\n"
               "run 6000\n show\n",
@@ -407,7 +407,7 @@
  * late with each request.  When a VM appears in one of the domains it loads
  * the model, and the replica there is formed at once.
  */
-Test (form, leftovers_of_two_domains_wait_for_their_own)
+Test (form, no_replica_spans_two_domains)
 {
   form_check ("lead 1\n vms a 6\n vms b 6\n run 5000\n traffic\n"
               "kill a6\n kill b6\n kill a3\n kill b3\n run 5000\n show\n"
@@ -442,7 +442,7 @@
  * and the spare are listed.  The repair must not wait two seconds for a
  * complete list.
  */
-Test (form, what_is_listed_is_repaired_before_the_list_settles)
+Test (form, listed_replicas_are_repaired_before_the_list_is_complete)
 {
   form_check (
       "lead 1\n vms a 6\n run 5000\n traffic\n incomplete\n lead-other 2\n"
@@ -478,7 +478,7 @@
  * at once, because the wait until it must have stopped serving starts only
  * after that.
  */
-Test (form, a_leader_that_left_is_not_asked)
+Test (form, a_drained_leader_is_not_probed)
 {
   form_check (
       "lead 1\n vms a 6\n run 5000\n traffic\n lose-all close\n drain a1\n"
@@ -521,7 +521,7 @@
  * that had opened was closed again because the list didn't show it in time.
  * Each server gets one order for each step, and open replicas stay open.
  */
-Test (form, a_list_that_is_seldom_read_costs_no_orders)
+Test (form, a_slow_list_causes_no_repeated_orders)
 {
   form_check ("lists 4000\n lead 1\n vms a 6\n run 30000\n orders\n show\n",
               FORMED "8 orders\n"
@@ -536,7 +536,7 @@
  * after it has opened.  A VM that has accepted an order of the new leader node
  * rejects the late one.
  */
-Test (form, a_replica_that_was_found_opens_once_its_members_know_the_owner)
+Test (form, an_adopted_replica_opens_after_members_accepted_the_new_fence)
 {
   form_check ("lead-other 1\n vms a 3\n lose-all open\n run 2600\n respond\n"
               "lead 2\n run 1000\n orders\n show\n",
--- a/t/t6102-work.c
+++ b/t/t6102-work.c
@@ -21,7 +21,7 @@
  * the work of the VMs, and four small replicas take as many VMs as a large
  * one.
  */
-Test (work, half_of_the_vms_are_for_each_model)
+Test (work, vms_are_divided_by_share)
 {
   form_check (MODELS "lead 1\n vms a 37\n vms b 37\n run 9000\n"
                      "count a\n count b\n",
@@ -35,7 +35,7 @@
  * wait for loads.  As their hosts preloaded the large model before there was
  * traffic, they complete the large replica within seconds.
  */
-Test (work, what_is_left_of_small_replicas_completes_a_large_one)
+Test (work, members_of_broken_replicas_complete_a_large_one)
 {
   form_check (MODELS "host-memory\n lead 1\n vms a 37\n run 9000\n traffic\n"
                      "kill a2\n kill a3\n kill a4\n kill a17\n kill a18\n"
@@ -50,7 +50,7 @@
  * weights, complete the large replica within three seconds, while a load would
  * take much longer.
  */
-Test (work, an_idle_replica_closes_for_one_that_is_missed)
+Test (work, an_idle_replica_is_closed_for_a_missing_one)
 {
   form_check (MODELS "host-memory\n lead 1\n vms a 37\n run 9000\n traffic\n"
                      "demand big 6\n demand small 16\n run 6000\n"
@@ -65,7 +65,7 @@
  * requests would wait longer than those of the large model.  Nothing is
  * closed; the large replica waits for loads.
  */
-Test (work, a_busy_replica_stays)
+Test (work, a_busy_replica_is_not_closed)
 {
   form_check (MODELS "host-memory\n lead 1\n vms a 37\n vms b 37\n run 9000\n"
                      "traffic\n demand big 6\n demand small 76\n run 6000\n"
@@ -78,7 +78,7 @@
  * Requests to the small model take all its slots for a burst of three seconds,
  * while the large replica is complete.  No VM is reassigned.
  */
-Test (work, a_short_burst_moves_nothing)
+Test (work, a_short_burst_reassigns_no_vms)
 {
   form_check (MODELS
               "host-memory\n lead 1\n vms a 37\n run 9000\n traffic\n"
