--- a/t/lib-domain.c
+++ b/t/lib-domain.c
@@ -19,7 +19,7 @@
   int64_t generation;
   bool unloaded;
   clk_ms ready_at;
-  clk_ms changed_at; /* it last stopped being what it was */
+  clk_ms changed_at; /* last change of its state */
   uint32_t load;
   int64_t fence;
 };
@@ -29,7 +29,7 @@
   struct dom_options opt;
   struct rep *reps[2];
   size_t nreps;
-  size_t current; /* index of the core that the script speaks to */
+  size_t current; /* index of the core that script lines refer to */
   int64_t owner_rev;
   struct cfg *cfg;
   clk_ms now;
@@ -191,7 +191,7 @@
 {
   struct asn a = { 0 };
 
-  cr_assert (asn_parse (value, &a), "a VM stands twice: %.*s",
+  cr_assert (asn_parse (value, &a), "invalid assignment: %.*s",
              STR_ARG (value));
   buf_addf (&d->log, "%lld %swrite", (long long)d->now,
             rep == d->reps[0] ? "" : "(2) ");
@@ -286,7 +286,7 @@
     }
 }
 
-/* Orders first: their strings are valid only until the next event. */
+/* Handles orders first: their strings are valid only until the next event. */
 static void
 take_orders (struct dom *d, struct rep *rep, const struct rep_action *a,
              size_t n)
@@ -369,7 +369,7 @@
     }
 }
 
-/* True when the verb is an event of the core. */
+/* Returns true if the verb is an event of the core. */
 static bool
 parse_core_event (const char *verb, char **args, struct rep_event *ev)
 {
@@ -455,7 +455,7 @@
   return buf_c (&d->log);
 }
 
-/* Whether the VM is this member now, or was within the evidence time. */
+/* Whether the VM is this member, or was within the evidence time. */
 static bool
 was_member (const struct dom *d, const struct fake_vm *vm,
             const struct rep_replica *p)
--- a/t/lib-domain.h
+++ b/t/lib-domain.h
@@ -1,24 +1,28 @@
 /**
  * @file
- * A fabric domain for tests of replica/replica.h: VMs, the assignment key and
- * one owner, driven by a script of events; what happens comes out as text.
+ * Simulated fabric domain for tests of replica/replica.h: VMs, the assignment
+ * key and one owner, driven by a script of events.  The log is text.
  *
- * Lines "TIME VERB ARG...", TIME in milliseconds.  Between two lines the core
- * is ticked every 100 ms, probes are answered at once and orders obeyed.
- *   owner FENCE | unowner       this node owns the domain, or not any more
- *   kill VM | dead VM           refuses connections | is silent as well
- *   start VM REPLICA GEN        answers again, as its engine says ("-": none)
- *   blank VM                    answers again, holding no weights
- *   work VM N                   N tokens in flight
- *   leaving VM | listed VM      by the platform's list
+ * Script lines have the form "TIME VERB ARG...", with TIME in milliseconds.
+ * Between two lines the core is ticked every 100 ms; probes get a response at
+ * once and orders are carried out.
+ *   owner FENCE | unowner       this node becomes the domain's owner, or stops
+ *                               being it
+ *   kill VM | dead VM           refuses connections | doesn't respond either
+ *   start VM REPLICA GEN        responds again as a member of that replica
+ *                               ("-": of none)
+ *   blank VM                    responds again, without weights
+ *   work VM N                   has N tokens in flight
+ *   leaving VM | listed VM      state of the VM in the platform's list
  *   drain R | undrain R
- *   late VM REPLICA GEN FENCE   an old owner's load order arrives
- *   store up|down|lost|race     next writes: normal, refused, applied with the
- *                               answer lost, beaten by another writer
- *   usurp FENCE                 somebody else wrote the owner key
+ *   late VM REPLICA GEN FENCE   a load order of an earlier owner arrives
+ *   store up|down               writes are applied | refused from now on
+ *   store lost|race             the next write is applied without a response |
+ *                               loses to another writer
+ *   usurp FENCE                 another node wrote the owner key
  *   accept                      the later configuration comes into force
- *   as 1|2                      which of two cores the next lines are for
- *   run                         nothing
+ *   as 1|2                      selects the core that the next lines refer to
+ *   run                         no event; only advances the time
  */
 #ifndef LAPISLINE_T_LIB_DOMAIN_H
 #define LAPISLINE_T_LIB_DOMAIN_H
@@ -28,11 +32,11 @@
 struct dom_options
 {
   const char *config; /**< JSON; the domain is "d" */
-  const char *later;  /**< with the same VMs, or NULL */
+  const char *later;  /**< later configuration with the same VMs, or NULL */
   bool checks_fence;
   bool no_budget;
-  clk_ms load_ms; /**< of one VM */
-  bool two;       /**< a second core over the same VMs and store */
+  clk_ms load_ms; /**< time that one VM takes to load */
+  bool two;       /**< run a second core over the same VMs and store */
 };
 
 struct dom;
@@ -40,24 +44,28 @@
 struct dom *dom_new (const struct dom_options *opt, uint64_t seed);
 void dom_free (struct dom *d);
 
-/** One script line without its time. */
+/** Runs one script line, given without its time. */
 void dom_do (struct dom *d, const char *line);
 
-/** Tick until @p to. */
+/** Ticks the cores until @p to. */
 void dom_until (struct dom *d, clk_ms to);
 
 clk_ms dom_now (const struct dom *d);
 unsigned dom_orders (const struct dom *d);
 
-/** How many VMs obeyed a load order for a replica that the assignment did not
-    give them at that moment. */
+/**
+ * Number of load orders that a VM carried out for a replica to which it was
+ * not assigned at that moment.
+ */
 unsigned dom_wrong_loads (const struct dom *d);
 
-/** Members of replicas that a core shows as whole, though they have not been
-    right for longer than the evidence time. */
+/**
+ * Number of members, in replicas that a core shows as whole, that have not
+ * been valid for longer than the evidence time.
+ */
 unsigned dom_false_whole (struct dom *d);
 
-/** Run @p script in a new domain and compare the log. */
+/** Runs @p script in a new domain and compares the log with @p want. */
 void dom_check (const struct dom_options *opt, const char *script,
                 const char *want);
 
--- a/t/lib-form.c
+++ b/t/lib-form.c
@@ -511,7 +511,7 @@
   else if (strcmp (word, "broken") == 0)
     vm->part = BKS_BROKEN;
   else
-    cr_assert (false, "no such word: %s", word);
+    cr_assert (false, "unknown script verb: %s", word);
 }
 
 static void
