--- a/serve/form-stage.c
+++ b/serve/form-stage.c
@@ -128,18 +128,18 @@
 static void
 preload_domain (struct frm *f, struct frm_domain *d)
 {
-  bool members;
+  bool include_members;
 
   if (d->s->host_keeps == 0 || d->s->nmodels < 2)
     return;
   frm_plan_domain (f, d);
-  members = !f->traffic && survives_restart (f, d);
+  include_members = !f->traffic && survives_restart (f, d);
   for (size_t i = 0; i < f->nvms; i++)
     {
       struct frm_vm *vm = f->vms[i];
       const struct tbl_model *m;
       if (!frm_in_domain (vm, d) || !may_preload (f, vm)
-          || (is_member (vm) && !members))
+          || (is_member (vm) && !include_members))
         continue;
       if (!has_load_capacity (f, d->s))
         return;
--- a/serve/form-yield.c
+++ b/serve/form-yield.c
@@ -12,11 +12,11 @@
  */
 
 /**
- * The utilization of the busier model must fall below this fraction of its
- * current value: closing a replica moves requests to other replicas, and the
- * known demand is only an average.
+ * Reassignment must lower the utilization of the busier model below this
+ * fraction of its current value: closing a replica moves requests to other
+ * replicas, and the known demand is only an average.
  */
-#define MIN_IMPROVEMENT 0.85
+#define MAX_UTILIZATION_RATIO 0.85
 
 /** Counts the replicas of each model over all domains of a service. */
 static void
@@ -36,22 +36,22 @@
 }
 
 /**
- * Whether closing @p closed replicas of model @p a for one of @p b lowers the
- * utilization of the busier of the two.
+ * Whether closing @p closed replicas of model @p donor for one of @p receiver
+ * lowers the utilization of the busier of the two.
  */
 static bool
 lowers_peak_utilization (const struct frm *f, const struct tbl_service *s,
-                         const unsigned *n, size_t a, unsigned closed,
-                         size_t b)
+                         const unsigned *n, size_t donor, unsigned closed,
+                         size_t receiver)
 {
-  double donor_now = frm_utilization (f, s, a, n[a]);
-  double receiver_now = frm_utilization (f, s, b, n[b]);
-  double donor_then = frm_utilization (f, s, a, n[a] - closed);
-  double receiver_then = frm_utilization (f, s, b, n[b] + 1);
+  double donor_now = frm_utilization (f, s, donor, n[donor]);
+  double receiver_now = frm_utilization (f, s, receiver, n[receiver]);
+  double donor_then = frm_utilization (f, s, donor, n[donor] - closed);
+  double receiver_then = frm_utilization (f, s, receiver, n[receiver] + 1);
   double now = donor_now > receiver_now ? donor_now : receiver_now;
   double then = donor_then > receiver_then ? donor_then : receiver_then;
 
-  return then < now * MIN_IMPROVEMENT;
+  return then < now * MAX_UTILIZATION_RATIO;
 }
 
 /**
@@ -96,15 +96,16 @@
 }
 
 /**
- * Closes replicas of model @p a until their VMs suffice for one of @p b.
+ * Closes replicas of model @p donor until their VMs suffice for one of @p
+ * receiver.
  * @param dry_run  only count the replicas that would be closed
  * @return number of replicas closed; 0: their VMs don't suffice
  */
 static unsigned
-close_replicas_for (struct frm *f, const struct frm_domain *d, size_t a,
-                    size_t b, bool dry_run)
+close_replicas_for (struct frm *f, const struct frm_domain *d, size_t donor,
+                    size_t receiver, bool dry_run)
 {
-  const struct tbl_model *m = &d->s->models[b];
+  const struct tbl_model *m = &d->s->models[receiver];
   unsigned vms = count_available_warm (f, d, m->name);
   unsigned closed = 0;
 
@@ -112,7 +113,7 @@
     {
       struct frm_replica *r = f->replicas[i];
       if (r->spare || r->phase != FRM_PH_OPEN || !frm_replica_in_domain (r, d)
-          || !str_is (d->s->models[a].name, r->model))
+          || !str_is (d->s->models[donor].name, r->model))
         continue;
       vms += count_warm_members (f, r, m->name);
       closed++;
@@ -125,21 +126,23 @@
 }
 
 static void
-reassign_to_model (struct frm *f, struct frm_domain *d, size_t b)
+reassign_to_model (struct frm *f, struct frm_domain *d, size_t receiver)
 {
   unsigned n[FRM_MAX_MODELS];
 
   count_replicas_by_model (f, d->s, n);
-  for (size_t a = 0; a < d->s->nmodels && a < FRM_MAX_MODELS; a++)
+  for (size_t donor = 0; donor < d->s->nmodels && donor < FRM_MAX_MODELS;
+       donor++)
     {
       unsigned closed;
-      if (a == b || d->have[a] <= d->want[a])
+      if (donor == receiver || d->have[donor] <= d->want[donor])
         continue;
-      closed = close_replicas_for (f, d, a, b, true);
-      if (closed == 0 || closed > d->have[a] - d->want[a] || closed >= n[a]
-          || !lowers_peak_utilization (f, d->s, n, a, closed, b))
+      closed = close_replicas_for (f, d, donor, receiver, true);
+      if (closed == 0 || closed > d->have[donor] - d->want[donor]
+          || closed >= n[donor]
+          || !lowers_peak_utilization (f, d->s, n, donor, closed, receiver))
         continue;
-      close_replicas_for (f, d, a, b, false);
+      close_replicas_for (f, d, donor, receiver, false);
       return;
     }
 }
@@ -148,12 +151,13 @@
 reassign_in_domain (struct frm *f, struct frm_domain *d)
 {
   frm_plan_domain (f, d);
-  for (size_t b = 0; b < d->s->nmodels && b < FRM_MAX_MODELS; b++)
-    if (d->have[b] < d->want[b]
-        && count_available_warm (f, d, d->s->models[b].name)
-               < d->s->models[b].size)
+  for (size_t receiver = 0;
+       receiver < d->s->nmodels && receiver < FRM_MAX_MODELS; receiver++)
+    if (d->have[receiver] < d->want[receiver]
+        && count_available_warm (f, d, d->s->models[receiver].name)
+               < d->s->models[receiver].size)
       {
-        reassign_to_model (f, d, b);
+        reassign_to_model (f, d, receiver);
         return;
       }
 }
--- a/serve/form.c
+++ b/serve/form.c
@@ -170,7 +170,7 @@
 }
 
 static bool
-has_ended_generation (const struct frm *f, int64_t generation)
+generation_has_ended (const struct frm *f, int64_t generation)
 {
   for (size_t i = 0; i < f->nended && i < FRM_ENDED_RING; i++)
     if (f->ended_generations[i] == generation)
@@ -297,7 +297,7 @@
 {
   struct frm_replica *r = vm->replica;
   bool led = r && r->members[0] == vm;
-  int64_t after = r && !led ? r->generation : vm->blocked_by;
+  int64_t blocked_by = r && !led ? r->generation : vm->blocked_by;
 
   if (led)
     frm_replica_release (f, r);
@@ -308,7 +308,7 @@
                          .service = vm->service,
                          .domain = vm->domain,
                          .domain_number = vm->domain_number,
-                         .blocked_by = after };
+                         .blocked_by = blocked_by };
 }
 
 struct str
@@ -538,7 +538,7 @@
       struct frm_vm *vm = f->vms[i];
       if (!vm->replica && vm->entry.part != BKS_ALONE && vm->entry.rank > 0
           && vm->entry.generation > vm->released_generation
-          && has_ended_generation (f, vm->entry.generation))
+          && generation_has_ended (f, vm->entry.generation))
         vm->released_generation = vm->entry.generation;
     }
 }
