--- a/serve/form-group.c
+++ b/serve/form-group.c
@@ -35,6 +35,7 @@
  */
 #define UNLISTED_CLOSE_MS ((clk_ms)2000)
 
+/** Whether the VM has been removed or is treated as missing. */
 static bool
 is_gone (const struct frm_vm *vm)
 {
@@ -134,9 +135,9 @@
 }
 
 static void
-begin_close (struct frm *f, struct frm_replica *r, bool cut)
+begin_close (struct frm *f, struct frm_replica *r, bool force)
 {
-  r->force = cut;
+  r->force = force;
   r->close_unanswered = false;
   r->close_accepted_at = 0;
   f->stats.lost++;
@@ -186,17 +187,17 @@
 static void
 probe_members (struct frm *f, struct frm_replica *r)
 {
-  bool all = true;
+  bool all_answered = true;
 
   for (size_t i = 0; i < r->nmembers; i++)
     {
       struct frm_vm *vm = r->members[i];
       if (!vm || vm->probe_ok_at > r->stall_reported_at)
         continue;
-      all = false;
+      all_answered = false;
       frm_probe (f, vm);
     }
-  if (all)
+  if (all_answered)
     r->stall_reported = false;
 }
 
@@ -292,9 +293,9 @@
       frm_enter_phase (f, r, FRM_PH_FENCING);
       return;
     }
+  /* The leader may be unreachable, or only slow to respond to orders. */
   if (r->close_unanswered)
-    frm_probe (f, leader); /* the leader may be unreachable, or only slow to
-                              respond to orders */
+    frm_probe (f, leader);
   if (leader_has_closed (f, r)
       || (!leader->listed && r->close_accepted_at
           && f->now - r->phase_since > UNLISTED_CLOSE_MS))
@@ -326,8 +327,8 @@
  * Handles a replica whose leader is unreachable.  The leader may be cut off
  * from this node and from the store and still accept requests.  If a member
  * joined another replica now, it would belong to two replicas.  After all
- * members have left, the leader can't serve any more and stops after
- * stall_ms, whether or not this node can see it.
+ * members have left, the leader makes no progress and stops serving
+ * after stall_ms, whether or not this node can reach it.
  */
 static void
 tick_fencing (struct frm *f, struct frm_replica *r)
@@ -408,14 +409,14 @@
 static void
 close_done (struct frm *f, struct frm_replica *r, enum frm_result result)
 {
+  /* Without a process at that address the replica can't be open. */
   if (result == FRM_CONN_REFUSED)
-    frm_replica_release (
-        f, r); /* no process is running there, so the replica is not open */
+    frm_replica_release (f, r);
   else if (result == FRM_UNANSWERED)
     r->close_unanswered = true;
+  /* A rejection means that the leader leads no such replica. */
   else if (result != FRM_OUTDATED && !r->close_accepted_at)
-    r->close_accepted_at
-        = f->now; /* or the leader responded that it leads no such replica */
+    r->close_accepted_at = f->now;
 }
 
 static void
--- a/serve/form-place.c
+++ b/serve/form-place.c
@@ -30,7 +30,18 @@
   unsigned loads;
 };
 
-/** Selects the cheapest free VMs of the domain for a replica of @p m. */
+/**
+ * Selects the cheapest free VMs of the domain for a replica of @p m.
+ *
+ * All members come from one domain.  VMs left over from a replica that can't
+ * be completed within their domain stay idle until a load has ended.  Replicas
+ * formed from the remaining VMs of several domains, which communicate over a
+ * slower network, reduced the revenue: without them, 0.005 more of the
+ * possible revenue is earned (20 days with failures; 0.008 on 10 days of
+ * another workload), and no day lost more than 0.009.  At a quarter of the
+ * speed each request to such a replica is late, and its VMs are not available
+ * when their own domain could use them.
+ */
 static bool
 choose_members (const struct frm *f, const struct frm_domain *d,
                 const struct tbl_model *m, enum frm_cost max_cost,
@@ -250,16 +261,6 @@
     }
 }
 
-/*
- * VMs left over from a replica that can't be completed within their domain
- * stay idle until a load has ended.  Replicas formed from the remaining VMs of
- * several domains, which communicate over a slower network, reduced the
- * revenue: without them, 0.005 more of the possible revenue is earned (20
- * days with failures; 0.008 on 10 days of another workload), and no day lost
- * more than 0.009.  At a quarter of the speed each request to such a replica
- * is late, and its VMs are not available when their own domain could use them.
- */
-
 /* --- all domains ------------------------------------------------------- */
 
 static void
