--- a/serve/form-group.c
+++ b/serve/form-group.c
@@ -414,7 +414,7 @@
     frm_replica_release (f, r);
   else if (result == FRM_UNANSWERED)
     r->close_unanswered = true;
-  /* A rejection means that the leader leads no such replica. */
+  /* A rejection means that this replica is not led by that VM. */
   else if (result != FRM_OUTDATED && !r->close_accepted_at)
     r->close_accepted_at = f->now;
 }
--- a/serve/form-place.c
+++ b/serve/form-place.c
@@ -39,8 +39,8 @@
  * slower network, reduced the revenue: without them, 0.005 more of the
  * possible revenue is earned (20 days with failures; 0.008 on 10 days of
  * another workload), and no day lost more than 0.009.  At a quarter of the
- * speed each request to such a replica is late, and its VMs are not available
- * when their own domain could use them.
+ * speed each request to these replicas is late, and their VMs are not
+ * available when their own domain could use them.
  */
 static bool
 choose_members (const struct frm *f, const struct frm_domain *d,
--- a/t/lib-form.c
+++ b/t/lib-form.c
@@ -37,7 +37,7 @@
 struct world
 {
   struct frm *cores[2];
-  bool owner[2];
+  bool leading[2];
   struct bks *lists[2];
   struct tbl *table;
   clk_ms now, last_list_at;
@@ -381,13 +381,13 @@
 }
 
 static void
-set_owner (struct world *w, size_t core, int64_t fence)
+set_leader_node (struct world *w, size_t core, int64_t fence)
 {
-  if (w->owner[!core])
+  if (w->leading[!core])
     frm_owner (w->cores[!core], w->now, false, 0);
   frm_owner (w->cores[core], w->now, true, fence);
-  w->owner[core] = true;
-  w->owner[!core] = false;
+  w->leading[core] = true;
+  w->leading[!core] = false;
 }
 
 /* --- script ------------------------------------------------------------ */
@@ -532,9 +532,9 @@
   if (strcmp (word, "vms") == 0)
     add_vms (w, a, n);
   else if (strcmp (word, "lead") == 0)
-    set_owner (w, 0, atoi (a));
+    set_leader_node (w, 0, atoi (a));
   else if (strcmp (word, "lead-other") == 0)
-    set_owner (w, 1, atoi (a));
+    set_leader_node (w, 1, atoi (a));
   else if (strcmp (word, "run") == 0)
     for (int t = 0; t < atoi (a); t += STEP_MS)
       advance (w);
