--- a/serve/dispatch.h
+++ b/serve/dispatch.h
@@ -1,16 +1,17 @@
 /**
  * @file
- * The request core of a node on a platform: which backend server gets which
- * request and when, what is tried again, what becomes of it (decision core,
- * chart "forward").
+ * Request dispatcher of a serving node (decision core, chart "forward"):
+ * chooses the backend server for each request and the time to send it, decides
+ * on retries, and determines the outcome.
  *
- * Events and time go in by the functions below, actions come out of
- * dsp_next(); serve/ingress.c and serve/attempt.c do the I/O.  An attempt is
- * known by (request, attempt number); what is said of one that is over is
- * ignored, so a late answer never reaches a caller.
+ * The caller passes events and the current time to the functions below and
+ * takes the resulting actions from dsp_next(); serve/ingress.c and
+ * serve/attempt.c do the I/O. An attempt is identified by (request id, attempt
+ * number). Events of an attempt that has ended are ignored, so a late response
+ * never reaches the client.
  *
- * "Not run" is only said while no attempt was sent, or when each attempt that
- * was sent ended with the backend server's word that it did not run.
+ * A request is reported as not executed only if no attempt was sent, or if the
+ * backend server reported for each attempt sent that it did not execute it.
  */
 #ifndef LAPISLINE_SERVE_DISPATCH_H
 #define LAPISLINE_SERVE_DISPATCH_H
@@ -21,107 +22,121 @@
 #include "serve/poison.h"
 #include "serve/table.h"
 
-/** Why a request got an answer of our own. */
+/** Reason for an error response that this node generates. */
 enum dsp_code
 {
   DSP_NONE,
-  DSP_NO_SERVER, /**< 503: none is known that could run it */
-  DSP_OVERLOAD,  /**< 503: no place became free in time */
-  DSP_LIMITED,   /**< 503: all servers name rates, which are used up */
-  DSP_UNRUN,     /**< 503: every backend server that was asked refused it */
+  DSP_NO_SERVER, /**< 503: no usable endpoint is known */
+  DSP_OVERLOAD,  /**< 503: no endpoint had a free slot in time */
+  DSP_LIMITED,   /**< 503: all servers have set rate limits, and the limits
+                      are used up */
+  DSP_UNRUN,     /**< 503: every backend server tried reported that it did
+                      not execute the request */
   DSP_CONNECT,   /**< 503: no connection to any backend server */
-  DSP_LEAVING,   /**< 503: this node is stopping */
-  DSP_POISON,    /**< 503: servers crash when they run it */
-  DSP_BROKEN,    /**< 502: it may have run; the answer broke off */
-  DSP_DEADLINE   /**< 504: it may have run; its time is over */
+  DSP_LEAVING,   /**< 503: this node is shutting down */
+  DSP_POISON,    /**< 503: backend servers crash when they execute it */
+  DSP_BROKEN,    /**< 502: may have been executed; the response was
+                      interrupted */
+  DSP_DEADLINE   /**< 504: may have been executed; its deadline has passed */
 };
 
-/** A request as it arrives. */
+/** A new request. */
 struct dsp_request
 {
   uint64_t id;
-  const struct tbl_route *route; /**< of @p table */
-  struct tbl *table;             /**< a reference is taken */
+  const struct tbl_route *route; /**< belongs to @p table */
+  struct tbl *table;             /**< the function takes a reference */
   const struct tbl_service *service;
-  struct str model;  /**< empty: the service has none */
+  struct str model;  /**< empty: the service has no models */
   unsigned priority; /**< 0 is the highest */
-  clk_ms deadline;   /**< absolute: the caller's or the route's, which is
-                          earlier */
-  clk_ms waited;     /**< what the caller has waited already, for an answer
-                          to an earlier try */
-  double prompt;     /**< tokens to be read, 0: not known */
-  double answer;     /**< tokens to be written at most, 0: not known */
-  uint64_t digest;   /**< the same whenever this caller asks for the same */
+  clk_ms deadline;   /**< absolute: the client's or the route's, whichever
+                          is earlier */
+  clk_ms waited;     /**< time the client spent waiting for earlier tries of
+                          this request */
+  double prompt;     /**< prompt length in tokens; 0: unknown */
+  double answer;     /**< limit on generated tokens; 0: unknown */
+  uint64_t digest;   /**< equal for identical requests of the same client */
 };
 
-/** A place that requests can be sent to: a backend server of a plain service,
-    or the leader of a model's replica. */
+/** A destination for requests: a backend server of a plain service, or the
+    leader of a replica of a model. */
 struct dsp_place
 {
   struct str server;  /**< id of the backend server */
-  int64_t born;       /**< start of its process; 0: not told */
-  int64_t generation; /**< of the replica that it leads; 0: none */
+  int64_t born;       /**< start time of its process; 0: not reported */
+  int64_t generation; /**< of the replica that the server leads; 0: none */
   struct str service;
   struct str model;
   struct str zone;
   struct net_addr addr;
   unsigned capacity;
-  double read_per_ms; /**< prompt tokens; 0: not known */
-  bool accepting;     /**< false: it goes on, but gets nothing new */
+  double read_per_ms; /**< prompt tokens processed per ms; 0: unknown */
+  bool accepting;     /**< false: requests in flight continue, but no new
+                           ones are sent */
 };
 
-/** What another node has under way at one place. */
+/** Load that one node has at one endpoint, as exchanged between nodes. */
 struct dsp_count
 {
   uint64_t place;     /**< dsp_place_hash() */
-  uint32_t in_flight; /**< without the next */
-  uint32_t begun;     /**< of these, streams that have had an event */
-  uint32_t unread;    /**< tokens of prompts to be read, but for those that
-                           were told by a notice */
-  clk_ms heard; /**< when the last event of any of them came, by the clock
-                     of the node that is told */
-  bool stalled; /**< nothing moves there, as far as this node sees */
-  bool ended;   /**< this node has found that its process is gone */
+  uint32_t in_flight; /**< requests assigned to the endpoint and not
+                           finished */
+  uint32_t begun;     /**< streams among these that have received an event */
+  uint32_t unread;    /**< prompt tokens not yet processed, without those
+                           announced by a notice */
+  clk_ms heard; /**< time of the last event of any of these streams, by the
+                     receiving node's clock */
+  bool stalled; /**< the reporting node has detected a stall */
+  bool ended;   /**< the reporting node has found that the server's process
+                     has ended */
 };
 
-/** A long prompt that a node has just sent to a place. */
+/** Announces a long prompt that a node has just sent to an endpoint. */
 struct dsp_notice
 {
   uint64_t place; /**< dsp_place_hash() */
   uint32_t tokens;
 };
 
-/** The number by which nodes tell each other of a place. */
+/** Hash that identifies an endpoint in messages between nodes. */
 uint64_t dsp_place_hash (struct str server, int64_t born, int64_t generation);
 
-/** What an attempt's answer turned out to be. */
+/** Classification of a response by its head. */
 enum dsp_head
 {
   DSP_HEAD_GOOD,  /**< 2xx */
-  DSP_HEAD_FINAL, /**< another status that a repeat would not change */
-  DSP_HEAD_ERROR, /**< it ran and failed; a repeat may succeed */
-  DSP_HEAD_UNRUN  /**< the backend server says that it did not run it */
+  DSP_HEAD_FINAL, /**< another status that a retry would not change */
+  DSP_HEAD_ERROR, /**< executed and failed; a retry may succeed */
+  DSP_HEAD_UNRUN  /**< the backend server reports that it did not execute
+                       the request */
 };
 
 enum dsp_action_kind
 {
   DSP_ACT_SEND,    /**< id, attempt, server, addr, left_ms: connect and send */
   DSP_ACT_CANCEL,  /**< id, attempt: close its connection */
-  DSP_ACT_PASS,    /**< id, attempt: hand events to the caller as they come */
-  DSP_ACT_END,     /**< id, attempt: its answer is whole; deliver the rest */
-  DSP_ACT_ANSWER,  /**< id, code, retry_ms: an error answer of our own */
-  DSP_ACT_CUT,     /**< id, code: end the passed answer visibly cut */
-  DSP_ACT_FORGET,  /**< id: nothing more will come */
-  DSP_ACT_STALLED, /**< server, left_ms: nothing has moved there for so long;
-                        for the log, its requests follow by themselves */
-  DSP_ACT_CHECK    /**< server, addr, place: runs broke off there; find out
-                        whether its process has ended, then dsp_checked() */
+  DSP_ACT_PASS,    /**< id, attempt: forward events to the client as they
+                        arrive */
+  DSP_ACT_END,     /**< id, attempt: the response is complete; deliver the
+                        rest */
+  DSP_ACT_ANSWER,  /**< id, code, retry_ms: send an error response generated
+                        by this node */
+  DSP_ACT_CUT,     /**< id, code: abort the partly forwarded response so
+                        that the client can detect it */
+  DSP_ACT_FORGET,  /**< id: free the request's resources; no further action
+                        names it */
+  DSP_ACT_STALLED, /**< server, left_ms: the endpoint has sent nothing for
+                        left_ms; only for the log, its requests are moved by
+                        separate actions */
+  DSP_ACT_CHECK    /**< server, addr, place: responses were interrupted
+                        there; find out whether the process has ended, then
+                        call dsp_checked() */
 };
 
-/** What is known of a backend server's process. */
+/** State of a backend server's process. */
 enum dsp_liveness
 {
-  DSP_UNREACHABLE, /**< it could not be reached */
+  DSP_UNREACHABLE, /**< no connection could be made */
   DSP_ALIVE,
   DSP_ENDED
 };
@@ -134,25 +149,30 @@
   struct net_addr addr;
   struct str server; /**< valid until the next event */
   uint64_t place;    /**< dsp_place_hash() */
-  clk_ms left_ms;    /**< of the request's time */
-  bool fresh;        /**< use a connection of its own */
-  bool resume;       /**< go on after the last event passed */
-  unsigned priority; /**< at the backend server, 0 to 9, 0 is first */
+  clk_ms left_ms;    /**< SEND: time until the request's deadline; STALLED:
+                          duration of the silence */
+  bool fresh;        /**< don't reuse an idle connection */
+  bool resume;       /**< resume the stream after the last event forwarded */
+  unsigned priority; /**< priority sent to the backend server, 0 (first) to
+                          9 */
   enum dsp_code code;
-  clk_ms retry_ms; /**< when to come back; 0: nothing to say */
+  clk_ms retry_ms; /**< delay after which the client may retry; 0: not given */
 };
 
 struct dsp_options
 {
   struct str zone;
-  double retry_ratio; /**< of requests, all nodes together */
-  double retry_slack; /**< retries in a window beside these, all nodes */
+  double retry_ratio; /**< allowed retries in parts of the requests, all
+                           nodes together */
+  double retry_slack; /**< retries allowed in each window in addition, all
+                           nodes together */
   clk_ms retry_window_ms;
-  clk_ms stall_ms;    /**< after which a replica without a member gives up */
-  struct psn *poison; /**< requests that crash servers; borrowed; NULL: none
-                           is known */
-  struct lim *limits; /**< rates that servers ask for; borrowed; NULL: none is
-                           heeded */
+  clk_ms stall_ms;    /**< time after which a replica that has lost a member
+                           fails */
+  struct psn *poison; /**< requests that crash servers; borrowed; NULL: not
+                           tracked */
+  struct lim *limits; /**< rate limits set by servers; borrowed; NULL: not
+                           enforced */
 };
 
 struct dsp;
@@ -160,97 +180,102 @@
 struct dsp *dsp_new (const struct dsp_options *opt, uint64_t seed);
 void dsp_free (struct dsp *d);
 
-/** Time passes; call it at dsp_wake() at the latest. */
+/** Advances the time and checks timeouts; must be called no later than
+    dsp_wake(). */
 void dsp_tick (struct dsp *d, clk_ms now);
 
-/** Earliest time at which a tick may change something. */
+/** Earliest time at which dsp_tick() may have something to do. */
 clk_ms dsp_wake (const struct dsp *d);
 
-/** All places that there are now. */
+/** Replaces the list of endpoints. */
 void dsp_places (struct dsp *d, clk_ms now, const struct dsp_place *list,
                  size_t n);
 
-/** How many nodes share the load, this one included. */
+/** Sets the number of nodes that share the load, this one included. */
 void dsp_nodes (struct dsp *d, unsigned n);
 
-/** All that the other node @p peer has under way; n 0 also when it is gone. */
+/** Replaces the load reported by the node @p peer; @p n is 0 also when the
+    peer is gone. */
 void dsp_peer_load (struct dsp *d, clk_ms now, uint64_t peer,
                     const struct dsp_count *counts, size_t n);
 
-/** Long prompts that another node has just sent. */
+/** Records long prompts that another node has just sent. */
 void dsp_noticed (struct dsp *d, clk_ms now, const struct dsp_notice *list,
                   size_t n);
 
-/** Long prompts sent since the last call, for the other nodes to know at once;
-    valid until the next event. */
+/** Long prompts sent since the last call, to be announced to the other
+    nodes at once; valid until the next event. */
 const struct dsp_notice *dsp_notices (struct dsp *d, size_t *n);
 
-/** What this node has under way; valid until the next event. */
+/** Load of this node, to be reported to the others; valid until the next
+    event. */
 const struct dsp_count *dsp_own_load (struct dsp *d, size_t *n);
 
-/** No new request is taken from now on. */
+/** Rejects all new requests from now on. */
 void dsp_leave (struct dsp *d);
 
 void dsp_arrive (struct dsp *d, clk_ms now, const struct dsp_request *in);
 
-/** The caller left. */
+/** The client has disconnected. */
 void dsp_gone (struct dsp *d, clk_ms now, uint64_t id);
 
-/** Bytes go to the kernel next. @retval false  the attempt is over */
+/** The request's bytes are about to be written to the socket. @retval false
+    the attempt has ended */
 bool dsp_sent (struct dsp *d, clk_ms now, uint64_t id, unsigned attempt);
 void dsp_connect_failed (struct dsp *d, clk_ms now, uint64_t id,
                          unsigned attempt);
 void dsp_head (struct dsp *d, clk_ms now, uint64_t id, unsigned attempt,
                enum dsp_head head);
 
-/** What the answer's head says of the rate that its server takes; call it
-    before dsp_head(). @param rate  requests a second */
+/** Applies the rate limit stated in a response head; call it before
+    dsp_head(). @param rate requests per second */
 enum lim_change dsp_answer_limit (struct dsp *d, clk_ms now, uint64_t id,
                                   unsigned attempt, enum lim_says says,
                                   double rate);
-/** Requests that this node has sent to that attempt's server while it was
-    limited. */
+/** Number of requests that this node has sent to the attempt's server while
+    it was rate-limited. */
 uint64_t dsp_sent_limited (const struct dsp *d, uint64_t id, unsigned attempt);
 
-/** Permits for limited servers have been granted. */
+/** Permits for rate-limited servers have been granted. */
 void dsp_permitted (struct dsp *d, clk_ms now);
 
-/** Bytes of a stream came; @p event: at least one whole event is among them.
- */
+/** Response bytes have arrived. @param event they complete at least one
+    event */
 void dsp_heard (struct dsp *d, clk_ms now, uint64_t id, unsigned attempt,
                 bool event);
 void dsp_whole (struct dsp *d, clk_ms now, uint64_t id, unsigned attempt);
-/** The answer broke off, or was none. */
+/** The response was interrupted, or none came. */
 void dsp_broken (struct dsp *d, clk_ms now, uint64_t id, unsigned attempt);
 
-/** The answer to DSP_ACT_CHECK.
-    @return  how many runs had broken off there */
+/** Reports the result of DSP_ACT_CHECK. @return number of runs interrupted
+    there */
 size_t dsp_checked (struct dsp *d, clk_ms now, uint64_t place,
                     enum dsp_liveness found);
 
-/** It crashes servers: end those requests that have not begun to run. */
+/** The request with that digest crashes servers: fails those instances
+    whose execution has not begun. */
 void dsp_blocked (struct dsp *d, clk_ms now, uint64_t digest);
 
-/** The next action, or false; call it until then after each event. */
+/** Takes the next action; call it after each event until it returns false. */
 bool dsp_next (struct dsp *d, struct dsp_action *out);
 
-/** Requests that have not ended. */
+/** Number of requests that have not ended. */
 size_t dsp_open (const struct dsp *d);
 
-/** Requests of a model that have a slot or wait for one, at all nodes as far
-    as this one knows. */
+/** Requests of a model that hold or wait for a slot, estimated for all
+    nodes. */
 double dsp_demand (const struct dsp *d, struct str service, struct str model);
 
 const char *dsp_liveness_name (enum dsp_liveness found);
 const char *dsp_code_name (enum dsp_code c);
 int dsp_code_status (enum dsp_code c);
 
-/** Counters since the start. */
+/** Counters since the start of the process. */
 struct dsp_figures
 {
   uint64_t arrived, ended, answered[DSP_DEADLINE + 1];
   uint64_t sent, repeated, repeat_denied, resumed, stalls, ejections;
-  uint64_t servers_ended; /**< under requests of this node */
+  uint64_t servers_ended; /**< while they executed requests of this node */
 };
 const struct dsp_figures *dsp_figures (const struct dsp *d);
 
