--- a/serve/dispatch-wait.c
+++ b/serve/dispatch-wait.c
@@ -1,7 +1,7 @@
 #include "serve/dispatch-int.h"
 
-/** Priorities at backend servers: of streams that go on there after a pause,
-    and the last of all others. */
+/** Priorities sent to backend servers: of resumed streams, and the lowest
+    of all other requests. */
 #define PRIORITY_URGENT 0
 #define PRIORITY_LAST 8
 
@@ -45,7 +45,7 @@
   p->waiting--;
 }
 
-/** Whether it can't meet its goal any more, begun now. */
+/** Whether it would miss its latency goal if it were sent now. */
 static bool
 is_late (const struct dsp *d, const struct dsp_req *q)
 {
@@ -53,9 +53,10 @@
 }
 
 /**
- * Those that can still meet their goal go before those that can't: an answer
- * that is late anyway loses nothing by waiting, and one that waits behind it
- * loses most of its worth.  Then the more urgent, then the elder.
+ * Order of the queue. Requests that can still meet their latency goal come
+ * before those that can't: a late response loses little by further waiting,
+ * while a request delayed by it would lose most of its value. Then by
+ * priority, then by arrival.
  */
 static bool
 goes_before (const struct dsp *d, const struct dsp_req *a,
@@ -73,7 +74,8 @@
   return a->arrived < b->arrived;
 }
 
-/** The next waiting request that @p skip does not mark. */
+/** The queued request that comes first. @param without_tried skip requests
+    that have failed at an endpoint before */
 static struct dsp_req *
 next_waiting (const struct dsp *d, const struct dsp_pool *p,
               bool without_tried)
@@ -115,8 +117,9 @@
   a->addr = s->addr;
   a->server = str_from (s->id);
   a->left_ms = q->deadline - d->now;
-  /* An idle connection may have been closed or gone silent unseen; what can't
-     be sent twice must not be the one to find out. */
+  /* The peer may have closed an idle connection, or the connection may be
+     dead without notice. A request that can't be retried must not be sent
+     on one. */
   a->fresh = !q->repeatable;
   a->resume = q->passing;
   a->priority = server_priority (q);
@@ -136,6 +139,6 @@
       else if (q->ntried == 0 || without_tried)
         return;
       else
-        without_tried = true; /* what is left may do for others */
+        without_tried = true; /* the free endpoints may suit other requests */
     }
 }
