--- a/serve/dispatch-crash.c
+++ b/serve/dispatch-crash.c
@@ -3,21 +3,24 @@
 #include <string.h>
 
 /*
- * A connection that breaks says nothing of the backend server: it may have
- * crashed, or a link was reset.  It is asked once for all runs that broke off
- * there together.
+ * An interrupted connection doesn't show whether the backend server crashed or
+ * the connection was reset. The server is checked once for all runs that were
+ * interrupted there at about the same time.
  */
 
-/** Runs that break off at a place within this are of one cause. */
+/** Runs interrupted at an endpoint within this time are attributed to the
+    same cause. */
 #define BREAK_MS ((clk_ms)2000)
-/** A server whose process is gone gets nothing for so long: its entry has
-    lapsed by then, or it was there after all. */
+/** Time for which no requests are sent to a server whose process has ended.
+    By then its entry in the server list has expired, unless the check was
+    wrong. */
 #define ENDED_MS ((clk_ms)5000)
-/** The same when another node reports it, as it does again meanwhile. */
+/** The same after a report from another node, which repeats its report
+    during this time. */
 #define REPORTED_MS ((clk_ms)1500)
 
-/** The break that a run which breaks off now belongs to.  Of a server that
-    lived, or could not be asked, the next one begins anew. */
+/** Finds the entry for a run that is interrupted now. An entry whose check
+    found the server alive or unreachable is not reused. */
 static struct dsp_break *
 find_break (struct dsp *d, uint64_t place)
 {
@@ -67,7 +70,7 @@
           .ran_ms = q->begun ? d->now - q->begun_at : PSN_NO_EVENT };
   struct dsp_break *b = find_break (d, s->hash);
 
-  /* A server that is leaving ends by itself. */
+  /* A server that is shutting down ends its process without a crash. */
   if (!s->listed || !s->accepting)
     return;
   if (!b)
@@ -121,7 +124,7 @@
     s->reported_ended_until = d->now + REPORTED_MS;
 }
 
-/** Whether its run may still be kept from beginning. */
+/** Whether it is still possible to prevent its execution. */
 static bool
 may_stop (const struct dsp_req *q)
 {
--- a/serve/dispatch-health.c
+++ b/serve/dispatch-health.c
@@ -1,38 +1,42 @@
 #include "serve/dispatch-int.h"
 
 /*
- * Failures of answers, seen by the requests themselves; nobody is probed.
+ * Health of endpoints, derived from the outcome of regular requests; there are
+ * no separate probe requests.
  */
 
-#define BAD_RUN 3         /* failures in a row that eject */
-#define ERRORS_EJECT 0.35 /* moving average of failures that ejects */
-#define ERRORS_SAMPLES 12 /* before the average counts */
+#define BAD_RUN 3         /* consecutive failures that eject an endpoint */
+#define ERRORS_EJECT 0.35 /* average failure rate that ejects an endpoint */
+#define ERRORS_SAMPLES 12 /* samples needed before the average counts */
 #define SMOOTH 0.12       /* weight of the newest sample in averages */
 #define OUT_FIRST_MS ((clk_ms)2000)
 #define OUT_MOST_MS ((clk_ms)20000)
 
 /*
- * A replica writes an event to each of its streams in every pass, some 60 to
- * 100 ms apart; a pass that reads several long prompts takes up to 300 ms.  A
- * replica that has lost a member moves none of them.  Over all nodes it has a
- * dozen streams or more, and so long a silence of all is no chance; a single
- * one may also have been preempted for others.
+ * A replica writes an event to each of its streams in every pass. Passes are
+ * some 60 to 100 ms apart; a pass that processes several long prompts takes up
+ * to 300 ms. A replica that has lost a member sends no events at all. With a
+ * dozen or more streams over all nodes, a silence of all of them for this long
+ * is not a coincidence; a single stream may also have been preempted for
+ * others.
  */
 #define STALL_MANY_MS ((clk_ms)400)
 #define STALL_FEW_MS ((clk_ms)600)
 #define STALL_ONE_MS ((clk_ms)900)
 #define STALL_MANY 4
 #define STALL_FEW 2
-/** What another node told longer ago says nothing of now. */
+/** Age above which a peer's load report is ignored. */
 #define TOLD_MS ((clk_ms)350)
-/** New requests go elsewhere after so long a silence of several streams: too
-    short to move what is there, but it costs nothing. */
+/** New requests avoid an endpoint whose streams have all been silent for
+    this long. The time is too short to move open requests, but avoiding the
+    endpoint costs nothing. */
 #define QUIET_MS ((clk_ms)220)
-/** Without any stream begun: a request's wait for its first event, in parts of
-    the goal, and at least so long; a full replica makes requests wait too. */
+/** Stall timeout when no stream has received an event: a multiple of the
+    request's latency goal, and a minimum. Requests also wait for their
+    first event at a replica that is full. */
 #define STALL_BEGIN_FACTOR 3
 #define STALL_BEGIN_MS ((clk_ms)1200)
-/** A place that stalled is tried with one request again after this. */
+/** Time after which a stalled endpoint gets a trial request. */
 #define STALL_BACK_MS ((clk_ms)5000)
 
 static size_t
@@ -51,9 +55,9 @@
 }
 
 /**
- * At most half of the places are out.  Were all of them failing at once, as
- * under too high a load, ejecting would put the load of many on the few that
- * are left and take these down too.
+ * At most half of the endpoints are ejected at any time. If all of them fail
+ * at once, as under overload, ejecting more would move the load to the few
+ * remaining ones and make these fail too.
  */
 static void
 eject (struct dsp *d, struct dsp_server *s)
@@ -135,12 +139,12 @@
 
 /* --- stalls ------------------------------------------------------------ */
 
-/** What a stream's place has under way for this node. */
+/** Streams of this node at an endpoint. */
 struct moving
 {
   unsigned begun;
-  clk_ms oldest; /**< sending of the request that waits longest for its first
-                      event; CLK_NEVER: none does */
+  clk_ms oldest; /**< time at which the request that has waited longest for
+                      its first event was sent; CLK_NEVER: no request waits */
   clk_ms goal_ms;
 };
 
@@ -163,7 +167,7 @@
   return m;
 }
 
-/** Add what the other nodes see of the place. */
+/** Adds the streams of the other nodes, and the time of their last event. */
 static void
 add_others (const struct dsp *d, const struct dsp_server *s, unsigned *begun,
             clk_ms *heard)
@@ -185,7 +189,7 @@
     }
 }
 
-/** How long a silence of that many streams is no chance. */
+/** Silence of that many streams that indicates a stall. */
 static clk_ms
 silence_of (unsigned begun)
 {
@@ -225,8 +229,9 @@
   return d->now - m.oldest > begin && s->heard < m.oldest;
 }
 
-/** For how long nothing has moved; a place that has answered nothing yet is
-    silent since the first request that waits there. */
+/** Duration of the current silence. If the endpoint has sent nothing since
+    the oldest waiting request was sent, the silence is measured from that
+    request. */
 static clk_ms
 silence (const struct dsp *d, const struct dsp_server *s)
 {
@@ -236,7 +241,7 @@
   return d->now - (begins && s->heard < m.oldest ? m.oldest : s->heard);
 }
 
-/** Take everything off a place where nothing moves. */
+/** Moves all requests away from a stalled endpoint. */
 static void
 move_away (struct dsp *d, struct dsp_server *s)
 {
@@ -259,11 +264,13 @@
 }
 
 /*
- * A replica that has lost a member goes on accepting requests and moves none
- * of them; for seconds nobody is told.  Its callers see all of its streams
- * pause at once, long before a heartbeat is missed.  They go on at another
- * replica after their last event, and the place gets nothing until it answers
- * again or is formed anew: a pause of half a second in place of a lost answer.
+ * A replica that has lost a member continues to accept requests but executes
+ * none of them, and it takes seconds until the loss is reported. The nodes see
+ * all of its streams stop at the same time, long before the member misses a
+ * heartbeat. The streams are resumed at another replica after their last
+ * event, and the endpoint gets no new requests until it responds again or the
+ * replica is formed anew. Clients see a pause of about half a second instead
+ * of a lost response.
  */
 void
 dsp_health_tick (struct dsp *d)
