--- a/serve/dispatch-load.c
+++ b/serve/dispatch-load.c
@@ -5,21 +5,22 @@
 #include <string.h>
 
 /*
- * What is under way at each place: of this node, and of the others as they
- * tell it.
+ * Load of each endpoint: of this node, and of the other nodes as they report
+ * it.
  */
 
 /**
- * A prompt that takes its replica so long to read is told to the other nodes
- * as it is sent.  What they have is told each tenth of a second; in that time
- * two nodes would send their longest prompts to the same replica, and while it
- * reads both, all its streams pause for longer than callers accept.  More
- * nodes than are linked each to each go by what is told of loads.
+ * A prompt that takes a replica at least this long to process is announced to
+ * the other nodes when it is sent. Load reports are sent only every tenth of a
+ * second. In that time two nodes could send their longest prompts to the same
+ * replica, and while it processes both, all its streams pause for longer than
+ * clients accept. Fleets with more nodes than a full mesh connects rely on the
+ * load reports alone.
  */
 #define NOTICE_READ_MS 20.0
-/** After this such a prompt counts as read.  Half of the larger model's first
-    events come within 200 ms and nine in ten within 240 to 320 on a replica
-   that has room; set by hand, other spans were not measured. */
+/** An announced prompt counts as processed after this time. On a replica
+    with free slots, half of the larger model's first events arrive within
+    200 ms, and nine in ten within 240 to 320 ms. */
 #define NOTICE_MS ((clk_ms)250)
 
 struct dsp_server *
@@ -155,7 +156,8 @@
       const struct dsp_pool *p = d->pools[i];
       if (!str_is (service, p->service) || !str_is (model, p->model))
         continue;
-      /* Callers choose their nodes by chance, so as many wait at others. */
+      /* Clients choose their nodes at random, so each other node has about
+         as many queued requests. */
       n += (double)p->waiting * d->nodes + dsp_limit_demand (d, p);
       for (size_t k = 0; k < p->n; k++)
         {
@@ -226,7 +228,8 @@
     return;
   s->others_noticed += add ? (double)n->tokens : -(double)n->tokens;
   if (s->others_noticed < 0)
-    s->others_noticed = 0; /* it was not a place yet when the notice came */
+    s->others_noticed = 0; /* the endpoint was added after the notice was
+                              received */
 }
 
 static void
--- a/serve/dispatch-place.c
+++ b/serve/dispatch-place.c
@@ -3,22 +3,23 @@
 #include <stdlib.h>
 
 /**
- * Requests that a place may have beyond its slots and still get one that can
- * be on time: a slot becomes free there every 60 ms or so, and the goals leave
- * a little more than one such wait.
+ * Requests that an endpoint may be sent beyond its number of slots, if they
+ * can still meet their latency goal: a slot becomes free there about every 60
+ * ms, and the goals allow for a little more than one such wait.
  */
 #define BEYOND 1
 
 /**
- * Reading of prompts, in ms, that weighs as much as all slots of a place. Long
- * prompts that come together make all streams of their replica late, and slots
- * are seldom short; 20, 25, 40 and 80 ms earned the same within 0.003 of what
- * is owed, 170 ms 0.005 less (20 days with failures each).
+ * Pending prompt processing, in ms, that weighs as much as all slots of an
+ * endpoint. Long prompts that arrive together delay all streams of the
+ * replica, while slots are rarely short. In tests over 20 days with failures
+ * each, 20, 25, 40 and 80 ms gave the same served share within 0.003, and 170
+ * ms gave 0.005 less.
  */
 #define READ_MS 25.0
 
-/** What a request to another zone costs, in parts of one request under way:
-    enough to decide between equals, too little to shift load. */
+/** Penalty for an endpoint in another zone, in requests: enough to decide
+    between equally loaded endpoints, too small to shift load. */
 #define AWAY 0.3
 
 uint64_t
@@ -84,7 +85,7 @@
   return s;
 }
 
-/** Places that left the list go once no request is on them. */
+/** Frees endpoints that are no longer listed and have no requests. */
 static void
 sweep (struct dsp_pool *p)
 {
@@ -127,7 +128,7 @@
   dsp_pump_all (d);
 }
 
-/* --- which place is next ----------------------------------------------- */
+/* --- choice of an endpoint --------------------------------------------- */
 
 bool
 dsp_tried (const struct dsp_req *q, const struct dsp_server *s)
@@ -147,7 +148,7 @@
   return false;
 }
 
-/** Requests that have a slot or will have the next ones. */
+/** Requests that hold a slot or are queued for the next free ones. */
 static uint32_t
 taken (const struct dsp_server *s)
 {
@@ -155,10 +156,10 @@
 }
 
 /**
- * How busy a place is for one more request, in parts of the place: its slots
- * taken, and the reading of the prompts before its own.  A replica reads the
- * prompts that have come in one pass, and all its streams pause meanwhile:
- * half a dozen of long ones take 200 ms, which makes each of these streams
+ * Load of an endpoint as seen by a further request, in parts of its capacity:
+ * the slots taken, plus the processing time of the pending prompts. A replica
+ * processes all new prompts in one pass, and all its streams pause meanwhile.
+ * Half a dozen long prompts take 200 ms, which makes each of these streams
  * late.
  */
 static double
@@ -189,13 +190,14 @@
 }
 
 /**
- * The less loaded of two places drawn by chance.  What others have there was
- * told a tenth of a second ago; were the least loaded of all taken, all nodes
- * would take the same one until the next word, and the requests of that time
- * would wait there for each other.
+ * Chooses the less loaded of two random endpoints. The load reported by the
+ * other nodes is up to a tenth of a second old. If every node chose the least
+ * loaded endpoint, all of them would choose the same one until the next
+ * report, and the requests sent in that time would queue there.
  *
- * A limited place for which this node has a permit comes beside them: the
- * permit is this node's alone, and lapses if it is not used.
+ * Rate-limited endpoints for which this node has a permit are considered in
+ * addition, because the permit is valid for this node only and expires if it
+ * is not used.
  */
 static struct dsp_server *
 less_taken (struct dsp *d, struct dsp_pool *p, const struct dsp_req *q,
@@ -219,7 +221,7 @@
           permitted = less_loaded (permitted, s);
           continue;
         }
-      /* Draw two of those that come by, each pair as likely. */
+      /* Reservoir sampling of two; all pairs are equally likely. */
       uint64_t at = rng_below (&d->rng, ++n);
       if (n <= 2)
         drawn[n - 1] = s;
@@ -229,7 +231,8 @@
   return less_loaded (permitted, less_loaded (drawn[0], drawn[1]));
 }
 
-/** A place that failed and is due for a look, by what may be repeated. */
+/** Finds an ejected or stalled endpoint that is due for a trial, for a
+    request that can be retried after a failure. */
 static bool
 due_for_probe (const struct dsp *d, const struct dsp_pool *p,
                const struct dsp_req *q, struct dsp_server **out)
@@ -246,8 +249,7 @@
   return false;
 }
 
-/** When all that is left has failed lately, a doubtful place is better than
-    none. */
+/** Chooses among the endpoints that failed recently, if no others are left. */
 static struct dsp_server *
 last_resort (const struct dsp *d, const struct dsp_pool *p,
              const struct dsp_req *q)
@@ -268,13 +270,14 @@
 }
 
 /*
- * Where all slots are taken, a request waits here for an eighth of its goal
- * and is then refused as not run.  A server would queue it behind all others;
- * there it gets what is left over, which under overload is nothing, and takes
- * a slot just as one that could be on time comes.  To queue there
- * served 1.4 in 100 of what is owed less (20 days with failures and high load;
- * 1.2 and 1.7 on 10 days of two other workloads), as one that is refused comes
- * back to a slot that is free.
+ * When all slots are taken, a request waits in this queue for an eighth of its
+ * latency goal and is then rejected as not executed. A backend server would
+ * queue it behind all others. Under overload it would not be served there in
+ * time, and it would take a slot just when a request arrives that could still
+ * meet its goal. Queueing at the servers lowered the served share by 1.4
+ * percentage points (20 days with failures and high load; 1.2 and 1.7 on 10
+ * days of two other workloads), because a rejected request is retried when a
+ * slot is free.
  */
 struct dsp_server *
 dsp_choose (struct dsp *d, struct dsp_pool *p, const struct dsp_req *q)
