--- a/serve/dispatch-limit.c
+++ b/serve/dispatch-limit.c
@@ -3,13 +3,13 @@
 #include <math.h>
 
 /*
- * Rates that servers ask for.  A place whose allowance is used counts as full;
- * it stays usable, and no request is lost by it.
+ * Rate limits set by backend servers. An endpoint that has used up its permits
+ * counts as full. It remains usable, and no request fails because of it.
  */
 
-/** Longest wait that a caller is told. */
+/** Longest retry delay sent to a client. */
 #define RETRY_MOST_MS ((clk_ms)10000)
-/** Over which paces are averaged. */
+/** Time constant of the moving averages. */
 #define PACE_MS 2000.0
 
 enum lim_change
@@ -47,7 +47,7 @@
 dsp_limit_want (const struct dsp *d, const struct dsp_server *s,
                 const struct dsp_req *q)
 {
-  /* Once for each request, however often it looks for a place. */
+  /* Count each request once, however often it is considered. */
   if (q->queued_at == d->now)
     lim_want (d->opt.limits, d->now, s->process);
 }
@@ -85,7 +85,7 @@
   return slots;
 }
 
-/* --- paces --------------------------------------------------------------- */
+/* --- rates --------------------------------------------------------------- */
 
 static double
 per_second (const struct dsp_pace *x, clk_ms now)
@@ -110,10 +110,11 @@
            d->now);
 }
 
-/* --- pools of which all places are limited ------------------------------- */
+/* --- pools with only rate-limited endpoints ------------------------------ */
 
-/** Requests a second that the usable places of a pool take, if all of them are
-    limited; else 0. @param spent  receives whether none has a permit left */
+/** Sum of the rate limits of the pool's usable endpoints, in requests per
+    second; 0 if at least one of them is not limited. @param spent receives
+    whether none of them has a permit left */
 static double
 sum_of_limits (const struct dsp *d, const struct dsp_pool *p, bool *spent)
 {
@@ -143,7 +144,7 @@
   return sum_of_limits (d, p, &spent) > 0;
 }
 
-/** What this node may send of that. */
+/** This node's share of that rate. */
 static double
 own_part (const struct dsp *d, double sum)
 {
@@ -165,7 +166,8 @@
   return urgent >= own_part (d, sum);
 }
 
-/** Time in which this node may send @p n requests. */
+/** Time that this node needs to send @p n requests at its share of the
+    rate. */
 static clk_ms
 time_for (const struct dsp *d, double sum, double n)
 {
@@ -183,8 +185,8 @@
 }
 
 /**
- * Were all that are refused told the same moment, they would come together and
- * be refused again; each is told its turn.
+ * If all rejected clients got the same retry delay, they would return at the
+ * same moment and be rejected again. Each one gets the next free time slot.
  */
 clk_ms
 dsp_limit_refuse (const struct dsp *d, struct dsp_pool *p)
--- a/serve/dispatch-retry.c
+++ b/serve/dispatch-retry.c
@@ -3,8 +3,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/** Part of the fleet's budget that is used: the nodes count apart and the
-    windows of the count slide, so that a little room has to stay. */
+/** Part of the fleet's retry budget that is used. The nodes count
+    separately and their windows slide, so some room must remain. */
 #define USED_PART 0.8
 
 struct dsp_budget *
@@ -20,7 +20,7 @@
   return b;
 }
 
-/** Empty the slots of the seconds that have passed. */
+/** Clears the counters of the seconds that have passed. */
 static void
 advance (struct dsp *d, struct dsp_budget *b)
 {
@@ -57,10 +57,10 @@
 }
 
 /*
- * When a service fails as a whole, every request fails, and repeating them
- * all would multiply its load just then, so that it could not come back.  All
- * nodes share one bound: a part of the requests, plus a constant of which
- * each node may use its even share.
+ * When a whole service fails, every request fails. Retrying them all would
+ * multiply the load and keep the service from recovering. All nodes share one
+ * limit: a fraction of the requests, plus a constant that is divided evenly
+ * among the nodes.
  */
 bool
 dsp_budget_repeat (struct dsp *d, struct dsp_pool *p)
