--- a/serve/unread.c
+++ b/serve/unread.c
@@ -5,8 +5,8 @@
 
 struct entry
 {
-  uint64_t value; /* hash of it */
-  bool named;     /* by the list that is being read */
+  uint64_t value; /* hash of the value */
+  bool named;     /* named by the list that is being read */
 };
 
 struct unr
--- a/serve/unread.h
+++ b/serve/unread.h
@@ -1,10 +1,11 @@
 /**
  * @file
- * Entries of the list of backend servers that can't be read: which of them are
- * news, and how many there are.
+ * Tracks the invalid entries of the backend server list: which of them are new
+ * or have changed, and how many there are.
  *
- * The list is read some times a second, and an entry by another writer may
- * stay there for good; it is worth a line in the log each time it changes.
+ * The list is read several times a second, and an invalid entry by another
+ * writer may stay in it permanently. It is logged only when it appears or
+ * changes.
  */
 #ifndef LAPISLINE_SERVE_UNREAD_H
 #define LAPISLINE_SERVE_UNREAD_H
@@ -16,14 +17,15 @@
 struct unr *unr_new (void);
 void unr_free (struct unr *u);
 
-/** A whole list is read from here on. */
+/** Starts a new pass over the list. */
 void unr_begin (struct unr *u);
-/** An entry can't be read. @return whether it is new or has changed */
+/** Records an entry that can't be parsed. @return whether it is new or has
+    changed */
 bool unr_note (struct unr *u, struct str key, struct str value);
-/** The list has ended: entries that it did not name are forgotten. */
+/** Ends the pass and drops the entries that it didn't record. */
 void unr_end (struct unr *u);
 
-/** Such entries in the last list. */
+/** Number of invalid entries in the last pass. */
 size_t unr_count (const struct unr *u);
 
 #endif
