--- a/serve/dispatch-int.h
+++ b/serve/dispatch-int.h
@@ -140,8 +140,8 @@
   struct dsp_pace asked[DSP_PRIORITIES]; /**< request rate by priority */
   struct dsp_pace limited; /**< rate of requests rejected because all
                                 endpoints are rate-limited */
-  clk_ms promised;         /**< end of the time in which the permitted rate is
-                                assigned to rejected clients, by their retry delays */
+  clk_ms promised;         /**< time up to which the permitted rate has been
+                                given to rejected clients as retry delays */
 };
 
 struct dsp_req
