--- a/serve/dispatch-code.c
+++ b/serve/dispatch-code.c
@@ -7,12 +7,12 @@
 } codes[] = { [DSP_NONE] = { "none", 200 },
               [DSP_NO_SERVER] = { "no-server", 503 },
               [DSP_OVERLOAD] = { "overload", 503 },
-              [DSP_LIMITED] = { "rate-limited", 503 },
-              [DSP_UNRUN] = { "refused", 503 },
-              [DSP_CONNECT] = { "no-connection", 503 },
-              [DSP_LEAVING] = { "leaving", 503 },
+              [DSP_RATE_LIMITED] = { "rate-limited", 503 },
+              [DSP_REFUSED] = { "refused", 503 },
+              [DSP_NO_CONNECTION] = { "no-connection", 503 },
+              [DSP_SHUTTING_DOWN] = { "leaving", 503 },
               [DSP_POISON] = { "crashes-servers", 503 },
-              [DSP_BROKEN] = { "broken", 502 },
+              [DSP_INTERRUPTED] = { "broken", 502 },
               [DSP_DEADLINE] = { "deadline", 504 } };
 
 const char *
--- a/serve/dispatch-crash.c
+++ b/serve/dispatch-crash.c
@@ -21,54 +21,54 @@
 
 /** Finds the entry for a run that is interrupted now. An entry whose check
     found the server alive or unreachable is not reused. */
-static struct dsp_break *
+static struct dsp_interruption *
 find_break (struct dsp *d, uint64_t place)
 {
-  for (size_t i = 0; i < DSP_BREAKS; i++)
+  for (size_t i = 0; i < DSP_INTERRUPTIONS_MAX; i++)
     {
-      struct dsp_break *b = &d->breaks[i];
-      if (b->place == place && d->now - b->at < BREAK_MS
-          && (!b->checked || b->found == DSP_ENDED))
+      struct dsp_interruption *b = &d->interruptions[i];
+      if (b->endpoint == place && d->now - b->first_at < BREAK_MS
+          && (!b->checked || b->liveness == DSP_ENDED))
         return b;
     }
   return NULL;
 }
 
-static struct dsp_break *
+static struct dsp_interruption *
 new_break (struct dsp *d, uint64_t place)
 {
-  struct dsp_break *oldest = &d->breaks[0];
+  struct dsp_interruption *oldest = &d->interruptions[0];
 
-  for (size_t i = 1; i < DSP_BREAKS; i++)
-    if (d->breaks[i].at < oldest->at)
-      oldest = &d->breaks[i];
+  for (size_t i = 1; i < DSP_INTERRUPTIONS_MAX; i++)
+    if (d->interruptions[i].first_at < oldest->first_at)
+      oldest = &d->interruptions[i];
   memset (oldest, 0, sizeof *oldest);
-  oldest->place = place;
-  oldest->at = d->now;
+  oldest->endpoint = place;
+  oldest->first_at = d->now;
   return oldest;
 }
 
-static struct dsp_break *
-ask_server (struct dsp *d, const struct dsp_server *s)
+static struct dsp_interruption *
+ask_server (struct dsp *d, const struct dsp_endpoint_state *s)
 {
-  struct dsp_action *a = dsp_act (d, DSP_ACT_CHECK, NULL);
+  struct dsp_action *a = dsp_add_action (d, DSP_ACT_CHECK, NULL);
 
-  a->server = str_from (s->id);
+  a->server = str_from (s->server);
   a->addr = s->addr;
   a->place = s->hash;
   return new_break (d, s->hash);
 }
 
 void
-dsp_run_broken (struct dsp *d, const struct dsp_req *q)
+dsp_run_interrupted (struct dsp *d, const struct dsp_req *q)
 {
-  const struct dsp_server *s = q->server;
+  const struct dsp_endpoint_state *s = q->endpoint;
   struct psn_update run
       = { .kind = PSN_CRASH,
           .digest = q->digest,
           .place = s->hash,
-          .ran_ms = q->begun ? d->now - q->begun_at : PSN_NO_EVENT };
-  struct dsp_break *b = find_break (d, s->hash);
+          .ran_ms = q->streaming ? d->now - q->first_event_at : PSN_NO_EVENT };
+  struct dsp_interruption *b = find_break (d, s->hash);
 
   /* A server that is shutting down ends its process without a crash. */
   if (!s->listed || !s->accepting)
@@ -77,7 +77,7 @@
     b = ask_server (d, s);
   if (b->checked && d->opt.poison)
     psn_apply (d->opt.poison, d->now, &run);
-  else if (b->nruns < DSP_BREAK_RUNS)
+  else if (b->nruns < DSP_INTERRUPTED_RUNS_MAX)
     b->runs[b->nruns++] = run;
 }
 
@@ -85,40 +85,40 @@
 dsp_checked (struct dsp *d, clk_ms now, uint64_t place,
              enum dsp_liveness found)
 {
-  struct dsp_server *s;
-  struct dsp_break *b;
+  struct dsp_endpoint_state *s;
+  struct dsp_interruption *b;
 
   d->now = now;
   b = find_break (d, place);
   if (!b || b->checked)
     return 0;
   b->checked = true;
-  b->found = found;
+  b->liveness = found;
   if (found != DSP_ENDED)
     return b->nruns;
-  d->figures.servers_ended++;
-  s = dsp_find_place (d, place);
+  d->stats.servers_ended++;
+  s = dsp_find_endpoint (d, place);
   if (s)
-    s->ended_until = now + ENDED_MS;
+    s->process_ended_until = now + ENDED_MS;
   for (size_t i = 0; d->opt.poison && i < b->nruns; i++)
     psn_apply (d->opt.poison, now, &b->runs[i]);
   return b->nruns;
 }
 
 bool
-dsp_suspects (const struct dsp *d, const struct dsp_req *q)
+dsp_is_suspect (const struct dsp *d, const struct dsp_req *q)
 {
   return d->opt.poison && psn_suspects (d->opt.poison, q->digest);
 }
 
 bool
-dsp_has_ended (const struct dsp *d, const struct dsp_server *s)
+dsp_process_ended (const struct dsp *d, const struct dsp_endpoint_state *s)
 {
-  return d->now < s->ended_until || d->now < s->reported_ended_until;
+  return d->now < s->process_ended_until || d->now < s->reported_ended_until;
 }
 
 void
-dsp_reported_ended (struct dsp *d, struct dsp_server *s)
+dsp_peer_reported_ended (struct dsp *d, struct dsp_endpoint_state *s)
 {
   if (s)
     s->reported_ended_until = d->now + REPORTED_MS;
@@ -128,7 +128,7 @@
 static bool
 may_stop (const struct dsp_req *q)
 {
-  return q->queued || (q->route->kind == TBL_STREAM && !q->begun);
+  return q->queued || (q->route->kind == TBL_STREAM && !q->streaming);
 }
 
 void
@@ -141,6 +141,6 @@
     {
       next = q->next;
       if (q->digest == digest && may_stop (q))
-        dsp_give_up (d, q, DSP_POISON, DSP_BROKEN, 0);
+        dsp_give_up (d, q, DSP_POISON, DSP_INTERRUPTED, 0);
     }
 }
--- a/serve/dispatch-health.c
+++ b/serve/dispatch-health.c
@@ -46,10 +46,10 @@
 
   *listed = 0;
   for (size_t i = 0; i < p->n; i++)
-    if (p->servers[i]->listed)
+    if (p->endpoints[i]->listed)
       {
         (*listed)++;
-        out += p->servers[i]->ejected_until != 0;
+        out += p->endpoints[i]->ejected_until != 0;
       }
   return out;
 }
@@ -60,7 +60,7 @@
  * remaining ones and make these fail too.
  */
 static void
-eject (struct dsp *d, struct dsp_server *s)
+eject (struct dsp *d, struct dsp_endpoint_state *s)
 {
   size_t listed, out = count_out (s->pool, &listed);
   clk_ms span = OUT_FIRST_MS;
@@ -72,24 +72,24 @@
   s->ejections++;
   s->ejected_until = d->now + (span < OUT_MOST_MS ? span : OUT_MOST_MS);
   s->probing = false;
-  d->figures.ejections++;
+  d->stats.ejections++;
 }
 
 static void
-restore (struct dsp_server *s)
+restore (struct dsp_endpoint_state *s)
 {
   s->ejected_until = 0;
-  s->errors = 0;
+  s->failure_rate = 0;
   s->samples = 0;
-  s->bad_run = 0;
+  s->failures_in_row = 0;
 }
 
 void
-dsp_health_good (struct dsp *d, struct dsp_server *s)
+dsp_health_success (struct dsp *d, struct dsp_endpoint_state *s)
 {
   (void)d;
-  s->bad_run = 0;
-  s->errors += SMOOTH * (0 - s->errors);
+  s->failures_in_row = 0;
+  s->failure_rate += SMOOTH * (0 - s->failure_rate);
   s->samples++;
   if (s->probing)
     restore (s);
@@ -99,38 +99,40 @@
 }
 
 void
-dsp_health_bad (struct dsp *d, struct dsp_server *s)
+dsp_health_failure (struct dsp *d, struct dsp_endpoint_state *s)
 {
-  s->bad_run++;
-  s->errors += SMOOTH * (1 - s->errors);
+  s->failures_in_row++;
+  s->failure_rate += SMOOTH * (1 - s->failure_rate);
   s->samples++;
-  if (s->probing || (!s->ejected_until && s->bad_run >= BAD_RUN)
+  if (s->probing || (!s->ejected_until && s->failures_in_row >= BAD_RUN)
       || (!s->ejected_until && s->samples >= ERRORS_SAMPLES
-          && s->errors > ERRORS_EJECT))
+          && s->failure_rate > ERRORS_EJECT))
     eject (d, s);
 }
 
 void
-dsp_health_begun (struct dsp *d, struct dsp_server *s, clk_ms ms)
+dsp_health_first_event (struct dsp *d, struct dsp_endpoint_state *s, clk_ms ms)
 {
   struct dsp_pool *p = s->pool;
 
   (void)d;
-  s->slow_ms += (s->slow_ms > 0 ? SMOOTH : 1) * ((double)ms - s->slow_ms);
-  p->begin_ms += (p->begin_ms > 0 ? 0.05 : 1) * ((double)ms - p->begin_ms);
+  s->first_event_ms += (s->first_event_ms > 0 ? SMOOTH : 1)
+                       * ((double)ms - s->first_event_ms);
+  p->first_event_ms
+      += (p->first_event_ms > 0 ? 0.05 : 1) * ((double)ms - p->first_event_ms);
 }
 
 bool
-dsp_health_usable (const struct dsp *d, const struct dsp_server *s)
+dsp_health_usable (const struct dsp *d, const struct dsp_endpoint_state *s)
 {
   return s->listed && s->accepting && !s->stalled && !s->ejected_until
-         && d->now >= s->full_until && !dsp_has_ended (d, s);
+         && d->now >= s->full_until && !dsp_process_ended (d, s);
 }
 
 bool
-dsp_health_probe_due (const struct dsp *d, const struct dsp_server *s)
+dsp_health_probe_due (const struct dsp *d, const struct dsp_endpoint_state *s)
 {
-  if (!s->listed || !s->accepting || s->probing || dsp_has_ended (d, s))
+  if (!s->listed || !s->accepting || s->probing || dsp_process_ended (d, s))
     return false;
   if (s->stalled)
     return d->now - s->stalled_at >= STALL_BACK_MS;
@@ -149,16 +151,16 @@
 };
 
 static struct moving
-count_moving (const struct dsp *d, const struct dsp_server *s)
+count_moving (const struct dsp *d, const struct dsp_endpoint_state *s)
 {
   struct moving m = { .oldest = CLK_NEVER };
 
   for (const struct dsp_req *q = d->open_list; q; q = q->next)
     {
-      if (q->server != s || q->route->kind != TBL_STREAM)
+      if (q->endpoint != s || q->route->kind != TBL_STREAM)
         continue;
-      m.begun += q->begun;
-      if (q->unbegun && q->sent_at < m.oldest)
+      m.begun += q->streaming;
+      if (q->awaits_first_event && q->sent_at < m.oldest)
         {
           m.oldest = q->sent_at;
           m.goal_ms = q->route->goal_ms;
@@ -169,17 +171,17 @@
 
 /** Adds the streams of the other nodes, and the time of their last event. */
 static void
-add_others (const struct dsp *d, const struct dsp_server *s, unsigned *begun,
-            clk_ms *heard)
+add_others (const struct dsp *d, const struct dsp_endpoint_state *s,
+            unsigned *begun, clk_ms *heard)
 {
   for (size_t i = 0; i < d->npeers; i++)
     {
       const struct dsp_peer *p = &d->peers[i];
-      if (d->now - p->told_at > TOLD_MS)
+      if (d->now - p->received_at > TOLD_MS)
         continue;
       for (size_t k = 0; k < p->n; k++)
         {
-          const struct dsp_count *c = &p->counts[k];
+          const struct dsp_count *c = &p->loads[k];
           if (c->place != s->hash || c->begun == 0 || c->stalled)
             continue;
           *begun += c->begun;
@@ -199,23 +201,23 @@
 }
 
 bool
-dsp_health_quiet (const struct dsp *d, const struct dsp_server *s)
+dsp_health_is_silent (const struct dsp *d, const struct dsp_endpoint_state *s)
 {
-  clk_ms heard = s->heard;
+  clk_ms heard = s->last_data_at;
   unsigned begun = 0;
 
-  if (s->begun == 0 && s->others_begun == 0)
+  if (s->own_streaming == 0 && s->peer_streaming == 0)
     return false;
   add_others (d, s, &begun, &heard);
-  begun += s->begun;
+  begun += s->own_streaming;
   return begun >= STALL_MANY && d->now - heard > QUIET_MS;
 }
 
 static bool
-has_stalled (const struct dsp *d, const struct dsp_server *s)
+has_stalled (const struct dsp *d, const struct dsp_endpoint_state *s)
 {
   struct moving m = count_moving (d, s);
-  clk_ms heard = s->heard;
+  clk_ms heard = s->last_data_at;
   clk_ms begin = STALL_BEGIN_FACTOR * m.goal_ms;
   unsigned begun = m.begun;
 
@@ -226,40 +228,41 @@
     return false;
   if (begin < STALL_BEGIN_MS)
     begin = STALL_BEGIN_MS;
-  return d->now - m.oldest > begin && s->heard < m.oldest;
+  return d->now - m.oldest > begin && s->last_data_at < m.oldest;
 }
 
 /** Duration of the current silence. If the endpoint has sent nothing since
     the oldest waiting request was sent, the silence is measured from that
     request. */
 static clk_ms
-silence (const struct dsp *d, const struct dsp_server *s)
+silence (const struct dsp *d, const struct dsp_endpoint_state *s)
 {
   struct moving m = count_moving (d, s);
   bool begins = m.begun == 0 && m.oldest != CLK_NEVER;
 
-  return d->now - (begins && s->heard < m.oldest ? m.oldest : s->heard);
+  return d->now
+         - (begins && s->last_data_at < m.oldest ? m.oldest : s->last_data_at);
 }
 
 /** Moves all requests away from a stalled endpoint. */
 static void
-move_away (struct dsp *d, struct dsp_server *s)
+move_away (struct dsp *d, struct dsp_endpoint_state *s)
 {
   struct dsp_req *next;
 
-  struct dsp_action *note = dsp_act (d, DSP_ACT_STALLED, NULL);
+  struct dsp_action *note = dsp_add_action (d, DSP_ACT_STALLED, NULL);
 
-  note->server = str_from (s->id);
+  note->server = str_from (s->server);
   note->left_ms = silence (d, s);
   s->stalled = true;
   s->stalled_at = d->now;
-  d->figures.stalls++;
+  d->stats.stalls++;
   for (struct dsp_req *q = d->open_list; q; q = next)
     {
       next = q->next;
-      if (q->server == s && q->sent_at != 0 && q->repeatable
+      if (q->endpoint == s && q->sent_at != 0 && q->retryable
           && q->state != DSP_S_CONNECTING && q->state != DSP_S_RECONNECTING)
-        dsp_attempt_lost (d, q, DSP_BROKEN);
+        dsp_attempt_failed (d, q, DSP_INTERRUPTED);
     }
 }
 
@@ -278,8 +281,8 @@
   for (size_t i = 0; i < d->npools; i++)
     for (size_t k = 0; k < d->pools[i]->n; k++)
       {
-        struct dsp_server *s = d->pools[i]->servers[k];
-        if (s->own > 0 && !s->stalled && has_stalled (d, s))
+        struct dsp_endpoint_state *s = d->pools[i]->endpoints[k];
+        if (s->own_requests > 0 && !s->stalled && has_stalled (d, s))
           move_away (d, s);
       }
 }
--- a/serve/dispatch-limit.c
+++ b/serve/dispatch-limit.c
@@ -22,7 +22,7 @@
   d->now = now;
   if (!q || !d->opt.limits)
     return LIM_SAME;
-  word.server = q->server->process;
+  word.server = q->endpoint->process_hash;
   word.sent_at = q->sent_at;
   return lim_answered (d->opt.limits, now, &word);
 }
@@ -33,80 +33,82 @@
   const struct dsp_req *q = dsp_find_attempt (d, id, attempt);
 
   return q && d->opt.limits
-             ? lim_count_sent (d->opt.limits, q->server->process)
+             ? lim_count_sent (d->opt.limits, q->endpoint->process_hash)
              : 0;
 }
 
 bool
-dsp_limit_allows (const struct dsp *d, const struct dsp_server *s)
+dsp_limit_allows (const struct dsp *d, const struct dsp_endpoint_state *s)
 {
-  return !d->opt.limits || lim_allows (d->opt.limits, d->now, s->process);
+  return !d->opt.limits || lim_allows (d->opt.limits, d->now, s->process_hash);
 }
 
 void
-dsp_limit_want (const struct dsp *d, const struct dsp_server *s,
-                const struct dsp_req *q)
+dsp_limit_ask_permit (const struct dsp *d, const struct dsp_endpoint_state *s,
+                      const struct dsp_req *q)
 {
   /* Count each request once, however often it is considered. */
   if (q->queued_at == d->now)
-    lim_want (d->opt.limits, d->now, s->process);
+    lim_want (d->opt.limits, d->now, s->process_hash);
 }
 
 void
-dsp_limit_take (const struct dsp *d, const struct dsp_server *s)
+dsp_limit_use_permit (const struct dsp *d, const struct dsp_endpoint_state *s)
 {
   if (d->opt.limits)
-    lim_take (d->opt.limits, d->now, s->process);
+    lim_take (d->opt.limits, d->now, s->process_hash);
 }
 
 bool
-dsp_is_limited (const struct dsp *d, const struct dsp_server *s)
+dsp_is_limited (const struct dsp *d, const struct dsp_endpoint_state *s)
 {
   double rate;
 
-  return d->opt.limits && lim_rate (d->opt.limits, s->process, &rate);
+  return d->opt.limits && lim_rate (d->opt.limits, s->process_hash, &rate);
 }
 
 void
 dsp_permitted (struct dsp *d, clk_ms now)
 {
   d->now = now;
-  dsp_pump_all (d);
+  dsp_send_all_queued (d);
 }
 
 double
-dsp_limit_slots (const struct dsp *d, const struct dsp_server *s)
+dsp_limit_slots (const struct dsp *d, const struct dsp_endpoint_state *s)
 {
   double rate, slots = s->capacity;
 
-  if (d->opt.limits && lim_rate (d->opt.limits, s->process, &rate)
-      && s->pool->run_ms > 0)
-    slots = fmin (slots, rate * s->pool->run_ms / (double)CLK_SECOND);
+  if (d->opt.limits && lim_rate (d->opt.limits, s->process_hash, &rate)
+      && s->pool->response_ms > 0)
+    slots = fmin (slots, rate * s->pool->response_ms / (double)CLK_SECOND);
   return slots;
 }
 
 /* --- rates --------------------------------------------------------------- */
 
 static double
-per_second (const struct dsp_pace *x, clk_ms now)
+per_second (const struct dsp_rate *x, clk_ms now)
 {
-  return x->n * exp (-(double)(now - x->at) / PACE_MS)
+  return x->weighted_count * exp (-(double)(now - x->updated_at) / PACE_MS)
          / (PACE_MS / (double)CLK_SECOND);
 }
 
 static void
-count (struct dsp_pace *x, clk_ms now)
+count (struct dsp_rate *x, clk_ms now)
 {
-  x->n = x->n * exp (-(double)(now - x->at) / PACE_MS) + 1;
-  x->at = now;
+  x->weighted_count
+      = x->weighted_count * exp (-(double)(now - x->updated_at) / PACE_MS) + 1;
+  x->updated_at = now;
 }
 
 void
-dsp_limit_asked (const struct dsp *d, const struct dsp_req *q)
+dsp_limit_count_request (const struct dsp *d, const struct dsp_req *q)
 {
   if (d->opt.limits && lim_any (d->opt.limits))
-    count (&q->pool->asked[q->priority < DSP_PRIORITIES ? q->priority
-                                                        : DSP_PRIORITIES - 1],
+    count (&q->pool->request_rates[q->priority < DSP_PRIORITIES
+                                       ? q->priority
+                                       : DSP_PRIORITIES - 1],
            d->now);
 }
 
@@ -125,13 +127,13 @@
     return 0;
   for (size_t i = 0; i < p->n; i++)
     {
-      const struct dsp_server *s = p->servers[i];
+      const struct dsp_endpoint_state *s = p->endpoints[i];
       if (!dsp_health_usable (d, s))
         continue;
-      if (!lim_rate (d->opt.limits, s->process, &rate))
+      if (!lim_rate (d->opt.limits, s->process_hash, &rate))
         return 0;
       sum += fmax (rate, LIM_RATE_LEAST);
-      *spent = *spent && lim_is_spent (d->opt.limits, d->now, s->process);
+      *spent = *spent && lim_is_spent (d->opt.limits, d->now, s->process_hash);
     }
   return sum;
 }
@@ -148,21 +150,21 @@
 static double
 own_part (const struct dsp *d, double sum)
 {
-  return sum / (d->nodes ? d->nodes : 1);
+  return sum / (d->node_count ? d->node_count : 1);
 }
 
 bool
-dsp_limit_yields (const struct dsp *d, const struct dsp_pool *p,
-                  const struct dsp_req *q)
+dsp_limit_must_defer (const struct dsp *d, const struct dsp_pool *p,
+                      const struct dsp_req *q)
 {
   double urgent = 0, sum;
   bool spent;
 
   sum = sum_of_limits (d, p, &spent);
-  if (sum <= 0 || q->passing)
+  if (sum <= 0 || q->forwarded)
     return false;
   for (unsigned i = 0; i < q->priority && i < DSP_PRIORITIES; i++)
-    urgent += per_second (&p->asked[i], d->now);
+    urgent += per_second (&p->request_rates[i], d->now);
   return urgent >= own_part (d, sum);
 }
 
@@ -176,12 +178,12 @@
 }
 
 clk_ms
-dsp_limit_wait (const struct dsp *d, const struct dsp_pool *p)
+dsp_limit_wait_ms (const struct dsp *d, const struct dsp_pool *p)
 {
   bool spent;
   double sum = sum_of_limits (d, p, &spent);
 
-  return sum > 0 && spent ? time_for (d, sum, (double)p->waiting) : 0;
+  return sum > 0 && spent ? time_for (d, sum, (double)p->queue_length) : 0;
 }
 
 /**
@@ -189,22 +191,22 @@
  * same moment and be rejected again. Each one gets the next free time slot.
  */
 clk_ms
-dsp_limit_refuse (const struct dsp *d, struct dsp_pool *p)
+dsp_limit_reject (const struct dsp *d, struct dsp_pool *p)
 {
   bool spent;
   double sum = sum_of_limits (d, p, &spent);
-  clk_ms from = p->promised > d->now ? p->promised : d->now;
+  clk_ms from = p->assigned_until > d->now ? p->assigned_until : d->now;
 
-  count (&p->limited, d->now);
-  p->promised = from + (sum > 0 ? time_for (d, sum, 1) : RETRY_MOST_MS);
-  if (p->promised > d->now + RETRY_MOST_MS)
-    p->promised = d->now + RETRY_MOST_MS;
-  return p->promised - d->now;
+  count (&p->rejection_rate, d->now);
+  p->assigned_until = from + (sum > 0 ? time_for (d, sum, 1) : RETRY_MOST_MS);
+  if (p->assigned_until > d->now + RETRY_MOST_MS)
+    p->assigned_until = d->now + RETRY_MOST_MS;
+  return p->assigned_until - d->now;
 }
 
 double
 dsp_limit_demand (const struct dsp *d, const struct dsp_pool *p)
 {
-  return per_second (&p->limited, d->now) * d->nodes * p->run_ms
-         / (double)CLK_SECOND;
+  return per_second (&p->rejection_rate, d->now) * d->node_count
+         * p->response_ms / (double)CLK_SECOND;
 }
--- a/serve/dispatch-load.c
+++ b/serve/dispatch-load.c
@@ -23,13 +23,13 @@
     200 ms, and nine in ten within 240 to 320 ms. */
 #define NOTICE_MS ((clk_ms)250)
 
-struct dsp_server *
-dsp_find_place (const struct dsp *d, uint64_t hash)
+struct dsp_endpoint_state *
+dsp_find_endpoint (const struct dsp *d, uint64_t hash)
 {
   for (size_t i = 0; i < d->npools; i++)
     for (size_t k = 0; k < d->pools[i]->n; k++)
-      if (d->pools[i]->servers[k]->hash == hash)
-        return d->pools[i]->servers[k];
+      if (d->pools[i]->endpoints[k]->hash == hash)
+        return d->pools[i]->endpoints[k];
   return NULL;
 }
 
@@ -44,39 +44,39 @@
 {
   for (size_t i = 0; i < p->n; i++)
     {
-      const struct dsp_count *c = &p->counts[i];
-      struct dsp_server *s = dsp_find_place (d, c->place);
+      const struct dsp_count *c = &p->loads[i];
+      struct dsp_endpoint_state *s = dsp_find_endpoint (d, c->place);
       if (!s)
         continue;
-      s->others
-          = add ? s->others + c->in_flight : less (s->others, c->in_flight);
-      s->others_begun = add ? s->others_begun + c->begun
-                            : less (s->others_begun, c->begun);
-      s->others_unread += add ? (double)c->unread : -(double)c->unread;
-      if (s->others_unread < 0)
-        s->others_unread = 0;
+      s->peer_requests = add ? s->peer_requests + c->in_flight
+                             : less (s->peer_requests, c->in_flight);
+      s->peer_streaming = add ? s->peer_streaming + c->begun
+                              : less (s->peer_streaming, c->begun);
+      s->peer_prefill += add ? (double)c->unread : -(double)c->unread;
+      if (s->peer_prefill < 0)
+        s->peer_prefill = 0;
     }
 }
 
 void
-dsp_load_recount (struct dsp *d)
+dsp_load_sum_peers (struct dsp *d)
 {
   for (size_t i = 0; i < d->npools; i++)
     for (size_t k = 0; k < d->pools[i]->n; k++)
       {
-        struct dsp_server *s = d->pools[i]->servers[k];
-        s->others = s->others_begun = 0;
-        s->others_unread = 0;
+        struct dsp_endpoint_state *s = d->pools[i]->endpoints[k];
+        s->peer_requests = s->peer_streaming = 0;
+        s->peer_prefill = 0;
       }
   for (size_t i = 0; i < d->npeers; i++)
     add_counts (d, &d->peers[i], true);
 }
 
 void
-dsp_pump_all (struct dsp *d)
+dsp_send_all_queued (struct dsp *d)
 {
   for (size_t i = 0; i < d->npools; i++)
-    dsp_pump (d, d->pools[i]);
+    dsp_send_queued (d, d->pools[i]);
 }
 
 /* --- other nodes ------------------------------------------------------- */
@@ -84,7 +84,7 @@
 void
 dsp_nodes (struct dsp *d, unsigned n)
 {
-  d->nodes = n ? n : 1;
+  d->node_count = n ? n : 1;
 }
 
 static struct dsp_peer *
@@ -106,16 +106,16 @@
 
   d->now = now;
   add_counts (d, p, false);
-  p->counts = xrealloc (p->counts, (n + 1) * sizeof *p->counts);
+  p->loads = xrealloc (p->loads, (n + 1) * sizeof *p->loads);
   if (n)
-    memcpy (p->counts, counts, n * sizeof *counts);
+    memcpy (p->loads, counts, n * sizeof *counts);
   p->n = n;
-  p->told_at = now;
+  p->received_at = now;
   add_counts (d, p, true);
   for (size_t i = 0; i < n; i++)
     if (counts[i].ended)
-      dsp_reported_ended (d, dsp_find_place (d, counts[i].place));
-  dsp_pump_all (d);
+      dsp_peer_reported_ended (d, dsp_find_endpoint (d, counts[i].place));
+  dsp_send_all_queued (d);
 }
 
 const struct dsp_count *
@@ -125,25 +125,25 @@
 
   for (size_t i = 0; i < d->npools; i++)
     all += d->pools[i]->n;
-  d->own = xrealloc (d->own, (all + 1) * sizeof *d->own);
+  d->own_loads = xrealloc (d->own_loads, (all + 1) * sizeof *d->own_loads);
   *n = 0;
   for (size_t i = 0; i < d->npools; i++)
     for (size_t k = 0; k < d->pools[i]->n; k++)
       {
-        const struct dsp_server *s = d->pools[i]->servers[k];
-        bool ended = d->now < s->ended_until;
-        if (s->own || s->stalled || ended)
-          d->own[(*n)++]
-              = (struct dsp_count){ .place = s->hash,
-                                    .in_flight = s->own,
-                                    .begun = s->begun,
-                                    .unread
-                                    = (uint32_t)(s->unread - s->noticed_own),
-                                    .heard = s->heard,
-                                    .stalled = s->stalled,
-                                    .ended = ended };
+        const struct dsp_endpoint_state *s = d->pools[i]->endpoints[k];
+        bool ended = d->now < s->process_ended_until;
+        if (s->own_requests || s->stalled || ended)
+          d->own_loads[(*n)++] = (struct dsp_count){
+            .place = s->hash,
+            .in_flight = s->own_requests,
+            .begun = s->own_streaming,
+            .unread = (uint32_t)(s->own_prefill - s->own_noticed),
+            .heard = s->last_data_at,
+            .stalled = s->stalled,
+            .ended = ended
+          };
       }
-  return d->own;
+  return d->own_loads;
 }
 
 double
@@ -158,11 +158,12 @@
         continue;
       /* Clients choose their nodes at random, so each other node has about
          as many queued requests. */
-      n += (double)p->waiting * d->nodes + dsp_limit_demand (d, p);
+      n += (double)p->queue_length * d->node_count + dsp_limit_demand (d, p);
       for (size_t k = 0; k < p->n; k++)
         {
-          const struct dsp_server *s = p->servers[k];
-          n += s->own + s->others + s->capacity - dsp_limit_slots (d, s);
+          const struct dsp_endpoint_state *s = p->endpoints[k];
+          n += s->own_requests + s->peer_requests + s->capacity
+               - dsp_limit_slots (d, s);
         }
     }
   return n;
@@ -171,79 +172,81 @@
 /* --- prompts ------------------------------------------------------------ */
 
 double
-dsp_load_unread (const struct dsp_server *s)
+dsp_load_pending_prefill (const struct dsp_endpoint_state *s)
 {
-  return s->unread + s->others_unread + s->others_noticed;
+  return s->own_prefill + s->peer_prefill + s->peer_noticed;
 }
 
 static bool
-is_notable (const struct dsp *d, const struct dsp_server *s, double prompt)
+is_notable (const struct dsp *d, const struct dsp_endpoint_state *s,
+            double prompt)
 {
-  return s->read_per_ms > 0 && prompt / s->read_per_ms >= NOTICE_READ_MS
-         && d->nodes > 1 && d->nodes <= HUB_MESH_MOST
-         && d->nnotices < DSP_NOTICES;
+  return s->prefill_per_ms > 0 && prompt / s->prefill_per_ms >= NOTICE_READ_MS
+         && d->node_count > 1 && d->node_count <= HUB_MESH_MOST
+         && d->noutgoing < DSP_NOTICES_MAX;
 }
 
 void
-dsp_prompt_sent (struct dsp *d, struct dsp_req *q)
+dsp_load_prompt_sent (struct dsp *d, struct dsp_req *q)
 {
-  struct dsp_server *s = q->server;
+  struct dsp_endpoint_state *s = q->endpoint;
 
-  q->unread = true;
-  s->unread += q->prompt;
-  q->noticed = is_notable (d, s, q->prompt);
-  if (!q->noticed)
+  q->prefill_counted = true;
+  s->own_prefill += q->prompt_tokens;
+  q->prefill_noticed = is_notable (d, s, q->prompt_tokens);
+  if (!q->prefill_noticed)
     return;
-  s->noticed_own += q->prompt;
-  d->notices[d->nnotices++]
-      = (struct dsp_notice){ s->hash, (uint32_t)q->prompt };
+  s->own_noticed += q->prompt_tokens;
+  d->outgoing_notices[d->noutgoing++]
+      = (struct dsp_notice){ s->hash, (uint32_t)q->prompt_tokens };
 }
 
 void
-dsp_prompt_read (struct dsp_req *q)
+dsp_load_prompt_processed (struct dsp_req *q)
 {
-  struct dsp_server *s = q->server;
+  struct dsp_endpoint_state *s = q->endpoint;
 
-  if (q->unread)
-    s->unread -= q->prompt;
-  if (q->noticed)
-    s->noticed_own -= q->prompt;
-  q->unread = q->noticed = false;
+  if (q->prefill_counted)
+    s->own_prefill -= q->prompt_tokens;
+  if (q->prefill_noticed)
+    s->own_noticed -= q->prompt_tokens;
+  q->prefill_counted = q->prefill_noticed = false;
 }
 
 const struct dsp_notice *
 dsp_notices (struct dsp *d, size_t *n)
 {
-  *n = d->nnotices;
-  d->nnotices = 0;
-  return d->notices;
+  *n = d->noutgoing;
+  d->noutgoing = 0;
+  return d->outgoing_notices;
 }
 
 static void
 count_notice (const struct dsp *d, const struct dsp_notice *n, bool add)
 {
-  struct dsp_server *s = dsp_find_place (d, n->place);
+  struct dsp_endpoint_state *s = dsp_find_endpoint (d, n->place);
 
   if (!s)
     return;
-  s->others_noticed += add ? (double)n->tokens : -(double)n->tokens;
-  if (s->others_noticed < 0)
-    s->others_noticed = 0; /* the endpoint was added after the notice was
+  s->peer_noticed += add ? (double)n->tokens : -(double)n->tokens;
+  if (s->peer_noticed < 0)
+    s->peer_noticed = 0; /* the endpoint was added after the notice was
                               received */
 }
 
 static void
 drop_notice (struct dsp *d)
 {
-  count_notice (d, &d->heard[d->heard_first].n, false);
-  d->heard_first = (d->heard_first + 1) % DSP_NOTICES;
-  d->nheard--;
+  count_notice (d, &d->received_notices[d->received_first].notice, false);
+  d->received_first = (d->received_first + 1) % DSP_NOTICES_MAX;
+  d->nreceived--;
 }
 
 void
-dsp_load_forget (struct dsp *d)
+dsp_load_expire_notices (struct dsp *d)
 {
-  while (d->nheard > 0 && d->now >= d->heard[d->heard_first].until)
+  while (d->nreceived > 0
+         && d->now >= d->received_notices[d->received_first].expires_at)
     drop_notice (d);
 }
 
@@ -252,13 +255,14 @@
              size_t n)
 {
   d->now = now;
-  dsp_load_forget (d);
+  dsp_load_expire_notices (d);
   for (size_t i = 0; i < n; i++)
     {
-      if (d->nheard == DSP_NOTICES)
+      if (d->nreceived == DSP_NOTICES_MAX)
         drop_notice (d);
-      d->heard[(d->heard_first + d->nheard++) % DSP_NOTICES]
-          = (struct dsp_heard_notice){ list[i], now + NOTICE_MS };
+      d->received_notices[(d->received_first + d->nreceived++)
+                          % DSP_NOTICES_MAX]
+          = (struct dsp_received_notice){ list[i], now + NOTICE_MS };
       count_notice (d, &list[i], true);
     }
 }
--- a/serve/dispatch-place.c
+++ b/serve/dispatch-place.c
@@ -33,7 +33,7 @@
 /* --- pools ------------------------------------------------------------- */
 
 struct dsp_pool *
-dsp_pool_of (struct dsp *d, struct str service, struct str model)
+dsp_get_pool (struct dsp *d, struct str service, struct str model)
 {
   for (size_t i = 0; i < d->npools; i++)
     if (str_is (service, d->pools[i]->service)
@@ -42,16 +42,16 @@
   struct dsp_pool *p = xcalloc (1, sizeof *p);
   p->service = str_dup (service);
   p->model = str_dup (model);
-  p->budget = dsp_budget_of (d, p->service);
+  p->budget = dsp_get_budget (d, p->service);
   d->pools = xrealloc (d->pools, (d->npools + 1) * sizeof *d->pools);
   d->pools[d->npools++] = p;
   return p;
 }
 
 static void
-server_free (struct dsp_server *s)
+server_free (struct dsp_endpoint_state *s)
 {
-  free (s->id);
+  free (s->server);
   free (s);
 }
 
@@ -59,29 +59,29 @@
 dsp_pool_free (struct dsp_pool *p)
 {
   for (size_t i = 0; i < p->n; i++)
-    server_free (p->servers[i]);
-  free (p->servers);
+    server_free (p->endpoints[i]);
+  free (p->endpoints);
   free (p->service);
   free (p->model);
   free (p);
 }
 
-static struct dsp_server *
+static struct dsp_endpoint_state *
 server_of (struct dsp_pool *p, const struct dsp_place *in)
 {
   uint64_t hash = dsp_place_hash (in->server, in->born, in->generation);
 
   for (size_t i = 0; i < p->n; i++)
-    if (p->servers[i]->hash == hash)
-      return p->servers[i];
-  struct dsp_server *s = xcalloc (1, sizeof *s);
+    if (p->endpoints[i]->hash == hash)
+      return p->endpoints[i];
+  struct dsp_endpoint_state *s = xcalloc (1, sizeof *s);
   s->pool = p;
-  s->id = str_dup (in->server);
+  s->server = str_dup (in->server);
   s->generation = in->generation;
   s->hash = hash;
-  s->process = dsp_place_hash (in->server, in->born, 0);
-  p->servers = xrealloc (p->servers, (p->n + 1) * sizeof (*p->servers));
-  p->servers[p->n++] = s;
+  s->process_hash = dsp_place_hash (in->server, in->born, 0);
+  p->endpoints = xrealloc (p->endpoints, (p->n + 1) * sizeof (*p->endpoints));
+  p->endpoints[p->n++] = s;
   return s;
 }
 
@@ -92,10 +92,10 @@
   size_t kept = 0;
 
   for (size_t i = 0; i < p->n; i++)
-    if (p->servers[i]->listed || p->servers[i]->own)
-      p->servers[kept++] = p->servers[i];
+    if (p->endpoints[i]->listed || p->endpoints[i]->own_requests)
+      p->endpoints[kept++] = p->endpoints[i];
     else
-      server_free (p->servers[i]);
+      server_free (p->endpoints[i]);
   p->n = kept;
 }
 
@@ -105,33 +105,33 @@
   d->now = now;
   for (size_t i = 0; i < d->npools; i++)
     for (size_t k = 0; k < d->pools[i]->n; k++)
-      d->pools[i]->servers[k]->fresh = false;
+      d->pools[i]->endpoints[k]->in_new_list = false;
   for (size_t i = 0; i < n; i++)
     {
-      struct dsp_pool *p = dsp_pool_of (d, list[i].service, list[i].model);
-      struct dsp_server *s = server_of (p, &list[i]);
-      s->fresh = true;
+      struct dsp_pool *p = dsp_get_pool (d, list[i].service, list[i].model);
+      struct dsp_endpoint_state *s = server_of (p, &list[i]);
+      s->in_new_list = true;
       s->addr = list[i].addr;
       s->same_zone = str_is (list[i].zone, d->zone);
       s->capacity = list[i].capacity;
-      s->read_per_ms = list[i].read_per_ms;
+      s->prefill_per_ms = list[i].read_per_ms;
       s->accepting = list[i].accepting;
     }
   for (size_t i = 0; i < d->npools; i++)
     {
       struct dsp_pool *p = d->pools[i];
       for (size_t k = 0; k < p->n; k++)
-        p->servers[k]->listed = p->servers[k]->fresh;
+        p->endpoints[k]->listed = p->endpoints[k]->in_new_list;
       sweep (p);
     }
-  dsp_load_recount (d);
-  dsp_pump_all (d);
+  dsp_load_sum_peers (d);
+  dsp_send_all_queued (d);
 }
 
 /* --- choice of an endpoint --------------------------------------------- */
 
 bool
-dsp_tried (const struct dsp_req *q, const struct dsp_server *s)
+dsp_was_tried (const struct dsp_req *q, const struct dsp_endpoint_state *s)
 {
   for (unsigned i = 0; i < q->ntried; i++)
     if (q->tried[i] == s->hash)
@@ -140,19 +140,19 @@
 }
 
 bool
-dsp_any_place (const struct dsp *d, const struct dsp_pool *p)
+dsp_any_usable (const struct dsp *d, const struct dsp_pool *p)
 {
   for (size_t i = 0; i < p->n; i++)
-    if (dsp_health_usable (d, p->servers[i]))
+    if (dsp_health_usable (d, p->endpoints[i]))
       return true;
   return false;
 }
 
 /** Requests that hold a slot or are queued for the next free ones. */
 static uint32_t
-taken (const struct dsp_server *s)
+taken (const struct dsp_endpoint_state *s)
 {
-  return s->own + s->others;
+  return s->own_requests + s->peer_requests;
 }
 
 /**
@@ -163,26 +163,26 @@
  * late.
  */
 static double
-load_of (const struct dsp_server *s)
+load_of (const struct dsp_endpoint_state *s)
 {
   double n = taken (s) + (s->same_zone ? 0 : AWAY);
   double load = n / (s->capacity ? s->capacity : 1);
 
-  if (s->read_per_ms > 0)
-    load += dsp_load_unread (s) / s->read_per_ms / READ_MS;
+  if (s->prefill_per_ms > 0)
+    load += dsp_load_pending_prefill (s) / s->prefill_per_ms / READ_MS;
   return load;
 }
 
 static bool
-may_take (const struct dsp *d, const struct dsp_server *s,
+may_take (const struct dsp *d, const struct dsp_endpoint_state *s,
           const struct dsp_req *q)
 {
-  return dsp_health_usable (d, s) && !dsp_tried (q, s)
-         && !dsp_health_quiet (d, s);
+  return dsp_health_usable (d, s) && !dsp_was_tried (q, s)
+         && !dsp_health_is_silent (d, s);
 }
 
-static struct dsp_server *
-less_loaded (struct dsp_server *a, struct dsp_server *b)
+static struct dsp_endpoint_state *
+less_loaded (struct dsp_endpoint_state *a, struct dsp_endpoint_state *b)
 {
   if (!a || !b)
     return a ? a : b;
@@ -199,21 +199,21 @@
  * addition, because the permit is valid for this node only and expires if it
  * is not used.
  */
-static struct dsp_server *
+static struct dsp_endpoint_state *
 less_taken (struct dsp *d, struct dsp_pool *p, const struct dsp_req *q,
             unsigned beyond)
 {
-  struct dsp_server *drawn[2] = { NULL, NULL }, *permitted = NULL;
+  struct dsp_endpoint_state *drawn[2] = { NULL, NULL }, *permitted = NULL;
   unsigned n = 0;
 
   for (size_t i = 0; i < p->n; i++)
     {
-      struct dsp_server *s = p->servers[i];
+      struct dsp_endpoint_state *s = p->endpoints[i];
       if (!may_take (d, s, q) || taken (s) >= s->capacity + beyond)
         continue;
       if (!dsp_limit_allows (d, s))
         {
-          dsp_limit_want (d, s, q);
+          dsp_limit_ask_permit (d, s, q);
           continue;
         }
       if (dsp_is_limited (d, s))
@@ -235,14 +235,15 @@
     request that can be retried after a failure. */
 static bool
 due_for_probe (const struct dsp *d, const struct dsp_pool *p,
-               const struct dsp_req *q, struct dsp_server **out)
+               const struct dsp_req *q, struct dsp_endpoint_state **out)
 {
-  if (!q->repeatable || q->passing || q->sends + 1 >= q->route->max_attempts)
+  if (!q->retryable || q->forwarded
+      || q->sent_attempts + 1 >= q->route->max_attempts)
     return false;
   for (size_t i = 0; i < p->n; i++)
     {
-      *out = p->servers[i];
-      if (!dsp_tried (q, *out) && dsp_health_probe_due (d, *out)
+      *out = p->endpoints[i];
+      if (!dsp_was_tried (q, *out) && dsp_health_probe_due (d, *out)
           && dsp_limit_allows (d, *out))
         return true;
     }
@@ -250,17 +251,17 @@
 }
 
 /** Chooses among the endpoints that failed recently, if no others are left. */
-static struct dsp_server *
+static struct dsp_endpoint_state *
 last_resort (const struct dsp *d, const struct dsp_pool *p,
              const struct dsp_req *q)
 {
-  struct dsp_server *best = NULL;
+  struct dsp_endpoint_state *best = NULL;
 
   for (size_t i = 0; i < p->n; i++)
     {
-      struct dsp_server *s = p->servers[i];
-      if (!s->listed || !s->accepting || s->stalled || dsp_tried (q, s)
-          || d->now < s->full_until || dsp_has_ended (d, s)
+      struct dsp_endpoint_state *s = p->endpoints[i];
+      if (!s->listed || !s->accepting || s->stalled || dsp_was_tried (q, s)
+          || d->now < s->full_until || dsp_process_ended (d, s)
           || taken (s) >= s->capacity || !dsp_limit_allows (d, s))
         continue;
       if (!best || taken (s) < taken (best))
@@ -279,17 +280,18 @@
  * days of two other workloads), because a rejected request is retried when a
  * slot is free.
  */
-struct dsp_server *
-dsp_choose (struct dsp *d, struct dsp_pool *p, const struct dsp_req *q)
+struct dsp_endpoint_state *
+dsp_choose_endpoint (struct dsp *d, struct dsp_pool *p,
+                     const struct dsp_req *q)
 {
-  bool late = d->now >= q->goal && !q->passing;
-  struct dsp_server *s;
+  bool late = d->now >= q->goal_at && !q->forwarded;
+  struct dsp_endpoint_state *s;
 
-  dsp_load_forget (d);
-  if (dsp_limit_yields (d, p, q))
+  dsp_load_expire_notices (d);
+  if (dsp_limit_must_defer (d, p, q))
     return NULL;
   if (due_for_probe (d, p, q, &s))
     return s;
   s = less_taken (d, p, q, late ? 0 : BEYOND);
-  return s || dsp_any_place (d, p) ? s : last_resort (d, p, q);
+  return s || dsp_any_usable (d, p) ? s : last_resort (d, p, q);
 }
--- a/serve/dispatch-retry.c
+++ b/serve/dispatch-retry.c
@@ -7,14 +7,14 @@
     separately and their windows slide, so some room must remain. */
 #define USED_PART 0.8
 
-struct dsp_budget *
-dsp_budget_of (struct dsp *d, const char *service)
+struct dsp_retry_budget *
+dsp_get_budget (struct dsp *d, const char *service)
 {
   for (size_t i = 0; i < d->nbudgets; i++)
     if (strcmp (d->budgets[i]->service, service) == 0)
       return d->budgets[i];
   d->budgets = xrealloc (d->budgets, (d->nbudgets + 1) * sizeof *d->budgets);
-  struct dsp_budget *b = xcalloc (1, sizeof *b);
+  struct dsp_retry_budget *b = xcalloc (1, sizeof *b);
   b->service = xstrdup (service);
   d->budgets[d->nbudgets++] = b;
   return b;
@@ -22,38 +22,40 @@
 
 /** Clears the counters of the seconds that have passed. */
 static void
-advance (struct dsp *d, struct dsp_budget *b)
+advance (struct dsp *d, struct dsp_retry_budget *b)
 {
   clk_ms second = d->now / CLK_SECOND;
-  clk_ms behind = second - b->second;
+  clk_ms behind = second - b->newest_second;
 
-  if (behind > DSP_WINDOW)
-    behind = DSP_WINDOW;
+  if (behind > DSP_BUDGET_SECONDS)
+    behind = DSP_BUDGET_SECONDS;
   for (clk_ms i = 0; i < behind; i++)
     {
-      b->requests[(second - i) % DSP_WINDOW] = 0;
-      b->repeats[(second - i) % DSP_WINDOW] = 0;
+      b->requests[(second - i) % DSP_BUDGET_SECONDS] = 0;
+      b->retries[(second - i) % DSP_BUDGET_SECONDS] = 0;
     }
   if (behind > 0)
-    b->second = second;
+    b->newest_second = second;
 }
 
 static uint32_t
-sum (const struct dsp *d, const struct dsp_budget *b, const uint32_t *counts)
+sum (const struct dsp *d, const struct dsp_retry_budget *b,
+     const uint32_t *counts)
 {
   clk_ms n = d->opt.retry_window_ms / CLK_SECOND + 1;
   uint32_t all = 0;
 
-  for (clk_ms i = 0; i < n && i < DSP_WINDOW; i++)
-    all += counts[(b->second - i + DSP_WINDOW) % DSP_WINDOW];
+  for (clk_ms i = 0; i < n && i < DSP_BUDGET_SECONDS; i++)
+    all += counts[(b->newest_second - i + DSP_BUDGET_SECONDS)
+                  % DSP_BUDGET_SECONDS];
   return all;
 }
 
 void
-dsp_budget_request (struct dsp *d, struct dsp_pool *p)
+dsp_budget_count_request (struct dsp *d, struct dsp_pool *p)
 {
   advance (d, p->budget);
-  p->budget->requests[p->budget->second % DSP_WINDOW]++;
+  p->budget->requests[p->budget->newest_second % DSP_BUDGET_SECONDS]++;
 }
 
 /*
@@ -63,19 +65,19 @@
  * among the nodes.
  */
 bool
-dsp_budget_repeat (struct dsp *d, struct dsp_pool *p)
+dsp_budget_take_retry (struct dsp *d, struct dsp_pool *p)
 {
-  struct dsp_budget *b = p->budget;
+  struct dsp_retry_budget *b = p->budget;
   double most;
 
   advance (d, b);
   most = d->opt.retry_ratio * sum (d, b, b->requests)
-         + d->opt.retry_slack / (d->nodes ? d->nodes : 1);
-  if (sum (d, b, b->repeats) + 1 > USED_PART * most)
+         + d->opt.retry_slack / (d->node_count ? d->node_count : 1);
+  if (sum (d, b, b->retries) + 1 > USED_PART * most)
     {
-      d->figures.repeat_denied++;
+      d->stats.repeat_denied++;
       return false;
     }
-  b->repeats[b->second % DSP_WINDOW]++;
+  b->retries[b->newest_second % DSP_BUDGET_SECONDS]++;
   return true;
 }
--- a/serve/dispatch-wait.c
+++ b/serve/dispatch-wait.c
@@ -12,17 +12,17 @@
 
   q->queued = true;
   q->queued_at = d->now;
-  q->before = front ? NULL : p->last;
-  q->after = front ? p->first : NULL;
-  if (q->before)
-    q->before->after = q;
+  q->queue_prev = front ? NULL : p->queue_tail;
+  q->queue_next = front ? p->queue_head : NULL;
+  if (q->queue_prev)
+    q->queue_prev->queue_next = q;
   else
-    p->first = q;
-  if (q->after)
-    q->after->before = q;
+    p->queue_head = q;
+  if (q->queue_next)
+    q->queue_next->queue_prev = q;
   else
-    p->last = q;
-  p->waiting++;
+    p->queue_tail = q;
+  p->queue_length++;
 }
 
 void
@@ -33,23 +33,23 @@
   if (!q->queued)
     return;
   q->queued = false;
-  if (q->before)
-    q->before->after = q->after;
+  if (q->queue_prev)
+    q->queue_prev->queue_next = q->queue_next;
   else
-    p->first = q->after;
-  if (q->after)
-    q->after->before = q->before;
+    p->queue_head = q->queue_next;
+  if (q->queue_next)
+    q->queue_next->queue_prev = q->queue_prev;
   else
-    p->last = q->before;
-  q->before = q->after = NULL;
-  p->waiting--;
+    p->queue_tail = q->queue_prev;
+  q->queue_prev = q->queue_next = NULL;
+  p->queue_length--;
 }
 
 /** Whether it would miss its latency goal if it were sent now. */
 static bool
 is_late (const struct dsp *d, const struct dsp_req *q)
 {
-  return d->now + (clk_ms)q->pool->begin_ms >= q->goal;
+  return d->now + (clk_ms)q->pool->first_event_ms >= q->goal_at;
 }
 
 /**
@@ -62,16 +62,16 @@
 goes_before (const struct dsp *d, const struct dsp_req *a,
              const struct dsp_req *b)
 {
-  bool late_a = is_late (d, a) && !a->passing;
-  bool late_b = is_late (d, b) && !b->passing;
+  bool late_a = is_late (d, a) && !a->forwarded;
+  bool late_b = is_late (d, b) && !b->forwarded;
 
   if (late_a != late_b)
     return !late_a;
-  if (a->passing != b->passing)
-    return a->passing;
+  if (a->forwarded != b->forwarded)
+    return a->forwarded;
   if (a->priority != b->priority)
     return a->priority < b->priority;
-  return a->arrived < b->arrived;
+  return a->arrived_at < b->arrived_at;
 }
 
 /** The queued request that comes first. @param without_tried skip requests
@@ -82,7 +82,7 @@
 {
   struct dsp_req *best = NULL;
 
-  for (struct dsp_req *q = p->first; q; q = q->after)
+  for (struct dsp_req *q = p->queue_head; q; q = q->queue_next)
     if (!(without_tried && q->ntried) && (!best || goes_before (d, q, best)))
       best = q;
   return best;
@@ -93,47 +93,47 @@
 {
   unsigned p = q->priority + 1;
 
-  if (q->passing)
+  if (q->forwarded)
     return PRIORITY_URGENT;
   return p < PRIORITY_LAST ? p : PRIORITY_LAST;
 }
 
 static void
-dispatch (struct dsp *d, struct dsp_req *q, struct dsp_server *s)
+dispatch (struct dsp *d, struct dsp_req *q, struct dsp_endpoint_state *s)
 {
   struct dsp_action *a;
 
   dsp_dequeue (q);
-  dsp_step (q, DSP_X_CONNECT);
-  q->server = s;
+  dsp_transition (q, DSP_X_CONNECT);
+  q->endpoint = s;
   q->attempt++;
-  q->begun = q->error = false;
-  s->own++;
-  dsp_limit_take (d, s);
-  dsp_prompt_sent (d, q);
+  q->streaming = q->error_response = false;
+  s->own_requests++;
+  dsp_limit_use_permit (d, s);
+  dsp_load_prompt_sent (d, q);
   if (s->ejected_until || s->stalled)
     s->probing = q->probe = true;
-  a = dsp_act (d, DSP_ACT_SEND, q);
+  a = dsp_add_action (d, DSP_ACT_SEND, q);
   a->addr = s->addr;
-  a->server = str_from (s->id);
+  a->server = str_from (s->server);
   a->left_ms = q->deadline - d->now;
   /* The peer may have closed an idle connection, or the connection may be
      dead without notice. A request that can't be retried must not be sent
      on one. */
-  a->fresh = !q->repeatable;
-  a->resume = q->passing;
+  a->fresh = !q->retryable;
+  a->resume = q->forwarded;
   a->priority = server_priority (q);
 }
 
 void
-dsp_pump (struct dsp *d, struct dsp_pool *p)
+dsp_send_queued (struct dsp *d, struct dsp_pool *p)
 {
   struct dsp_req *q;
   bool without_tried = false;
 
   while ((q = next_waiting (d, p, without_tried)) != NULL)
     {
-      struct dsp_server *s = dsp_choose (d, p, q);
+      struct dsp_endpoint_state *s = dsp_choose_endpoint (d, p, q);
       if (s)
         dispatch (d, q, s);
       else if (q->ntried == 0 || without_tried)
--- a/serve/dispatch.c
+++ b/serve/dispatch.c
@@ -48,12 +48,12 @@
         "rewaiting", "reconnecting", "resent",     "passing",
         "done",      "not_run",      "failed" };
 
-static const char *const step_names[DSP_STEPS]
+static const char *const step_names[DSP_TRANSITIONS]
     = { "wait",  "refuse", "connect", "sent", "unrun",
         "retry", "pass",   "whole",   "fail" };
 
 /** Transitions of the chart, indexed by the enums; loaded once. */
-static signed char table[DSP_STATES][DSP_STEPS];
+static signed char table[DSP_STATES][DSP_TRANSITIONS];
 static bool table_read;
 
 static void
@@ -65,7 +65,7 @@
   for (int i = 0; i < DSP_STATES; i++)
     ours[chart_state (c, state_names[i])] = i;
   for (int i = 0; i < DSP_STATES; i++)
-    for (int k = 0; k < DSP_STEPS; k++)
+    for (int k = 0; k < DSP_TRANSITIONS; k++)
       {
         int to = chart_step (c, chart_state (c, state_names[i]),
                              chart_event (c, step_names[k]));
@@ -77,7 +77,7 @@
 /** A transition that the chart doesn't allow is a bug in this process.
     Continuing could report a wrong outcome to the client. */
 void
-dsp_step (struct dsp_req *q, enum dsp_step x)
+dsp_transition (struct dsp_req *q, enum dsp_transition x)
 {
   int to = table[q->state][x];
 
@@ -89,7 +89,8 @@
 /* --- actions ----------------------------------------------------------- */
 
 struct dsp_action *
-dsp_act (struct dsp *d, enum dsp_action_kind kind, const struct dsp_req *q)
+dsp_add_action (struct dsp *d, enum dsp_action_kind kind,
+                const struct dsp_req *q)
 {
   if (d->act_n == d->act_cap)
     {
@@ -130,10 +131,10 @@
 static struct dsp_req *
 find_request (const struct dsp *d, uint64_t id)
 {
-  struct dsp_req *q = d->table[id & (d->table_size - 1)];
+  struct dsp_req *q = d->by_id[id & (d->by_id_size - 1)];
 
   while (q && q->id != id)
-    q = q->chain;
+    q = q->hash_next;
   return q;
 }
 
@@ -142,23 +143,23 @@
 {
   struct dsp_req *q = find_request (d, id);
 
-  return q && q->server && q->attempt == attempt ? q : NULL;
+  return q && q->endpoint && q->attempt == attempt ? q : NULL;
 }
 
 static void
 table_grow (struct dsp *d)
 {
-  size_t size = 2 * d->table_size;
+  size_t size = 2 * d->by_id_size;
   struct dsp_req **grown = xcalloc (size, sizeof *grown);
 
   for (struct dsp_req *q = d->open_list; q; q = q->next)
     {
-      q->chain = grown[q->id & (size - 1)];
+      q->hash_next = grown[q->id & (size - 1)];
       grown[q->id & (size - 1)] = q;
     }
-  free (d->table);
-  d->table = grown;
-  d->table_size = size;
+  free (d->by_id);
+  d->by_id = grown;
+  d->by_id_size = size;
 }
 
 static struct dsp_req *
@@ -167,47 +168,47 @@
   struct dsp_req *q = xcalloc (1, sizeof *q);
   const struct tbl_route *r = in->route;
 
-  if (d->open >= d->table_size)
+  if (d->open_count >= d->by_id_size)
     table_grow (d);
   q->id = in->id;
-  q->table = tbl_ref (in->table);
+  q->config = tbl_ref (in->table);
   q->route = r;
   q->priority = in->priority;
-  q->arrived = d->now;
-  q->goal = d->now - in->waited + r->goal_ms;
+  q->arrived_at = d->now;
+  q->goal_at = d->now - in->waited + r->goal_ms;
   q->deadline = in->deadline;
-  q->prompt = in->prompt > 0 ? in->prompt : PROMPT_UNKNOWN;
+  q->prompt_tokens = in->prompt > 0 ? in->prompt : PROMPT_UNKNOWN;
   q->digest = in->digest;
-  q->repeatable = tbl_repeatable (r);
+  q->retryable = tbl_repeatable (r);
   q->state = DSP_S_RECEIVED;
-  q->pool = dsp_pool_of (d, in->service->name, in->model);
-  q->chain = d->table[q->id & (d->table_size - 1)];
-  d->table[q->id & (d->table_size - 1)] = q;
+  q->pool = dsp_get_pool (d, in->service->name, in->model);
+  q->hash_next = d->by_id[q->id & (d->by_id_size - 1)];
+  d->by_id[q->id & (d->by_id_size - 1)] = q;
   q->next = d->open_list;
   if (q->next)
     q->next->prev = q;
   d->open_list = q;
-  d->open++;
+  d->open_count++;
   return q;
 }
 
 static void
 free_request (struct dsp *d, struct dsp_req *q)
 {
-  struct dsp_req **at = &d->table[q->id & (d->table_size - 1)];
+  struct dsp_req **at = &d->by_id[q->id & (d->by_id_size - 1)];
 
   while (*at != q)
-    at = &(*at)->chain;
-  *at = q->chain;
+    at = &(*at)->hash_next;
+  *at = q->hash_next;
   if (q->prev)
     q->prev->next = q->next;
   else
     d->open_list = q->next;
   if (q->next)
     q->next->prev = q->prev;
-  tbl_unref (q->table);
+  tbl_unref (q->config);
   free (q);
-  d->open--;
+  d->open_count--;
 }
 
 /* --- end of an attempt ------------------------------------------------- */
@@ -215,30 +216,30 @@
 static void
 settle_unbegun (struct dsp_req *q)
 {
-  dsp_prompt_read (q);
-  q->unbegun = false;
+  dsp_load_prompt_processed (q);
+  q->awaits_first_event = false;
 }
 
 static void
 leave_server (struct dsp_req *q)
 {
-  if (!q->server)
+  if (!q->endpoint)
     return;
   settle_unbegun (q);
-  q->server->begun -= q->begun;
-  q->begun = false;
-  q->server->own--;
+  q->endpoint->own_streaming -= q->streaming;
+  q->streaming = false;
+  q->endpoint->own_requests--;
   if (q->probe)
-    q->server->probing = false;
+    q->endpoint->probing = false;
   q->probe = false;
-  q->server = NULL;
+  q->endpoint = NULL;
 }
 
 static void
 avoid (struct dsp_req *q)
 {
-  q->tried[q->ntried % DSP_TRIED] = q->server->hash;
-  if (q->ntried < DSP_TRIED)
+  q->tried[q->ntried % DSP_TRIED_MAX] = q->endpoint->hash;
+  if (q->ntried < DSP_TRIED_MAX)
     q->ntried++;
 }
 
@@ -249,10 +250,10 @@
 
   dsp_dequeue (q);
   leave_server (q);
-  dsp_act (d, DSP_ACT_FORGET, q);
+  dsp_add_action (d, DSP_ACT_FORGET, q);
   free_request (d, q);
-  d->figures.ended++;
-  dsp_pump (d, p);
+  d->stats.ended++;
+  dsp_send_queued (d, p);
 }
 
 /** Estimated time until an endpoint has room for one more request: the
@@ -263,9 +264,9 @@
   double places = 1, ms;
 
   for (size_t i = 0; i < p->n; i++)
-    if (p->servers[i]->listed)
-      places += dsp_limit_slots (d, p->servers[i]);
-  ms = p->run_ms * (double)(p->waiting * d->nodes) / places;
+    if (p->endpoints[i]->listed)
+      places += dsp_limit_slots (d, p->endpoints[i]);
+  ms = p->response_ms * (double)(p->queue_length * d->node_count) / places;
   if (ms < (double)RETRY_LEAST_MS)
     return RETRY_LEAST_MS;
   return ms > (double)RETRY_MOST_MS ? RETRY_MOST_MS : (clk_ms)ms;
@@ -276,19 +277,19 @@
 answer (struct dsp *d, struct dsp_req *q, enum dsp_code code, clk_ms retry_ms)
 {
   struct dsp_action *a
-      = dsp_act (d, q->passing ? DSP_ACT_CUT : DSP_ACT_ANSWER, q);
+      = dsp_add_action (d, q->forwarded ? DSP_ACT_CUT : DSP_ACT_ANSWER, q);
 
   a->code = code;
   a->retry_ms = retry_ms;
-  d->figures.answered[code]++;
+  d->stats.answered[code]++;
   forget (d, q);
 }
 
 static void
 cancel_attempt (struct dsp *d, struct dsp_req *q)
 {
-  if (q->server)
-    dsp_act (d, DSP_ACT_CANCEL, q);
+  if (q->endpoint)
+    dsp_add_action (d, DSP_ACT_CANCEL, q);
   leave_server (q);
 }
 
@@ -306,11 +307,11 @@
   cancel_attempt (d, q);
   if (may_have_run (q))
     {
-      dsp_step (q, DSP_X_FAIL);
+      dsp_transition (q, DSP_X_FAIL);
       answer (d, q, ran, 0);
       return;
     }
-  dsp_step (q, DSP_X_REFUSE);
+  dsp_transition (q, DSP_X_REFUSE);
   answer (d, q, unrun, retry_ms);
 }
 
@@ -329,20 +330,20 @@
   struct dsp_pool *p = q->pool;
 
   dsp_enqueue (d, q, true);
-  dsp_pump (d, p);
+  dsp_send_queued (d, p);
 }
 
 static bool
 may_send_again (struct dsp *d, const struct dsp_req *q)
 {
-  return q->sends < q->route->max_attempts && d->now < q->deadline
-         && dsp_budget_repeat (d, q->pool);
+  return q->sent_attempts < q->route->max_attempts && d->now < q->deadline
+         && dsp_budget_take_retry (d, q->pool);
 }
 
 void
-dsp_attempt_lost (struct dsp *d, struct dsp_req *q, enum dsp_code code)
+dsp_attempt_failed (struct dsp *d, struct dsp_req *q, enum dsp_code code)
 {
-  bool more = q->repeatable && !dsp_suspects (d, q) && may_send_again (d, q);
+  bool more = q->retryable && !dsp_is_suspect (d, q) && may_send_again (d, q);
 
   avoid (q);
   cancel_attempt (d, q);
@@ -351,8 +352,8 @@
       give_up (d, q, code, code);
       return;
     }
-  d->figures.resumed += q->passing;
-  dsp_step (q, DSP_X_RETRY);
+  d->stats.resumed += q->forwarded;
+  dsp_transition (q, DSP_X_RETRY);
   again (d, q);
 }
 
@@ -366,12 +367,12 @@
   d->now = now;
   if (!q || (q->state != DSP_S_CONNECTING && q->state != DSP_S_RECONNECTING))
     return false;
-  dsp_step (q, DSP_X_SENT);
-  q->sends++;
-  q->sent_at = q->heard = now;
-  q->unbegun = true;
-  d->figures.sent++;
-  d->figures.repeated += q->sends > 1;
+  dsp_transition (q, DSP_X_SENT);
+  q->sent_attempts++;
+  q->sent_at = q->last_data_at = now;
+  q->awaits_first_event = true;
+  d->stats.sent++;
+  d->stats.repeated += q->sent_attempts > 1;
   return true;
 }
 
@@ -385,12 +386,12 @@
     return;
   /* Nothing was sent, so a retry is safe even for a request that must be
      executed at most once. */
-  dsp_health_bad (d, q->server);
+  dsp_health_failure (d, q->endpoint);
   avoid (q);
   leave_server (q);
-  dsp_step (q, DSP_X_UNRUN);
-  if (++q->connects_failed >= CONNECTS_MOST)
-    give_up (d, q, DSP_CONNECT, DSP_BROKEN);
+  dsp_transition (q, DSP_X_UNRUN);
+  if (++q->connect_failures >= CONNECTS_MOST)
+    give_up (d, q, DSP_NO_CONNECTION, DSP_INTERRUPTED);
   else
     again (d, q);
 }
@@ -399,17 +400,17 @@
 static void
 on_unrun (struct dsp *d, struct dsp_req *q)
 {
-  struct dsp_server *s = q->server;
+  struct dsp_endpoint_state *s = q->endpoint;
   bool more = may_send_again (d, q);
 
   s->full_until = d->now + TICK_MS;
   avoid (q);
   cancel_attempt (d, q);
-  dsp_step (q, DSP_X_UNRUN);
+  dsp_transition (q, DSP_X_UNRUN);
   if (more)
     again (d, q);
   else
-    give_up (d, q, DSP_UNRUN, DSP_BROKEN);
+    give_up (d, q, DSP_REFUSED, DSP_INTERRUPTED);
 }
 
 void
@@ -421,7 +422,7 @@
   d->now = now;
   if (!q || (q->state != DSP_S_SENT && q->state != DSP_S_RESENT))
     return;
-  q->heard = q->server->heard = now;
+  q->last_data_at = q->endpoint->last_data_at = now;
   switch (head)
     {
     case DSP_HEAD_GOOD:
@@ -430,16 +431,17 @@
       on_unrun (d, q);
       break;
     case DSP_HEAD_ERROR:
-      q->error = true;
-      dsp_health_bad (d, q->server);
+      q->error_response = true;
+      dsp_health_failure (d, q->endpoint);
       /* An error response to a resumed stream can't be appended to what the
          client already has. */
-      if (q->passing || (q->repeatable && q->sends < q->route->max_attempts))
-        dsp_attempt_lost (d, q, DSP_BROKEN);
+      if (q->forwarded
+          || (q->retryable && q->sent_attempts < q->route->max_attempts))
+        dsp_attempt_failed (d, q, DSP_INTERRUPTED);
       break;
     case DSP_HEAD_FINAL:
-      if (q->passing)
-        dsp_attempt_lost (d, q, DSP_BROKEN);
+      if (q->forwarded)
+        dsp_attempt_failed (d, q, DSP_INTERRUPTED);
       break;
     }
 }
@@ -448,15 +450,15 @@
 begin (struct dsp *d, struct dsp_req *q)
 {
   settle_unbegun (q);
-  q->begun = true;
-  q->begun_at = d->now;
-  q->server->begun++;
-  dsp_health_begun (d, q->server, d->now - q->sent_at);
+  q->streaming = true;
+  q->first_event_at = d->now;
+  q->endpoint->own_streaming++;
+  dsp_health_first_event (d, q->endpoint, d->now - q->sent_at);
   if (q->state == DSP_S_PASSING)
     return;
-  dsp_step (q, DSP_X_PASS);
-  q->passing = true;
-  dsp_act (d, DSP_ACT_PASS, q);
+  dsp_transition (q, DSP_X_PASS);
+  q->forwarded = true;
+  dsp_add_action (d, DSP_ACT_PASS, q);
 }
 
 void
@@ -468,9 +470,9 @@
   d->now = now;
   if (!q)
     return;
-  q->heard = q->server->heard = now;
-  q->server->stalled = false;
-  if (event && !q->begun)
+  q->last_data_at = q->endpoint->last_data_at = now;
+  q->endpoint->stalled = false;
+  if (event && !q->streaming)
     begin (d, q);
 }
 
@@ -485,19 +487,20 @@
       || (q->state != DSP_S_SENT && q->state != DSP_S_RESENT
           && q->state != DSP_S_PASSING))
     return;
-  if (!q->begun)
+  if (!q->streaming)
     {
       settle_unbegun (q);
-      dsp_health_begun (d, q->server, now - q->sent_at);
+      dsp_health_first_event (d, q->endpoint, now - q->sent_at);
     }
-  dsp_health_good (d, q->server);
+  dsp_health_success (d, q->endpoint);
   /* An error response doesn't prove that execution had begun. */
-  if (d->opt.poison && !q->error)
+  if (d->opt.poison && !q->error_response)
     psn_completed (d->opt.poison, now, q->digest);
   ms = (double)(now - q->sent_at);
-  q->pool->run_ms += (q->pool->run_ms > 0 ? 0.05 : 1) * (ms - q->pool->run_ms);
-  dsp_step (q, DSP_X_WHOLE);
-  dsp_act (d, DSP_ACT_END, q);
+  q->pool->response_ms
+      += (q->pool->response_ms > 0 ? 0.05 : 1) * (ms - q->pool->response_ms);
+  dsp_transition (q, DSP_X_WHOLE);
+  dsp_add_action (d, DSP_ACT_END, q);
   forget (d, q);
 }
 
@@ -509,9 +512,9 @@
   d->now = now;
   if (!q || q->state == DSP_S_CONNECTING || q->state == DSP_S_RECONNECTING)
     return;
-  dsp_health_bad (d, q->server);
-  dsp_run_broken (d, q);
-  dsp_attempt_lost (d, q, DSP_BROKEN);
+  dsp_health_failure (d, q->endpoint);
+  dsp_run_interrupted (d, q);
+  dsp_attempt_failed (d, q, DSP_INTERRUPTED);
 }
 
 /* --- arrival, cancellation, time --------------------------------------- */
@@ -531,31 +534,32 @@
   d->now = now;
   if (find_request (d, in->id))
     return;
-  if (d->open == 0)
-    d->judged_at = now;
+  if (d->open_count == 0)
+    d->last_check_at = now;
   q = add_request (d, in);
-  d->figures.arrived++;
-  if (d->leaving)
+  d->stats.arrived++;
+  if (d->shutting_down)
     {
-      dsp_step (q, DSP_X_REFUSE);
-      answer (d, q, DSP_LEAVING, RETRY_LEAST_MS);
+      dsp_transition (q, DSP_X_REFUSE);
+      answer (d, q, DSP_SHUTTING_DOWN, RETRY_LEAST_MS);
       return;
     }
   if (d->opt.poison && psn_refuses (d->opt.poison, now, q->digest, &again_ms))
     {
-      dsp_step (q, DSP_X_REFUSE);
+      dsp_transition (q, DSP_X_REFUSE);
       answer (d, q, DSP_POISON, again_ms);
       return;
     }
-  dsp_budget_request (d, q->pool);
-  dsp_limit_asked (d, q);
-  dsp_step (q, DSP_X_WAIT);
+  dsp_budget_count_request (d, q->pool);
+  dsp_limit_count_request (d, q);
+  dsp_transition (q, DSP_X_WAIT);
   dsp_enqueue (d, q, false);
-  dsp_pump (d, q->pool);
+  dsp_send_queued (d, q->pool);
   if (q->queued
-      && (dsp_limit_yields (d, q->pool, q)
-          || now + dsp_limit_wait (d, q->pool) > wait_until (q)))
-    dsp_give_up (d, q, DSP_LIMITED, DSP_BROKEN, dsp_limit_refuse (d, q->pool));
+      && (dsp_limit_must_defer (d, q->pool, q)
+          || now + dsp_limit_wait_ms (d, q->pool) > wait_until (q)))
+    dsp_give_up (d, q, DSP_RATE_LIMITED, DSP_INTERRUPTED,
+                 dsp_limit_reject (d, q->pool));
 }
 
 void
@@ -573,7 +577,7 @@
 void
 dsp_leave (struct dsp *d)
 {
-  d->leaving = true;
+  d->shutting_down = true;
 }
 
 /** Whether an idempotent request's response is overdue and a retry is
@@ -582,7 +586,7 @@
 is_silent (const struct dsp *d, const struct dsp_req *q)
 {
   return q->route->kind == TBL_IDEMPOTENT && q->state == DSP_S_SENT
-         && q->sends < q->route->max_attempts
+         && q->sent_attempts < q->route->max_attempts
          && (double)(d->now - q->sent_at)
                 > SILENT_FACTOR * (double)q->route->goal_ms;
 }
@@ -591,9 +595,9 @@
 static enum dsp_code
 why_none (const struct dsp *d, const struct dsp_pool *p)
 {
-  if (!dsp_any_place (d, p))
+  if (!dsp_any_usable (d, p))
     return DSP_NO_SERVER;
-  return dsp_limit_all (d, p) ? DSP_LIMITED : DSP_OVERLOAD;
+  return dsp_limit_all (d, p) ? DSP_RATE_LIMITED : DSP_OVERLOAD;
 }
 
 static void
@@ -604,11 +608,11 @@
   if (d->now >= q->deadline)
     give_up (d, q, none, DSP_DEADLINE);
   else if (q->queued && d->now >= wait_until (q))
-    give_up (d, q, none, DSP_BROKEN);
+    give_up (d, q, none, DSP_INTERRUPTED);
   else if (is_silent (d, q))
     {
-      dsp_health_bad (d, q->server);
-      dsp_attempt_lost (d, q, DSP_DEADLINE);
+      dsp_health_failure (d, q->endpoint);
+      dsp_attempt_failed (d, q, DSP_DEADLINE);
     }
 }
 
@@ -618,9 +622,9 @@
 static bool
 skips (struct dsp *d, clk_ms now)
 {
-  d->skipped = !d->skipped && now - d->judged_at > LATE_MS;
-  d->judged_at = now;
-  return d->skipped;
+  d->skipped_tick = !d->skipped_tick && now - d->last_check_at > LATE_MS;
+  d->last_check_at = now;
+  return d->skipped_tick;
 }
 
 void
@@ -640,7 +644,7 @@
       tick_request (d, q);
     }
   for (size_t i = 0; i < d->npools; i++)
-    dsp_pump (d, d->pools[i]);
+    dsp_send_queued (d, d->pools[i]);
 }
 
 clk_ms
@@ -648,7 +652,7 @@
 {
   /* Measured from the last tick, not from the last event: events are so
      frequent that a tick would never become due. */
-  return d->open ? d->ticked_at + TICK_MS : CLK_NEVER;
+  return d->open_count ? d->ticked_at + TICK_MS : CLK_NEVER;
 }
 
 /* --- construction ------------------------------------------------------ */
@@ -663,10 +667,10 @@
   d->opt = *opt;
   d->zone = str_dup (opt->zone);
   d->opt.zone = str_from (d->zone);
-  d->nodes = 1;
+  d->node_count = 1;
   rng_seed (&d->rng, seed);
-  d->table_size = TABLE_FIRST;
-  d->table = xcalloc (d->table_size, sizeof *d->table);
+  d->by_id_size = TABLE_FIRST;
+  d->by_id = xcalloc (d->by_id_size, sizeof *d->by_id);
   return d;
 }
 
@@ -685,13 +689,13 @@
       free (d->budgets[i]);
     }
   for (size_t i = 0; i < d->npeers; i++)
-    free (d->peers[i].counts);
+    free (d->peers[i].loads);
   free (d->pools);
   free (d->budgets);
   free (d->peers);
-  free (d->table);
+  free (d->by_id);
   free (d->actions);
-  free (d->own);
+  free (d->own_loads);
   free (d->zone);
   free (d);
 }
@@ -699,11 +703,11 @@
 size_t
 dsp_open (const struct dsp *d)
 {
-  return d->open;
+  return d->open_count;
 }
 
 const struct dsp_figures *
 dsp_figures (const struct dsp *d)
 {
-  return &d->figures;
+  return &d->stats;
 }
--- a/serve/dispatch.h
+++ b/serve/dispatch.h
@@ -26,18 +26,18 @@
 enum dsp_code
 {
   DSP_NONE,
-  DSP_NO_SERVER, /**< 503: no usable endpoint is known */
-  DSP_OVERLOAD,  /**< 503: no endpoint had a free slot in time */
-  DSP_LIMITED,   /**< 503: all servers have set rate limits, and the limits
-                      are used up */
-  DSP_UNRUN,     /**< 503: every backend server tried reported that it did
-                      not execute the request */
-  DSP_CONNECT,   /**< 503: no connection to any backend server */
-  DSP_LEAVING,   /**< 503: this node is shutting down */
-  DSP_POISON,    /**< 503: backend servers crash when they execute it */
-  DSP_BROKEN,    /**< 502: may have been executed; the response was
-                      interrupted */
-  DSP_DEADLINE   /**< 504: may have been executed; its deadline has passed */
+  DSP_NO_SERVER,     /**< 503: no usable endpoint is known */
+  DSP_OVERLOAD,      /**< 503: no endpoint had a free slot in time */
+  DSP_RATE_LIMITED,  /**< 503: all servers have set rate limits, and the
+                          limits are used up */
+  DSP_REFUSED,       /**< 503: every backend server tried reported that it
+                          did not execute the request */
+  DSP_NO_CONNECTION, /**< 503: no connection to any backend server */
+  DSP_SHUTTING_DOWN, /**< 503: this node is shutting down */
+  DSP_POISON,        /**< 503: backend servers crash when they execute it */
+  DSP_INTERRUPTED,   /**< 502: may have been executed; the response was
+                          interrupted */
+  DSP_DEADLINE /**< 504: may have been executed; its deadline has passed */
 };
 
 /** A new request. */
