--- a/serve/dispatch-crash.c
+++ b/serve/dispatch-crash.c
@@ -10,24 +10,24 @@
 
 /** Runs interrupted at an endpoint within this time are attributed to the
     same cause. */
-#define BREAK_MS ((clk_ms)2000)
+#define SAME_CAUSE_MS ((clk_ms)2000)
 /** Time for which no requests are sent to a server whose process has ended.
     By then its entry in the server list has expired, unless the check was
     wrong. */
-#define ENDED_MS ((clk_ms)5000)
+#define PROCESS_ENDED_MS ((clk_ms)5000)
 /** The same after a report from another node, which repeats its report
     during this time. */
-#define REPORTED_MS ((clk_ms)1500)
+#define REPORTED_ENDED_MS ((clk_ms)1500)
 
 /** Finds the entry for a run that is interrupted now. An entry whose check
     found the server alive or unreachable is not reused. */
 static struct dsp_interruption *
-find_break (struct dsp *d, uint64_t place)
+find_interruption (struct dsp *d, uint64_t endpoint)
 {
   for (size_t i = 0; i < DSP_INTERRUPTIONS_MAX; i++)
     {
       struct dsp_interruption *b = &d->interruptions[i];
-      if (b->endpoint == place && d->now - b->first_at < BREAK_MS
+      if (b->endpoint == endpoint && d->now - b->first_at < SAME_CAUSE_MS
           && (!b->checked || b->liveness == DSP_ENDED))
         return b;
     }
@@ -35,7 +35,7 @@
 }
 
 static struct dsp_interruption *
-new_break (struct dsp *d, uint64_t place)
+add_interruption (struct dsp *d, uint64_t endpoint)
 {
   struct dsp_interruption *oldest = &d->interruptions[0];
 
@@ -43,20 +43,20 @@
     if (d->interruptions[i].first_at < oldest->first_at)
       oldest = &d->interruptions[i];
   memset (oldest, 0, sizeof *oldest);
-  oldest->endpoint = place;
+  oldest->endpoint = endpoint;
   oldest->first_at = d->now;
   return oldest;
 }
 
 static struct dsp_interruption *
-ask_server (struct dsp *d, const struct dsp_endpoint_state *s)
+start_check (struct dsp *d, const struct dsp_endpoint_state *s)
 {
   struct dsp_action *a = dsp_add_action (d, DSP_ACT_CHECK, NULL);
 
   a->server = str_from (s->server);
   a->addr = s->addr;
   a->place = s->hash;
-  return new_break (d, s->hash);
+  return add_interruption (d, s->hash);
 }
 
 void
@@ -68,13 +68,13 @@
           .digest = q->digest,
           .place = s->hash,
           .ran_ms = q->streaming ? d->now - q->first_event_at : PSN_NO_EVENT };
-  struct dsp_interruption *b = find_break (d, s->hash);
+  struct dsp_interruption *b = find_interruption (d, s->hash);
 
   /* A server that is shutting down ends its process without a crash. */
   if (!s->listed || !s->accepting)
     return;
   if (!b)
-    b = ask_server (d, s);
+    b = start_check (d, s);
   if (b->checked && d->opt.poison)
     psn_apply (d->opt.poison, d->now, &run);
   else if (b->nruns < DSP_INTERRUPTED_RUNS_MAX)
@@ -82,14 +82,14 @@
 }
 
 size_t
-dsp_checked (struct dsp *d, clk_ms now, uint64_t place,
+dsp_checked (struct dsp *d, clk_ms now, uint64_t endpoint,
              enum dsp_liveness found)
 {
   struct dsp_endpoint_state *s;
   struct dsp_interruption *b;
 
   d->now = now;
-  b = find_break (d, place);
+  b = find_interruption (d, endpoint);
   if (!b || b->checked)
     return 0;
   b->checked = true;
@@ -97,9 +97,9 @@
   if (found != DSP_ENDED)
     return b->nruns;
   d->stats.servers_ended++;
-  s = dsp_find_endpoint (d, place);
+  s = dsp_find_endpoint (d, endpoint);
   if (s)
-    s->process_ended_until = now + ENDED_MS;
+    s->process_ended_until = now + PROCESS_ENDED_MS;
   for (size_t i = 0; d->opt.poison && i < b->nruns; i++)
     psn_apply (d->opt.poison, now, &b->runs[i]);
   return b->nruns;
@@ -121,12 +121,12 @@
 dsp_peer_reported_ended (struct dsp *d, struct dsp_endpoint_state *s)
 {
   if (s)
-    s->reported_ended_until = d->now + REPORTED_MS;
+    s->reported_ended_until = d->now + REPORTED_ENDED_MS;
 }
 
 /** Whether it is still possible to prevent its execution. */
 static bool
-may_stop (const struct dsp_req *q)
+can_prevent (const struct dsp_req *q)
 {
   return q->queued || (q->route->kind == TBL_STREAM && !q->streaming);
 }
@@ -140,7 +140,7 @@
   for (struct dsp_req *q = d->open_list; q; q = next)
     {
       next = q->next;
-      if (q->digest == digest && may_stop (q))
+      if (q->digest == digest && can_prevent (q))
         dsp_give_up (d, q, DSP_POISON, DSP_INTERRUPTED, 0);
     }
 }
--- a/serve/dispatch-health.c
+++ b/serve/dispatch-health.c
@@ -5,12 +5,16 @@
  * no separate probe requests.
  */
 
-#define BAD_RUN 3         /* consecutive failures that eject an endpoint */
-#define ERRORS_EJECT 0.35 /* average failure rate that ejects an endpoint */
-#define ERRORS_SAMPLES 12 /* samples needed before the average counts */
-#define SMOOTH 0.12       /* weight of the newest sample in averages */
-#define OUT_FIRST_MS ((clk_ms)2000)
-#define OUT_MOST_MS ((clk_ms)20000)
+/** Consecutive failures that eject an endpoint. */
+#define EJECT_FAILURES_IN_ROW 3
+/** Average failure rate that ejects an endpoint. */
+#define EJECT_FAILURE_RATE 0.35
+/** Samples needed before the average counts. */
+#define EJECT_MIN_SAMPLES 12
+/** Weight of the newest sample in averages. */
+#define SMOOTHING 0.12
+#define EJECT_MIN_MS ((clk_ms)2000)
+#define EJECT_MAX_MS ((clk_ms)20000)
 
 /*
  * A replica writes an event to each of its streams in every pass. Passes are
@@ -26,32 +30,32 @@
 #define STALL_MANY 4
 #define STALL_FEW 2
 /** Age above which a peer's load report is ignored. */
-#define TOLD_MS ((clk_ms)350)
+#define REPORT_MAX_AGE_MS ((clk_ms)350)
 /** New requests avoid an endpoint whose streams have all been silent for
     this long. The time is too short to move open requests, but avoiding the
     endpoint costs nothing. */
-#define QUIET_MS ((clk_ms)220)
+#define SILENT_MS ((clk_ms)220)
 /** Stall timeout when no stream has received an event: a multiple of the
     request's latency goal, and a minimum. Requests also wait for their
     first event at a replica that is full. */
-#define STALL_BEGIN_FACTOR 3
-#define STALL_BEGIN_MS ((clk_ms)1200)
+#define STALL_FIRST_EVENT_FACTOR 3
+#define STALL_FIRST_EVENT_MS ((clk_ms)1200)
 /** Time after which a stalled endpoint gets a trial request. */
-#define STALL_BACK_MS ((clk_ms)5000)
+#define STALL_TRIAL_MS ((clk_ms)5000)
 
 static size_t
-count_out (const struct dsp_pool *p, size_t *listed)
+count_ejected (const struct dsp_pool *p, size_t *listed)
 {
-  size_t out = 0;
+  size_t ejected = 0;
 
   *listed = 0;
   for (size_t i = 0; i < p->n; i++)
     if (p->endpoints[i]->listed)
       {
         (*listed)++;
-        out += p->endpoints[i]->ejected_until != 0;
+        ejected += p->endpoints[i]->ejected_until != 0;
       }
-  return out;
+  return ejected;
 }
 
 /**
@@ -62,21 +66,22 @@
 static void
 eject (struct dsp *d, struct dsp_endpoint_state *s)
 {
-  size_t listed, out = count_out (s->pool, &listed);
-  clk_ms span = OUT_FIRST_MS;
+  size_t listed, ejected = count_ejected (s->pool, &listed);
+  clk_ms duration = EJECT_MIN_MS;
 
-  if (!s->ejected_until && 2 * (out + 1) > listed)
+  if (!s->ejected_until && 2 * (ejected + 1) > listed)
     return;
-  for (unsigned i = 0; i < s->ejections && span < OUT_MOST_MS; i++)
-    span *= 2;
+  for (unsigned i = 0; i < s->ejections && duration < EJECT_MAX_MS; i++)
+    duration *= 2;
   s->ejections++;
-  s->ejected_until = d->now + (span < OUT_MOST_MS ? span : OUT_MOST_MS);
+  s->ejected_until
+      = d->now + (duration < EJECT_MAX_MS ? duration : EJECT_MAX_MS);
   s->probing = false;
   d->stats.ejections++;
 }
 
 static void
-restore (struct dsp_endpoint_state *s)
+readmit (struct dsp_endpoint_state *s)
 {
   s->ejected_until = 0;
   s->failure_rate = 0;
@@ -89,10 +94,10 @@
 {
   (void)d;
   s->failures_in_row = 0;
-  s->failure_rate += SMOOTH * (0 - s->failure_rate);
+  s->failure_rate += SMOOTHING * (0 - s->failure_rate);
   s->samples++;
   if (s->probing)
-    restore (s);
+    readmit (s);
   if (!s->ejected_until)
     s->ejections = 0;
   s->stalled = false;
@@ -102,11 +107,12 @@
 dsp_health_failure (struct dsp *d, struct dsp_endpoint_state *s)
 {
   s->failures_in_row++;
-  s->failure_rate += SMOOTH * (1 - s->failure_rate);
+  s->failure_rate += SMOOTHING * (1 - s->failure_rate);
   s->samples++;
-  if (s->probing || (!s->ejected_until && s->failures_in_row >= BAD_RUN)
-      || (!s->ejected_until && s->samples >= ERRORS_SAMPLES
-          && s->failure_rate > ERRORS_EJECT))
+  if (s->probing
+      || (!s->ejected_until && s->failures_in_row >= EJECT_FAILURES_IN_ROW)
+      || (!s->ejected_until && s->samples >= EJECT_MIN_SAMPLES
+          && s->failure_rate > EJECT_FAILURE_RATE))
     eject (d, s);
 }
 
@@ -116,7 +122,7 @@
   struct dsp_pool *p = s->pool;
 
   (void)d;
-  s->first_event_ms += (s->first_event_ms > 0 ? SMOOTH : 1)
+  s->first_event_ms += (s->first_event_ms > 0 ? SMOOTHING : 1)
                        * ((double)ms - s->first_event_ms);
   p->first_event_ms
       += (p->first_event_ms > 0 ? 0.05 : 1) * ((double)ms - p->first_event_ms);
@@ -135,34 +141,35 @@
   if (!s->listed || !s->accepting || s->probing || dsp_process_ended (d, s))
     return false;
   if (s->stalled)
-    return d->now - s->stalled_at >= STALL_BACK_MS;
+    return d->now - s->stalled_at >= STALL_TRIAL_MS;
   return s->ejected_until && d->now >= s->ejected_until;
 }
 
 /* --- stalls ------------------------------------------------------------ */
 
 /** Streams of this node at an endpoint. */
-struct moving
+struct local_streams
 {
-  unsigned begun;
-  clk_ms oldest; /**< time at which the request that has waited longest for
-                      its first event was sent; CLK_NEVER: no request waits */
+  unsigned streaming;
+  /** time at which the request that has waited longest for its first event
+      was sent; CLK_NEVER: no request waits */
+  clk_ms oldest_sent_at;
   clk_ms goal_ms;
 };
 
-static struct moving
-count_moving (const struct dsp *d, const struct dsp_endpoint_state *s)
+static struct local_streams
+count_local_streams (const struct dsp *d, const struct dsp_endpoint_state *s)
 {
-  struct moving m = { .oldest = CLK_NEVER };
+  struct local_streams m = { .oldest_sent_at = CLK_NEVER };
 
   for (const struct dsp_req *q = d->open_list; q; q = q->next)
     {
       if (q->endpoint != s || q->route->kind != TBL_STREAM)
         continue;
-      m.begun += q->streaming;
-      if (q->awaits_first_event && q->sent_at < m.oldest)
+      m.streaming += q->streaming;
+      if (q->awaits_first_event && q->sent_at < m.oldest_sent_at)
         {
-          m.oldest = q->sent_at;
+          m.oldest_sent_at = q->sent_at;
           m.goal_ms = q->route->goal_ms;
         }
     }
@@ -171,89 +178,92 @@
 
 /** Adds the streams of the other nodes, and the time of their last event. */
 static void
-add_others (const struct dsp *d, const struct dsp_endpoint_state *s,
-            unsigned *begun, clk_ms *heard)
+add_peer_streams (const struct dsp *d, const struct dsp_endpoint_state *s,
+                  unsigned *streaming, clk_ms *last_event_at)
 {
   for (size_t i = 0; i < d->npeers; i++)
     {
       const struct dsp_peer *p = &d->peers[i];
-      if (d->now - p->received_at > TOLD_MS)
+      if (d->now - p->received_at > REPORT_MAX_AGE_MS)
         continue;
       for (size_t k = 0; k < p->n; k++)
         {
           const struct dsp_count *c = &p->loads[k];
           if (c->place != s->hash || c->begun == 0 || c->stalled)
             continue;
-          *begun += c->begun;
-          if (c->heard > *heard)
-            *heard = c->heard;
+          *streaming += c->begun;
+          if (c->heard > *last_event_at)
+            *last_event_at = c->heard;
         }
     }
 }
 
 /** Silence of that many streams that indicates a stall. */
 static clk_ms
-silence_of (unsigned begun)
+stall_timeout (unsigned streaming)
 {
-  if (begun >= STALL_MANY)
+  if (streaming >= STALL_MANY)
     return STALL_MANY_MS;
-  return begun >= STALL_FEW ? STALL_FEW_MS : STALL_ONE_MS;
+  return streaming >= STALL_FEW ? STALL_FEW_MS : STALL_ONE_MS;
 }
 
 bool
 dsp_health_is_silent (const struct dsp *d, const struct dsp_endpoint_state *s)
 {
-  clk_ms heard = s->last_data_at;
-  unsigned begun = 0;
+  clk_ms last_event_at = s->last_data_at;
+  unsigned streaming = 0;
 
   if (s->own_streaming == 0 && s->peer_streaming == 0)
     return false;
-  add_others (d, s, &begun, &heard);
-  begun += s->own_streaming;
-  return begun >= STALL_MANY && d->now - heard > QUIET_MS;
+  add_peer_streams (d, s, &streaming, &last_event_at);
+  streaming += s->own_streaming;
+  return streaming >= STALL_MANY && d->now - last_event_at > SILENT_MS;
 }
 
 static bool
 has_stalled (const struct dsp *d, const struct dsp_endpoint_state *s)
 {
-  struct moving m = count_moving (d, s);
-  clk_ms heard = s->last_data_at;
-  clk_ms begin = STALL_BEGIN_FACTOR * m.goal_ms;
-  unsigned begun = m.begun;
+  struct local_streams m = count_local_streams (d, s);
+  clk_ms last_event_at = s->last_data_at;
+  clk_ms timeout = STALL_FIRST_EVENT_FACTOR * m.goal_ms;
+  unsigned streaming = m.streaming;
 
-  add_others (d, s, &begun, &heard);
-  if (begun > 0)
-    return d->now - heard > silence_of (begun);
-  if (m.oldest == CLK_NEVER)
+  add_peer_streams (d, s, &streaming, &last_event_at);
+  if (streaming > 0)
+    return d->now - last_event_at > stall_timeout (streaming);
+  if (m.oldest_sent_at == CLK_NEVER)
     return false;
-  if (begin < STALL_BEGIN_MS)
-    begin = STALL_BEGIN_MS;
-  return d->now - m.oldest > begin && s->last_data_at < m.oldest;
+  if (timeout < STALL_FIRST_EVENT_MS)
+    timeout = STALL_FIRST_EVENT_MS;
+  return d->now - m.oldest_sent_at > timeout
+         && s->last_data_at < m.oldest_sent_at;
 }
 
 /** Duration of the current silence. If the endpoint has sent nothing since
-    the oldest waiting request was sent, the silence is measured from that
-    request. */
+    the oldest waiting request was sent, the silence is measured from
+   that request. */
 static clk_ms
-silence (const struct dsp *d, const struct dsp_endpoint_state *s)
+silence_duration (const struct dsp *d, const struct dsp_endpoint_state *s)
 {
-  struct moving m = count_moving (d, s);
-  bool begins = m.begun == 0 && m.oldest != CLK_NEVER;
+  struct local_streams m = count_local_streams (d, s);
+  bool no_event_yet = m.streaming == 0 && m.oldest_sent_at != CLK_NEVER;
 
   return d->now
-         - (begins && s->last_data_at < m.oldest ? m.oldest : s->last_data_at);
+         - (no_event_yet && s->last_data_at < m.oldest_sent_at
+                ? m.oldest_sent_at
+                : s->last_data_at);
 }
 
 /** Moves all requests away from a stalled endpoint. */
 static void
-move_away (struct dsp *d, struct dsp_endpoint_state *s)
+move_requests (struct dsp *d, struct dsp_endpoint_state *s)
 {
   struct dsp_req *next;
 
   struct dsp_action *note = dsp_add_action (d, DSP_ACT_STALLED, NULL);
 
   note->server = str_from (s->server);
-  note->left_ms = silence (d, s);
+  note->left_ms = silence_duration (d, s);
   s->stalled = true;
   s->stalled_at = d->now;
   d->stats.stalls++;
@@ -283,6 +293,6 @@
       {
         struct dsp_endpoint_state *s = d->pools[i]->endpoints[k];
         if (s->own_requests > 0 && !s->stalled && has_stalled (d, s))
-          move_away (d, s);
+          move_requests (d, s);
       }
 }
--- a/serve/dispatch-int.h
+++ b/serve/dispatch-int.h
@@ -269,11 +269,13 @@
 struct dsp_req *dsp_find_attempt (const struct dsp *d, uint64_t id,
                                   unsigned attempt);
 
-/** Ends the request with an error: @p unrun if it is certain that it was
-    not executed, else @p ran. @param retry_ms delay after which the client
-    may retry, sent only with @p unrun; 0: not given */
-void dsp_give_up (struct dsp *d, struct dsp_req *q, enum dsp_code unrun,
-                  enum dsp_code ran, clk_ms retry_ms);
+/** Ends the request with the error @p if_not_executed, where this is certain,
+    else with @p if_executed.
+    @param retry_ms  delay after which the client may retry; sent only if the
+    request was not executed; 0: not given */
+void dsp_give_up (struct dsp *d, struct dsp_req *q,
+                  enum dsp_code if_not_executed, enum dsp_code if_executed,
+                  clk_ms retry_ms);
 
 /* dispatch-wait.c */
 void dsp_enqueue (struct dsp *d, struct dsp_req *q, bool front);
--- a/serve/dispatch-limit.c
+++ b/serve/dispatch-limit.c
@@ -8,23 +8,23 @@
  */
 
 /** Longest retry delay sent to a client. */
-#define RETRY_MOST_MS ((clk_ms)10000)
+#define MAX_RETRY_MS ((clk_ms)10000)
 /** Time constant of the moving averages. */
-#define PACE_MS 2000.0
+#define RATE_WINDOW_MS 2000.0
 
 enum lim_change
 dsp_answer_limit (struct dsp *d, clk_ms now, uint64_t id, unsigned attempt,
                   enum lim_says says, double rate)
 {
   struct dsp_req *q = dsp_find_attempt (d, id, attempt);
-  struct lim_word word = { .says = says, .rate = rate };
+  struct lim_word statement = { .says = says, .rate = rate };
 
   d->now = now;
   if (!q || !d->opt.limits)
     return LIM_SAME;
-  word.server = q->endpoint->process_hash;
-  word.sent_at = q->sent_at;
-  return lim_answered (d->opt.limits, now, &word);
+  statement.server = q->endpoint->process_hash;
+  statement.sent_at = q->sent_at;
+  return lim_answered (d->opt.limits, now, &statement);
 }
 
 uint64_t
@@ -90,15 +90,18 @@
 static double
 per_second (const struct dsp_rate *x, clk_ms now)
 {
-  return x->weighted_count * exp (-(double)(now - x->updated_at) / PACE_MS)
-         / (PACE_MS / (double)CLK_SECOND);
+  return x->weighted_count
+         * exp (-(double)(now - x->updated_at) / RATE_WINDOW_MS)
+         / (RATE_WINDOW_MS / (double)CLK_SECOND);
 }
 
 static void
-count (struct dsp_rate *x, clk_ms now)
+count_event (struct dsp_rate *x, clk_ms now)
 {
   x->weighted_count
-      = x->weighted_count * exp (-(double)(now - x->updated_at) / PACE_MS) + 1;
+      = x->weighted_count
+            * exp (-(double)(now - x->updated_at) / RATE_WINDOW_MS)
+        + 1;
   x->updated_at = now;
 }
 
@@ -106,10 +109,10 @@
 dsp_limit_count_request (const struct dsp *d, const struct dsp_req *q)
 {
   if (d->opt.limits && lim_any (d->opt.limits))
-    count (&q->pool->request_rates[q->priority < DSP_PRIORITIES
-                                       ? q->priority
-                                       : DSP_PRIORITIES - 1],
-           d->now);
+    count_event (&q->pool->request_rates[q->priority < DSP_PRIORITIES
+                                             ? q->priority
+                                             : DSP_PRIORITIES - 1],
+                 d->now);
 }
 
 /* --- pools with only rate-limited endpoints ------------------------------ */
@@ -148,7 +151,7 @@
 
 /** This node's share of that rate. */
 static double
-own_part (const struct dsp *d, double sum)
+own_share (const struct dsp *d, double sum)
 {
   return sum / (d->node_count ? d->node_count : 1);
 }
@@ -165,16 +168,16 @@
     return false;
   for (unsigned i = 0; i < q->priority && i < DSP_PRIORITIES; i++)
     urgent += per_second (&p->request_rates[i], d->now);
-  return urgent >= own_part (d, sum);
+  return urgent >= own_share (d, sum);
 }
 
 /** Time that this node needs to send @p n requests at its share of the
     rate. */
 static clk_ms
-time_for (const struct dsp *d, double sum, double n)
+time_to_send (const struct dsp *d, double sum, double n)
 {
-  return (clk_ms)fmin (n * (double)CLK_SECOND / own_part (d, sum),
-                       (double)RETRY_MOST_MS);
+  return (clk_ms)fmin (n * (double)CLK_SECOND / own_share (d, sum),
+                       (double)MAX_RETRY_MS);
 }
 
 clk_ms
@@ -183,7 +186,7 @@
   bool spent;
   double sum = sum_of_limits (d, p, &spent);
 
-  return sum > 0 && spent ? time_for (d, sum, (double)p->queue_length) : 0;
+  return sum > 0 && spent ? time_to_send (d, sum, (double)p->queue_length) : 0;
 }
 
 /**
@@ -195,12 +198,13 @@
 {
   bool spent;
   double sum = sum_of_limits (d, p, &spent);
-  clk_ms from = p->assigned_until > d->now ? p->assigned_until : d->now;
+  clk_ms start = p->assigned_until > d->now ? p->assigned_until : d->now;
 
-  count (&p->rejection_rate, d->now);
-  p->assigned_until = from + (sum > 0 ? time_for (d, sum, 1) : RETRY_MOST_MS);
-  if (p->assigned_until > d->now + RETRY_MOST_MS)
-    p->assigned_until = d->now + RETRY_MOST_MS;
+  count_event (&p->rejection_rate, d->now);
+  p->assigned_until
+      = start + (sum > 0 ? time_to_send (d, sum, 1) : MAX_RETRY_MS);
+  if (p->assigned_until > d->now + MAX_RETRY_MS)
+    p->assigned_until = d->now + MAX_RETRY_MS;
   return p->assigned_until - d->now;
 }
 
--- a/serve/dispatch-load.c
+++ b/serve/dispatch-load.c
@@ -17,11 +17,11 @@
  * clients accept. Fleets with more nodes than a full mesh connects rely on the
  * load reports alone.
  */
-#define NOTICE_READ_MS 20.0
+#define NOTICE_MIN_PREFILL_MS 20.0
 /** An announced prompt counts as processed after this time. On a replica
     with free slots, half of the larger model's first events arrive within
     200 ms, and nine in ten within 240 to 320 ms. */
-#define NOTICE_MS ((clk_ms)250)
+#define NOTICE_LIFETIME_MS ((clk_ms)250)
 
 struct dsp_endpoint_state *
 dsp_find_endpoint (const struct dsp *d, uint64_t hash)
@@ -34,13 +34,13 @@
 }
 
 static uint32_t
-less (uint32_t a, uint32_t b)
+subtract_saturating (uint32_t a, uint32_t b)
 {
   return a > b ? a - b : 0;
 }
 
 static void
-add_counts (const struct dsp *d, const struct dsp_peer *p, bool add)
+add_peer_loads (const struct dsp *d, const struct dsp_peer *p, bool add)
 {
   for (size_t i = 0; i < p->n; i++)
     {
@@ -48,10 +48,12 @@
       struct dsp_endpoint_state *s = dsp_find_endpoint (d, c->place);
       if (!s)
         continue;
-      s->peer_requests = add ? s->peer_requests + c->in_flight
-                             : less (s->peer_requests, c->in_flight);
-      s->peer_streaming = add ? s->peer_streaming + c->begun
-                              : less (s->peer_streaming, c->begun);
+      s->peer_requests
+          = add ? s->peer_requests + c->in_flight
+                : subtract_saturating (s->peer_requests, c->in_flight);
+      s->peer_streaming
+          = add ? s->peer_streaming + c->begun
+                : subtract_saturating (s->peer_streaming, c->begun);
       s->peer_prefill += add ? (double)c->unread : -(double)c->unread;
       if (s->peer_prefill < 0)
         s->peer_prefill = 0;
@@ -69,7 +71,7 @@
         s->peer_prefill = 0;
       }
   for (size_t i = 0; i < d->npeers; i++)
-    add_counts (d, &d->peers[i], true);
+    add_peer_loads (d, &d->peers[i], true);
 }
 
 void
@@ -88,7 +90,7 @@
 }
 
 static struct dsp_peer *
-peer_of (struct dsp *d, uint64_t node)
+get_peer (struct dsp *d, uint64_t node)
 {
   for (size_t i = 0; i < d->npeers; i++)
     if (d->peers[i].node == node)
@@ -102,16 +104,16 @@
 dsp_peer_load (struct dsp *d, clk_ms now, uint64_t peer,
                const struct dsp_count *counts, size_t n)
 {
-  struct dsp_peer *p = peer_of (d, peer);
+  struct dsp_peer *p = get_peer (d, peer);
 
   d->now = now;
-  add_counts (d, p, false);
+  add_peer_loads (d, p, false);
   p->loads = xrealloc (p->loads, (n + 1) * sizeof *p->loads);
   if (n)
     memcpy (p->loads, counts, n * sizeof *counts);
   p->n = n;
   p->received_at = now;
-  add_counts (d, p, true);
+  add_peer_loads (d, p, true);
   for (size_t i = 0; i < n; i++)
     if (counts[i].ended)
       dsp_peer_reported_ended (d, dsp_find_endpoint (d, counts[i].place));
@@ -121,11 +123,12 @@
 const struct dsp_count *
 dsp_own_load (struct dsp *d, size_t *n)
 {
-  size_t all = 0;
+  size_t endpoints = 0;
 
   for (size_t i = 0; i < d->npools; i++)
-    all += d->pools[i]->n;
-  d->own_loads = xrealloc (d->own_loads, (all + 1) * sizeof *d->own_loads);
+    endpoints += d->pools[i]->n;
+  d->own_loads
+      = xrealloc (d->own_loads, (endpoints + 1) * sizeof *d->own_loads);
   *n = 0;
   for (size_t i = 0; i < d->npools; i++)
     for (size_t k = 0; k < d->pools[i]->n; k++)
@@ -178,10 +181,11 @@
 }
 
 static bool
-is_notable (const struct dsp *d, const struct dsp_endpoint_state *s,
-            double prompt)
+is_long_prompt (const struct dsp *d, const struct dsp_endpoint_state *s,
+                double prompt)
 {
-  return s->prefill_per_ms > 0 && prompt / s->prefill_per_ms >= NOTICE_READ_MS
+  return s->prefill_per_ms > 0
+         && prompt / s->prefill_per_ms >= NOTICE_MIN_PREFILL_MS
          && d->node_count > 1 && d->node_count <= HUB_MESH_MOST
          && d->noutgoing < DSP_NOTICES_MAX;
 }
@@ -193,7 +197,7 @@
 
   q->prefill_counted = true;
   s->own_prefill += q->prompt_tokens;
-  q->prefill_noticed = is_notable (d, s, q->prompt_tokens);
+  q->prefill_noticed = is_long_prompt (d, s, q->prompt_tokens);
   if (!q->prefill_noticed)
     return;
   s->own_noticed += q->prompt_tokens;
@@ -222,7 +226,7 @@
 }
 
 static void
-count_notice (const struct dsp *d, const struct dsp_notice *n, bool add)
+apply_notice (const struct dsp *d, const struct dsp_notice *n, bool add)
 {
   struct dsp_endpoint_state *s = dsp_find_endpoint (d, n->place);
 
@@ -231,13 +235,13 @@
   s->peer_noticed += add ? (double)n->tokens : -(double)n->tokens;
   if (s->peer_noticed < 0)
     s->peer_noticed = 0; /* the endpoint was added after the notice was
-                              received */
+                            received */
 }
 
 static void
 drop_notice (struct dsp *d)
 {
-  count_notice (d, &d->received_notices[d->received_first].notice, false);
+  apply_notice (d, &d->received_notices[d->received_first].notice, false);
   d->received_first = (d->received_first + 1) % DSP_NOTICES_MAX;
   d->nreceived--;
 }
@@ -262,7 +266,7 @@
         drop_notice (d);
       d->received_notices[(d->received_first + d->nreceived++)
                           % DSP_NOTICES_MAX]
-          = (struct dsp_received_notice){ list[i], now + NOTICE_MS };
-      count_notice (d, &list[i], true);
+          = (struct dsp_received_notice){ list[i], now + NOTICE_LIFETIME_MS };
+      apply_notice (d, &list[i], true);
     }
 }
--- a/serve/dispatch-place.c
+++ b/serve/dispatch-place.c
@@ -7,7 +7,7 @@
  * can still meet their latency goal: a slot becomes free there about every 60
  * ms, and the goals allow for a little more than one such wait.
  */
-#define BEYOND 1
+#define EXTRA_REQUESTS 1
 
 /**
  * Pending prompt processing, in ms, that weighs as much as all slots of an
@@ -16,18 +16,18 @@
  * each, 20, 25, 40 and 80 ms gave the same served share within 0.003, and 170
  * ms gave 0.005 less.
  */
-#define READ_MS 25.0
+#define PREFILL_WEIGHT_MS 25.0
 
 /** Penalty for an endpoint in another zone, in requests: enough to decide
     between equally loaded endpoints, too small to shift load. */
-#define AWAY 0.3
+#define OTHER_ZONE_PENALTY 0.3
 
 uint64_t
 dsp_place_hash (struct str server, int64_t born, int64_t generation)
 {
-  uint64_t life = str_hash (server, (uint64_t)born);
+  uint64_t process_hash = str_hash (server, (uint64_t)born);
 
-  return str_hash (server, life ^ (uint64_t)generation);
+  return str_hash (server, process_hash ^ (uint64_t)generation);
 }
 
 /* --- pools ------------------------------------------------------------- */
@@ -49,7 +49,7 @@
 }
 
 static void
-server_free (struct dsp_endpoint_state *s)
+free_endpoint (struct dsp_endpoint_state *s)
 {
   free (s->server);
   free (s);
@@ -59,7 +59,7 @@
 dsp_pool_free (struct dsp_pool *p)
 {
   for (size_t i = 0; i < p->n; i++)
-    server_free (p->endpoints[i]);
+    free_endpoint (p->endpoints[i]);
   free (p->endpoints);
   free (p->service);
   free (p->model);
@@ -67,7 +67,7 @@
 }
 
 static struct dsp_endpoint_state *
-server_of (struct dsp_pool *p, const struct dsp_place *in)
+get_endpoint (struct dsp_pool *p, const struct dsp_place *in)
 {
   uint64_t hash = dsp_place_hash (in->server, in->born, in->generation);
 
@@ -87,7 +87,7 @@
 
 /** Frees endpoints that are no longer listed and have no requests. */
 static void
-sweep (struct dsp_pool *p)
+remove_unlisted (struct dsp_pool *p)
 {
   size_t kept = 0;
 
@@ -95,7 +95,7 @@
     if (p->endpoints[i]->listed || p->endpoints[i]->own_requests)
       p->endpoints[kept++] = p->endpoints[i];
     else
-      server_free (p->endpoints[i]);
+      free_endpoint (p->endpoints[i]);
   p->n = kept;
 }
 
@@ -109,7 +109,7 @@
   for (size_t i = 0; i < n; i++)
     {
       struct dsp_pool *p = dsp_get_pool (d, list[i].service, list[i].model);
-      struct dsp_endpoint_state *s = server_of (p, &list[i]);
+      struct dsp_endpoint_state *s = get_endpoint (p, &list[i]);
       s->in_new_list = true;
       s->addr = list[i].addr;
       s->same_zone = str_is (list[i].zone, d->zone);
@@ -122,7 +122,7 @@
       struct dsp_pool *p = d->pools[i];
       for (size_t k = 0; k < p->n; k++)
         p->endpoints[k]->listed = p->endpoints[k]->in_new_list;
-      sweep (p);
+      remove_unlisted (p);
     }
   dsp_load_sum_peers (d);
   dsp_send_all_queued (d);
@@ -150,7 +150,7 @@
 
 /** Requests that hold a slot or are queued for the next free ones. */
 static uint32_t
-taken (const struct dsp_endpoint_state *s)
+slots_taken (const struct dsp_endpoint_state *s)
 {
   return s->own_requests + s->peer_requests;
 }
@@ -165,17 +165,18 @@
 static double
 load_of (const struct dsp_endpoint_state *s)
 {
-  double n = taken (s) + (s->same_zone ? 0 : AWAY);
+  double n = slots_taken (s) + (s->same_zone ? 0 : OTHER_ZONE_PENALTY);
   double load = n / (s->capacity ? s->capacity : 1);
 
   if (s->prefill_per_ms > 0)
-    load += dsp_load_pending_prefill (s) / s->prefill_per_ms / READ_MS;
+    load += dsp_load_pending_prefill (s) / s->prefill_per_ms
+            / PREFILL_WEIGHT_MS;
   return load;
 }
 
 static bool
-may_take (const struct dsp *d, const struct dsp_endpoint_state *s,
-          const struct dsp_req *q)
+is_candidate (const struct dsp *d, const struct dsp_endpoint_state *s,
+              const struct dsp_req *q)
 {
   return dsp_health_usable (d, s) && !dsp_was_tried (q, s)
          && !dsp_health_is_silent (d, s);
@@ -200,8 +201,8 @@
  * is not used.
  */
 static struct dsp_endpoint_state *
-less_taken (struct dsp *d, struct dsp_pool *p, const struct dsp_req *q,
-            unsigned beyond)
+choose_of_two (struct dsp *d, struct dsp_pool *p, const struct dsp_req *q,
+               unsigned extra)
 {
   struct dsp_endpoint_state *drawn[2] = { NULL, NULL }, *permitted = NULL;
   unsigned n = 0;
@@ -209,7 +210,7 @@
   for (size_t i = 0; i < p->n; i++)
     {
       struct dsp_endpoint_state *s = p->endpoints[i];
-      if (!may_take (d, s, q) || taken (s) >= s->capacity + beyond)
+      if (!is_candidate (d, s, q) || slots_taken (s) >= s->capacity + extra)
         continue;
       if (!dsp_limit_allows (d, s))
         {
@@ -234,8 +235,8 @@
 /** Finds an ejected or stalled endpoint that is due for a trial, for a
     request that can be retried after a failure. */
 static bool
-due_for_probe (const struct dsp *d, const struct dsp_pool *p,
-               const struct dsp_req *q, struct dsp_endpoint_state **out)
+find_probe (const struct dsp *d, const struct dsp_pool *p,
+            const struct dsp_req *q, struct dsp_endpoint_state **out)
 {
   if (!q->retryable || q->forwarded
       || q->sent_attempts + 1 >= q->route->max_attempts)
@@ -252,8 +253,8 @@
 
 /** Chooses among the endpoints that failed recently, if no others are left. */
 static struct dsp_endpoint_state *
-last_resort (const struct dsp *d, const struct dsp_pool *p,
-             const struct dsp_req *q)
+choose_fallback (const struct dsp *d, const struct dsp_pool *p,
+                 const struct dsp_req *q)
 {
   struct dsp_endpoint_state *best = NULL;
 
@@ -262,9 +263,9 @@
       struct dsp_endpoint_state *s = p->endpoints[i];
       if (!s->listed || !s->accepting || s->stalled || dsp_was_tried (q, s)
           || d->now < s->full_until || dsp_process_ended (d, s)
-          || taken (s) >= s->capacity || !dsp_limit_allows (d, s))
+          || slots_taken (s) >= s->capacity || !dsp_limit_allows (d, s))
         continue;
-      if (!best || taken (s) < taken (best))
+      if (!best || slots_taken (s) < slots_taken (best))
         best = s;
     }
   return best;
@@ -290,8 +291,8 @@
   dsp_load_expire_notices (d);
   if (dsp_limit_must_defer (d, p, q))
     return NULL;
-  if (due_for_probe (d, p, q, &s))
+  if (find_probe (d, p, q, &s))
     return s;
-  s = less_taken (d, p, q, late ? 0 : BEYOND);
-  return s || dsp_any_usable (d, p) ? s : last_resort (d, p, q);
+  s = choose_of_two (d, p, q, late ? 0 : EXTRA_REQUESTS);
+  return s || dsp_any_usable (d, p) ? s : choose_fallback (d, p, q);
 }
--- a/serve/dispatch-retry.c
+++ b/serve/dispatch-retry.c
@@ -5,7 +5,7 @@
 
 /** Part of the fleet's retry budget that is used. The nodes count
     separately and their windows slide, so some room must remain. */
-#define USED_PART 0.8
+#define USED_FRACTION 0.8
 
 struct dsp_retry_budget *
 dsp_get_budget (struct dsp *d, const char *service)
@@ -25,30 +25,30 @@
 advance (struct dsp *d, struct dsp_retry_budget *b)
 {
   clk_ms second = d->now / CLK_SECOND;
-  clk_ms behind = second - b->newest_second;
+  clk_ms elapsed = second - b->newest_second;
 
-  if (behind > DSP_BUDGET_SECONDS)
-    behind = DSP_BUDGET_SECONDS;
-  for (clk_ms i = 0; i < behind; i++)
+  if (elapsed > DSP_BUDGET_SECONDS)
+    elapsed = DSP_BUDGET_SECONDS;
+  for (clk_ms i = 0; i < elapsed; i++)
     {
       b->requests[(second - i) % DSP_BUDGET_SECONDS] = 0;
       b->retries[(second - i) % DSP_BUDGET_SECONDS] = 0;
     }
-  if (behind > 0)
+  if (elapsed > 0)
     b->newest_second = second;
 }
 
 static uint32_t
-sum (const struct dsp *d, const struct dsp_retry_budget *b,
-     const uint32_t *counts)
+window_sum (const struct dsp *d, const struct dsp_retry_budget *b,
+            const uint32_t *counts)
 {
   clk_ms n = d->opt.retry_window_ms / CLK_SECOND + 1;
-  uint32_t all = 0;
+  uint32_t total = 0;
 
   for (clk_ms i = 0; i < n && i < DSP_BUDGET_SECONDS; i++)
-    all += counts[(b->newest_second - i + DSP_BUDGET_SECONDS)
-                  % DSP_BUDGET_SECONDS];
-  return all;
+    total += counts[(b->newest_second - i + DSP_BUDGET_SECONDS)
+                    % DSP_BUDGET_SECONDS];
+  return total;
 }
 
 void
@@ -68,12 +68,12 @@
 dsp_budget_take_retry (struct dsp *d, struct dsp_pool *p)
 {
   struct dsp_retry_budget *b = p->budget;
-  double most;
+  double limit;
 
   advance (d, b);
-  most = d->opt.retry_ratio * sum (d, b, b->requests)
-         + d->opt.retry_slack / (d->node_count ? d->node_count : 1);
-  if (sum (d, b, b->retries) + 1 > USED_PART * most)
+  limit = d->opt.retry_ratio * window_sum (d, b, b->requests)
+          + d->opt.retry_slack / (d->node_count ? d->node_count : 1);
+  if (window_sum (d, b, b->retries) + 1 > USED_FRACTION * limit)
     {
       d->stats.repeat_denied++;
       return false;
--- a/serve/dispatch-wait.c
+++ b/serve/dispatch-wait.c
@@ -2,8 +2,8 @@
 
 /** Priorities sent to backend servers: of resumed streams, and the lowest
     of all other requests. */
-#define PRIORITY_URGENT 0
-#define PRIORITY_LAST 8
+#define PRIORITY_RESUMED 0
+#define PRIORITY_LOWEST 8
 
 void
 dsp_enqueue (struct dsp *d, struct dsp_req *q, bool front)
@@ -59,7 +59,7 @@
  * priority, then by arrival.
  */
 static bool
-goes_before (const struct dsp *d, const struct dsp_req *a,
+comes_first (const struct dsp *d, const struct dsp_req *a,
              const struct dsp_req *b)
 {
   bool late_a = is_late (d, a) && !a->forwarded;
@@ -74,16 +74,15 @@
   return a->arrived_at < b->arrived_at;
 }
 
-/** The queued request that comes first. @param without_tried skip requests
+/** The queued request that comes first. @param untried_only skip requests
     that have failed at an endpoint before */
 static struct dsp_req *
-next_waiting (const struct dsp *d, const struct dsp_pool *p,
-              bool without_tried)
+next_queued (const struct dsp *d, const struct dsp_pool *p, bool untried_only)
 {
   struct dsp_req *best = NULL;
 
   for (struct dsp_req *q = p->queue_head; q; q = q->queue_next)
-    if (!(without_tried && q->ntried) && (!best || goes_before (d, q, best)))
+    if (!(untried_only && q->ntried) && (!best || comes_first (d, q, best)))
       best = q;
   return best;
 }
@@ -94,12 +93,12 @@
   unsigned p = q->priority + 1;
 
   if (q->forwarded)
-    return PRIORITY_URGENT;
-  return p < PRIORITY_LAST ? p : PRIORITY_LAST;
+    return PRIORITY_RESUMED;
+  return p < PRIORITY_LOWEST ? p : PRIORITY_LOWEST;
 }
 
 static void
-dispatch (struct dsp *d, struct dsp_req *q, struct dsp_endpoint_state *s)
+start_attempt (struct dsp *d, struct dsp_req *q, struct dsp_endpoint_state *s)
 {
   struct dsp_action *a;
 
@@ -129,16 +128,16 @@
 dsp_send_queued (struct dsp *d, struct dsp_pool *p)
 {
   struct dsp_req *q;
-  bool without_tried = false;
+  bool untried_only = false;
 
-  while ((q = next_waiting (d, p, without_tried)) != NULL)
+  while ((q = next_queued (d, p, untried_only)) != NULL)
     {
       struct dsp_endpoint_state *s = dsp_choose_endpoint (d, p, q);
       if (s)
-        dispatch (d, q, s);
-      else if (q->ntried == 0 || without_tried)
+        start_attempt (d, q, s);
+      else if (q->ntried == 0 || untried_only)
         return;
       else
-        without_tried = true; /* the free endpoints may suit other requests */
+        untried_only = true; /* the free endpoints may suit other requests */
     }
 }
--- a/serve/dispatch.c
+++ b/serve/dispatch.c
@@ -5,24 +5,24 @@
 
 #include "base/chart.h"
 
-#define TABLE_FIRST 256
+#define INITIAL_BUCKETS 256
 
 /** Prompt length assumed for a request that doesn't state one: about the
     mean of those that do. */
-#define PROMPT_UNKNOWN 1000.0
+#define DEFAULT_PROMPT_TOKENS 1000.0
 
 /** Interval of the timeout checks while requests are open; clients notice
     delays of some hundred milliseconds. */
-#define TICK_MS ((clk_ms)20)
+#define TICK_INTERVAL_MS ((clk_ms)20)
 
 /** A tick that is later than this shows that the process was suspended.
     Data that arrived meanwhile is still in the sockets, as timers run
     before sockets are read. */
-#define LATE_MS ((clk_ms)100)
+#define LATE_TICK_MS ((clk_ms)100)
 
 /** Failed connections after which a request is given up. If a third
     endpoint can't be reached, the fault is on this node's side. */
-#define CONNECTS_MOST 3
+#define MAX_CONNECT_FAILURES 3
 
 /**
  * Part of a request's latency goal that it may spend in the queue. A request
@@ -30,48 +30,49 @@
  * that becomes free within this time still meets the goal; otherwise the
  * client is told early enough to retry when a slot is free.
  */
-#define WAIT_PART 0.12
+#define QUEUE_TIME_FRACTION 0.12
 
 /** Bounds of the retry delay sent with a rejection: about the time in which
     several slots become free. */
-#define RETRY_LEAST_MS ((clk_ms)150)
-#define RETRY_MOST_MS ((clk_ms)2000)
+#define MIN_RETRY_MS ((clk_ms)150)
+#define MAX_RETRY_MS ((clk_ms)2000)
 
 /** An idempotent request without a response is retried at another endpoint
     after this multiple of its latency goal. Its response arrives in one
     piece, so there is no other way to tell a hung endpoint from a working
     one. */
-#define SILENT_FACTOR 1.0
+#define RESPONSE_TIMEOUT_FACTOR 1.0
 
 static const char *const state_names[DSP_STATES]
     = { "received",  "waiting",      "connecting", "sent",
         "rewaiting", "reconnecting", "resent",     "passing",
         "done",      "not_run",      "failed" };
 
-static const char *const step_names[DSP_TRANSITIONS]
+static const char *const transition_names[DSP_TRANSITIONS]
     = { "wait",  "refuse", "connect", "sent", "unrun",
         "retry", "pass",   "whole",   "fail" };
 
 /** Transitions of the chart, indexed by the enums; loaded once. */
-static signed char table[DSP_STATES][DSP_TRANSITIONS];
-static bool table_read;
+static signed char transitions[DSP_STATES][DSP_TRANSITIONS];
+static bool transitions_loaded;
 
 static void
-read_table (void)
+load_transitions (void)
 {
   const struct chart *c = chart_embedded ("forward");
-  int ours[DSP_STATES + 1];
+  int by_chart_state[DSP_STATES + 1];
 
   for (int i = 0; i < DSP_STATES; i++)
-    ours[chart_state (c, state_names[i])] = i;
+    by_chart_state[chart_state (c, state_names[i])] = i;
   for (int i = 0; i < DSP_STATES; i++)
     for (int k = 0; k < DSP_TRANSITIONS; k++)
       {
         int to = chart_step (c, chart_state (c, state_names[i]),
-                             chart_event (c, step_names[k]));
-        table[i][k] = to == CHART_REFUSED ? -1 : (signed char)ours[to];
+                             chart_event (c, transition_names[k]));
+        transitions[i][k]
+            = to == CHART_REFUSED ? -1 : (signed char)by_chart_state[to];
       }
-  table_read = true;
+  transitions_loaded = true;
 }
 
 /** A transition that the chart doesn't allow is a bug in this process.
@@ -79,7 +80,7 @@
 void
 dsp_transition (struct dsp_req *q, enum dsp_transition x)
 {
-  int to = table[q->state][x];
+  int to = transitions[q->state][x];
 
   if (to < 0)
     abort ();
@@ -147,7 +148,7 @@
 }
 
 static void
-table_grow (struct dsp *d)
+grow_buckets (struct dsp *d)
 {
   size_t size = 2 * d->by_id_size;
   struct dsp_req **grown = xcalloc (size, sizeof *grown);
@@ -169,7 +170,7 @@
   const struct tbl_route *r = in->route;
 
   if (d->open_count >= d->by_id_size)
-    table_grow (d);
+    grow_buckets (d);
   q->id = in->id;
   q->config = tbl_ref (in->table);
   q->route = r;
@@ -177,7 +178,7 @@
   q->arrived_at = d->now;
   q->goal_at = d->now - in->waited + r->goal_ms;
   q->deadline = in->deadline;
-  q->prompt_tokens = in->prompt > 0 ? in->prompt : PROMPT_UNKNOWN;
+  q->prompt_tokens = in->prompt > 0 ? in->prompt : DEFAULT_PROMPT_TOKENS;
   q->digest = in->digest;
   q->retryable = tbl_repeatable (r);
   q->state = DSP_S_RECEIVED;
@@ -214,18 +215,18 @@
 /* --- end of an attempt ------------------------------------------------- */
 
 static void
-settle_unbegun (struct dsp_req *q)
+end_prefill (struct dsp_req *q)
 {
   dsp_load_prompt_processed (q);
   q->awaits_first_event = false;
 }
 
 static void
-leave_server (struct dsp_req *q)
+release_endpoint (struct dsp_req *q)
 {
   if (!q->endpoint)
     return;
-  settle_unbegun (q);
+  end_prefill (q);
   q->endpoint->own_streaming -= q->streaming;
   q->streaming = false;
   q->endpoint->own_requests--;
@@ -236,7 +237,7 @@
 }
 
 static void
-avoid (struct dsp_req *q)
+mark_tried (struct dsp_req *q)
 {
   q->tried[q->ntried % DSP_TRIED_MAX] = q->endpoint->hash;
   if (q->ntried < DSP_TRIED_MAX)
@@ -244,12 +245,12 @@
 }
 
 static void
-forget (struct dsp *d, struct dsp_req *q)
+finish_request (struct dsp *d, struct dsp_req *q)
 {
   struct dsp_pool *p = q->pool;
 
   dsp_dequeue (q);
-  leave_server (q);
+  release_endpoint (q);
   dsp_add_action (d, DSP_ACT_FORGET, q);
   free_request (d, q);
   d->stats.ended++;
@@ -259,22 +260,23 @@
 /** Estimated time until an endpoint has room for one more request: the
     queue, divided by the rate at which the pool completes requests. */
 static clk_ms
-retry_after (const struct dsp *d, const struct dsp_pool *p)
+estimate_retry_ms (const struct dsp *d, const struct dsp_pool *p)
 {
-  double places = 1, ms;
+  double slots = 1, ms;
 
   for (size_t i = 0; i < p->n; i++)
     if (p->endpoints[i]->listed)
-      places += dsp_limit_slots (d, p->endpoints[i]);
-  ms = p->response_ms * (double)(p->queue_length * d->node_count) / places;
-  if (ms < (double)RETRY_LEAST_MS)
-    return RETRY_LEAST_MS;
-  return ms > (double)RETRY_MOST_MS ? RETRY_MOST_MS : (clk_ms)ms;
+      slots += dsp_limit_slots (d, p->endpoints[i]);
+  ms = p->response_ms * (double)(p->queue_length * d->node_count) / slots;
+  if (ms < (double)MIN_RETRY_MS)
+    return MIN_RETRY_MS;
+  return ms > (double)MAX_RETRY_MS ? MAX_RETRY_MS : (clk_ms)ms;
 }
 
 /** Ends the request with an error response generated by this node. */
 static void
-answer (struct dsp *d, struct dsp_req *q, enum dsp_code code, clk_ms retry_ms)
+respond_error (struct dsp *d, struct dsp_req *q, enum dsp_code code,
+               clk_ms retry_ms)
 {
   struct dsp_action *a
       = dsp_add_action (d, q->forwarded ? DSP_ACT_CUT : DSP_ACT_ANSWER, q);
@@ -282,7 +284,7 @@
   a->code = code;
   a->retry_ms = retry_ms;
   d->stats.answered[code]++;
-  forget (d, q);
+  finish_request (d, q);
 }
 
 static void
@@ -290,42 +292,43 @@
 {
   if (q->endpoint)
     dsp_add_action (d, DSP_ACT_CANCEL, q);
-  leave_server (q);
+  release_endpoint (q);
 }
 
 static bool
-may_have_run (const struct dsp_req *q)
+may_have_executed (const struct dsp_req *q)
 {
   return q->state != DSP_S_RECEIVED && q->state != DSP_S_WAITING
          && q->state != DSP_S_CONNECTING;
 }
 
 void
-dsp_give_up (struct dsp *d, struct dsp_req *q, enum dsp_code unrun,
-             enum dsp_code ran, clk_ms retry_ms)
+dsp_give_up (struct dsp *d, struct dsp_req *q, enum dsp_code if_not_executed,
+             enum dsp_code if_executed, clk_ms retry_ms)
 {
   cancel_attempt (d, q);
-  if (may_have_run (q))
+  if (may_have_executed (q))
     {
       dsp_transition (q, DSP_X_FAIL);
-      answer (d, q, ran, 0);
+      respond_error (d, q, if_executed, 0);
       return;
     }
   dsp_transition (q, DSP_X_REFUSE);
-  answer (d, q, unrun, retry_ms);
+  respond_error (d, q, if_not_executed, retry_ms);
 }
 
 /** The same, with the estimated time until a slot is free as the retry
     delay. */
 static void
-give_up (struct dsp *d, struct dsp_req *q, enum dsp_code unrun,
-         enum dsp_code ran)
+give_up (struct dsp *d, struct dsp_req *q, enum dsp_code if_not_executed,
+         enum dsp_code if_executed)
 {
-  dsp_give_up (d, q, unrun, ran, retry_after (d, q->pool));
+  dsp_give_up (d, q, if_not_executed, if_executed,
+               estimate_retry_ms (d, q->pool));
 }
 
 static void
-again (struct dsp *d, struct dsp_req *q)
+requeue (struct dsp *d, struct dsp_req *q)
 {
   struct dsp_pool *p = q->pool;
 
@@ -334,7 +337,7 @@
 }
 
 static bool
-may_send_again (struct dsp *d, const struct dsp_req *q)
+take_retry (struct dsp *d, const struct dsp_req *q)
 {
   return q->sent_attempts < q->route->max_attempts && d->now < q->deadline
          && dsp_budget_take_retry (d, q->pool);
@@ -343,18 +346,18 @@
 void
 dsp_attempt_failed (struct dsp *d, struct dsp_req *q, enum dsp_code code)
 {
-  bool more = q->retryable && !dsp_is_suspect (d, q) && may_send_again (d, q);
+  bool retry = q->retryable && !dsp_is_suspect (d, q) && take_retry (d, q);
 
-  avoid (q);
+  mark_tried (q);
   cancel_attempt (d, q);
-  if (!more)
+  if (!retry)
     {
       give_up (d, q, code, code);
       return;
     }
   d->stats.resumed += q->forwarded;
   dsp_transition (q, DSP_X_RETRY);
-  again (d, q);
+  requeue (d, q);
 }
 
 /* --- events of an attempt ---------------------------------------------- */
@@ -387,28 +390,28 @@
   /* Nothing was sent, so a retry is safe even for a request that must be
      executed at most once. */
   dsp_health_failure (d, q->endpoint);
-  avoid (q);
-  leave_server (q);
+  mark_tried (q);
+  release_endpoint (q);
   dsp_transition (q, DSP_X_UNRUN);
-  if (++q->connect_failures >= CONNECTS_MOST)
+  if (++q->connect_failures >= MAX_CONNECT_FAILURES)
     give_up (d, q, DSP_NO_CONNECTION, DSP_INTERRUPTED);
   else
-    again (d, q);
+    requeue (d, q);
 }
 
 /** The backend server reports that it did not execute the request. */
 static void
-on_unrun (struct dsp *d, struct dsp_req *q)
+on_not_executed (struct dsp *d, struct dsp_req *q)
 {
   struct dsp_endpoint_state *s = q->endpoint;
-  bool more = may_send_again (d, q);
+  bool retry = take_retry (d, q);
 
-  s->full_until = d->now + TICK_MS;
-  avoid (q);
+  s->full_until = d->now + TICK_INTERVAL_MS;
+  mark_tried (q);
   cancel_attempt (d, q);
   dsp_transition (q, DSP_X_UNRUN);
-  if (more)
-    again (d, q);
+  if (retry)
+    requeue (d, q);
   else
     give_up (d, q, DSP_REFUSED, DSP_INTERRUPTED);
 }
@@ -428,7 +431,7 @@
     case DSP_HEAD_GOOD:
       break;
     case DSP_HEAD_UNRUN:
-      on_unrun (d, q);
+      on_not_executed (d, q);
       break;
     case DSP_HEAD_ERROR:
       q->error_response = true;
@@ -447,9 +450,9 @@
 }
 
 static void
-begin (struct dsp *d, struct dsp_req *q)
+on_first_event (struct dsp *d, struct dsp_req *q)
 {
-  settle_unbegun (q);
+  end_prefill (q);
   q->streaming = true;
   q->first_event_at = d->now;
   q->endpoint->own_streaming++;
@@ -473,7 +476,7 @@
   q->last_data_at = q->endpoint->last_data_at = now;
   q->endpoint->stalled = false;
   if (event && !q->streaming)
-    begin (d, q);
+    on_first_event (d, q);
 }
 
 void
@@ -489,7 +492,7 @@
     return;
   if (!q->streaming)
     {
-      settle_unbegun (q);
+      end_prefill (q);
       dsp_health_first_event (d, q->endpoint, now - q->sent_at);
     }
   dsp_health_success (d, q->endpoint);
@@ -501,7 +504,7 @@
       += (q->pool->response_ms > 0 ? 0.05 : 1) * (ms - q->pool->response_ms);
   dsp_transition (q, DSP_X_WHOLE);
   dsp_add_action (d, DSP_ACT_END, q);
-  forget (d, q);
+  finish_request (d, q);
 }
 
 void
@@ -520,16 +523,17 @@
 /* --- arrival, cancellation, time --------------------------------------- */
 
 static clk_ms
-wait_until (const struct dsp_req *q)
+queue_deadline (const struct dsp_req *q)
 {
-  return q->queued_at + (clk_ms)(WAIT_PART * (double)q->route->goal_ms);
+  return q->queued_at
+         + (clk_ms)(QUEUE_TIME_FRACTION * (double)q->route->goal_ms);
 }
 
 void
 dsp_arrive (struct dsp *d, clk_ms now, const struct dsp_request *in)
 {
   struct dsp_req *q;
-  clk_ms again_ms;
+  clk_ms retry_ms;
 
   d->now = now;
   if (find_request (d, in->id))
@@ -541,13 +545,13 @@
   if (d->shutting_down)
     {
       dsp_transition (q, DSP_X_REFUSE);
-      answer (d, q, DSP_SHUTTING_DOWN, RETRY_LEAST_MS);
+      respond_error (d, q, DSP_SHUTTING_DOWN, MIN_RETRY_MS);
       return;
     }
-  if (d->opt.poison && psn_refuses (d->opt.poison, now, q->digest, &again_ms))
+  if (d->opt.poison && psn_refuses (d->opt.poison, now, q->digest, &retry_ms))
     {
       dsp_transition (q, DSP_X_REFUSE);
-      answer (d, q, DSP_POISON, again_ms);
+      respond_error (d, q, DSP_POISON, retry_ms);
       return;
     }
   dsp_budget_count_request (d, q->pool);
@@ -557,7 +561,7 @@
   dsp_send_queued (d, q->pool);
   if (q->queued
       && (dsp_limit_must_defer (d, q->pool, q)
-          || now + dsp_limit_wait_ms (d, q->pool) > wait_until (q)))
+          || now + dsp_limit_wait_ms (d, q->pool) > queue_deadline (q)))
     dsp_give_up (d, q, DSP_RATE_LIMITED, DSP_INTERRUPTED,
                  dsp_limit_reject (d, q->pool));
 }
@@ -571,7 +575,7 @@
   if (!q)
     return;
   cancel_attempt (d, q);
-  forget (d, q);
+  finish_request (d, q);
 }
 
 void
@@ -583,17 +587,17 @@
 /** Whether an idempotent request's response is overdue and a retry is
     allowed. */
 static bool
-is_silent (const struct dsp *d, const struct dsp_req *q)
+is_overdue (const struct dsp *d, const struct dsp_req *q)
 {
   return q->route->kind == TBL_IDEMPOTENT && q->state == DSP_S_SENT
          && q->sent_attempts < q->route->max_attempts
          && (double)(d->now - q->sent_at)
-                > SILENT_FACTOR * (double)q->route->goal_ms;
+                > RESPONSE_TIMEOUT_FACTOR * (double)q->route->goal_ms;
 }
 
 /** Reason for which the pool has no endpoint for a request. */
 static enum dsp_code
-why_none (const struct dsp *d, const struct dsp_pool *p)
+no_endpoint_code (const struct dsp *d, const struct dsp_pool *p)
 {
   if (!dsp_any_usable (d, p))
     return DSP_NO_SERVER;
@@ -601,15 +605,15 @@
 }
 
 static void
-tick_request (struct dsp *d, struct dsp_req *q)
+check_timeouts (struct dsp *d, struct dsp_req *q)
 {
-  enum dsp_code none = why_none (d, q->pool);
+  enum dsp_code code = no_endpoint_code (d, q->pool);
 
   if (d->now >= q->deadline)
-    give_up (d, q, none, DSP_DEADLINE);
-  else if (q->queued && d->now >= wait_until (q))
-    give_up (d, q, none, DSP_INTERRUPTED);
-  else if (is_silent (d, q))
+    give_up (d, q, code, DSP_DEADLINE);
+  else if (q->queued && d->now >= queue_deadline (q))
+    give_up (d, q, code, DSP_INTERRUPTED);
+  else if (is_overdue (d, q))
     {
       dsp_health_failure (d, q->endpoint);
       dsp_attempt_failed (d, q, DSP_DEADLINE);
@@ -620,9 +624,9 @@
     them in any case; otherwise a node that is short of CPU time would never
     time out a request. */
 static bool
-skips (struct dsp *d, clk_ms now)
+skip_late_tick (struct dsp *d, clk_ms now)
 {
-  d->skipped_tick = !d->skipped_tick && now - d->last_check_at > LATE_MS;
+  d->skipped_tick = !d->skipped_tick && now - d->last_check_at > LATE_TICK_MS;
   d->last_check_at = now;
   return d->skipped_tick;
 }
@@ -633,7 +637,7 @@
   struct dsp_req *next;
 
   d->now = d->ticked_at = now;
-  if (skips (d, now))
+  if (skip_late_tick (d, now))
     return;
   dsp_health_tick (d);
   /* This may free q and dispatch other requests, but it frees no other
@@ -641,7 +645,7 @@
   for (struct dsp_req *q = d->open_list; q; q = next)
     {
       next = q->next;
-      tick_request (d, q);
+      check_timeouts (d, q);
     }
   for (size_t i = 0; i < d->npools; i++)
     dsp_send_queued (d, d->pools[i]);
@@ -652,7 +656,7 @@
 {
   /* Measured from the last tick, not from the last event: events are so
      frequent that a tick would never become due. */
-  return d->open_count ? d->ticked_at + TICK_MS : CLK_NEVER;
+  return d->open_count ? d->ticked_at + TICK_INTERVAL_MS : CLK_NEVER;
 }
 
 /* --- construction ------------------------------------------------------ */
@@ -662,14 +666,14 @@
 {
   struct dsp *d = xcalloc (1, sizeof *d);
 
-  if (!table_read)
-    read_table ();
+  if (!transitions_loaded)
+    load_transitions ();
   d->opt = *opt;
   d->zone = str_dup (opt->zone);
   d->opt.zone = str_from (d->zone);
   d->node_count = 1;
   rng_seed (&d->rng, seed);
-  d->by_id_size = TABLE_FIRST;
+  d->by_id_size = INITIAL_BUCKETS;
   d->by_id = xcalloc (d->by_id_size, sizeof *d->by_id);
   return d;
 }
--- a/serve/dispatch.h
+++ b/serve/dispatch.h
@@ -249,7 +249,7 @@
 
 /** Reports the result of DSP_ACT_CHECK. @return number of runs interrupted
     there */
-size_t dsp_checked (struct dsp *d, clk_ms now, uint64_t place,
+size_t dsp_checked (struct dsp *d, clk_ms now, uint64_t endpoint,
                     enum dsp_liveness found);
 
 /** The request with that digest crashes servers: fails those instances
--- a/serve/unread.c
+++ b/serve/unread.c
@@ -6,7 +6,7 @@
 struct entry
 {
   uint64_t value; /* hash of the value */
-  bool named;     /* named by the list that is being read */
+  bool seen;      /* named by the list that is being read */
 };
 
 struct unr
@@ -40,7 +40,7 @@
 
   g_hash_table_iter_init (&it, u->by_key);
   while (g_hash_table_iter_next (&it, NULL, &entry))
-    ((struct entry *)entry)->named = false;
+    ((struct entry *)entry)->seen = false;
 }
 
 bool
@@ -49,7 +49,7 @@
   char *name = str_dup (key);
   struct entry *e = g_hash_table_lookup (u->by_key, name);
   uint64_t hash = str_hash (value, 0);
-  bool news = !e || e->value != hash;
+  bool changed = !e || e->value != hash;
 
   if (e)
     free (name);
@@ -59,20 +59,20 @@
       g_hash_table_insert (u->by_key, name, e);
     }
   e->value = hash;
-  e->named = true;
-  return news;
+  e->seen = true;
+  return changed;
 }
 
 static gboolean
-is_gone (void *key, void *entry, void *ctx)
+not_seen (void *key, void *entry, void *ctx)
 {
-  return !((struct entry *)entry)->named;
+  return !((struct entry *)entry)->seen;
 }
 
 void
 unr_end (struct unr *u)
 {
-  g_hash_table_foreach_remove (u->by_key, is_gone, NULL);
+  g_hash_table_foreach_remove (u->by_key, not_seen, NULL);
 }
 
 size_t
