--- a/t/lib-dispatch.c
+++ b/t/lib-dispatch.c
@@ -126,7 +126,7 @@
       }
 }
 
-/* --- the script -------------------------------------------------------- */
+/* --- script ------------------------------------------------------------ */
 
 static void
 add_places (struct bench *b, const char *service, int n, unsigned capacity,
@@ -262,7 +262,8 @@
     }
 }
 
-/** As after a pause of the process: a tick comes before what waits is read. */
+/** Simulates a suspension of the process: a tick comes before the waiting
+    data is read. */
 static void
 stand_still (struct bench *b, int ms)
 {
--- a/t/t9201-dispatch.c
+++ b/t/t9201-dispatch.c
@@ -1,12 +1,12 @@
 /*
- * The request core of a node on a platform; see t/lib-dispatch.h for the
- * script.
+ * Request dispatcher of a serving node. The script language is described in
+ * t/lib-dispatch.h.
  */
 #include <criterion/criterion.h>
 
 #include "t/lib-dispatch.h"
 
-/* A stream and a call are sent, passed and ended. */
+/* A stream and a plain request are sent, forwarded and completed. */
 Test (dispatch, life)
 {
   dispatch_play ("streams s 1 4\n places p 1 4\n"
@@ -16,8 +16,9 @@
 }
 
 /*
- * A stream's replica breaks off after some events.  The stream goes on at the
- * other one, ahead of all that wait there; a second break ends it visibly.
+ * A replica breaks off a stream after some events. The stream is resumed at
+ * the other replica, with priority over queued requests. A second interruption
+ * aborts the response visibly.
  */
 Test (dispatch, a_stream_goes_on_elsewhere_once)
 {
@@ -28,8 +29,8 @@
 }
 
 /*
- * A call that must run once was sent, and its connection breaks.  It may have
- * run: it goes nowhere else, and the caller is not told "not run".
+ * The connection breaks after a non-idempotent request was sent. It may have
+ * been executed, so it is not retried and not reported as not executed.
  */
 Test (dispatch, what_may_have_run_once_is_not_repeated)
 {
@@ -38,9 +39,10 @@
 }
 
 /*
- * The same, but the connection was never made, or the server says that it did
- * not run the call: then it goes to the other one, and when that does not run
- * it either, the caller is told so and when to come back.
+ * The connection was never made, or the server reports that it did not execute
+ * the request. The request is then sent to the other endpoint. If that fails
+ * in the same way, the client gets an error that permits a retry, with a retry
+ * delay.
  */
 Test (dispatch, what_has_not_run_is_told_so)
 {
@@ -53,8 +55,8 @@
                  "answer 2 refused 503 retry\n");
 }
 
-/* An idempotent call meets an error and is tried at the other place; its
-   second error is passed on as it is. */
+/* An idempotent request that gets an error response is retried at the other
+   endpoint. A second error response is forwarded unchanged. */
 Test (dispatch, an_error_is_tried_elsewhere)
 {
   dispatch_play ("places p 2 4\n ask 1 safe\n sent 1\n error 1\n sent 1\n"
@@ -62,8 +64,8 @@
                  "send 1 p1\ncancel 1\nsend 1 p2\nend 1\n");
 }
 
-/* An idempotent call without an answer is tried elsewhere once its goal has
-   passed; a call that must run once waits to its deadline. */
+/* An idempotent request without a response is retried at another endpoint
+   after its latency goal. A non-idempotent one waits until its deadline. */
 Test (dispatch, silence)
 {
   dispatch_play ("places p 2 4\n ask 1 safe\n sent 1\n ask 2 once\n sent 2\n"
@@ -73,10 +75,11 @@
 }
 
 /*
- * All slots are taken.  One more that can be on time is sent all the same; one
- * whose caller has waited its goal before, and all that come after, wait here
- * for an eighth of their goal.  They are refused as not run while their
- * callers can still come back, but for the first that finds a slot.
+ * All slots are taken. One more request that can meet its goal is still sent.
+ * A request whose client has already waited as long as its goal, and all later
+ * ones, are queued for an eighth of their goal. They are then rejected as not
+ * executed, early enough for the client to retry, except the first one that
+ * gets a free slot.
  */
 Test (dispatch, overload)
 {
@@ -90,9 +93,10 @@
 }
 
 /*
- * A replica has lost a member: none of its streams moves.  They go on at the
- * other replica after 400 ms, with those that wait for their first event, and
- * new ones go there too; nobody is sent back before it answers again.
+ * A replica has lost a member, and none of its streams receives events. After
+ * 400 ms they are resumed at the other replica, together with the requests
+ * that wait for their first event. New requests go there too, and the stalled
+ * replica gets none until it responds again.
  */
 Test (dispatch, a_stalled_replica_is_left)
 {
@@ -106,8 +110,8 @@
 }
 
 /*
- * Another node still hears events from that replica: it is slow here by
- * chance, and nothing is moved.
+ * Another node still receives events from the replica, so the silence at this
+ * node is not a stall and no stream is moved.
  */
 Test (dispatch, others_hear_it)
 {
@@ -117,8 +121,8 @@
                  "send 1 s1\npass 1\n");
 }
 
-/* The budget of repeats is shared: of a slack of 10, four nodes have 2 each.
- */
+/* The retry budget is shared: with a slack of 10, each of four nodes may
+   make 2 retries. */
 Test (dispatch, repeats_keep_to_the_budget)
 {
   dispatch_play ("places p 4 4\n nodes 4\n"
@@ -130,7 +134,8 @@
                  "send 3 p3\ncancel 3\nanswer 3 broken 502\n");
 }
 
-/* The caller leaves: the attempt ends at once, also one that only waits. */
+/* The client disconnects: its attempt is canceled at once, also one that
+   has not been sent. */
 Test (dispatch, a_caller_that_leaves)
 {
   dispatch_play ("streams s 1 1\n ask 1 stream\n sent 1\n good 1\n event 1\n"
@@ -138,7 +143,7 @@
                  "send 1 s1\npass 1\ncancel 1\nsend 2 s1\ncancel 2\n");
 }
 
-/* A node that stops refuses what comes later as not run. */
+/* A node that is shutting down rejects new requests as not executed. */
 Test (dispatch, leaving)
 {
   dispatch_play ("places p 1 4\n ask 1 once\n leave\n ask 2 once\n sent 1\n"
@@ -146,16 +151,17 @@
                  "send 1 p1\nanswer 2 leaving 503 retry\nend 1\n");
 }
 
-/* Nothing is known that could serve: told after part of the goal. */
+/* No usable endpoint is known: the request is rejected after part of its
+   goal. */
 Test (dispatch, no_place)
 {
   dispatch_play ("ask 1 stream\n run 400\n", "answer 1 no-server 503 retry\n");
 }
 
 /*
- * Other streams have events all the time, more often than a tick.  A place
- * where nothing moves is seen all the same; counted from the last event, a
- * tick was never due, and it took seconds.
+ * Guards against stall checks that never become due. Other streams receive
+ * events more often than the tick interval; when the interval was measured
+ * from the last event, it took seconds to detect a stall.
  */
 Test (dispatch, time_is_looked_at_among_many_events)
 {
@@ -166,8 +172,9 @@
                  "cancel 1\nsend 1 s2 resume p0\n");
 }
 
-/* Guards against streams that are taken off all their places, and cut where
-   none is left, after a pause of this process. */
+/* Guards against a suspension of this process that is taken for a stall of
+   all endpoints: streams were moved off all of them, and aborted as none
+   was left. */
 Test (dispatch, a_pause_of_this_process_is_no_stall)
 {
   dispatch_play ("streams s 2 8\n ask 1 stream\n sent 1\n good 1\n event 1\n"
@@ -177,8 +184,9 @@
                  "send 1 s1\npass 1\nsend 2 s2\npass 2\nend 1\nend 2\n");
 }
 
-/* Guards against requests that are sent again, or given up, as this process
-   goes on after a pause, though their answers wait in its sockets. */
+/* Guards against requests that are retried or given up when this process
+   resumes after a suspension, although their responses are waiting in its
+   sockets. */
 Test (dispatch, an_answer_that_came_in_a_pause_is_passed_on)
 {
   dispatch_play ("places p 2 4\n ask 1 safe\n sent 1\n run 40\n pause 1000\n"
@@ -188,7 +196,8 @@
                  "send 1 p1\nend 1\nsend 2 p1\nend 2\n");
 }
 
-/* Guards against a node with too little processor that gives nothing up. */
+/* Guards against a node that is short of CPU time and so never checks
+   timeouts. */
 Test (dispatch, of_late_ticks_each_second_one_judges)
 {
   dispatch_play ("streams s 2 8\n ask 1 stream\n sent 1\n good 1\n event 1\n"
@@ -197,8 +206,9 @@
                  "send 1 s2 resume p0\n");
 }
 
-/* Guards against callers that end server after server with the same request,
-   and against a refusal that makes them come back for nothing. */
+/* Guards against a request that is repeated by its client and crashes one
+   server after the other, and against a retry delay sent with the final
+   rejection, as a retry would be in vain. */
 Test (dispatch, what_three_servers_crashed_under_is_refused)
 {
   dispatch_play ("streams s 4 4\n"
@@ -214,8 +224,8 @@
                  "answer 4 crashes-servers 503\nsend 5 s2\n");
 }
 
-/* Guards against a block of requests whose connections were reset, or whose
-   servers could not be asked: nothing says that they have crashed. */
+/* Guards against blocking a request because its connections were reset or
+   its servers could not be reached: neither proves a crash. */
 Test (dispatch, a_connection_that_breaks_is_no_crash)
 {
   dispatch_play ("streams s 3 4\n"
@@ -230,8 +240,7 @@
                  "answer 2 broken 502\nsend 3 s1\n");
 }
 
-/* Guards against blame for the end of a server that was leaving: it ends by
-   itself. */
+/* Guards against counting the end of a draining server as a crash. */
 Test (dispatch, a_server_that_leaves_is_not_asked)
 {
   dispatch_play ("streams s 1 4\n ask 1 stream 7\n sent 1\n closed s1\n"
@@ -239,8 +248,8 @@
                  "send 1 s1\ncancel 1\nanswer 1 broken 502\n");
 }
 
-/* Guards against a further attempt that crashes one more server: a request
-   that two servers have crashed under waits for its caller to ask again. */
+/* Guards against a retry that crashes one more server: after two crashes, a
+   request is not retried until its client sends it again. */
 Test (dispatch, a_suspect_is_not_sent_elsewhere)
 {
   dispatch_play ("streams s 4 4\n"
@@ -252,8 +261,9 @@
                  "cancel 2\nanswer 2 broken 502\n");
 }
 
-/* Guards against runs that begin after the verdict, of requests that wait here
-   or at a server; what has had events goes on, as it has not crashed. */
+/* Guards against executing a request after it was blocked, whether it is
+   queued here or at a server. A run that has produced events continues,
+   because it has not crashed the server. */
 Test (dispatch, a_verdict_ends_what_has_not_begun)
 {
   dispatch_play ("streams s 1 2\n"
@@ -270,7 +280,7 @@
 }
 
 /* Guards against requests that are lost on connections to a server whose
-   process is known to be gone, until its entry lapses. */
+   process has ended, before its entry in the server list expires. */
 Test (dispatch, a_server_that_has_ended_gets_nothing)
 {
   dispatch_play ("streams s 2 9\n ask 1 stream\n sent 1\n broken 1\n"
@@ -280,7 +290,8 @@
                  "send 3 s2\nsend 4 s2\nsend 5 s2\nsend 6 s2\n");
 }
 
-/* Guards against the same at nodes that have not met it themselves. */
+/* Guards against the same at nodes that have not detected the end
+   themselves. */
 Test (dispatch, a_server_that_others_found_gone_gets_nothing)
 {
   dispatch_play ("streams s 2 9\n ended s1\n ask 1 stream\n ask 2 stream\n"
@@ -290,8 +301,8 @@
                  "send 6 s1\nsend 7 s1\n");
 }
 
-/* Guards against an error, as of a server at which the request waited in vain,
-   that clears a request which crashes servers. */
+/* Guards against clearing a suspect on an error response: a server also
+   returns one if the request has only waited there. */
 Test (dispatch, an_error_does_not_clear_a_suspect)
 {
   dispatch_play ("places p 5 4\n"
--- a/t/t9204-prompts.c
+++ b/t/t9204-prompts.c
@@ -1,11 +1,13 @@
 /*
- * Long prompts at few replicas, seen by the request cores of several nodes.
+ * Distribution of long prompts over few replicas by several request
+ * dispatchers.
  *
- * The load: nine nodes before five replicas (a sixth is being formed again),
- * sixty streams a second, prompts from a few hundred to 5,880 tokens.  A
- * replica reads the prompts that have come in one pass, at 56 tokens a
- * millisecond, and all its streams pause for as long as the pass takes;
- * callers take 250 ms.  Nodes tell their loads each 100 ms, as on their links.
+ * The load: nine nodes, five replicas (a sixth is being formed again), sixty
+ * streams per second, prompts of a few hundred to 5,880 tokens. A replica
+ * processes all new prompts in one pass, at 56 tokens per millisecond, and all
+ * its streams pause for the duration of the pass. Clients accept pauses of 250
+ * ms. The nodes exchange load reports every 100 ms, as they do over their
+ * links.
  */
 #include <criterion/criterion.h>
 #include <math.h>
@@ -21,8 +23,8 @@
 #define SLOTS 26
 #define PER_S 60.0
 #define READ_PER_MS 56.0
-#define PASS_MS 46.0 /* of a pass without prompts */
-#define GAP_MS 250   /* that callers take */
+#define PASS_MS 46.0 /* duration of a pass without prompts */
+#define GAP_MS 250   /* longest pause that clients accept */
 #define TELL_MS 100
 #define RUN_MS 20000
 
@@ -38,8 +40,8 @@
 struct replica
 {
   char name[8];
-  double free_at;   /* end of the pass that runs */
-  unsigned pausing; /* streams that the pass makes wait */
+  double free_at;   /* end of the current pass */
+  unsigned pausing; /* streams delayed by the pass */
 };
 
 struct fleet
@@ -52,7 +54,7 @@
   struct rng rng;
   clk_ms now;
   bool notices;
-  unsigned late, passes; /* streams that paused too long */
+  unsigned late, passes; /* streams that paused for too long */
 };
 
 static struct tbl *
@@ -112,7 +114,7 @@
     }
 }
 
-/** Carry out what a node wants: only sending concerns the replicas. */
+/** Executes the actions of a node; only DSP_ACT_SEND affects the replicas. */
 static void
 act (struct fleet *f, unsigned node)
 {
@@ -152,7 +154,7 @@
       dsp_peer_load (f->nodes[i], f->now, from + 1, own, n);
 }
 
-/** Mostly some hundred tokens, one in ten some thousand. */
+/** Mostly a few hundred tokens; about one in ten is several thousand. */
 static double
 draw_prompt (struct fleet *f)
 {
@@ -186,7 +188,8 @@
   tell_notices (f, s->node);
 }
 
-/** An event to each stream there; the next pass reads what has come. */
+/** Sends an event to each stream of the replica; the next pass processes
+    the prompts that have arrived. */
 static void
 pass (struct fleet *f, int r)
 {
@@ -250,10 +253,10 @@
 }
 
 /*
- * Two nodes send a long prompt to the same replica within the tenth of a
- * second in which neither knows of the other's, and a dozen callers there see
- * their streams pause.  A long prompt that is told as it is sent goes to
- * another replica than the one before it.
+ * Guards against two nodes that send long prompts to the same replica within
+ * the tenth of a second between load reports, so that a dozen streams there
+ * pause for too long. A notice sent with each long prompt directs the next one
+ * to another replica.
  */
 Test (prompts, notices_keep_long_ones_apart)
 {
