--- a/t/t9201-dispatch.c
+++ b/t/t9201-dispatch.c
@@ -7,7 +7,7 @@
 #include "t/lib-dispatch.h"
 
 /* A stream and a plain request are sent, forwarded and completed. */
-Test (dispatch, life)
+Test (dispatch, request_lifecycle)
 {
   dispatch_play ("streams s 1 4\n places p 1 4\n"
                  "ask 1 stream\n sent 1\n good 1\n event 1\n event 1\n"
@@ -20,7 +20,7 @@
  * the other replica, with priority over queued requests. A second interruption
  * aborts the response visibly.
  */
-Test (dispatch, a_stream_goes_on_elsewhere_once)
+Test (dispatch, interrupted_stream_is_resumed_once)
 {
   dispatch_play ("streams s 2 4\n ask 1 stream\n sent 1\n good 1\n event 1\n"
                  "broken 1\n sent 1\n good 1\n event 1\n broken 1\n",
@@ -32,7 +32,7 @@
  * The connection breaks after a non-idempotent request was sent. It may have
  * been executed, so it is not retried and not reported as not executed.
  */
-Test (dispatch, what_may_have_run_once_is_not_repeated)
+Test (dispatch, possibly_executed_request_is_not_retried)
 {
   dispatch_play ("places p 2 4\n ask 1 once\n sent 1\n broken 1\n",
                  "send 1 p1\ncheck p1\ncancel 1\nanswer 1 broken 502\n");
@@ -44,7 +44,7 @@
  * in the same way, the client gets an error that permits a retry, with a retry
  * delay.
  */
-Test (dispatch, what_has_not_run_is_told_so)
+Test (dispatch, unexecuted_request_is_reported)
 {
   dispatch_play ("places p 2 4\n ask 1 once\n failed 1\n failed 1\n"
                  "run 200\n ask 2 once\n sent 2\n unrun 2\n"
@@ -57,7 +57,7 @@
 
 /* An idempotent request that gets an error response is retried at the other
    endpoint. A second error response is forwarded unchanged. */
-Test (dispatch, an_error_is_tried_elsewhere)
+Test (dispatch, idempotent_request_is_retried_after_error)
 {
   dispatch_play ("places p 2 4\n ask 1 safe\n sent 1\n error 1\n sent 1\n"
                  "error 1\n whole 1\n",
@@ -66,7 +66,7 @@
 
 /* An idempotent request without a response is retried at another endpoint
    after its latency goal. A non-idempotent one waits until its deadline. */
-Test (dispatch, silence)
+Test (dispatch, overdue_idempotent_request_is_retried)
 {
   dispatch_play ("places p 2 4\n ask 1 safe\n sent 1\n ask 2 once\n sent 2\n"
                  "run 240\n sent 1\n good 1\n whole 1\n run 2000\n",
@@ -98,7 +98,7 @@
  * that wait for their first event. New requests go there too, and the stalled
  * replica gets none until it responds again.
  */
-Test (dispatch, a_stalled_replica_is_left)
+Test (dispatch, streams_leave_stalled_replica)
 {
   dispatch_play ("streams s 2 8\n others s2 4 0\n ask 1 stream\n sent 1\n"
                  "good 1\n event 1\n ask 2 stream\n sent 2\n good 2\n"
@@ -113,7 +113,7 @@
  * Another node still receives events from the replica, so the silence at this
  * node is not a stall and no stream is moved.
  */
-Test (dispatch, others_hear_it)
+Test (dispatch, peer_events_prevent_stall)
 {
   dispatch_play ("streams s 2 8\n ask 1 stream\n sent 1\n good 1\n event 1\n"
                  "run 300\n others s1 4 4\n run 300\n"
@@ -123,7 +123,7 @@
 
 /* The retry budget is shared: with a slack of 10, each of four nodes may
    make 2 retries. */
-Test (dispatch, repeats_keep_to_the_budget)
+Test (dispatch, retry_budget_is_shared)
 {
   dispatch_play ("places p 4 4\n nodes 4\n"
                  "ask 1 safe\n sent 1\n error 1\n sent 1\n good 1\n whole 1\n"
@@ -136,7 +136,7 @@
 
 /* The client disconnects: its attempt is canceled at once, also one that
    has not been sent. */
-Test (dispatch, a_caller_that_leaves)
+Test (dispatch, client_disconnects)
 {
   dispatch_play ("streams s 1 1\n ask 1 stream\n sent 1\n good 1\n event 1\n"
                  "gone 1\n ask 2 stream\n gone 2\n",
@@ -144,7 +144,7 @@
 }
 
 /* A node that is shutting down rejects new requests as not executed. */
-Test (dispatch, leaving)
+Test (dispatch, shutdown_rejects_new_requests)
 {
   dispatch_play ("places p 1 4\n ask 1 once\n leave\n ask 2 once\n sent 1\n"
                  "good 1\n whole 1\n",
@@ -153,7 +153,7 @@
 
 /* No usable endpoint is known: the request is rejected after part of its
    goal. */
-Test (dispatch, no_place)
+Test (dispatch, no_endpoint)
 {
   dispatch_play ("ask 1 stream\n run 400\n", "answer 1 no-server 503 retry\n");
 }
@@ -163,7 +163,7 @@
  * events more often than the tick interval; when the interval was measured
  * from the last event, it took seconds to detect a stall.
  */
-Test (dispatch, time_is_looked_at_among_many_events)
+Test (dispatch, ticks_stay_due_among_many_events)
 {
   dispatch_play ("streams s 2 8\n ask 1 stream\n sent 1\n good 1\n event 1\n"
                  "ask 2 stream\n sent 2\n good 2\n event 2\n"
@@ -175,7 +175,7 @@
 /* Guards against a suspension of this process that is taken for a stall of
    all endpoints: streams were moved off all of them, and aborted as none
    was left. */
-Test (dispatch, a_pause_of_this_process_is_no_stall)
+Test (dispatch, suspension_is_not_a_stall)
 {
   dispatch_play ("streams s 2 8\n ask 1 stream\n sent 1\n good 1\n event 1\n"
                  "ask 2 stream\n sent 2\n good 2\n event 2\n"
@@ -187,7 +187,7 @@
 /* Guards against requests that are retried or given up when this process
    resumes after a suspension, although their responses are waiting in its
    sockets. */
-Test (dispatch, an_answer_that_came_in_a_pause_is_passed_on)
+Test (dispatch, response_during_suspension_is_delivered)
 {
   dispatch_play ("places p 2 4\n ask 1 safe\n sent 1\n run 40\n pause 1000\n"
                  "good 1\n whole 1\n"
@@ -198,7 +198,7 @@
 
 /* Guards against a node that is short of CPU time and so never checks
    timeouts. */
-Test (dispatch, of_late_ticks_each_second_one_judges)
+Test (dispatch, every_second_late_tick_checks_timeouts)
 {
   dispatch_play ("streams s 2 8\n ask 1 stream\n sent 1\n good 1\n event 1\n"
                  "run 100\n pause 600\n pause 600\n",
@@ -209,7 +209,7 @@
 /* Guards against a request that is repeated by its client and crashes one
    server after the other, and against a retry delay sent with the final
    rejection, as a retry would be in vain. */
-Test (dispatch, what_three_servers_crashed_under_is_refused)
+Test (dispatch, request_is_blocked_after_three_crashes)
 {
   dispatch_play ("streams s 4 4\n"
                  "ask 1 stream 7\n sent 1\n broken 1\n crashed s3\n"
@@ -226,7 +226,7 @@
 
 /* Guards against blocking a request because its connections were reset or
    its servers could not be reached: neither proves a crash. */
-Test (dispatch, a_connection_that_breaks_is_no_crash)
+Test (dispatch, reset_connection_is_not_a_crash)
 {
   dispatch_play ("streams s 3 4\n"
                  "ask 1 stream 7\n sent 1\n broken 1\n alive s3\n"
@@ -241,7 +241,7 @@
 }
 
 /* Guards against counting the end of a draining server as a crash. */
-Test (dispatch, a_server_that_leaves_is_not_asked)
+Test (dispatch, draining_server_is_not_checked)
 {
   dispatch_play ("streams s 1 4\n ask 1 stream 7\n sent 1\n closed s1\n"
                  "broken 1\n run 100\n",
@@ -250,7 +250,7 @@
 
 /* Guards against a retry that crashes one more server: after two crashes, a
    request is not retried until its client sends it again. */
-Test (dispatch, a_suspect_is_not_sent_elsewhere)
+Test (dispatch, suspect_is_not_retried)
 {
   dispatch_play ("streams s 4 4\n"
                  "ask 1 stream 7\n sent 1\n broken 1\n crashed s3\n"
@@ -264,7 +264,7 @@
 /* Guards against executing a request after it was blocked, whether it is
    queued here or at a server. A run that has produced events continues,
    because it has not crashed the server. */
-Test (dispatch, a_verdict_ends_what_has_not_begun)
+Test (dispatch, block_ends_runs_without_events)
 {
   dispatch_play ("streams s 1 2\n"
                  "ask 1 stream 7\n sent 1\n good 1\n event 1\n"
@@ -281,7 +281,7 @@
 
 /* Guards against requests that are lost on connections to a server whose
    process has ended, before its entry in the server list expires. */
-Test (dispatch, a_server_that_has_ended_gets_nothing)
+Test (dispatch, ended_server_gets_no_requests)
 {
   dispatch_play ("streams s 2 9\n ask 1 stream\n sent 1\n broken 1\n"
                  "crashed s1\n ask 2 stream\n ask 3 stream\n ask 4 stream\n"
@@ -292,7 +292,7 @@
 
 /* Guards against the same at nodes that have not detected the end
    themselves. */
-Test (dispatch, a_server_that_others_found_gone_gets_nothing)
+Test (dispatch, server_reported_ended_gets_no_requests)
 {
   dispatch_play ("streams s 2 9\n ended s1\n ask 1 stream\n ask 2 stream\n"
                  "ask 3 stream\n ask 4 stream\n ask 5 stream\n run 1600\n"
@@ -303,7 +303,7 @@
 
 /* Guards against clearing a suspect on an error response: a server also
    returns one if the request has only waited there. */
-Test (dispatch, an_error_does_not_clear_a_suspect)
+Test (dispatch, error_response_does_not_clear_suspect)
 {
   dispatch_play ("places p 5 4\n"
                  "ask 1 safe 7\n sent 1\n broken 1\n crashed p3\n"
--- a/t/t9204-prompts.c
+++ b/t/t9204-prompts.c
@@ -258,7 +258,7 @@
  * pause for too long. A notice sent with each long prompt directs the next one
  * to another replica.
  */
-Test (prompts, notices_keep_long_ones_apart)
+Test (prompts, notices_spread_long_prompts)
 {
   unsigned without = streams_late (false);
   unsigned with = streams_late (true);
