--- a/t/lib-dispatch.c
+++ b/t/lib-dispatch.c
@@ -7,24 +7,24 @@
 
 #include "serve/dispatch.h"
 
-#define MOST 32
+#define MAX_ENDPOINTS 32
 
-struct bench
+struct fixture
 {
   struct dsp *d;
   struct psn *poison;
   struct lim *limits;
-  struct tbl *table;
+  struct tbl *config;
   clk_ms now;
-  struct dsp_place places[MOST];
-  char names[MOST][16];
+  struct dsp_place endpoints[MAX_ENDPOINTS];
+  char names[MAX_ENDPOINTS][16];
   size_t n;
   unsigned attempt[100];
   struct buf log;
 };
 
 static struct tbl *
-make_table (void)
+make_config (void)
 {
   struct tbl *t = tbl_new ();
   struct tbl_service *s = arena_alloc (&t->arena, 2, sizeof *s);
@@ -65,11 +65,11 @@
 }
 
 static const struct tbl_route *
-find_route (const struct bench *b, const char *name)
+find_route (const struct fixture *b, const char *name)
 {
-  for (size_t i = 0; i < b->table->nroutes; i++)
-    if (str_is (b->table->routes[i].name, name))
-      return &b->table->routes[i];
+  for (size_t i = 0; i < b->config->nroutes; i++)
+    if (str_is (b->config->routes[i].name, name))
+      return &b->config->routes[i];
   cr_assert (false, "no route %s", name);
   return NULL;
 }
@@ -77,7 +77,7 @@
 /* --- actions ----------------------------------------------------------- */
 
 static void
-log_send (struct bench *b, const struct dsp_action *a)
+log_send (struct fixture *b, const struct dsp_action *a)
 {
   b->attempt[a->id] = a->attempt;
   buf_addf (&b->log, "send %d %.*s%s", (int)a->id, STR_ARG (a->server),
@@ -88,7 +88,7 @@
 }
 
 static void
-take_actions (struct bench *b)
+take_actions (struct fixture *b)
 {
   struct dsp_action a;
 
@@ -129,13 +129,13 @@
 /* --- script ------------------------------------------------------------ */
 
 static void
-add_places (struct bench *b, const char *service, int n, unsigned capacity,
-            bool model)
+add_endpoints (struct fixture *b, const char *service, int n,
+               unsigned capacity, bool model)
 {
   for (int i = 0; i < n; i++)
     {
       snprintf (b->names[b->n], sizeof b->names[0], "%s%d", service, i + 1);
-      b->places[b->n]
+      b->endpoints[b->n]
           = (struct dsp_place){ .server = str_from (b->names[b->n]),
                                 .service = model ? STR ("lm") : STR ("app"),
                                 .model = model ? STR ("m") : STR_EMPTY,
@@ -144,17 +144,17 @@
                                 .accepting = true };
       b->n++;
     }
-  dsp_places (b->d, b->now, b->places, b->n);
+  dsp_places (b->d, b->now, b->endpoints, b->n);
 }
 
 static void
-ask (struct bench *b, uint64_t id, const char *route, uint64_t digest,
-     bool late, unsigned priority)
+submit (struct fixture *b, uint64_t id, const char *route, uint64_t digest,
+        bool late, unsigned priority)
 {
   const struct tbl_route *r = find_route (b, route);
   struct dsp_request q = { .id = id,
                            .route = r,
-                           .table = b->table,
+                           .table = b->config,
                            .service = r->targets[0].service,
                            .deadline = b->now + 2000,
                            .waited = late ? r->goal_ms : 0,
@@ -167,9 +167,9 @@
 }
 
 static void
-others (struct bench *b, const char *place, unsigned n, unsigned begun)
+report_load (struct fixture *b, const char *server, unsigned n, unsigned begun)
 {
-  struct dsp_count c = { .place = dsp_place_hash (str_from (place), 0, 0),
+  struct dsp_count c = { .place = dsp_place_hash (str_from (server), 0, 0),
                          .in_flight = n,
                          .begun = begun,
                          .heard = b->now };
@@ -178,9 +178,9 @@
 }
 
 static void
-told_ended (struct bench *b, const char *place)
+report_ended (struct fixture *b, const char *server)
 {
-  struct dsp_count c = { .place = dsp_place_hash (str_from (place), 0, 0),
+  struct dsp_count c = { .place = dsp_place_hash (str_from (server), 0, 0),
                          .heard = b->now,
                          .ended = true };
 
@@ -188,13 +188,15 @@
 }
 
 static void
-checked (struct bench *b, const char *place, enum dsp_liveness life)
+finish_check (struct fixture *b, const char *server,
+              enum dsp_liveness liveness)
 {
-  dsp_checked (b->d, b->now, dsp_place_hash (str_from (place), 0, 0), life);
+  dsp_checked (b->d, b->now, dsp_place_hash (str_from (server), 0, 0),
+               liveness);
 }
 
 static void
-blocked (struct bench *b, uint64_t digest)
+block (struct fixture *b, uint64_t digest)
 {
   psn_apply (b->poison, b->now,
              &(struct psn_update){ .kind = PSN_BLOCKED,
@@ -204,54 +206,54 @@
 }
 
 static void
-limit (struct bench *b, const char *place, const char *rate)
+set_limit (struct fixture *b, const char *server, const char *rate)
 {
   struct lim_update update = { .limited = strcmp (rate, "none") != 0 };
 
-  update.server = dsp_place_hash (str_from (place), 0, 0);
+  update.server = dsp_place_hash (str_from (server), 0, 0);
   update.rate = atof (rate);
   lim_apply (b->limits, b->now, &update);
   dsp_permitted (b->d, b->now);
 }
 
 static void
-permit (struct bench *b, const char *place)
+grant_permit (struct fixture *b, const char *server)
 {
-  lim_granted (b->limits, b->now, dsp_place_hash (str_from (place), 0, 0), 1);
+  lim_granted (b->limits, b->now, dsp_place_hash (str_from (server), 0, 0), 1);
   dsp_permitted (b->d, b->now);
 }
 
 static void
-answer_event (struct bench *b, const char *word, uint64_t id)
+response_event (struct fixture *b, const char *command, uint64_t id)
 {
   unsigned at = b->attempt[id];
 
-  if (strcmp (word, "sent") == 0)
+  if (strcmp (command, "sent") == 0)
     dsp_sent (b->d, b->now, id, at);
-  else if (strcmp (word, "failed") == 0)
+  else if (strcmp (command, "failed") == 0)
     dsp_connect_failed (b->d, b->now, id, at);
-  else if (strcmp (word, "good") == 0)
+  else if (strcmp (command, "good") == 0)
     dsp_head (b->d, b->now, id, at, DSP_HEAD_GOOD);
-  else if (strcmp (word, "error") == 0)
+  else if (strcmp (command, "error") == 0)
     dsp_head (b->d, b->now, id, at, DSP_HEAD_ERROR);
-  else if (strcmp (word, "final") == 0)
+  else if (strcmp (command, "final") == 0)
     dsp_head (b->d, b->now, id, at, DSP_HEAD_FINAL);
-  else if (strcmp (word, "unrun") == 0)
+  else if (strcmp (command, "unrun") == 0)
     dsp_head (b->d, b->now, id, at, DSP_HEAD_UNRUN);
-  else if (strcmp (word, "event") == 0)
+  else if (strcmp (command, "event") == 0)
     dsp_heard (b->d, b->now, id, at, true);
-  else if (strcmp (word, "whole") == 0)
+  else if (strcmp (command, "whole") == 0)
     dsp_whole (b->d, b->now, id, at);
-  else if (strcmp (word, "broken") == 0)
+  else if (strcmp (command, "broken") == 0)
     dsp_broken (b->d, b->now, id, at);
-  else if (strcmp (word, "gone") == 0)
+  else if (strcmp (command, "gone") == 0)
     dsp_gone (b->d, b->now, id);
   else
-    cr_assert (false, "no such word: %s", word);
+    cr_assert (false, "unknown command: %s", command);
 }
 
 static void
-run (struct bench *b, int ms)
+run (struct fixture *b, int ms)
 {
   for (int t = 0; t < ms; t += 20)
     {
@@ -265,7 +267,7 @@
 /** Simulates a suspension of the process: a tick comes before the waiting
     data is read. */
 static void
-stand_still (struct bench *b, int ms)
+suspend (struct fixture *b, int ms)
 {
   b->now += ms;
   dsp_tick (b->d, b->now);
@@ -273,7 +275,7 @@
 }
 
 static void
-busy (struct bench *b, int ms, uint64_t id)
+run_with_events (struct fixture *b, int ms, uint64_t id)
 {
   for (int t = 0; t < ms; t += 10)
     {
@@ -286,54 +288,55 @@
 }
 
 static void
-close_place (struct bench *b, const char *name)
+close_endpoint (struct fixture *b, const char *name)
 {
   for (size_t i = 0; i < b->n; i++)
     if (strcmp (b->names[i], name) == 0)
-      b->places[i].accepting = false;
-  dsp_places (b->d, b->now, b->places, b->n);
+      b->endpoints[i].accepting = false;
+  dsp_places (b->d, b->now, b->endpoints, b->n);
 }
 
 static void
-line (struct bench *b, const char *word, const char *x, const char *y,
-      const char *z)
+run_command (struct fixture *b, const char *command, const char *x,
+             const char *y, const char *z)
 {
-  if (strcmp (word, "places") == 0 || strcmp (word, "streams") == 0)
-    add_places (b, x, atoi (y), (unsigned)atoi (z), word[0] == 's');
-  else if (strcmp (word, "closed") == 0)
-    close_place (b, x);
-  else if (strcmp (word, "nodes") == 0)
+  if (strcmp (command, "places") == 0 || strcmp (command, "streams") == 0)
+    add_endpoints (b, x, atoi (y), (unsigned)atoi (z), command[0] == 's');
+  else if (strcmp (command, "closed") == 0)
+    close_endpoint (b, x);
+  else if (strcmp (command, "nodes") == 0)
     dsp_nodes (b->d, (unsigned)atoi (x));
-  else if (strcmp (word, "others") == 0)
-    others (b, x, (unsigned)atoi (y), (unsigned)atoi (z));
-  else if (strcmp (word, "ask") == 0 || strcmp (word, "late") == 0)
-    ask (b, (uint64_t)atoi (x), y, (uint64_t)atoi (z), word[0] == 'l', 0);
-  else if (strcmp (word, "minor") == 0)
-    ask (b, (uint64_t)atoi (x), y, 0, false, 1);
-  else if (strcmp (word, "limit") == 0)
-    limit (b, x, y);
-  else if (strcmp (word, "permit") == 0)
-    permit (b, x);
-  else if (strcmp (word, "ended") == 0)
-    told_ended (b, x);
-  else if (strcmp (word, "crashed") == 0)
-    checked (b, x, DSP_ENDED);
-  else if (strcmp (word, "alive") == 0)
-    checked (b, x, DSP_ALIVE);
-  else if (strcmp (word, "unknown") == 0)
-    checked (b, x, DSP_UNREACHABLE);
-  else if (strcmp (word, "blocked") == 0)
-    blocked (b, (uint64_t)atoi (x));
-  else if (strcmp (word, "run") == 0)
+  else if (strcmp (command, "others") == 0)
+    report_load (b, x, (unsigned)atoi (y), (unsigned)atoi (z));
+  else if (strcmp (command, "ask") == 0 || strcmp (command, "late") == 0)
+    submit (b, (uint64_t)atoi (x), y, (uint64_t)atoi (z), command[0] == 'l',
+            0);
+  else if (strcmp (command, "minor") == 0)
+    submit (b, (uint64_t)atoi (x), y, 0, false, 1);
+  else if (strcmp (command, "limit") == 0)
+    set_limit (b, x, y);
+  else if (strcmp (command, "permit") == 0)
+    grant_permit (b, x);
+  else if (strcmp (command, "ended") == 0)
+    report_ended (b, x);
+  else if (strcmp (command, "crashed") == 0)
+    finish_check (b, x, DSP_ENDED);
+  else if (strcmp (command, "alive") == 0)
+    finish_check (b, x, DSP_ALIVE);
+  else if (strcmp (command, "unknown") == 0)
+    finish_check (b, x, DSP_UNREACHABLE);
+  else if (strcmp (command, "blocked") == 0)
+    block (b, (uint64_t)atoi (x));
+  else if (strcmp (command, "run") == 0)
     run (b, atoi (x));
-  else if (strcmp (word, "pause") == 0)
-    stand_still (b, atoi (x));
-  else if (strcmp (word, "busy") == 0)
-    busy (b, atoi (x), (uint64_t)atoi (y));
-  else if (strcmp (word, "leave") == 0)
+  else if (strcmp (command, "pause") == 0)
+    suspend (b, atoi (x));
+  else if (strcmp (command, "busy") == 0)
+    run_with_events (b, atoi (x), (uint64_t)atoi (y));
+  else if (strcmp (command, "leave") == 0)
     dsp_leave (b->d);
   else
-    answer_event (b, word, (uint64_t)atoi (x));
+    response_event (b, command, (uint64_t)atoi (x));
   take_actions (b);
 }
 
@@ -345,7 +348,7 @@
                              .retry_slack = 10,
                              .retry_window_ms = 10000,
                              .stall_ms = 4000 };
-  struct bench b = { .now = 100000, .table = make_table () };
+  struct fixture b = { .now = 100000, .config = make_config () };
   char *copy = xstrdup (script), *next = copy, *text;
 
   b.poison = opt.poison = psn_new ();
@@ -354,16 +357,16 @@
   b.d = dsp_new (&opt, 1);
   while ((text = strsep (&next, "\n")) != NULL)
     {
-      char word[16] = "", x[16] = "", y[16] = "", z[16] = "";
-      if (sscanf (text, " %15s %15s %15s %15s", word, x, y, z) > 0)
-        line (&b, word, x, y, z);
+      char command[16] = "", x[16] = "", y[16] = "", z[16] = "";
+      if (sscanf (text, " %15s %15s %15s %15s", command, x, y, z) > 0)
+        run_command (&b, command, x, y, z);
     }
   cr_expect_str_eq (buf_c (&b.log), expected, "got:\n%s\nexpected:\n%s",
                     buf_c (&b.log), expected);
   dsp_free (b.d);
   psn_free (b.poison);
   lim_free (b.limits);
-  tbl_unref (b.table);
+  tbl_unref (b.config);
   buf_free (&b.log);
   free (copy);
 }
--- a/t/t9204-prompts.c
+++ b/t/t9204-prompts.c
@@ -21,11 +21,11 @@
 #define REPLICAS 5
 #define STREAMS 2000
 #define SLOTS 26
-#define PER_S 60.0
-#define READ_PER_MS 56.0
-#define PASS_MS 46.0 /* duration of a pass without prompts */
-#define GAP_MS 250   /* longest pause that clients accept */
-#define TELL_MS 100
+#define STREAMS_PER_S 60.0
+#define PREFILL_PER_MS 56.0
+#define PASS_MS 46.0     /* duration of a pass without prompts */
+#define MAX_PAUSE_MS 250 /* longest pause that clients accept */
+#define LOAD_INTERVAL_MS 100
 #define RUN_MS 20000
 
 struct stream
@@ -34,14 +34,14 @@
   int replica; /* -1: ended */
   double prompt;
   unsigned events_left;
-  bool read;
+  bool prefilled;
 };
 
 struct replica
 {
   char name[8];
-  double free_at;   /* end of the current pass */
-  unsigned pausing; /* streams delayed by the pass */
+  double pass_ends_at; /* end of the current pass */
+  unsigned pausing;    /* streams delayed by the pass */
 };
 
 struct fleet
@@ -50,7 +50,7 @@
   struct replica replicas[REPLICAS];
   struct stream streams[STREAMS];
   unsigned n;
-  struct tbl *table;
+  struct tbl *config;
   struct rng rng;
   clk_ms now;
   bool notices;
@@ -58,7 +58,7 @@
 };
 
 static struct tbl *
-make_table (void)
+make_config (void)
 {
   struct tbl *t = tbl_new ();
   struct tbl_service *s = arena_alloc (&t->arena, 1, sizeof *s);
@@ -83,40 +83,41 @@
 }
 
 static void
-start (struct fleet *f)
+start_fleet (struct fleet *f)
 {
   struct dsp_options opt = { .zone = STR ("z"),
                              .retry_ratio = 0.2,
                              .retry_slack = 10,
                              .retry_window_ms = 10000,
                              .stall_ms = 4000 };
-  struct dsp_place places[REPLICAS];
+  struct dsp_place endpoints[REPLICAS];
 
   f->now = 100000;
-  f->table = make_table ();
+  f->config = make_config ();
   rng_seed (&f->rng, 5);
   for (int i = 0; i < REPLICAS; i++)
     {
       snprintf (f->replicas[i].name, sizeof f->replicas[i].name, "r%d", i);
-      places[i] = (struct dsp_place){ .server = str_from (f->replicas[i].name),
-                                      .service = STR ("lm"),
-                                      .model = STR ("m"),
-                                      .zone = STR ("z"),
-                                      .capacity = SLOTS,
-                                      .read_per_ms = READ_PER_MS,
-                                      .accepting = true };
+      endpoints[i]
+          = (struct dsp_place){ .server = str_from (f->replicas[i].name),
+                                .service = STR ("lm"),
+                                .model = STR ("m"),
+                                .zone = STR ("z"),
+                                .capacity = SLOTS,
+                                .read_per_ms = PREFILL_PER_MS,
+                                .accepting = true };
     }
   for (unsigned i = 0; i < NODES; i++)
     {
       f->nodes[i] = dsp_new (&opt, i + 1);
       dsp_nodes (f->nodes[i], NODES);
-      dsp_places (f->nodes[i], f->now, places, REPLICAS);
+      dsp_places (f->nodes[i], f->now, endpoints, REPLICAS);
     }
 }
 
 /** Executes the actions of a node; only DSP_ACT_SEND affects the replicas. */
 static void
-act (struct fleet *f, unsigned node)
+execute_actions (struct fleet *f, unsigned node)
 {
   struct dsp_action a;
 
@@ -133,7 +134,7 @@
 }
 
 static void
-tell_notices (struct fleet *f, unsigned from)
+send_notices (struct fleet *f, unsigned from)
 {
   size_t n;
   const struct dsp_notice *list = dsp_notices (f->nodes[from], &n);
@@ -144,7 +145,7 @@
 }
 
 static void
-tell_loads (struct fleet *f, unsigned from)
+send_loads (struct fleet *f, unsigned from)
 {
   size_t n;
   const struct dsp_count *own = dsp_own_load (f->nodes[from], &n);
@@ -173,9 +174,9 @@
   unsigned id = f->n++;
   struct stream *s = &f->streams[id];
   struct dsp_request q = { .id = id,
-                           .route = &f->table->routes[0],
-                           .table = f->table,
-                           .service = &f->table->services[0],
+                           .route = &f->config->routes[0],
+                           .table = f->config,
+                           .service = &f->config->services[0],
                            .model = STR ("m"),
                            .deadline = f->now + 8000 };
 
@@ -184,14 +185,14 @@
   s->prompt = q.prompt = draw_prompt (f);
   s->events_left = 3 + (unsigned)rng_below (&f->rng, 30);
   dsp_arrive (f->nodes[s->node], f->now, &q);
-  act (f, s->node);
-  tell_notices (f, s->node);
+  execute_actions (f, s->node);
+  send_notices (f, s->node);
 }
 
 /** Sends an event to each stream of the replica; the next pass processes
     the prompts that have arrived. */
 static void
-pass (struct fleet *f, int r)
+run_pass (struct fleet *f, int r)
 {
   double tokens = 0;
   unsigned running = 0;
@@ -201,54 +202,54 @@
       struct stream *s = &f->streams[id];
       if (s->replica != r)
         continue;
-      if (s->read)
+      if (s->prefilled)
         dsp_heard (f->nodes[s->node], f->now, id, s->attempt, true);
-      if (s->read && --s->events_left == 0)
+      if (s->prefilled && --s->events_left == 0)
         {
           s->replica = -1;
           dsp_whole (f->nodes[s->node], f->now, id, s->attempt);
         }
-      act (f, s->node);
-      running += s->replica == r && s->read;
-      tokens += s->replica == r && !s->read ? s->prompt : 0;
-      s->read = true;
+      execute_actions (f, s->node);
+      running += s->replica == r && s->prefilled;
+      tokens += s->replica == r && !s->prefilled ? s->prompt : 0;
+      s->prefilled = true;
     }
-  double ms = PASS_MS + tokens / READ_PER_MS;
-  f->replicas[r].free_at = (double)f->now + ms;
+  double ms = PASS_MS + tokens / PREFILL_PER_MS;
+  f->replicas[r].pass_ends_at = (double)f->now + ms;
   f->passes++;
-  f->late += ms > GAP_MS ? running : 0;
+  f->late += ms > MAX_PAUSE_MS ? running : 0;
 }
 
 static unsigned
-streams_late (bool notices)
+count_late_streams (bool notices)
 {
   static struct fleet f;
   double next = 0;
 
   memset (&f, 0, sizeof f);
   f.notices = notices;
-  start (&f);
+  start_fleet (&f);
   for (int t = 0; t < RUN_MS; t++)
     {
       f.now++;
       for (; next <= t && f.n < STREAMS;
-           next += -log (1 - rng_unit (&f.rng)) * 1000 / PER_S)
+           next += -log (1 - rng_unit (&f.rng)) * 1000 / STREAMS_PER_S)
         arrive (&f);
       for (int r = 0; r < REPLICAS; r++)
-        if ((double)f.now >= f.replicas[r].free_at)
-          pass (&f, r);
+        if ((double)f.now >= f.replicas[r].pass_ends_at)
+          run_pass (&f, r);
       for (unsigned i = 0; i < NODES; i++)
         {
-          if (t % TELL_MS == (int)i * TELL_MS / NODES)
-            tell_loads (&f, i);
+          if (t % LOAD_INTERVAL_MS == (int)i * LOAD_INTERVAL_MS / NODES)
+            send_loads (&f, i);
           if (t % 20 == 0)
             dsp_tick (f.nodes[i], f.now);
-          act (&f, i);
+          execute_actions (&f, i);
         }
     }
   for (unsigned i = 0; i < NODES; i++)
     dsp_free (f.nodes[i]);
-  tbl_unref (f.table);
+  tbl_unref (f.config);
   return f.late;
 }
 
@@ -260,8 +261,8 @@
  */
 Test (prompts, notices_spread_long_prompts)
 {
-  unsigned without = streams_late (false);
-  unsigned with = streams_late (true);
+  unsigned without = count_late_streams (false);
+  unsigned with = count_late_streams (true);
 
   cr_log_info ("%u late streams without notices, %u with", without, with);
   cr_expect (without >= 20, "only %u without", without);
