--- a/serve/dispatch-health.c
+++ b/serve/dispatch-health.c
@@ -31,9 +31,9 @@
 #define STALL_FEW 2
 /** Age above which a peer's load report is ignored. */
 #define REPORT_MAX_AGE_MS ((clk_ms)350)
-/** New requests avoid an endpoint whose streams have all been silent for
-    this long. The time is too short to move open requests, but avoiding the
-    endpoint costs nothing. */
+/** New requests avoid an endpoint with at least STALL_MANY streams if all of
+    them have been silent for this long. The time is too short to move open
+    requests, but avoiding the endpoint costs nothing. */
 #define SILENT_MS ((clk_ms)220)
 /** Stall timeout when no stream has received an event: a multiple of the
     request's latency goal, and a minimum. Requests also wait for their
--- a/serve/dispatch-int.h
+++ b/serve/dispatch-int.h
@@ -309,9 +309,7 @@
                     const struct dsp_endpoint_state *s);
 /** Whether at least one endpoint of the pool is usable. */
 bool dsp_any_usable (const struct dsp *d, const struct dsp_pool *p);
-/**
- * Endpoint to which @p q can be sent now, or NULL if it has to wait.
- */
+/** Endpoint to which @p q can be sent now, or NULL if it has to wait. */
 struct dsp_endpoint_state *dsp_choose_endpoint (struct dsp *d,
                                                 struct dsp_pool *p,
                                                 const struct dsp_req *q);
@@ -380,8 +378,8 @@
 /* dispatch-retry.c */
 struct dsp_retry_budget *dsp_get_budget (struct dsp *d, const char *service);
 void dsp_budget_count_request (struct dsp *d, struct dsp_pool *p);
-/** Uses up one retry. @retval false the retry budget of the service is
-    exhausted */
+/** Uses up one retry.
+    @retval false  the retry budget of the service is exhausted */
 bool dsp_budget_take_retry (struct dsp *d, struct dsp_pool *p);
 
 #endif
--- a/serve/dispatch-place.c
+++ b/serve/dispatch-place.c
@@ -5,7 +5,7 @@
 /**
  * Requests that an endpoint may be sent beyond its number of slots, if they
  * can still meet their latency goal: a slot becomes free there about every 60
- * ms, and the goals allow for a little more than one such wait.
+ * ms, and the goals allow for a little more than one wait of this length.
  */
 #define EXTRA_REQUESTS 1
 
--- a/serve/dispatch.c
+++ b/serve/dispatch.c
@@ -28,7 +28,8 @@
  * Part of a request's latency goal that it may spend in the queue. A request
  * is queued only when all slots are taken or no endpoint is usable. A slot
  * that becomes free within this time still meets the goal; otherwise the
- * client is told early enough to retry when a slot is free.
+ * request is rejected early enough for the client to retry when a slot is
+ * free.
  */
 #define QUEUE_TIME_FRACTION 0.12
 
