--- a/serve/unread.c
+++ b/serve/invalid-entries.c
@@ -1,4 +1,4 @@
-#include "serve/unread.h"
+#include "serve/invalid-entries.h"
 
 #include <glib.h>
 #include <stdlib.h>
--- a/serve/unread.h
+++ b/serve/invalid-entries.h
@@ -7,8 +7,8 @@
  * writer may stay in it permanently. It is logged only when it appears or
  * changes.
  */
-#ifndef LAPISLINE_SERVE_UNREAD_H
-#define LAPISLINE_SERVE_UNREAD_H
+#ifndef LAPISLINE_SERVE_INVALID_ENTRIES_H
+#define LAPISLINE_SERVE_INVALID_ENTRIES_H
 
 #include "base/str.h"
 
--- a/serve/sync.c
+++ b/serve/sync.c
@@ -1,5 +1,5 @@
 #include "serve/node-int.h"
-#include "serve/unread.h"
+#include "serve/invalid-entries.h"
 
 #include <stdlib.h>
 
--- a/t/t9205-entries.c
+++ b/t/t9205-entries.c
@@ -10,7 +10,7 @@
 #include "base/rng.h"
 #include "platform/platform.h"
 #include "serve/backends.h"
-#include "serve/unread.h"
+#include "serve/invalid-entries.h"
 #include "t/lib-rack.h"
 
 TestSuite (serve, .fini = proc_stop_all, .timeout = 90);
