--- a/serve/dispatch-crash.c
+++ b/serve/dispatch-crash.c
@@ -8,15 +8,15 @@
  * interrupted there at about the same time.
  */
 
-/** Runs interrupted at an endpoint within this time are attributed to the
-    same cause. */
+/** Runs interrupted at an endpoint within this time are attributed to the same
+    cause. */
 #define SAME_CAUSE_MS ((clk_ms)2000)
-/** Time for which no requests are sent to a server whose process has ended.
-    By then its entry in the server list has expired, unless the check was
+/** Time for which no requests are sent to a server whose process has ended. By
+    then its entry in the server list has expired, unless the check was
     wrong. */
 #define PROCESS_ENDED_MS ((clk_ms)5000)
-/** The same after a report from another node, which repeats its report
-    during this time. */
+/** The same after a report from another node, which repeats its report during
+    this time. */
 #define REPORTED_ENDED_MS ((clk_ms)1500)
 
 /** Finds the entry for a run that is interrupted now. An entry whose check
--- a/serve/dispatch-health.c
+++ b/serve/dispatch-health.c
@@ -36,8 +36,8 @@
     requests, but avoiding the endpoint costs nothing. */
 #define SILENT_MS ((clk_ms)220)
 /** Stall timeout when no stream has received an event: a multiple of the
-    request's latency goal, and a minimum. Requests also wait for their
-    first event at a replica that is full. */
+    request's latency goal, and a minimum. Requests also wait for their first
+    event at a replica that is full. */
 #define STALL_FIRST_EVENT_FACTOR 3
 #define STALL_FIRST_EVENT_MS ((clk_ms)1200)
 /** Time after which a stalled endpoint gets a trial request. */
@@ -151,8 +151,8 @@
 struct local_streams
 {
   unsigned streaming;
-  /** time at which the request that has waited longest for its first event
-      was sent; CLK_NEVER: no request waits */
+  /** time at which the request that has waited longest for its first event was
+      sent; CLK_NEVER: no request waits */
   clk_ms oldest_sent_at;
   clk_ms goal_ms;
 };
@@ -239,9 +239,9 @@
          && s->last_data_at < m.oldest_sent_at;
 }
 
-/** Duration of the current silence. If the endpoint has sent nothing since
-    the oldest waiting request was sent, the silence is measured from
-   that request. */
+/** Duration of the current silence. If the endpoint has sent nothing since the
+    oldest waiting request was sent, the silence is measured from that
+    request. */
 static clk_ms
 silence_duration (const struct dsp *d, const struct dsp_endpoint_state *s)
 {
--- a/serve/dispatch-int.h
+++ b/serve/dispatch-int.h
@@ -90,8 +90,8 @@
   bool stalled;        /**< no response bytes arrive, though streams are
                             open */
   clk_ms stalled_at;
-  /** no requests are sent before this time, because this node has found
-      that the process ended */
+  /** no requests are sent before this time, because this node has found that
+      the process ended */
   clk_ms process_ended_until;
   clk_ms reported_ended_until; /**< the same, because another node reported
                                     it */
@@ -288,8 +288,8 @@
 /** The endpoint with that hash, or NULL. */
 struct dsp_endpoint_state *dsp_find_endpoint (const struct dsp *d,
                                               uint64_t hash);
-/** Sums the load reported by the peers again, after the list of endpoints
-    has changed. */
+/** Sums the load reported by the peers again, after the list of endpoints has
+    changed. */
 void dsp_load_sum_peers (struct dsp *d);
 /** Prompt tokens of all nodes' requests that the endpoint has yet to
     process. */
@@ -348,20 +348,20 @@
                         const struct dsp_endpoint_state *s);
 /** Counts a new request in the pool's rate for its priority. */
 void dsp_limit_count_request (const struct dsp *d, const struct dsp_req *q);
-/** Whether @p q must leave the permitted rate to requests of higher
-    priority, because these need all of it. */
+/** Whether @p q must leave the permitted rate to requests of higher priority,
+    because these need all of it. */
 bool dsp_limit_must_defer (const struct dsp *d, const struct dsp_pool *p,
                            const struct dsp_req *q);
 /** Whether all usable endpoints of the pool are rate-limited. */
 bool dsp_limit_all (const struct dsp *d, const struct dsp_pool *p);
-/** Time after which the pool's queue can be sent, if all its usable
-    endpoints are rate-limited and have no permits left; else 0. */
+/** Time after which the pool's queue can be sent, if all its usable endpoints
+    are rate-limited and have no permits left; else 0. */
 clk_ms dsp_limit_wait_ms (const struct dsp *d, const struct dsp_pool *p);
 /** Delay after which a client that is rejected by the rate limit may retry;
     counts the rejection. */
 clk_ms dsp_limit_reject (const struct dsp *d, struct dsp_pool *p);
-/** Estimated number of slots, at all nodes, that the rejected requests
-    would occupy. */
+/** Estimated number of slots, at all nodes, that the rejected requests would
+    occupy. */
 double dsp_limit_demand (const struct dsp *d, const struct dsp_pool *p);
 
 /* dispatch-crash.c */
--- a/serve/dispatch-load.c
+++ b/serve/dispatch-load.c
@@ -18,9 +18,9 @@
  * load reports alone.
  */
 #define NOTICE_MIN_PREFILL_MS 20.0
-/** An announced prompt counts as processed after this time. On a replica
-    with free slots, half of the larger model's first events arrive within
-    200 ms, and nine in ten within 240 to 320 ms. */
+/** An announced prompt counts as processed after this time. On a replica with
+    free slots, half of the larger model's first events arrive within 200 ms,
+    and nine in ten within 240 to 320 ms. */
 #define NOTICE_LIFETIME_MS ((clk_ms)250)
 
 struct dsp_endpoint_state *
@@ -159,8 +159,8 @@
       const struct dsp_pool *p = d->pools[i];
       if (!str_is (service, p->service) || !str_is (model, p->model))
         continue;
-      /* Clients choose their nodes at random, so each other node has about
-         as many queued requests. */
+      /* Clients choose their nodes at random, so each other node has about as
+         many queued requests. */
       n += (double)p->queue_length * d->node_count + dsp_limit_demand (d, p);
       for (size_t k = 0; k < p->n; k++)
         {
--- a/serve/dispatch-place.c
+++ b/serve/dispatch-place.c
@@ -23,9 +23,9 @@
 #define OTHER_ZONE_PENALTY 0.3
 
 uint64_t
-dsp_place_hash (struct str server, int64_t born, int64_t generation)
+dsp_place_hash (struct str server, int64_t start_time, int64_t generation)
 {
-  uint64_t process_hash = str_hash (server, (uint64_t)born);
+  uint64_t process_hash = str_hash (server, (uint64_t)start_time);
 
   return str_hash (server, process_hash ^ (uint64_t)generation);
 }
@@ -232,8 +232,8 @@
   return less_loaded (permitted, less_loaded (drawn[0], drawn[1]));
 }
 
-/** Finds an ejected or stalled endpoint that is due for a trial, for a
-    request that can be retried after a failure. */
+/** Finds an ejected or stalled endpoint that is due for a trial, for a request
+    that can be retried after a failure. */
 static bool
 find_probe (const struct dsp *d, const struct dsp_pool *p,
             const struct dsp_req *q, struct dsp_endpoint_state **out)
--- a/serve/dispatch-retry.c
+++ b/serve/dispatch-retry.c
@@ -3,8 +3,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/** Part of the fleet's retry budget that is used. The nodes count
-    separately and their windows slide, so some room must remain. */
+/** Part of the fleet's retry budget that is used. The nodes count separately
+    and their windows slide, so some room must remain. */
 #define USED_FRACTION 0.8
 
 struct dsp_retry_budget *
--- a/serve/dispatch-wait.c
+++ b/serve/dispatch-wait.c
@@ -1,7 +1,7 @@
 #include "serve/dispatch-int.h"
 
-/** Priorities sent to backend servers: of resumed streams, and the lowest
-    of all other requests. */
+/** Priorities sent to backend servers: of resumed streams, and the lowest of
+    all other requests. */
 #define PRIORITY_RESUMED 0
 #define PRIORITY_LOWEST 8
 
@@ -116,9 +116,9 @@
   a->addr = s->addr;
   a->server = str_from (s->server);
   a->left_ms = q->deadline - d->now;
-  /* The peer may have closed an idle connection, or the connection may be
-     dead without notice. A request that can't be retried must not be sent
-     on one. */
+  /* The peer may have closed an idle connection, or the connection may be dead
+     without notice. A request that can't be retried must not be sent on
+     one. */
   a->fresh = !q->retryable;
   a->resume = q->forwarded;
   a->priority = server_priority (q);
--- a/serve/dispatch.c
+++ b/serve/dispatch.c
@@ -7,21 +7,21 @@
 
 #define INITIAL_BUCKETS 256
 
-/** Prompt length assumed for a request that doesn't state one: about the
-    mean of those that do. */
+/** Prompt length assumed for a request that doesn't state one: about the mean
+    of those that do. */
 #define DEFAULT_PROMPT_TOKENS 1000.0
 
 /** Interval of the timeout checks while requests are open; clients notice
     delays of some hundred milliseconds. */
 #define TICK_INTERVAL_MS ((clk_ms)20)
 
-/** A tick that is later than this shows that the process was suspended.
-    Data that arrived meanwhile is still in the sockets, as timers run
-    before sockets are read. */
+/** A tick that is later than this shows that the process was suspended. Data
+    that arrived meanwhile is still in the sockets, as timers run before
+    sockets are read. */
 #define LATE_TICK_MS ((clk_ms)100)
 
-/** Failed connections after which a request is given up. If a third
-    endpoint can't be reached, the fault is on this node's side. */
+/** Failed connections after which a request is given up. If a third endpoint
+    can't be reached, the fault is on this node's side. */
 #define MAX_CONNECT_FAILURES 3
 
 /**
@@ -39,9 +39,8 @@
 #define MAX_RETRY_MS ((clk_ms)2000)
 
 /** An idempotent request without a response is retried at another endpoint
-    after this multiple of its latency goal. Its response arrives in one
-    piece, so there is no other way to tell a hung endpoint from a working
-    one. */
+    after this multiple of its latency goal. Its response arrives in one piece,
+    so there is no other way to tell a hung endpoint from a working one. */
 #define RESPONSE_TIMEOUT_FACTOR 1.0
 
 static const char *const state_names[DSP_STATES]
@@ -258,8 +257,8 @@
   dsp_send_queued (d, p);
 }
 
-/** Estimated time until an endpoint has room for one more request: the
-    queue, divided by the rate at which the pool completes requests. */
+/** Estimated time until an endpoint has room for one more request: the queue,
+    divided by the rate at which the pool completes requests. */
 static clk_ms
 estimate_retry_ms (const struct dsp *d, const struct dsp_pool *p)
 {
@@ -621,9 +620,9 @@
     }
 }
 
-/** Whether this tick is too late to check timeouts. The next tick checks
-    them in any case; otherwise a node that is short of CPU time would never
-    time out a request. */
+/** Whether this tick is too late to check timeouts. The next tick checks them
+    in any case; otherwise a node that is short of CPU time would never time
+    out a request. */
 static bool
 skip_late_tick (struct dsp *d, clk_ms now)
 {
--- a/t/lib-dispatch.c
+++ b/t/lib-dispatch.c
@@ -264,8 +264,8 @@
     }
 }
 
-/** Simulates a suspension of the process: a tick comes before the waiting
-    data is read. */
+/** Simulates a suspension of the process: a tick comes before the waiting data
+    is read. */
 static void
 suspend (struct fixture *b, int ms)
 {
--- a/t/t9201-dispatch.c
+++ b/t/t9201-dispatch.c
@@ -121,8 +121,8 @@
                  "send 1 s1\npass 1\n");
 }
 
-/* The retry budget is shared: with a slack of 10, each of four nodes may
-   make 2 retries. */
+/* The retry budget is shared: with a slack of 10, each of four nodes may make
+   2 retries. */
 Test (dispatch, retry_budget_is_shared)
 {
   dispatch_play ("places p 4 4\n nodes 4\n"
@@ -134,8 +134,8 @@
                  "send 3 p3\ncancel 3\nanswer 3 broken 502\n");
 }
 
-/* The client disconnects: its attempt is canceled at once, also one that
-   has not been sent. */
+/* The client disconnects: its attempt is canceled at once, also one that has
+   not been sent. */
 Test (dispatch, client_disconnects)
 {
   dispatch_play ("streams s 1 1\n ask 1 stream\n sent 1\n good 1\n event 1\n"
@@ -172,9 +172,9 @@
                  "cancel 1\nsend 1 s2 resume p0\n");
 }
 
-/* Guards against a suspension of this process that is taken for a stall of
-   all endpoints: streams were moved off all of them, and aborted as none
-   was left. */
+/* Guards against a suspension of this process that is taken for a stall of all
+   endpoints: streams were moved off all of them, and aborted as none was
+   left. */
 Test (dispatch, suspension_is_not_a_stall)
 {
   dispatch_play ("streams s 2 8\n ask 1 stream\n sent 1\n good 1\n event 1\n"
@@ -224,8 +224,8 @@
                  "answer 4 crashes-servers 503\nsend 5 s2\n");
 }
 
-/* Guards against blocking a request because its connections were reset or
-   its servers could not be reached: neither proves a crash. */
+/* Guards against blocking a request because its connections were reset or its
+   servers could not be reached: neither proves a crash. */
 Test (dispatch, reset_connection_is_not_a_crash)
 {
   dispatch_play ("streams s 3 4\n"
--- a/t/t9204-prompts.c
+++ b/t/t9204-prompts.c
@@ -189,8 +189,8 @@
   send_notices (f, s->node);
 }
 
-/** Sends an event to each stream of the replica; the next pass processes
-    the prompts that have arrived. */
+/** Sends an event to each stream of the replica; the next pass processes the
+    prompts that have arrived. */
 static void
 run_pass (struct fleet *f, int r)
 {
