--- a/serve/dispatch-health.c
+++ b/serve/dispatch-health.c
@@ -1,269 +1,289 @@
 #include "serve/dispatch-int.h"
 
 /*
- * Failures of answers, seen by the requests themselves; nobody is probed.
+ * Health of endpoints, derived from the outcome of regular requests; there are
+ * no separate probe requests.
  */
 
-#define BAD_RUN 3         /* failures in a row that eject */
-#define ERRORS_EJECT 0.35 /* moving average of failures that ejects */
-#define ERRORS_SAMPLES 12 /* before the average counts */
-#define SMOOTH 0.12       /* weight of the newest sample in averages */
-#define OUT_FIRST_MS ((clk_ms)2000)
-#define OUT_MOST_MS ((clk_ms)20000)
+/** Consecutive failures that eject an endpoint. */
+#define EJECT_FAILURES_IN_ROW 3
+/** Average failure rate that ejects an endpoint. */
+#define EJECT_FAILURE_RATE 0.35
+/** Samples needed before the average counts. */
+#define EJECT_MIN_SAMPLES 12
+/** Weight of the newest sample in averages. */
+#define SMOOTHING 0.12
+#define EJECT_MIN_MS ((clk_ms)2000)
+#define EJECT_MAX_MS ((clk_ms)20000)
 
 /*
- * A replica writes an event to each of its streams in every pass, some 60 to
- * 100 ms apart; a pass that reads several long prompts takes up to 300 ms.  A
- * replica that has lost a member moves none of them.  Over all nodes it has a
- * dozen streams or more, and so long a silence of all is no chance; a single
- * one may also have been preempted for others.
+ * A replica writes an event to each of its streams in every pass. Passes are
+ * some 60 to 100 ms apart; a pass that processes several long prompts takes up
+ * to 300 ms. A replica that has lost a member sends no events at all. With a
+ * dozen or more streams over all nodes, a silence of all of them for this long
+ * is not a coincidence; a single stream may also have been preempted for
+ * others.
  */
 #define STALL_MANY_MS ((clk_ms)400)
 #define STALL_FEW_MS ((clk_ms)600)
 #define STALL_ONE_MS ((clk_ms)900)
 #define STALL_MANY 4
 #define STALL_FEW 2
-/** What another node told longer ago says nothing of now. */
-#define TOLD_MS ((clk_ms)350)
-/** New requests go elsewhere after so long a silence of several streams: too
-    short to move what is there, but it costs nothing. */
-#define QUIET_MS ((clk_ms)220)
-/** Without any stream begun: a request's wait for its first event, in parts of
-    the goal, and at least so long; a full replica makes requests wait too. */
-#define STALL_BEGIN_FACTOR 3
-#define STALL_BEGIN_MS ((clk_ms)1200)
-/** A place that stalled is tried with one request again after this. */
-#define STALL_BACK_MS ((clk_ms)5000)
+/** Age above which a peer's load report is ignored. */
+#define REPORT_MAX_AGE_MS ((clk_ms)350)
+/** New requests avoid an endpoint with at least STALL_MANY streams if all of
+    them have been silent for this long. The time is too short to move open
+    requests, but avoiding the endpoint costs nothing. */
+#define SILENT_MS ((clk_ms)220)
+/** Stall timeout when no stream has received an event: a multiple of the
+    request's latency goal, and a minimum. Requests also wait for their first
+    event at a replica that is full. */
+#define STALL_FIRST_EVENT_FACTOR 3
+#define STALL_FIRST_EVENT_MS ((clk_ms)1200)
+/** Time after which a stalled endpoint gets a trial request. */
+#define STALL_TRIAL_MS ((clk_ms)5000)
 
 static size_t
-count_out (const struct dsp_pool *p, size_t *listed)
+count_ejected (const struct dsp_pool *p, size_t *listed)
 {
-  size_t out = 0;
+  size_t ejected = 0;
 
   *listed = 0;
   for (size_t i = 0; i < p->n; i++)
-    if (p->servers[i]->listed)
+    if (p->endpoints[i]->listed)
       {
         (*listed)++;
-        out += p->servers[i]->ejected_until != 0;
+        ejected += p->endpoints[i]->ejected_until != 0;
       }
-  return out;
+  return ejected;
 }
 
 /**
- * At most half of the places are out.  Were all of them failing at once, as
- * under too high a load, ejecting would put the load of many on the few that
- * are left and take these down too.
+ * At most half of the endpoints are ejected at any time. If all of them fail
+ * at once, as under overload, ejecting more would move the load to the few
+ * remaining ones and make these fail too.
  */
 static void
-eject (struct dsp *d, struct dsp_server *s)
+eject (struct dsp *d, struct dsp_endpoint_state *s)
 {
-  size_t listed, out = count_out (s->pool, &listed);
-  clk_ms span = OUT_FIRST_MS;
+  size_t listed, ejected = count_ejected (s->pool, &listed);
+  clk_ms duration = EJECT_MIN_MS;
 
-  if (!s->ejected_until && 2 * (out + 1) > listed)
+  if (!s->ejected_until && 2 * (ejected + 1) > listed)
     return;
-  for (unsigned i = 0; i < s->ejections && span < OUT_MOST_MS; i++)
-    span *= 2;
+  for (unsigned i = 0; i < s->ejections && duration < EJECT_MAX_MS; i++)
+    duration *= 2;
   s->ejections++;
-  s->ejected_until = d->now + (span < OUT_MOST_MS ? span : OUT_MOST_MS);
+  s->ejected_until
+      = d->now + (duration < EJECT_MAX_MS ? duration : EJECT_MAX_MS);
   s->probing = false;
-  d->figures.ejections++;
+  d->stats.ejections++;
 }
 
 static void
-restore (struct dsp_server *s)
+readmit (struct dsp_endpoint_state *s)
 {
   s->ejected_until = 0;
-  s->errors = 0;
+  s->failure_rate = 0;
   s->samples = 0;
-  s->bad_run = 0;
+  s->failures_in_row = 0;
 }
 
 void
-dsp_health_good (struct dsp *d, struct dsp_server *s)
+dsp_health_success (struct dsp *d, struct dsp_endpoint_state *s)
 {
   (void)d;
-  s->bad_run = 0;
-  s->errors += SMOOTH * (0 - s->errors);
+  s->failures_in_row = 0;
+  s->failure_rate += SMOOTHING * (0 - s->failure_rate);
   s->samples++;
   if (s->probing)
-    restore (s);
+    readmit (s);
   if (!s->ejected_until)
     s->ejections = 0;
   s->stalled = false;
 }
 
 void
-dsp_health_bad (struct dsp *d, struct dsp_server *s)
+dsp_health_failure (struct dsp *d, struct dsp_endpoint_state *s)
 {
-  s->bad_run++;
-  s->errors += SMOOTH * (1 - s->errors);
+  s->failures_in_row++;
+  s->failure_rate += SMOOTHING * (1 - s->failure_rate);
   s->samples++;
-  if (s->probing || (!s->ejected_until && s->bad_run >= BAD_RUN)
-      || (!s->ejected_until && s->samples >= ERRORS_SAMPLES
-          && s->errors > ERRORS_EJECT))
+  if (s->probing
+      || (!s->ejected_until && s->failures_in_row >= EJECT_FAILURES_IN_ROW)
+      || (!s->ejected_until && s->samples >= EJECT_MIN_SAMPLES
+          && s->failure_rate > EJECT_FAILURE_RATE))
     eject (d, s);
 }
 
 void
-dsp_health_begun (struct dsp *d, struct dsp_server *s, clk_ms ms)
+dsp_health_first_event (struct dsp *d, struct dsp_endpoint_state *s, clk_ms ms)
 {
   struct dsp_pool *p = s->pool;
 
   (void)d;
-  s->slow_ms += (s->slow_ms > 0 ? SMOOTH : 1) * ((double)ms - s->slow_ms);
-  p->begin_ms += (p->begin_ms > 0 ? 0.05 : 1) * ((double)ms - p->begin_ms);
+  s->first_event_ms += (s->first_event_ms > 0 ? SMOOTHING : 1)
+                       * ((double)ms - s->first_event_ms);
+  p->first_event_ms
+      += (p->first_event_ms > 0 ? 0.05 : 1) * ((double)ms - p->first_event_ms);
 }
 
 bool
-dsp_health_usable (const struct dsp *d, const struct dsp_server *s)
+dsp_health_usable (const struct dsp *d, const struct dsp_endpoint_state *s)
 {
   return s->listed && s->accepting && !s->stalled && !s->ejected_until
-         && d->now >= s->full_until && !dsp_has_ended (d, s);
+         && d->now >= s->full_until && !dsp_process_ended (d, s);
 }
 
 bool
-dsp_health_probe_due (const struct dsp *d, const struct dsp_server *s)
+dsp_health_probe_due (const struct dsp *d, const struct dsp_endpoint_state *s)
 {
-  if (!s->listed || !s->accepting || s->probing || dsp_has_ended (d, s))
+  if (!s->listed || !s->accepting || s->probing || dsp_process_ended (d, s))
     return false;
   if (s->stalled)
-    return d->now - s->stalled_at >= STALL_BACK_MS;
+    return d->now - s->stalled_at >= STALL_TRIAL_MS;
   return s->ejected_until && d->now >= s->ejected_until;
 }
 
 /* --- stalls ------------------------------------------------------------ */
 
-/** What a stream's place has under way for this node. */
-struct moving
+/** Streams of this node at an endpoint. */
+struct local_streams
 {
-  unsigned begun;
-  clk_ms oldest; /**< sending of the request that waits longest for its first
-                      event; CLK_NEVER: none does */
+  unsigned streaming;
+  /** time at which the request that has waited longest for its first event was
+      sent; CLK_NEVER: no request waits */
+  clk_ms oldest_sent_at;
   clk_ms goal_ms;
 };
 
-static struct moving
-count_moving (const struct dsp *d, const struct dsp_server *s)
+static struct local_streams
+count_local_streams (const struct dsp *d, const struct dsp_endpoint_state *s)
 {
-  struct moving m = { .oldest = CLK_NEVER };
+  struct local_streams m = { .oldest_sent_at = CLK_NEVER };
 
   for (const struct dsp_req *q = d->open_list; q; q = q->next)
     {
-      if (q->server != s || q->route->kind != TBL_STREAM)
+      if (q->endpoint != s || q->route->kind != TBL_STREAM)
         continue;
-      m.begun += q->begun;
-      if (q->unbegun && q->sent_at < m.oldest)
+      m.streaming += q->streaming;
+      if (q->awaits_first_event && q->sent_at < m.oldest_sent_at)
         {
-          m.oldest = q->sent_at;
+          m.oldest_sent_at = q->sent_at;
           m.goal_ms = q->route->goal_ms;
         }
     }
   return m;
 }
 
-/** Add what the other nodes see of the place. */
+/** Adds the streams of the other nodes, and the time of their last event. */
 static void
-add_others (const struct dsp *d, const struct dsp_server *s, unsigned *begun,
-            clk_ms *heard)
+add_peer_streams (const struct dsp *d, const struct dsp_endpoint_state *s,
+                  unsigned *streaming, clk_ms *last_event_at)
 {
   for (size_t i = 0; i < d->npeers; i++)
     {
       const struct dsp_peer *p = &d->peers[i];
-      if (d->now - p->told_at > TOLD_MS)
+      if (d->now - p->received_at > REPORT_MAX_AGE_MS)
         continue;
       for (size_t k = 0; k < p->n; k++)
         {
-          const struct dsp_count *c = &p->counts[k];
+          const struct dsp_count *c = &p->loads[k];
           if (c->place != s->hash || c->begun == 0 || c->stalled)
             continue;
-          *begun += c->begun;
-          if (c->heard > *heard)
-            *heard = c->heard;
+          *streaming += c->begun;
+          if (c->heard > *last_event_at)
+            *last_event_at = c->heard;
         }
     }
 }
 
-/** How long a silence of that many streams is no chance. */
+/** Silence of that many streams that indicates a stall. */
 static clk_ms
-silence_of (unsigned begun)
+stall_timeout (unsigned streaming)
 {
-  if (begun >= STALL_MANY)
+  if (streaming >= STALL_MANY)
     return STALL_MANY_MS;
-  return begun >= STALL_FEW ? STALL_FEW_MS : STALL_ONE_MS;
+  return streaming >= STALL_FEW ? STALL_FEW_MS : STALL_ONE_MS;
 }
 
 bool
-dsp_health_quiet (const struct dsp *d, const struct dsp_server *s)
+dsp_health_is_silent (const struct dsp *d, const struct dsp_endpoint_state *s)
 {
-  clk_ms heard = s->heard;
-  unsigned begun = 0;
+  clk_ms last_event_at = s->last_data_at;
+  unsigned streaming = 0;
 
-  if (s->begun == 0 && s->others_begun == 0)
+  if (s->own_streaming == 0 && s->peer_streaming == 0)
     return false;
-  add_others (d, s, &begun, &heard);
-  begun += s->begun;
-  return begun >= STALL_MANY && d->now - heard > QUIET_MS;
+  add_peer_streams (d, s, &streaming, &last_event_at);
+  streaming += s->own_streaming;
+  return streaming >= STALL_MANY && d->now - last_event_at > SILENT_MS;
 }
 
 static bool
-has_stalled (const struct dsp *d, const struct dsp_server *s)
+has_stalled (const struct dsp *d, const struct dsp_endpoint_state *s)
 {
-  struct moving m = count_moving (d, s);
-  clk_ms heard = s->heard;
-  clk_ms begin = STALL_BEGIN_FACTOR * m.goal_ms;
-  unsigned begun = m.begun;
+  struct local_streams m = count_local_streams (d, s);
+  clk_ms last_event_at = s->last_data_at;
+  clk_ms timeout = STALL_FIRST_EVENT_FACTOR * m.goal_ms;
+  unsigned streaming = m.streaming;
 
-  add_others (d, s, &begun, &heard);
-  if (begun > 0)
-    return d->now - heard > silence_of (begun);
-  if (m.oldest == CLK_NEVER)
+  add_peer_streams (d, s, &streaming, &last_event_at);
+  if (streaming > 0)
+    return d->now - last_event_at > stall_timeout (streaming);
+  if (m.oldest_sent_at == CLK_NEVER)
     return false;
-  if (begin < STALL_BEGIN_MS)
-    begin = STALL_BEGIN_MS;
-  return d->now - m.oldest > begin && s->heard < m.oldest;
+  if (timeout < STALL_FIRST_EVENT_MS)
+    timeout = STALL_FIRST_EVENT_MS;
+  return d->now - m.oldest_sent_at > timeout
+         && s->last_data_at < m.oldest_sent_at;
 }
 
-/** For how long nothing has moved; a place that has answered nothing yet is
-    silent since the first request that waits there. */
+/** Duration of the current silence. If the endpoint has sent nothing since the
+    oldest waiting request was sent, the silence is measured from that
+    request. */
 static clk_ms
-silence (const struct dsp *d, const struct dsp_server *s)
+silence_duration (const struct dsp *d, const struct dsp_endpoint_state *s)
 {
-  struct moving m = count_moving (d, s);
-  bool begins = m.begun == 0 && m.oldest != CLK_NEVER;
+  struct local_streams m = count_local_streams (d, s);
+  bool no_event_yet = m.streaming == 0 && m.oldest_sent_at != CLK_NEVER;
 
-  return d->now - (begins && s->heard < m.oldest ? m.oldest : s->heard);
+  return d->now
+         - (no_event_yet && s->last_data_at < m.oldest_sent_at
+                ? m.oldest_sent_at
+                : s->last_data_at);
 }
 
-/** Take everything off a place where nothing moves. */
+/** Moves all requests away from a stalled endpoint. */
 static void
-move_away (struct dsp *d, struct dsp_server *s)
+move_requests (struct dsp *d, struct dsp_endpoint_state *s)
 {
   struct dsp_req *next;
 
-  struct dsp_action *note = dsp_act (d, DSP_ACT_STALLED, NULL);
+  struct dsp_action *note = dsp_add_action (d, DSP_ACT_STALLED, NULL);
 
-  note->server = str_from (s->id);
-  note->left_ms = silence (d, s);
+  note->server = str_from (s->server);
+  note->left_ms = silence_duration (d, s);
   s->stalled = true;
   s->stalled_at = d->now;
-  d->figures.stalls++;
+  d->stats.stalls++;
   for (struct dsp_req *q = d->open_list; q; q = next)
     {
       next = q->next;
-      if (q->server == s && q->sent_at != 0 && q->repeatable
+      if (q->endpoint == s && q->sent_at != 0 && q->retryable
           && q->state != DSP_S_CONNECTING && q->state != DSP_S_RECONNECTING)
-        dsp_attempt_lost (d, q, DSP_BROKEN);
+        dsp_attempt_failed (d, q, DSP_INTERRUPTED);
     }
 }
 
 /*
- * A replica that has lost a member goes on accepting requests and moves none
- * of them; for seconds nobody is told.  Its callers see all of its streams
- * pause at once, long before a heartbeat is missed.  They go on at another
- * replica after their last event, and the place gets nothing until it answers
- * again or is formed anew: a pause of half a second in place of a lost answer.
+ * A replica that has lost a member continues to accept requests but executes
+ * none of them, and it takes seconds until the loss is reported. The nodes see
+ * all of its streams stop at the same time, long before the member misses a
+ * heartbeat. The streams are resumed at another replica after their last
+ * event, and the endpoint gets no new requests until it responds again or the
+ * replica is formed anew. Clients see a pause of about half a second instead
+ * of a lost response.
  */
 void
 dsp_health_tick (struct dsp *d)
@@ -271,8 +291,8 @@
   for (size_t i = 0; i < d->npools; i++)
     for (size_t k = 0; k < d->pools[i]->n; k++)
       {
-        struct dsp_server *s = d->pools[i]->servers[k];
-        if (s->own > 0 && !s->stalled && has_stalled (d, s))
-          move_away (d, s);
+        struct dsp_endpoint_state *s = d->pools[i]->endpoints[k];
+        if (s->own_requests > 0 && !s->stalled && has_stalled (d, s))
+          move_requests (d, s);
       }
 }
--- a/serve/dispatch-limit.c
+++ b/serve/dispatch-limit.c
@@ -3,28 +3,28 @@
 #include <math.h>
 
 /*
- * Rates that servers ask for.  A place whose allowance is used counts as full;
- * it stays usable, and no request is lost by it.
+ * Rate limits set by backend servers. An endpoint that has used up its permits
+ * counts as full. It remains usable, and no request fails because of it.
  */
 
-/** Longest wait that a caller is told. */
-#define RETRY_MOST_MS ((clk_ms)10000)
-/** Over which paces are averaged. */
-#define PACE_MS 2000.0
+/** Longest retry delay sent to a client. */
+#define MAX_RETRY_MS ((clk_ms)10000)
+/** Time constant of the moving averages. */
+#define RATE_WINDOW_MS 2000.0
 
 enum lim_change
 dsp_answer_limit (struct dsp *d, clk_ms now, uint64_t id, unsigned attempt,
                   enum lim_says says, double rate)
 {
   struct dsp_req *q = dsp_find_attempt (d, id, attempt);
-  struct lim_word word = { .says = says, .rate = rate };
+  struct lim_word statement = { .says = says, .rate = rate };
 
   d->now = now;
   if (!q || !d->opt.limits)
     return LIM_SAME;
-  word.server = q->server->process;
-  word.sent_at = q->sent_at;
-  return lim_answered (d->opt.limits, now, &word);
+  statement.server = q->endpoint->process_hash;
+  statement.sent_at = q->sent_at;
+  return lim_answered (d->opt.limits, now, &statement);
 }
 
 uint64_t
@@ -33,87 +33,93 @@
   const struct dsp_req *q = dsp_find_attempt (d, id, attempt);
 
   return q && d->opt.limits
-             ? lim_count_sent (d->opt.limits, q->server->process)
+             ? lim_count_sent (d->opt.limits, q->endpoint->process_hash)
              : 0;
 }
 
 bool
-dsp_limit_allows (const struct dsp *d, const struct dsp_server *s)
+dsp_limit_allows (const struct dsp *d, const struct dsp_endpoint_state *s)
 {
-  return !d->opt.limits || lim_allows (d->opt.limits, d->now, s->process);
+  return !d->opt.limits || lim_allows (d->opt.limits, d->now, s->process_hash);
 }
 
 void
-dsp_limit_want (const struct dsp *d, const struct dsp_server *s,
-                const struct dsp_req *q)
+dsp_limit_ask_permit (const struct dsp *d, const struct dsp_endpoint_state *s,
+                      const struct dsp_req *q)
 {
-  /* Once for each request, however often it looks for a place. */
+  /* Count each request once, however often it is considered. */
   if (q->queued_at == d->now)
-    lim_want (d->opt.limits, d->now, s->process);
+    lim_want (d->opt.limits, d->now, s->process_hash);
 }
 
 void
-dsp_limit_take (const struct dsp *d, const struct dsp_server *s)
+dsp_limit_use_permit (const struct dsp *d, const struct dsp_endpoint_state *s)
 {
   if (d->opt.limits)
-    lim_take (d->opt.limits, d->now, s->process);
+    lim_take (d->opt.limits, d->now, s->process_hash);
 }
 
 bool
-dsp_is_limited (const struct dsp *d, const struct dsp_server *s)
+dsp_is_limited (const struct dsp *d, const struct dsp_endpoint_state *s)
 {
   double rate;
 
-  return d->opt.limits && lim_rate (d->opt.limits, s->process, &rate);
+  return d->opt.limits && lim_rate (d->opt.limits, s->process_hash, &rate);
 }
 
 void
 dsp_permitted (struct dsp *d, clk_ms now)
 {
   d->now = now;
-  dsp_pump_all (d);
+  dsp_send_all_queued (d);
 }
 
 double
-dsp_limit_slots (const struct dsp *d, const struct dsp_server *s)
+dsp_limit_slots (const struct dsp *d, const struct dsp_endpoint_state *s)
 {
   double rate, slots = s->capacity;
 
-  if (d->opt.limits && lim_rate (d->opt.limits, s->process, &rate)
-      && s->pool->run_ms > 0)
-    slots = fmin (slots, rate * s->pool->run_ms / (double)CLK_SECOND);
+  if (d->opt.limits && lim_rate (d->opt.limits, s->process_hash, &rate)
+      && s->pool->response_ms > 0)
+    slots = fmin (slots, rate * s->pool->response_ms / (double)CLK_SECOND);
   return slots;
 }
 
-/* --- paces --------------------------------------------------------------- */
+/* --- rates --------------------------------------------------------------- */
 
 static double
-per_second (const struct dsp_pace *x, clk_ms now)
+per_second (const struct dsp_rate *x, clk_ms now)
 {
-  return x->n * exp (-(double)(now - x->at) / PACE_MS)
-         / (PACE_MS / (double)CLK_SECOND);
+  return x->weighted_count
+         * exp (-(double)(now - x->updated_at) / RATE_WINDOW_MS)
+         / (RATE_WINDOW_MS / (double)CLK_SECOND);
 }
 
 static void
-count (struct dsp_pace *x, clk_ms now)
+count_event (struct dsp_rate *x, clk_ms now)
 {
-  x->n = x->n * exp (-(double)(now - x->at) / PACE_MS) + 1;
-  x->at = now;
+  x->weighted_count
+      = x->weighted_count
+            * exp (-(double)(now - x->updated_at) / RATE_WINDOW_MS)
+        + 1;
+  x->updated_at = now;
 }
 
 void
-dsp_limit_asked (const struct dsp *d, const struct dsp_req *q)
+dsp_limit_count_request (const struct dsp *d, const struct dsp_req *q)
 {
   if (d->opt.limits && lim_any (d->opt.limits))
-    count (&q->pool->asked[q->priority < DSP_PRIORITIES ? q->priority
-                                                        : DSP_PRIORITIES - 1],
-           d->now);
+    count_event (&q->pool->request_rates[q->priority < DSP_PRIORITIES
+                                             ? q->priority
+                                             : DSP_PRIORITIES - 1],
+                 d->now);
 }
 
-/* --- pools of which all places are limited ------------------------------- */
+/* --- pools with only rate-limited endpoints ------------------------------ */
 
-/** Requests a second that the usable places of a pool take, if all of them are
-    limited; else 0. @param spent  receives whether none has a permit left */
+/** Sum of the rate limits of the pool's usable endpoints, in requests per
+    second; 0 if at least one of them is not limited. @param spent receives
+    whether none of them has a permit left */
 static double
 sum_of_limits (const struct dsp *d, const struct dsp_pool *p, bool *spent)
 {
@@ -124,13 +130,13 @@
     return 0;
   for (size_t i = 0; i < p->n; i++)
     {
-      const struct dsp_server *s = p->servers[i];
+      const struct dsp_endpoint_state *s = p->endpoints[i];
       if (!dsp_health_usable (d, s))
         continue;
-      if (!lim_rate (d->opt.limits, s->process, &rate))
+      if (!lim_rate (d->opt.limits, s->process_hash, &rate))
         return 0;
       sum += fmax (rate, LIM_RATE_LEAST);
-      *spent = *spent && lim_is_spent (d->opt.limits, d->now, s->process);
+      *spent = *spent && lim_is_spent (d->opt.limits, d->now, s->process_hash);
     }
   return sum;
 }
@@ -143,66 +149,68 @@
   return sum_of_limits (d, p, &spent) > 0;
 }
 
-/** What this node may send of that. */
+/** This node's share of that rate. */
 static double
-own_part (const struct dsp *d, double sum)
+own_share (const struct dsp *d, double sum)
 {
-  return sum / (d->nodes ? d->nodes : 1);
+  return sum / (d->node_count ? d->node_count : 1);
 }
 
 bool
-dsp_limit_yields (const struct dsp *d, const struct dsp_pool *p,
-                  const struct dsp_req *q)
+dsp_limit_must_defer (const struct dsp *d, const struct dsp_pool *p,
+                      const struct dsp_req *q)
 {
   double urgent = 0, sum;
   bool spent;
 
   sum = sum_of_limits (d, p, &spent);
-  if (sum <= 0 || q->passing)
+  if (sum <= 0 || q->forwarded)
     return false;
   for (unsigned i = 0; i < q->priority && i < DSP_PRIORITIES; i++)
-    urgent += per_second (&p->asked[i], d->now);
-  return urgent >= own_part (d, sum);
+    urgent += per_second (&p->request_rates[i], d->now);
+  return urgent >= own_share (d, sum);
 }
 
-/** Time in which this node may send @p n requests. */
+/** Time that this node needs to send @p n requests at its share of the
+    rate. */
 static clk_ms
-time_for (const struct dsp *d, double sum, double n)
+time_to_send (const struct dsp *d, double sum, double n)
 {
-  return (clk_ms)fmin (n * (double)CLK_SECOND / own_part (d, sum),
-                       (double)RETRY_MOST_MS);
+  return (clk_ms)fmin (n * (double)CLK_SECOND / own_share (d, sum),
+                       (double)MAX_RETRY_MS);
 }
 
 clk_ms
-dsp_limit_wait (const struct dsp *d, const struct dsp_pool *p)
+dsp_limit_wait_ms (const struct dsp *d, const struct dsp_pool *p)
 {
   bool spent;
   double sum = sum_of_limits (d, p, &spent);
 
-  return sum > 0 && spent ? time_for (d, sum, (double)p->waiting) : 0;
+  return sum > 0 && spent ? time_to_send (d, sum, (double)p->queue_length) : 0;
 }
 
 /**
- * Were all that are refused told the same moment, they would come together and
- * be refused again; each is told its turn.
+ * If all rejected clients got the same retry delay, they would return at the
+ * same moment and be rejected again. Each one gets the next free time slot.
  */
 clk_ms
-dsp_limit_refuse (const struct dsp *d, struct dsp_pool *p)
+dsp_limit_reject (const struct dsp *d, struct dsp_pool *p)
 {
   bool spent;
   double sum = sum_of_limits (d, p, &spent);
-  clk_ms from = p->promised > d->now ? p->promised : d->now;
+  clk_ms start = p->assigned_until > d->now ? p->assigned_until : d->now;
 
-  count (&p->limited, d->now);
-  p->promised = from + (sum > 0 ? time_for (d, sum, 1) : RETRY_MOST_MS);
-  if (p->promised > d->now + RETRY_MOST_MS)
-    p->promised = d->now + RETRY_MOST_MS;
-  return p->promised - d->now;
+  count_event (&p->rejection_rate, d->now);
+  p->assigned_until
+      = start + (sum > 0 ? time_to_send (d, sum, 1) : MAX_RETRY_MS);
+  if (p->assigned_until > d->now + MAX_RETRY_MS)
+    p->assigned_until = d->now + MAX_RETRY_MS;
+  return p->assigned_until - d->now;
 }
 
 double
 dsp_limit_demand (const struct dsp *d, const struct dsp_pool *p)
 {
-  return per_second (&p->limited, d->now) * d->nodes * p->run_ms
-         / (double)CLK_SECOND;
+  return per_second (&p->rejection_rate, d->now) * d->node_count
+         * p->response_ms / (double)CLK_SECOND;
 }
--- a/serve/dispatch-load.c
+++ b/serve/dispatch-load.c
@@ -5,77 +5,80 @@
 #include <string.h>
 
 /*
- * What is under way at each place: of this node, and of the others as they
- * tell it.
+ * Load of each endpoint: of this node, and of the other nodes as they report
+ * it.
  */
 
 /**
- * A prompt that takes its replica so long to read is told to the other nodes
- * as it is sent.  What they have is told each tenth of a second; in that time
- * two nodes would send their longest prompts to the same replica, and while it
- * reads both, all its streams pause for longer than callers accept.  More
- * nodes than are linked each to each go by what is told of loads.
+ * A prompt that takes a replica at least this long to process is announced to
+ * the other nodes when it is sent. Load reports are sent only every tenth of a
+ * second. In that time two nodes could send their longest prompts to the same
+ * replica, and while it processes both, all its streams pause for longer than
+ * clients accept. Fleets with more nodes than a full mesh connects rely on the
+ * load reports alone.
  */
-#define NOTICE_READ_MS 20.0
-/** After this such a prompt counts as read.  Half of the larger model's first
-    events come within 200 ms and nine in ten within 240 to 320 on a replica
-   that has room; set by hand, other spans were not measured. */
-#define NOTICE_MS ((clk_ms)250)
+#define NOTICE_MIN_PREFILL_MS 20.0
+/** An announced prompt counts as processed after this time. On a replica with
+    free slots, half of the larger model's first events arrive within 200 ms,
+    and nine in ten within 240 to 320 ms. */
+#define NOTICE_LIFETIME_MS ((clk_ms)250)
 
-struct dsp_server *
-dsp_find_place (const struct dsp *d, uint64_t hash)
+struct dsp_endpoint_state *
+dsp_find_endpoint (const struct dsp *d, uint64_t hash)
 {
   for (size_t i = 0; i < d->npools; i++)
     for (size_t k = 0; k < d->pools[i]->n; k++)
-      if (d->pools[i]->servers[k]->hash == hash)
-        return d->pools[i]->servers[k];
+      if (d->pools[i]->endpoints[k]->hash == hash)
+        return d->pools[i]->endpoints[k];
   return NULL;
 }
 
 static uint32_t
-less (uint32_t a, uint32_t b)
+subtract_saturating (uint32_t a, uint32_t b)
 {
   return a > b ? a - b : 0;
 }
 
 static void
-add_counts (const struct dsp *d, const struct dsp_peer *p, bool add)
+add_peer_loads (const struct dsp *d, const struct dsp_peer *p, bool add)
 {
   for (size_t i = 0; i < p->n; i++)
     {
-      const struct dsp_count *c = &p->counts[i];
-      struct dsp_server *s = dsp_find_place (d, c->place);
+      const struct dsp_count *c = &p->loads[i];
+      struct dsp_endpoint_state *s = dsp_find_endpoint (d, c->place);
       if (!s)
         continue;
-      s->others
-          = add ? s->others + c->in_flight : less (s->others, c->in_flight);
-      s->others_begun = add ? s->others_begun + c->begun
-                            : less (s->others_begun, c->begun);
-      s->others_unread += add ? (double)c->unread : -(double)c->unread;
-      if (s->others_unread < 0)
-        s->others_unread = 0;
+      s->peer_requests
+          = add ? s->peer_requests + c->in_flight
+                : subtract_saturating (s->peer_requests, c->in_flight);
+      s->peer_streaming
+          = add ? s->peer_streaming + c->begun
+                : subtract_saturating (s->peer_streaming, c->begun);
+      s->peer_prefill += add ? (double)c->unread : -(double)c->unread;
+      if (s->peer_prefill < 0)
+        s->peer_prefill = 0;
     }
 }
 
 void
-dsp_load_recount (struct dsp *d)
+dsp_load_sum_peers (struct dsp *d)
 {
   for (size_t i = 0; i < d->npools; i++)
     for (size_t k = 0; k < d->pools[i]->n; k++)
       {
-        struct dsp_server *s = d->pools[i]->servers[k];
-        s->others = s->others_begun = 0;
-        s->others_unread = 0;
+        struct dsp_endpoint_state *s = d->pools[i]->endpoints[k];
+        s->peer_requests = s->peer_streaming = 0;
+        s->peer_prefill = 0;
       }
   for (size_t i = 0; i < d->npeers; i++)
-    add_counts (d, &d->peers[i], true);
+    add_peer_loads (d, &d->peers[i], true);
 }
 
 void
-dsp_pump_all (struct dsp *d)
+dsp_send_all_queued (struct dsp *d)
 {
   for (size_t i = 0; i < d->npools; i++)
-    dsp_pump (d, d->pools[i]);
+    dsp_send_queued (d, d->pools[i]);
 }
 
 /* --- other nodes ------------------------------------------------------- */
@@ -83,11 +86,11 @@
 void
 dsp_nodes (struct dsp *d, unsigned n)
 {
-  d->nodes = n ? n : 1;
+  d->node_count = n ? n : 1;
 }
 
 static struct dsp_peer *
-peer_of (struct dsp *d, uint64_t node)
+get_peer (struct dsp *d, uint64_t node)
 {
   for (size_t i = 0; i < d->npeers; i++)
     if (d->peers[i].node == node)
@@ -101,48 +104,49 @@
 dsp_peer_load (struct dsp *d, clk_ms now, uint64_t peer,
                const struct dsp_count *counts, size_t n)
 {
-  struct dsp_peer *p = peer_of (d, peer);
+  struct dsp_peer *p = get_peer (d, peer);
 
   d->now = now;
-  add_counts (d, p, false);
-  p->counts = xrealloc (p->counts, (n + 1) * sizeof *p->counts);
+  add_peer_loads (d, p, false);
+  p->loads = xrealloc (p->loads, (n + 1) * sizeof *p->loads);
   if (n)
-    memcpy (p->counts, counts, n * sizeof *counts);
+    memcpy (p->loads, counts, n * sizeof *counts);
   p->n = n;
-  p->told_at = now;
-  add_counts (d, p, true);
+  p->received_at = now;
+  add_peer_loads (d, p, true);
   for (size_t i = 0; i < n; i++)
     if (counts[i].ended)
-      dsp_reported_ended (d, dsp_find_place (d, counts[i].place));
-  dsp_pump_all (d);
+      dsp_peer_reported_ended (d, dsp_find_endpoint (d, counts[i].place));
+  dsp_send_all_queued (d);
 }
 
 const struct dsp_count *
 dsp_own_load (struct dsp *d, size_t *n)
 {
-  size_t all = 0;
+  size_t endpoints = 0;
 
   for (size_t i = 0; i < d->npools; i++)
-    all += d->pools[i]->n;
-  d->own = xrealloc (d->own, (all + 1) * sizeof *d->own);
+    endpoints += d->pools[i]->n;
+  d->own_loads
+      = xrealloc (d->own_loads, (endpoints + 1) * sizeof *d->own_loads);
   *n = 0;
   for (size_t i = 0; i < d->npools; i++)
     for (size_t k = 0; k < d->pools[i]->n; k++)
       {
-        const struct dsp_server *s = d->pools[i]->servers[k];
-        bool ended = d->now < s->ended_until;
-        if (s->own || s->stalled || ended)
-          d->own[(*n)++]
-              = (struct dsp_count){ .place = s->hash,
-                                    .in_flight = s->own,
-                                    .begun = s->begun,
-                                    .unread
-                                    = (uint32_t)(s->unread - s->noticed_own),
-                                    .heard = s->heard,
-                                    .stalled = s->stalled,
-                                    .ended = ended };
+        const struct dsp_endpoint_state *s = d->pools[i]->endpoints[k];
+        bool ended = d->now < s->process_ended_until;
+        if (s->own_requests || s->stalled || ended)
+          d->own_loads[(*n)++] = (struct dsp_count){
+            .place = s->hash,
+            .in_flight = s->own_requests,
+            .begun = s->own_streaming,
+            .unread = (uint32_t)(s->own_prefill - s->own_noticed),
+            .heard = s->last_data_at,
+            .stalled = s->stalled,
+            .ended = ended
+          };
       }
-  return d->own;
+  return d->own_loads;
 }
 
 double
@@ -155,12 +159,14 @@
       const struct dsp_pool *p = d->pools[i];
       if (!str_is (service, p->service) || !str_is (model, p->model))
         continue;
-      /* Callers choose their nodes by chance, so as many wait at others. */
-      n += (double)p->waiting * d->nodes + dsp_limit_demand (d, p);
+      /* Clients choose their nodes at random, so each other node has about as
+         many queued requests. */
+      n += (double)p->queue_length * d->node_count + dsp_limit_demand (d, p);
       for (size_t k = 0; k < p->n; k++)
         {
-          const struct dsp_server *s = p->servers[k];
-          n += s->own + s->others + s->capacity - dsp_limit_slots (d, s);
+          const struct dsp_endpoint_state *s = p->endpoints[k];
+          n += s->own_requests + s->peer_requests + s->capacity
+               - dsp_limit_slots (d, s);
         }
     }
   return n;
@@ -169,78 +175,82 @@
 /* --- prompts ------------------------------------------------------------ */
 
 double
-dsp_load_unread (const struct dsp_server *s)
+dsp_load_pending_prefill (const struct dsp_endpoint_state *s)
 {
-  return s->unread + s->others_unread + s->others_noticed;
+  return s->own_prefill + s->peer_prefill + s->peer_noticed;
 }
 
 static bool
-is_notable (const struct dsp *d, const struct dsp_server *s, double prompt)
+is_long_prompt (const struct dsp *d, const struct dsp_endpoint_state *s,
+                double prompt)
 {
-  return s->read_per_ms > 0 && prompt / s->read_per_ms >= NOTICE_READ_MS
-         && d->nodes > 1 && d->nodes <= HUB_MESH_MOST
-         && d->nnotices < DSP_NOTICES;
+  return s->prefill_per_ms > 0
+         && prompt / s->prefill_per_ms >= NOTICE_MIN_PREFILL_MS
+         && d->node_count > 1 && d->node_count <= HUB_MESH_MOST
+         && d->noutgoing < DSP_NOTICES_MAX;
 }
 
 void
-dsp_prompt_sent (struct dsp *d, struct dsp_req *q)
+dsp_load_prompt_sent (struct dsp *d, struct dsp_req *q)
 {
-  struct dsp_server *s = q->server;
+  struct dsp_endpoint_state *s = q->endpoint;
 
-  q->unread = true;
-  s->unread += q->prompt;
-  q->noticed = is_notable (d, s, q->prompt);
-  if (!q->noticed)
+  q->prefill_counted = true;
+  s->own_prefill += q->prompt_tokens;
+  q->prefill_noticed = is_long_prompt (d, s, q->prompt_tokens);
+  if (!q->prefill_noticed)
     return;
-  s->noticed_own += q->prompt;
-  d->notices[d->nnotices++]
-      = (struct dsp_notice){ s->hash, (uint32_t)q->prompt };
+  s->own_noticed += q->prompt_tokens;
+  d->outgoing_notices[d->noutgoing++]
+      = (struct dsp_notice){ s->hash, (uint32_t)q->prompt_tokens };
 }
 
 void
-dsp_prompt_read (struct dsp_req *q)
+dsp_load_prompt_processed (struct dsp_req *q)
 {
-  struct dsp_server *s = q->server;
+  struct dsp_endpoint_state *s = q->endpoint;
 
-  if (q->unread)
-    s->unread -= q->prompt;
-  if (q->noticed)
-    s->noticed_own -= q->prompt;
-  q->unread = q->noticed = false;
+  if (q->prefill_counted)
+    s->own_prefill -= q->prompt_tokens;
+  if (q->prefill_noticed)
+    s->own_noticed -= q->prompt_tokens;
+  q->prefill_counted = q->prefill_noticed = false;
 }
 
 const struct dsp_notice *
 dsp_notices (struct dsp *d, size_t *n)
 {
-  *n = d->nnotices;
-  d->nnotices = 0;
-  return d->notices;
+  *n = d->noutgoing;
+  d->noutgoing = 0;
+  return d->outgoing_notices;
 }
 
 static void
-count_notice (const struct dsp *d, const struct dsp_notice *n, bool add)
+apply_notice (const struct dsp *d, const struct dsp_notice *n, bool add)
 {
-  struct dsp_server *s = dsp_find_place (d, n->place);
+  struct dsp_endpoint_state *s = dsp_find_endpoint (d, n->place);
 
   if (!s)
     return;
-  s->others_noticed += add ? (double)n->tokens : -(double)n->tokens;
-  if (s->others_noticed < 0)
-    s->others_noticed = 0; /* it was not a place yet when the notice came */
+  s->peer_noticed += add ? (double)n->tokens : -(double)n->tokens;
+  if (s->peer_noticed < 0)
+    s->peer_noticed = 0; /* the endpoint was added after the notice was
+                            received */
 }
 
 static void
 drop_notice (struct dsp *d)
 {
-  count_notice (d, &d->heard[d->heard_first].n, false);
-  d->heard_first = (d->heard_first + 1) % DSP_NOTICES;
-  d->nheard--;
+  apply_notice (d, &d->received_notices[d->received_first].notice, false);
+  d->received_first = (d->received_first + 1) % DSP_NOTICES_MAX;
+  d->nreceived--;
 }
 
 void
-dsp_load_forget (struct dsp *d)
+dsp_load_expire_notices (struct dsp *d)
 {
-  while (d->nheard > 0 && d->now >= d->heard[d->heard_first].until)
+  while (d->nreceived > 0
+         && d->now >= d->received_notices[d->received_first].expires_at)
     drop_notice (d);
 }
 
@@ -249,13 +259,14 @@
              size_t n)
 {
   d->now = now;
-  dsp_load_forget (d);
+  dsp_load_expire_notices (d);
   for (size_t i = 0; i < n; i++)
     {
-      if (d->nheard == DSP_NOTICES)
+      if (d->nreceived == DSP_NOTICES_MAX)
         drop_notice (d);
-      d->heard[(d->heard_first + d->nheard++) % DSP_NOTICES]
-          = (struct dsp_heard_notice){ list[i], now + NOTICE_MS };
-      count_notice (d, &list[i], true);
+      d->received_notices[(d->received_first + d->nreceived++)
+                          % DSP_NOTICES_MAX]
+          = (struct dsp_received_notice){ list[i], now + NOTICE_LIFETIME_MS };
+      apply_notice (d, &list[i], true);
     }
 }
--- a/serve/dispatch-place.c
+++ b/serve/dispatch-place.c
@@ -3,36 +3,37 @@
 #include <stdlib.h>
 
 /**
- * Requests that a place may have beyond its slots and still get one that can
- * be on time: a slot becomes free there every 60 ms or so, and the goals leave
- * a little more than one such wait.
+ * Requests that an endpoint may be sent beyond its number of slots, if they
+ * can still meet their latency goal: a slot becomes free there about every 60
+ * ms, and the goals allow for a little more than one wait of this length.
  */
-#define BEYOND 1
+#define EXTRA_REQUESTS 1
 
 /**
- * Reading of prompts, in ms, that weighs as much as all slots of a place. Long
- * prompts that come together make all streams of their replica late, and slots
- * are seldom short; 20, 25, 40 and 80 ms earned the same within 0.003 of what
- * is owed, 170 ms 0.005 less (20 days with failures each).
+ * Pending prompt processing, in ms, that weighs as much as all slots of an
+ * endpoint. Long prompts that arrive together delay all streams of the
+ * replica, while slots are rarely short. In tests over 20 days with failures
+ * each, 20, 25, 40 and 80 ms gave the same served share within 0.003, and 170
+ * ms gave 0.005 less.
  */
-#define READ_MS 25.0
+#define PREFILL_WEIGHT_MS 25.0
 
-/** What a request to another zone costs, in parts of one request under way:
-    enough to decide between equals, too little to shift load. */
-#define AWAY 0.3
+/** Penalty for an endpoint in another zone, in requests: enough to decide
+    between equally loaded endpoints, too small to shift load. */
+#define OTHER_ZONE_PENALTY 0.3
 
 uint64_t
-dsp_place_hash (struct str server, int64_t born, int64_t generation)
+dsp_place_hash (struct str server, int64_t start_time, int64_t generation)
 {
-  uint64_t life = str_hash (server, (uint64_t)born);
+  uint64_t process_hash = str_hash (server, (uint64_t)start_time);
 
-  return str_hash (server, life ^ (uint64_t)generation);
+  return str_hash (server, process_hash ^ (uint64_t)generation);
 }
 
 /* --- pools ------------------------------------------------------------- */
 
 struct dsp_pool *
-dsp_pool_of (struct dsp *d, struct str service, struct str model)
+dsp_get_pool (struct dsp *d, struct str service, struct str model)
 {
   for (size_t i = 0; i < d->npools; i++)
     if (str_is (service, d->pools[i]->service)
@@ -41,16 +42,16 @@
   struct dsp_pool *p = xcalloc (1, sizeof *p);
   p->service = str_dup (service);
   p->model = str_dup (model);
-  p->budget = dsp_budget_of (d, p->service);
+  p->budget = dsp_get_budget (d, p->service);
   d->pools = xrealloc (d->pools, (d->npools + 1) * sizeof *d->pools);
   d->pools[d->npools++] = p;
   return p;
 }
 
 static void
-server_free (struct dsp_server *s)
+free_endpoint (struct dsp_endpoint_state *s)
 {
-  free (s->id);
+  free (s->server);
   free (s);
 }
 
@@ -58,43 +59,43 @@
 dsp_pool_free (struct dsp_pool *p)
 {
   for (size_t i = 0; i < p->n; i++)
-    server_free (p->servers[i]);
-  free (p->servers);
+    free_endpoint (p->endpoints[i]);
+  free (p->endpoints);
   free (p->service);
   free (p->model);
   free (p);
 }
 
-static struct dsp_server *
-server_of (struct dsp_pool *p, const struct dsp_place *in)
+static struct dsp_endpoint_state *
+get_endpoint (struct dsp_pool *p, const struct dsp_place *in)
 {
   uint64_t hash = dsp_place_hash (in->server, in->born, in->generation);
 
   for (size_t i = 0; i < p->n; i++)
-    if (p->servers[i]->hash == hash)
-      return p->servers[i];
-  struct dsp_server *s = xcalloc (1, sizeof *s);
+    if (p->endpoints[i]->hash == hash)
+      return p->endpoints[i];
+  struct dsp_endpoint_state *s = xcalloc (1, sizeof *s);
   s->pool = p;
-  s->id = str_dup (in->server);
+  s->server = str_dup (in->server);
   s->generation = in->generation;
   s->hash = hash;
-  s->process = dsp_place_hash (in->server, in->born, 0);
-  p->servers = xrealloc (p->servers, (p->n + 1) * sizeof (*p->servers));
-  p->servers[p->n++] = s;
+  s->process_hash = dsp_place_hash (in->server, in->born, 0);
+  p->endpoints = xrealloc (p->endpoints, (p->n + 1) * sizeof (*p->endpoints));
+  p->endpoints[p->n++] = s;
   return s;
 }
 
-/** Places that left the list go once no request is on them. */
+/** Frees endpoints that are no longer listed and have no requests. */
 static void
-sweep (struct dsp_pool *p)
+remove_unlisted (struct dsp_pool *p)
 {
   size_t kept = 0;
 
   for (size_t i = 0; i < p->n; i++)
-    if (p->servers[i]->listed || p->servers[i]->own)
-      p->servers[kept++] = p->servers[i];
+    if (p->endpoints[i]->listed || p->endpoints[i]->own_requests)
+      p->endpoints[kept++] = p->endpoints[i];
     else
-      server_free (p->servers[i]);
+      free_endpoint (p->endpoints[i]);
   p->n = kept;
 }
 
@@ -104,33 +105,33 @@
   d->now = now;
   for (size_t i = 0; i < d->npools; i++)
     for (size_t k = 0; k < d->pools[i]->n; k++)
-      d->pools[i]->servers[k]->fresh = false;
+      d->pools[i]->endpoints[k]->in_new_list = false;
   for (size_t i = 0; i < n; i++)
     {
-      struct dsp_pool *p = dsp_pool_of (d, list[i].service, list[i].model);
-      struct dsp_server *s = server_of (p, &list[i]);
-      s->fresh = true;
+      struct dsp_pool *p = dsp_get_pool (d, list[i].service, list[i].model);
+      struct dsp_endpoint_state *s = get_endpoint (p, &list[i]);
+      s->in_new_list = true;
       s->addr = list[i].addr;
       s->same_zone = str_is (list[i].zone, d->zone);
       s->capacity = list[i].capacity;
-      s->read_per_ms = list[i].read_per_ms;
+      s->prefill_per_ms = list[i].read_per_ms;
       s->accepting = list[i].accepting;
     }
   for (size_t i = 0; i < d->npools; i++)
     {
       struct dsp_pool *p = d->pools[i];
       for (size_t k = 0; k < p->n; k++)
-        p->servers[k]->listed = p->servers[k]->fresh;
-      sweep (p);
+        p->endpoints[k]->listed = p->endpoints[k]->in_new_list;
+      remove_unlisted (p);
     }
-  dsp_load_recount (d);
-  dsp_pump_all (d);
+  dsp_load_sum_peers (d);
+  dsp_send_all_queued (d);
 }
 
-/* --- which place is next ----------------------------------------------- */
+/* --- choice of an endpoint --------------------------------------------- */
 
 bool
-dsp_tried (const struct dsp_req *q, const struct dsp_server *s)
+dsp_was_tried (const struct dsp_req *q, const struct dsp_endpoint_state *s)
 {
   for (unsigned i = 0; i < q->ntried; i++)
     if (q->tried[i] == s->hash)
@@ -139,49 +140,50 @@
 }
 
 bool
-dsp_any_place (const struct dsp *d, const struct dsp_pool *p)
+dsp_any_usable (const struct dsp *d, const struct dsp_pool *p)
 {
   for (size_t i = 0; i < p->n; i++)
-    if (dsp_health_usable (d, p->servers[i]))
+    if (dsp_health_usable (d, p->endpoints[i]))
       return true;
   return false;
 }
 
-/** Requests that have a slot or will have the next ones. */
+/** Requests that hold a slot or are queued for the next free ones. */
 static uint32_t
-taken (const struct dsp_server *s)
+slots_taken (const struct dsp_endpoint_state *s)
 {
-  return s->own + s->others;
+  return s->own_requests + s->peer_requests;
 }
 
 /**
- * How busy a place is for one more request, in parts of the place: its slots
- * taken, and the reading of the prompts before its own.  A replica reads the
- * prompts that have come in one pass, and all its streams pause meanwhile:
- * half a dozen of long ones take 200 ms, which makes each of these streams
+ * Load of an endpoint as seen by a further request, in parts of its capacity:
+ * the slots taken, plus the processing time of the pending prompts. A replica
+ * processes all new prompts in one pass, and all its streams pause meanwhile.
+ * Half a dozen long prompts take 200 ms, which makes each of these streams
  * late.
  */
 static double
-load_of (const struct dsp_server *s)
+load_of (const struct dsp_endpoint_state *s)
 {
-  double n = taken (s) + (s->same_zone ? 0 : AWAY);
+  double n = slots_taken (s) + (s->same_zone ? 0 : OTHER_ZONE_PENALTY);
   double load = n / (s->capacity ? s->capacity : 1);
 
-  if (s->read_per_ms > 0)
-    load += dsp_load_unread (s) / s->read_per_ms / READ_MS;
+  if (s->prefill_per_ms > 0)
+    load += dsp_load_pending_prefill (s) / s->prefill_per_ms
+            / PREFILL_WEIGHT_MS;
   return load;
 }
 
 static bool
-may_take (const struct dsp *d, const struct dsp_server *s,
-          const struct dsp_req *q)
+is_candidate (const struct dsp *d, const struct dsp_endpoint_state *s,
+              const struct dsp_req *q)
 {
-  return dsp_health_usable (d, s) && !dsp_tried (q, s)
-         && !dsp_health_quiet (d, s);
+  return dsp_health_usable (d, s) && !dsp_was_tried (q, s)
+         && !dsp_health_is_silent (d, s);
 }
 
-static struct dsp_server *
-less_loaded (struct dsp_server *a, struct dsp_server *b)
+static struct dsp_endpoint_state *
+less_loaded (struct dsp_endpoint_state *a, struct dsp_endpoint_state *b)
 {
   if (!a || !b)
     return a ? a : b;
@@ -189,29 +191,30 @@
 }
 
 /**
- * The less loaded of two places drawn by chance.  What others have there was
- * told a tenth of a second ago; were the least loaded of all taken, all nodes
- * would take the same one until the next word, and the requests of that time
- * would wait there for each other.
+ * Chooses the less loaded of two random endpoints. The load reported by the
+ * other nodes is up to a tenth of a second old. If every node chose the least
+ * loaded endpoint, all of them would choose the same one until the next
+ * report, and the requests sent in that time would queue there.
  *
- * A limited place for which this node has a permit comes beside them: the
- * permit is this node's alone, and lapses if it is not used.
+ * Rate-limited endpoints for which this node has a permit are considered in
+ * addition, because the permit is valid for this node only and expires if it
+ * is not used.
  */
-static struct dsp_server *
-less_taken (struct dsp *d, struct dsp_pool *p, const struct dsp_req *q,
-            unsigned beyond)
+static struct dsp_endpoint_state *
+choose_of_two (struct dsp *d, struct dsp_pool *p, const struct dsp_req *q,
+               unsigned extra)
 {
-  struct dsp_server *drawn[2] = { NULL, NULL }, *permitted = NULL;
+  struct dsp_endpoint_state *drawn[2] = { NULL, NULL }, *permitted = NULL;
   unsigned n = 0;
 
   for (size_t i = 0; i < p->n; i++)
     {
-      struct dsp_server *s = p->servers[i];
-      if (!may_take (d, s, q) || taken (s) >= s->capacity + beyond)
+      struct dsp_endpoint_state *s = p->endpoints[i];
+      if (!is_candidate (d, s, q) || slots_taken (s) >= s->capacity + extra)
         continue;
       if (!dsp_limit_allows (d, s))
         {
-          dsp_limit_want (d, s, q);
+          dsp_limit_ask_permit (d, s, q);
           continue;
         }
       if (dsp_is_limited (d, s))
@@ -219,7 +222,7 @@
           permitted = less_loaded (permitted, s);
           continue;
         }
-      /* Draw two of those that come by, each pair as likely. */
+      /* Reservoir sampling of two; all pairs are equally likely. */
       uint64_t at = rng_below (&d->rng, ++n);
       if (n <= 2)
         drawn[n - 1] = s;
@@ -229,64 +232,67 @@
   return less_loaded (permitted, less_loaded (drawn[0], drawn[1]));
 }
 
-/** A place that failed and is due for a look, by what may be repeated. */
+/** Finds an ejected or stalled endpoint that is due for a trial, for a request
+    that can be retried after a failure. */
 static bool
-due_for_probe (const struct dsp *d, const struct dsp_pool *p,
-               const struct dsp_req *q, struct dsp_server **out)
+find_probe (const struct dsp *d, const struct dsp_pool *p,
+            const struct dsp_req *q, struct dsp_endpoint_state **out)
 {
-  if (!q->repeatable || q->passing || q->sends + 1 >= q->route->max_attempts)
+  if (!q->retryable || q->forwarded
+      || q->sent_attempts + 1 >= q->route->max_attempts)
     return false;
   for (size_t i = 0; i < p->n; i++)
     {
-      *out = p->servers[i];
-      if (!dsp_tried (q, *out) && dsp_health_probe_due (d, *out)
+      *out = p->endpoints[i];
+      if (!dsp_was_tried (q, *out) && dsp_health_probe_due (d, *out)
           && dsp_limit_allows (d, *out))
         return true;
     }
   return false;
 }
 
-/** When all that is left has failed lately, a doubtful place is better than
-    none. */
-static struct dsp_server *
-last_resort (const struct dsp *d, const struct dsp_pool *p,
-             const struct dsp_req *q)
+/** Chooses among the endpoints that failed recently, if no others are left. */
+static struct dsp_endpoint_state *
+choose_fallback (const struct dsp *d, const struct dsp_pool *p,
+                 const struct dsp_req *q)
 {
-  struct dsp_server *best = NULL;
+  struct dsp_endpoint_state *best = NULL;
 
   for (size_t i = 0; i < p->n; i++)
     {
-      struct dsp_server *s = p->servers[i];
-      if (!s->listed || !s->accepting || s->stalled || dsp_tried (q, s)
-          || d->now < s->full_until || dsp_has_ended (d, s)
-          || taken (s) >= s->capacity || !dsp_limit_allows (d, s))
+      struct dsp_endpoint_state *s = p->endpoints[i];
+      if (!s->listed || !s->accepting || s->stalled || dsp_was_tried (q, s)
+          || d->now < s->full_until || dsp_process_ended (d, s)
+          || slots_taken (s) >= s->capacity || !dsp_limit_allows (d, s))
         continue;
-      if (!best || taken (s) < taken (best))
+      if (!best || slots_taken (s) < slots_taken (best))
         best = s;
     }
   return best;
 }
 
 /*
- * Where all slots are taken, a request waits here for an eighth of its goal
- * and is then refused as not run.  A server would queue it behind all others;
- * there it gets what is left over, which under overload is nothing, and takes
- * a slot just as one that could be on time comes.  To queue there
- * served 1.4 in 100 of what is owed less (20 days with failures and high load;
- * 1.2 and 1.7 on 10 days of two other workloads), as one that is refused comes
- * back to a slot that is free.
+ * When all slots are taken, a request waits in this queue for an eighth of its
+ * latency goal and is then rejected as not executed. A backend server would
+ * queue it behind all others. Under overload it would not be served there in
+ * time, and it would take a slot just when a request arrives that could still
+ * meet its goal. Queueing at the servers lowered the served share by 1.4
+ * percentage points (20 days with failures and high load; 1.2 and 1.7 on 10
+ * days of two other workloads), because a rejected request is retried when a
+ * slot is free.
  */
-struct dsp_server *
-dsp_choose (struct dsp *d, struct dsp_pool *p, const struct dsp_req *q)
+struct dsp_endpoint_state *
+dsp_choose_endpoint (struct dsp *d, struct dsp_pool *p,
+                     const struct dsp_req *q)
 {
-  bool late = d->now >= q->goal && !q->passing;
-  struct dsp_server *s;
+  bool late = d->now >= q->goal_at && !q->forwarded;
+  struct dsp_endpoint_state *s;
 
-  dsp_load_forget (d);
-  if (dsp_limit_yields (d, p, q))
+  dsp_load_expire_notices (d);
+  if (dsp_limit_must_defer (d, p, q))
     return NULL;
-  if (due_for_probe (d, p, q, &s))
+  if (find_probe (d, p, q, &s))
     return s;
-  s = less_taken (d, p, q, late ? 0 : BEYOND);
-  return s || dsp_any_place (d, p) ? s : last_resort (d, p, q);
+  s = choose_of_two (d, p, q, late ? 0 : EXTRA_REQUESTS);
+  return s || dsp_any_usable (d, p) ? s : choose_fallback (d, p, q);
 }
--- a/serve/dispatch.c
+++ b/serve/dispatch.c
@@ -5,79 +5,82 @@
 
 #include "base/chart.h"
 
-#define TABLE_FIRST 256
+#define INITIAL_BUCKETS 256
 
-/** Tokens to be read for a request that does not say: about the mean of those
-    that do. */
-#define PROMPT_UNKNOWN 1000.0
+/** Prompt length assumed for a request that doesn't state one: about the mean
+    of those that do. */
+#define DEFAULT_PROMPT_TOKENS 1000.0
 
-/** How often waiting and silence are looked at while requests are open; a
-    pause that a caller feels is some hundred milliseconds. */
-#define TICK_MS ((clk_ms)20)
+/** Interval of the timeout checks while requests are open; clients notice
+    delays of some hundred milliseconds. */
+#define TICK_INTERVAL_MS ((clk_ms)20)
 
-/** A tick that comes so late shows that this process stood still; what came
-    meanwhile lies unread, as timers run before sockets are read. */
-#define LATE_MS ((clk_ms)100)
+/** A tick that is later than this shows that the process was suspended. Data
+    that arrived meanwhile is still in the sockets, as timers run before
+    sockets are read. */
+#define LATE_TICK_MS ((clk_ms)100)
 
-/** Connections that may fail before a request is given up: a third place that
-    can't be reached says that the fault is on this node's side. */
-#define CONNECTS_MOST 3
+/** Failed connections after which a request is given up. If a third endpoint
+    can't be reached, the fault is on this node's side. */
+#define MAX_CONNECT_FAILURES 3
 
 /**
- * Of a request's goal: how long it may wait here for a place.  There is none
- * only when all slots are taken, or no place is usable.  A slot that becomes
- * free by then is in time; else the caller, told at once, can come back when
- * there is one.
+ * Part of a request's latency goal that it may spend in the queue. A request
+ * is queued only when all slots are taken or no endpoint is usable. A slot
+ * that becomes free within this time still meets the goal; otherwise the
+ * request is rejected early enough for the client to retry when a slot is
+ * free.
  */
-#define WAIT_PART 0.12
+#define QUEUE_TIME_FRACTION 0.12
 
-/** When to come back after a refusal: about the time that a few places need
-    to become free. */
-#define RETRY_LEAST_MS ((clk_ms)150)
-#define RETRY_MOST_MS ((clk_ms)2000)
+/** Bounds of the retry delay sent with a rejection: about the time in which
+    several slots become free. */
+#define MIN_RETRY_MS ((clk_ms)150)
+#define MAX_RETRY_MS ((clk_ms)2000)
 
-/** An idempotent request without an answer is tried elsewhere once it has
-    missed its goal by this factor.  Its answer comes in one piece, so nothing
-    else tells a place that hangs from one that works. */
-#define SILENT_FACTOR 1.0
+/** An idempotent request without a response is retried at another endpoint
+    after this multiple of its latency goal. Its response arrives in one piece,
+    so there is no other way to tell a hung endpoint from a working one. */
+#define RESPONSE_TIMEOUT_FACTOR 1.0
 
 static const char *const state_names[DSP_STATES]
     = { "received",  "waiting",      "connecting", "sent",
         "rewaiting", "reconnecting", "resent",     "passing",
         "done",      "not_run",      "failed" };
 
-static const char *const step_names[DSP_STEPS]
+static const char *const transition_names[DSP_TRANSITIONS]
     = { "wait",  "refuse", "connect", "sent", "unrun",
         "retry", "pass",   "whole",   "fail" };
 
-/** The chart as a table of our own numbers, read once. */
-static signed char table[DSP_STATES][DSP_STEPS];
-static bool table_read;
+/** Transitions of the chart, indexed by the enums; loaded once. */
+static signed char transitions[DSP_STATES][DSP_TRANSITIONS];
+static bool transitions_loaded;
 
 static void
-read_table (void)
+load_transitions (void)
 {
   const struct chart *c = chart_embedded ("forward");
-  int ours[DSP_STATES + 1];
+  int by_chart_state[DSP_STATES + 1];
 
   for (int i = 0; i < DSP_STATES; i++)
-    ours[chart_state (c, state_names[i])] = i;
+    by_chart_state[chart_state (c, state_names[i])] = i;
   for (int i = 0; i < DSP_STATES; i++)
-    for (int k = 0; k < DSP_STEPS; k++)
+    for (int k = 0; k < DSP_TRANSITIONS; k++)
       {
         int to = chart_step (c, chart_state (c, state_names[i]),
-                             chart_event (c, step_names[k]));
-        table[i][k] = to == CHART_REFUSED ? -1 : (signed char)ours[to];
+                             chart_event (c, transition_names[k]));
+        transitions[i][k]
+            = to == CHART_REFUSED ? -1 : (signed char)by_chart_state[to];
       }
-  table_read = true;
+  transitions_loaded = true;
 }
 
-/** A step that the chart refuses is a fault of ours; going on would give the
-    caller a word that nobody can trust. */
+/** A transition that the chart doesn't allow is a bug in this process.
+    Continuing could report a wrong outcome to the client. */
 void
-dsp_step (struct dsp_req *q, enum dsp_step x)
+dsp_transition (struct dsp_req *q, enum dsp_transition x)
 {
-  int to = table[q->state][x];
+  int to = transitions[q->state][x];
 
   if (to < 0)
     abort ();
@@ -87,7 +90,8 @@
 /* --- actions ----------------------------------------------------------- */
 
 struct dsp_action *
-dsp_act (struct dsp *d, enum dsp_action_kind kind, const struct dsp_req *q)
+dsp_add_action (struct dsp *d, enum dsp_action_kind kind,
+                const struct dsp_req *q)
 {
   if (d->act_n == d->act_cap)
     {
@@ -123,15 +127,15 @@
   return true;
 }
 
-/* --- requests by number ------------------------------------------------ */
+/* --- lookup of requests ------------------------------------------------ */
 
 static struct dsp_req *
 find_request (const struct dsp *d, uint64_t id)
 {
-  struct dsp_req *q = d->table[id & (d->table_size - 1)];
+  struct dsp_req *q = d->by_id[id & (d->by_id_size - 1)];
 
   while (q && q->id != id)
-    q = q->chain;
+    q = q->hash_next;
   return q;
 }
 
@@ -140,23 +144,23 @@
 {
   struct dsp_req *q = find_request (d, id);
 
-  return q && q->server && q->attempt == attempt ? q : NULL;
+  return q && q->endpoint && q->attempt == attempt ? q : NULL;
 }
 
 static void
-table_grow (struct dsp *d)
+grow_buckets (struct dsp *d)
 {
-  size_t size = 2 * d->table_size;
+  size_t size = 2 * d->by_id_size;
   struct dsp_req **grown = xcalloc (size, sizeof *grown);
 
   for (struct dsp_req *q = d->open_list; q; q = q->next)
     {
-      q->chain = grown[q->id & (size - 1)];
+      q->hash_next = grown[q->id & (size - 1)];
       grown[q->id & (size - 1)] = q;
     }
-  free (d->table);
-  d->table = grown;
-  d->table_size = size;
+  free (d->by_id);
+  d->by_id = grown;
+  d->by_id_size = size;
 }
 
 static struct dsp_req *
@@ -165,192 +169,195 @@
   struct dsp_req *q = xcalloc (1, sizeof *q);
   const struct tbl_route *r = in->route;
 
-  if (d->open >= d->table_size)
-    table_grow (d);
+  if (d->open_count >= d->by_id_size)
+    grow_buckets (d);
   q->id = in->id;
-  q->table = tbl_ref (in->table);
+  q->config = tbl_ref (in->table);
   q->route = r;
   q->priority = in->priority;
-  q->arrived = d->now;
-  q->goal = d->now - in->waited + r->goal_ms;
+  q->arrived_at = d->now;
+  q->goal_at = d->now - in->waited + r->goal_ms;
   q->deadline = in->deadline;
-  q->prompt = in->prompt > 0 ? in->prompt : PROMPT_UNKNOWN;
+  q->prompt_tokens = in->prompt > 0 ? in->prompt : DEFAULT_PROMPT_TOKENS;
   q->digest = in->digest;
-  q->repeatable = tbl_repeatable (r);
+  q->retryable = tbl_repeatable (r);
   q->state = DSP_S_RECEIVED;
-  q->pool = dsp_pool_of (d, in->service->name, in->model);
-  q->chain = d->table[q->id & (d->table_size - 1)];
-  d->table[q->id & (d->table_size - 1)] = q;
+  q->pool = dsp_get_pool (d, in->service->name, in->model);
+  q->hash_next = d->by_id[q->id & (d->by_id_size - 1)];
+  d->by_id[q->id & (d->by_id_size - 1)] = q;
   q->next = d->open_list;
   if (q->next)
     q->next->prev = q;
   d->open_list = q;
-  d->open++;
+  d->open_count++;
   return q;
 }
 
 static void
 free_request (struct dsp *d, struct dsp_req *q)
 {
-  struct dsp_req **at = &d->table[q->id & (d->table_size - 1)];
+  struct dsp_req **at = &d->by_id[q->id & (d->by_id_size - 1)];
 
   while (*at != q)
-    at = &(*at)->chain;
-  *at = q->chain;
+    at = &(*at)->hash_next;
+  *at = q->hash_next;
   if (q->prev)
     q->prev->next = q->next;
   else
     d->open_list = q->next;
   if (q->next)
     q->next->prev = q->prev;
-  tbl_unref (q->table);
+  tbl_unref (q->config);
   free (q);
-  d->open--;
+  d->open_count--;
 }
 
-/* --- the end of an attempt --------------------------------------------- */
+/* --- end of an attempt ------------------------------------------------- */
 
 static void
-settle_unbegun (struct dsp_req *q)
+end_prefill (struct dsp_req *q)
 {
-  dsp_prompt_read (q);
-  q->unbegun = false;
+  dsp_load_prompt_processed (q);
+  q->awaits_first_event = false;
 }
 
 static void
-leave_server (struct dsp_req *q)
+release_endpoint (struct dsp_req *q)
 {
-  if (!q->server)
+  if (!q->endpoint)
     return;
-  settle_unbegun (q);
-  q->server->begun -= q->begun;
-  q->begun = false;
-  q->server->own--;
+  end_prefill (q);
+  q->endpoint->own_streaming -= q->streaming;
+  q->streaming = false;
+  q->endpoint->own_requests--;
   if (q->probe)
-    q->server->probing = false;
+    q->endpoint->probing = false;
   q->probe = false;
-  q->server = NULL;
+  q->endpoint = NULL;
 }
 
 static void
-avoid (struct dsp_req *q)
+mark_tried (struct dsp_req *q)
 {
-  q->tried[q->ntried % DSP_TRIED] = q->server->hash;
-  if (q->ntried < DSP_TRIED)
+  q->tried[q->ntried % DSP_TRIED_MAX] = q->endpoint->hash;
+  if (q->ntried < DSP_TRIED_MAX)
     q->ntried++;
 }
 
 static void
-forget (struct dsp *d, struct dsp_req *q)
+finish_request (struct dsp *d, struct dsp_req *q)
 {
   struct dsp_pool *p = q->pool;
 
   dsp_dequeue (q);
-  leave_server (q);
-  dsp_act (d, DSP_ACT_FORGET, q);
+  release_endpoint (q);
+  dsp_add_action (d, DSP_ACT_FORGET, q);
   free_request (d, q);
-  d->figures.ended++;
-  dsp_pump (d, p);
+  d->stats.ended++;
+  dsp_send_queued (d, p);
 }
 
-/** When places will likely be free for one more: what waits now, at the pace
-    at which the pool ends requests. */
+/** Estimated time until an endpoint has room for one more request: the queue,
+    divided by the rate at which the pool completes requests. */
 static clk_ms
-retry_after (const struct dsp *d, const struct dsp_pool *p)
+estimate_retry_ms (const struct dsp *d, const struct dsp_pool *p)
 {
-  double places = 1, ms;
+  double slots = 1, ms;
 
   for (size_t i = 0; i < p->n; i++)
-    if (p->servers[i]->listed)
-      places += dsp_limit_slots (d, p->servers[i]);
-  ms = p->run_ms * (double)(p->waiting * d->nodes) / places;
-  if (ms < (double)RETRY_LEAST_MS)
-    return RETRY_LEAST_MS;
-  return ms > (double)RETRY_MOST_MS ? RETRY_MOST_MS : (clk_ms)ms;
+    if (p->endpoints[i]->listed)
+      slots += dsp_limit_slots (d, p->endpoints[i]);
+  ms = p->response_ms * (double)(p->queue_length * d->node_count) / slots;
+  if (ms < (double)MIN_RETRY_MS)
+    return MIN_RETRY_MS;
+  return ms > (double)MAX_RETRY_MS ? MAX_RETRY_MS : (clk_ms)ms;
 }
 
-/** The final answer of our own, at once. */
+/** Ends the request with an error response generated by this node. */
 static void
-answer (struct dsp *d, struct dsp_req *q, enum dsp_code code, clk_ms retry_ms)
+respond_error (struct dsp *d, struct dsp_req *q, enum dsp_code code,
+               clk_ms retry_ms)
 {
   struct dsp_action *a
-      = dsp_act (d, q->passing ? DSP_ACT_CUT : DSP_ACT_ANSWER, q);
+      = dsp_add_action (d, q->forwarded ? DSP_ACT_CUT : DSP_ACT_ANSWER, q);
 
   a->code = code;
   a->retry_ms = retry_ms;
-  d->figures.answered[code]++;
-  forget (d, q);
+  d->stats.answered[code]++;
+  finish_request (d, q);
 }
 
 static void
 cancel_attempt (struct dsp *d, struct dsp_req *q)
 {
-  if (q->server)
-    dsp_act (d, DSP_ACT_CANCEL, q);
-  leave_server (q);
+  if (q->endpoint)
+    dsp_add_action (d, DSP_ACT_CANCEL, q);
+  release_endpoint (q);
 }
 
 static bool
-may_have_run (const struct dsp_req *q)
+may_have_executed (const struct dsp_req *q)
 {
   return q->state != DSP_S_RECEIVED && q->state != DSP_S_WAITING
          && q->state != DSP_S_CONNECTING;
 }
 
 void
-dsp_give_up (struct dsp *d, struct dsp_req *q, enum dsp_code unrun,
-             enum dsp_code ran, clk_ms retry_ms)
+dsp_give_up (struct dsp *d, struct dsp_req *q, enum dsp_code if_not_executed,
+             enum dsp_code if_executed, clk_ms retry_ms)
 {
   cancel_attempt (d, q);
-  if (may_have_run (q))
+  if (may_have_executed (q))
     {
-      dsp_step (q, DSP_X_FAIL);
-      answer (d, q, ran, 0);
+      dsp_transition (q, DSP_X_FAIL);
+      respond_error (d, q, if_executed, 0);
       return;
     }
-  dsp_step (q, DSP_X_REFUSE);
-  answer (d, q, unrun, retry_ms);
+  dsp_transition (q, DSP_X_REFUSE);
+  respond_error (d, q, if_not_executed, retry_ms);
 }
 
-/** The same, to come back when places will be free. */
+/** The same, with the estimated time until a slot is free as the retry
+    delay. */
 static void
-give_up (struct dsp *d, struct dsp_req *q, enum dsp_code unrun,
-         enum dsp_code ran)
+give_up (struct dsp *d, struct dsp_req *q, enum dsp_code if_not_executed,
+         enum dsp_code if_executed)
 {
-  dsp_give_up (d, q, unrun, ran, retry_after (d, q->pool));
+  dsp_give_up (d, q, if_not_executed, if_executed,
+               estimate_retry_ms (d, q->pool));
 }
 
 static void
-again (struct dsp *d, struct dsp_req *q)
+requeue (struct dsp *d, struct dsp_req *q)
 {
   struct dsp_pool *p = q->pool;
 
   dsp_enqueue (d, q, true);
-  dsp_pump (d, p);
+  dsp_send_queued (d, p);
 }
 
 static bool
-may_send_again (struct dsp *d, const struct dsp_req *q)
+take_retry (struct dsp *d, const struct dsp_req *q)
 {
-  return q->sends < q->route->max_attempts && d->now < q->deadline
-         && dsp_budget_repeat (d, q->pool);
+  return q->sent_attempts < q->route->max_attempts && d->now < q->deadline
+         && dsp_budget_take_retry (d, q->pool);
 }
 
 void
-dsp_attempt_lost (struct dsp *d, struct dsp_req *q, enum dsp_code code)
+dsp_attempt_failed (struct dsp *d, struct dsp_req *q, enum dsp_code code)
 {
-  bool more = q->repeatable && !dsp_suspects (d, q) && may_send_again (d, q);
+  bool retry = q->retryable && !dsp_is_suspect (d, q) && take_retry (d, q);
 
-  avoid (q);
+  mark_tried (q);
   cancel_attempt (d, q);
-  if (!more)
+  if (!retry)
     {
       give_up (d, q, code, code);
       return;
     }
-  d->figures.resumed += q->passing;
-  dsp_step (q, DSP_X_RETRY);
-  again (d, q);
+  d->stats.resumed += q->forwarded;
+  dsp_transition (q, DSP_X_RETRY);
+  requeue (d, q);
 }
 
 /* --- events of an attempt ---------------------------------------------- */
@@ -363,12 +370,12 @@
   d->now = now;
   if (!q || (q->state != DSP_S_CONNECTING && q->state != DSP_S_RECONNECTING))
     return false;
-  dsp_step (q, DSP_X_SENT);
-  q->sends++;
-  q->sent_at = q->heard = now;
-  q->unbegun = true;
-  d->figures.sent++;
-  d->figures.repeated += q->sends > 1;
+  dsp_transition (q, DSP_X_SENT);
+  q->sent_attempts++;
+  q->sent_at = q->last_data_at = now;
+  q->awaits_first_event = true;
+  d->stats.sent++;
+  d->stats.repeated += q->sent_attempts > 1;
   return true;
 }
 
@@ -380,32 +387,33 @@
   d->now = now;
   if (!q || (q->state != DSP_S_CONNECTING && q->state != DSP_S_RECONNECTING))
     return;
-  /* Nothing was sent, so even what must run once may go elsewhere. */
-  dsp_health_bad (d, q->server);
-  avoid (q);
-  leave_server (q);
-  dsp_step (q, DSP_X_UNRUN);
-  if (++q->connects_failed >= CONNECTS_MOST)
-    give_up (d, q, DSP_CONNECT, DSP_BROKEN);
+  /* Nothing was sent, so a retry is safe even for a request that must be
+     executed at most once. */
+  dsp_health_failure (d, q->endpoint);
+  mark_tried (q);
+  release_endpoint (q);
+  dsp_transition (q, DSP_X_UNRUN);
+  if (++q->connect_failures >= MAX_CONNECT_FAILURES)
+    give_up (d, q, DSP_NO_CONNECTION, DSP_INTERRUPTED);
   else
-    again (d, q);
+    requeue (d, q);
 }
 
-/** The backend server says that it did not run the request. */
+/** The backend server reports that it did not execute the request. */
 static void
-on_unrun (struct dsp *d, struct dsp_req *q)
+on_not_executed (struct dsp *d, struct dsp_req *q)
 {
-  struct dsp_server *s = q->server;
-  bool more = may_send_again (d, q);
+  struct dsp_endpoint_state *s = q->endpoint;
+  bool retry = take_retry (d, q);
 
-  s->full_until = d->now + TICK_MS;
-  avoid (q);
+  s->full_until = d->now + TICK_INTERVAL_MS;
+  mark_tried (q);
   cancel_attempt (d, q);
-  dsp_step (q, DSP_X_UNRUN);
-  if (more)
-    again (d, q);
+  dsp_transition (q, DSP_X_UNRUN);
+  if (retry)
+    requeue (d, q);
   else
-    give_up (d, q, DSP_UNRUN, DSP_BROKEN);
+    give_up (d, q, DSP_REFUSED, DSP_INTERRUPTED);
 }
 
 void
@@ -417,41 +425,43 @@
   d->now = now;
   if (!q || (q->state != DSP_S_SENT && q->state != DSP_S_RESENT))
     return;
-  q->heard = q->server->heard = now;
+  q->last_data_at = q->endpoint->last_data_at = now;
   switch (head)
     {
     case DSP_HEAD_GOOD:
       break;
     case DSP_HEAD_UNRUN:
-      on_unrun (d, q);
+      on_not_executed (d, q);
       break;
     case DSP_HEAD_ERROR:
-      q->error = true;
-      dsp_health_bad (d, q->server);
-      /* An error in place of the rest of a stream is no part of it. */
-      if (q->passing || (q->repeatable && q->sends < q->route->max_attempts))
-        dsp_attempt_lost (d, q, DSP_BROKEN);
+      q->error_response = true;
+      dsp_health_failure (d, q->endpoint);
+      /* An error response to a resumed stream can't be appended to what the
+         client already has. */
+      if (q->forwarded
+          || (q->retryable && q->sent_attempts < q->route->max_attempts))
+        dsp_attempt_failed (d, q, DSP_INTERRUPTED);
       break;
     case DSP_HEAD_FINAL:
-      if (q->passing)
-        dsp_attempt_lost (d, q, DSP_BROKEN);
+      if (q->forwarded)
+        dsp_attempt_failed (d, q, DSP_INTERRUPTED);
       break;
     }
 }
 
 static void
-begin (struct dsp *d, struct dsp_req *q)
+on_first_event (struct dsp *d, struct dsp_req *q)
 {
-  settle_unbegun (q);
-  q->begun = true;
-  q->begun_at = d->now;
-  q->server->begun++;
-  dsp_health_begun (d, q->server, d->now - q->sent_at);
+  end_prefill (q);
+  q->streaming = true;
+  q->first_event_at = d->now;
+  q->endpoint->own_streaming++;
+  dsp_health_first_event (d, q->endpoint, d->now - q->sent_at);
   if (q->state == DSP_S_PASSING)
     return;
-  dsp_step (q, DSP_X_PASS);
-  q->passing = true;
-  dsp_act (d, DSP_ACT_PASS, q);
+  dsp_transition (q, DSP_X_PASS);
+  q->forwarded = true;
+  dsp_add_action (d, DSP_ACT_PASS, q);
 }
 
 void
@@ -463,10 +473,10 @@
   d->now = now;
   if (!q)
     return;
-  q->heard = q->server->heard = now;
-  q->server->stalled = false;
-  if (event && !q->begun)
-    begin (d, q);
+  q->last_data_at = q->endpoint->last_data_at = now;
+  q->endpoint->stalled = false;
+  if (event && !q->streaming)
+    on_first_event (d, q);
 }
 
 void
@@ -480,20 +490,21 @@
       || (q->state != DSP_S_SENT && q->state != DSP_S_RESENT
           && q->state != DSP_S_PASSING))
     return;
-  if (!q->begun)
+  if (!q->streaming)
     {
-      settle_unbegun (q);
-      dsp_health_begun (d, q->server, now - q->sent_at);
+      end_prefill (q);
+      dsp_health_first_event (d, q->endpoint, now - q->sent_at);
     }
-  dsp_health_good (d, q->server);
-  /* An error may come before the run has begun. */
-  if (d->opt.poison && !q->error)
+  dsp_health_success (d, q->endpoint);
+  /* An error response doesn't prove that execution had begun. */
+  if (d->opt.poison && !q->error_response)
     psn_completed (d->opt.poison, now, q->digest);
   ms = (double)(now - q->sent_at);
-  q->pool->run_ms += (q->pool->run_ms > 0 ? 0.05 : 1) * (ms - q->pool->run_ms);
-  dsp_step (q, DSP_X_WHOLE);
-  dsp_act (d, DSP_ACT_END, q);
-  forget (d, q);
+  q->pool->response_ms
+      += (q->pool->response_ms > 0 ? 0.05 : 1) * (ms - q->pool->response_ms);
+  dsp_transition (q, DSP_X_WHOLE);
+  dsp_add_action (d, DSP_ACT_END, q);
+  finish_request (d, q);
 }
 
 void
@@ -504,53 +515,55 @@
   d->now = now;
   if (!q || q->state == DSP_S_CONNECTING || q->state == DSP_S_RECONNECTING)
     return;
-  dsp_health_bad (d, q->server);
-  dsp_run_broken (d, q);
-  dsp_attempt_lost (d, q, DSP_BROKEN);
+  dsp_health_failure (d, q->endpoint);
+  dsp_run_interrupted (d, q);
+  dsp_attempt_failed (d, q, DSP_INTERRUPTED);
 }
 
-/* --- arrival, leave, time ---------------------------------------------- */
+/* --- arrival, cancellation, time --------------------------------------- */
 
 static clk_ms
-wait_until (const struct dsp_req *q)
+queue_deadline (const struct dsp_req *q)
 {
-  return q->queued_at + (clk_ms)(WAIT_PART * (double)q->route->goal_ms);
+  return q->queued_at
+         + (clk_ms)(QUEUE_TIME_FRACTION * (double)q->route->goal_ms);
 }
 
 void
 dsp_arrive (struct dsp *d, clk_ms now, const struct dsp_request *in)
 {
   struct dsp_req *q;
-  clk_ms again_ms;
+  clk_ms retry_ms;
 
   d->now = now;
   if (find_request (d, in->id))
     return;
-  if (d->open == 0)
-    d->judged_at = now;
+  if (d->open_count == 0)
+    d->last_check_at = now;
   q = add_request (d, in);
-  d->figures.arrived++;
-  if (d->leaving)
+  d->stats.arrived++;
+  if (d->shutting_down)
     {
-      dsp_step (q, DSP_X_REFUSE);
-      answer (d, q, DSP_LEAVING, RETRY_LEAST_MS);
+      dsp_transition (q, DSP_X_REFUSE);
+      respond_error (d, q, DSP_SHUTTING_DOWN, MIN_RETRY_MS);
       return;
     }
-  if (d->opt.poison && psn_refuses (d->opt.poison, now, q->digest, &again_ms))
+  if (d->opt.poison && psn_refuses (d->opt.poison, now, q->digest, &retry_ms))
     {
-      dsp_step (q, DSP_X_REFUSE);
-      answer (d, q, DSP_POISON, again_ms);
+      dsp_transition (q, DSP_X_REFUSE);
+      respond_error (d, q, DSP_POISON, retry_ms);
       return;
     }
-  dsp_budget_request (d, q->pool);
-  dsp_limit_asked (d, q);
-  dsp_step (q, DSP_X_WAIT);
+  dsp_budget_count_request (d, q->pool);
+  dsp_limit_count_request (d, q);
+  dsp_transition (q, DSP_X_WAIT);
   dsp_enqueue (d, q, false);
-  dsp_pump (d, q->pool);
+  dsp_send_queued (d, q->pool);
   if (q->queued
-      && (dsp_limit_yields (d, q->pool, q)
-          || now + dsp_limit_wait (d, q->pool) > wait_until (q)))
-    dsp_give_up (d, q, DSP_LIMITED, DSP_BROKEN, dsp_limit_refuse (d, q->pool));
+      && (dsp_limit_must_defer (d, q->pool, q)
+          || now + dsp_limit_wait_ms (d, q->pool) > queue_deadline (q)))
+    dsp_give_up (d, q, DSP_RATE_LIMITED, DSP_INTERRUPTED,
+                 dsp_limit_reject (d, q->pool));
 }
 
 void
@@ -562,58 +575,60 @@
   if (!q)
     return;
   cancel_attempt (d, q);
-  forget (d, q);
+  finish_request (d, q);
 }
 
 void
 dsp_leave (struct dsp *d)
 {
-  d->leaving = true;
+  d->shutting_down = true;
 }
 
-/** A whole answer in one piece is overdue, and another place may do better. */
+/** Whether an idempotent request's response is overdue and a retry is
+    allowed. */
 static bool
-is_silent (const struct dsp *d, const struct dsp_req *q)
+is_overdue (const struct dsp *d, const struct dsp_req *q)
 {
   return q->route->kind == TBL_IDEMPOTENT && q->state == DSP_S_SENT
-         && q->sends < q->route->max_attempts
+         && q->sent_attempts < q->route->max_attempts
          && (double)(d->now - q->sent_at)
-                > SILENT_FACTOR * (double)q->route->goal_ms;
+                > RESPONSE_TIMEOUT_FACTOR * (double)q->route->goal_ms;
 }
 
-/** Why a request has found no place. */
+/** Reason for which the pool has no endpoint for a request. */
 static enum dsp_code
-why_none (const struct dsp *d, const struct dsp_pool *p)
+no_endpoint_code (const struct dsp *d, const struct dsp_pool *p)
 {
-  if (!dsp_any_place (d, p))
+  if (!dsp_any_usable (d, p))
     return DSP_NO_SERVER;
-  return dsp_limit_all (d, p) ? DSP_LIMITED : DSP_OVERLOAD;
+  return dsp_limit_all (d, p) ? DSP_RATE_LIMITED : DSP_OVERLOAD;
 }
 
 static void
-tick_request (struct dsp *d, struct dsp_req *q)
+check_timeouts (struct dsp *d, struct dsp_req *q)
 {
-  enum dsp_code none = why_none (d, q->pool);
+  enum dsp_code code = no_endpoint_code (d, q->pool);
 
   if (d->now >= q->deadline)
-    give_up (d, q, none, DSP_DEADLINE);
-  else if (q->queued && d->now >= wait_until (q))
-    give_up (d, q, none, DSP_BROKEN);
-  else if (is_silent (d, q))
+    give_up (d, q, code, DSP_DEADLINE);
+  else if (q->queued && d->now >= queue_deadline (q))
+    give_up (d, q, code, DSP_INTERRUPTED);
+  else if (is_overdue (d, q))
     {
-      dsp_health_bad (d, q->server);
-      dsp_attempt_lost (d, q, DSP_DEADLINE);
+      dsp_health_failure (d, q->endpoint);
+      dsp_attempt_failed (d, q, DSP_DEADLINE);
     }
 }
 
-/** Whether to leave it to the next tick to judge by silence and time; that one
-    judges in any case, else a node with too little processor never would. */
+/** Whether this tick is too late to check timeouts. The next tick checks them
+    in any case; otherwise a node that is short of CPU time would never time
+    out a request. */
 static bool
-skips (struct dsp *d, clk_ms now)
+skip_late_tick (struct dsp *d, clk_ms now)
 {
-  d->skipped = !d->skipped && now - d->judged_at > LATE_MS;
-  d->judged_at = now;
-  return d->skipped;
+  d->skipped_tick = !d->skipped_tick && now - d->last_check_at > LATE_TICK_MS;
+  d->last_check_at = now;
+  return d->skipped_tick;
 }
 
 void
@@ -622,43 +637,44 @@
   struct dsp_req *next;
 
   d->now = d->ticked_at = now;
-  if (skips (d, now))
+  if (skip_late_tick (d, now))
     return;
   dsp_health_tick (d);
-  /* A step may end its own request and send others, but ends no other one. */
+  /* This may free q and dispatch other requests, but it frees no other
+     request. */
   for (struct dsp_req *q = d->open_list; q; q = next)
     {
       next = q->next;
-      tick_request (d, q);
+      check_timeouts (d, q);
     }
   for (size_t i = 0; i < d->npools; i++)
-    dsp_pump (d, d->pools[i]);
+    dsp_send_queued (d, d->pools[i]);
 }
 
 clk_ms
 dsp_wake (const struct dsp *d)
 {
-  /* From the last tick, not from the last event: of these there are so many
-     that a tick would never be due. */
-  return d->open ? d->ticked_at + TICK_MS : CLK_NEVER;
+  /* Measured from the last tick, not from the last event: events are so
+     frequent that a tick would never become due. */
+  return d->open_count ? d->ticked_at + TICK_INTERVAL_MS : CLK_NEVER;
 }
 
-/* --- life -------------------------------------------------------------- */
+/* --- construction ------------------------------------------------------ */
 
 struct dsp *
 dsp_new (const struct dsp_options *opt, uint64_t seed)
 {
   struct dsp *d = xcalloc (1, sizeof *d);
 
-  if (!table_read)
-    read_table ();
+  if (!transitions_loaded)
+    load_transitions ();
   d->opt = *opt;
   d->zone = str_dup (opt->zone);
   d->opt.zone = str_from (d->zone);
-  d->nodes = 1;
+  d->node_count = 1;
   rng_seed (&d->rng, seed);
-  d->table_size = TABLE_FIRST;
-  d->table = xcalloc (d->table_size, sizeof *d->table);
+  d->by_id_size = INITIAL_BUCKETS;
+  d->by_id = xcalloc (d->by_id_size, sizeof *d->by_id);
   return d;
 }
 
@@ -677,13 +693,13 @@
       free (d->budgets[i]);
     }
   for (size_t i = 0; i < d->npeers; i++)
-    free (d->peers[i].counts);
+    free (d->peers[i].loads);
   free (d->pools);
   free (d->budgets);
   free (d->peers);
-  free (d->table);
+  free (d->by_id);
   free (d->actions);
-  free (d->own);
+  free (d->own_loads);
   free (d->zone);
   free (d);
 }
@@ -691,11 +707,11 @@
 size_t
 dsp_open (const struct dsp *d)
 {
-  return d->open;
+  return d->open_count;
 }
 
 const struct dsp_figures *
 dsp_figures (const struct dsp *d)
 {
-  return &d->figures;
+  return &d->stats;
 }
