--- a/serve/duty-plan.c
+++ b/serve/duty-plan.c
@@ -1,16 +1,16 @@
 #include "serve/node-int.h"
 
 /*
- * One line when the plan of a model's replicas changes, at most one a second,
- * for those who ask later why a model had few.
+ * Logs each change of a model's replica plan, at most once a second, so that
+ * an operator can find out later why a model had few replicas.
  */
 
 #define LOOK_MS ((clk_ms)1000)
 
-/** What was logged of a model last. */
+/** The last logged plan of one model. */
 struct plan_row
 {
-  uint64_t model; /**< of its names; 0: none yet */
+  uint64_t model; /**< hash of the service and model names; 0: unused row */
   unsigned wanted, formed;
   uint64_t yielded;
 };
@@ -29,7 +29,8 @@
 
   while (i < FRM_MODEL_ROWS && p->told[i].model && p->told[i].model != model)
     i++;
-  /* More models than rows: the last one's row is used for several. */
+  /* If there are more models than rows, the surplus models share the last
+     row. */
   if (i == FRM_MODEL_ROWS)
     i--;
   p->told[i].model = model;
--- a/serve/duty.c
+++ b/serve/duty.c
@@ -3,40 +3,45 @@
 #include <stdlib.h>
 
 /*
- * One node at a time gives orders to backend servers: the duty.  Its key in
- * the store lies under a lease, and the key's revision is the fencing number
- * that every order carries.
+ * Leadership: at any time one node, the leader, sends orders to the backend
+ * servers.  The leader holds a key in the store under a lease; the revision
+ * at which the key was created is the fencing number of all its orders.
  */
 
-/** A new owner is found this long after the old one has died, at most. */
+/** Lease of the leader key.  After the leader has died, a new one takes over
+    no later than this. */
 #define LEASE_MS ((clk_ms)1200)
-/** Between two nodes that may try to take the duty, so that one does: each
-    try is three priced calls.  Longer than a watch takes to tell of the first
-    that succeeds. */
+/** Delay between the attempts of two nodes of consecutive rank to become
+    leader.  It exceeds the time after which a watch reports the first
+    success, so that only one node makes an attempt, which takes three priced
+    store calls. */
 #define TURN_MS ((clk_ms)250)
-/** From this on turns are closer together: that so many in a row are gone
-   means that nearly all are. */
+/** From this total delay on, attempts follow each other at the shorter
+    TURN_LATE_MS: if the nodes of all lower ranks have made no attempt by
+    then, nearly all nodes are down. */
 #define TURN_MOST_MS ((clk_ms)3000)
 #define TURN_LATE_MS ((clk_ms)50)
-/** A node that has just started waits so long, until the entries of others
-   that start with it are there: the first to come may be the smallest. */
+/** A node makes no attempt for this long after its start.  By then the
+    entries of the nodes that start together with it are in the store; the
+    first node to register may be the smallest one. */
 #define START_MS ((clk_ms)500)
-/** Longest wait for the answer to an order, which a server gives from memory;
-    a lost packet of it is sent again after 200 ms. */
+/** Timeout of an order's answer.  The server answers from memory; the timeout
+    leaves room for one retransmission of a lost packet after 200 ms. */
 #define ORDER_MS ((clk_ms)300)
-/** Longest wait of a server that is asked whether it lives: it answers from
-    memory, so some ways between availability zones suffice. */
+/** Timeout of a probe's answer.  The server answers from memory, so a few
+    round trips between availability zones are enough. */
 #define ASK_MS ((clk_ms)200)
 #define CONNECT_MS ((clk_ms)250)
-/** The same for a question, of which the second decides. */
+/** Connect timeout of a probe.  It may be shorter, as a server counts as
+    silent only after its second unanswered probe. */
 #define ASK_CONNECT_MS ((clk_ms)150)
-/** HTTP's answer of a server that is not the one meant: the address has gone
-    to another, and the one that was asked is no more. */
+/** HTTP 421 Misdirected Request: the address now belongs to another server,
+    so the probed server no longer exists. */
 #define STATUS_MISDIRECTED 421
 
-/** Orders and questions under way at once.  A thousand servers join at a
-    start, each call is a connection of its own, and the descriptors of a small
-    VM, some four thousand, are for its callers. */
+/** Limit on concurrent orders and probes.  Each uses a connection of its own,
+    a thousand servers may join at a start, and a small VM's roughly four
+    thousand file descriptors are reserved for its callers. */
 #define CALLS_MOST 64
 
 struct duty_call;
@@ -48,21 +53,21 @@
   struct frm *form;
   struct buf key;
   bool held_by_other;
-  clk_ms free_since; /* nobody has held the key since; 0: somebody does */
+  clk_ms free_since; /* when the leader key disappeared; 0: it exists */
   clk_ms started;
   clk_ms next_tick;
   struct duty_call *calls;
   unsigned ncalls;
 };
 
-/** An order or a question on its way. */
+/** An order or a probe in flight. */
 struct duty_call
 {
   struct srv_duty *d;
   struct duty_call *next;
   struct httpc_call *http;
   uint64_t token;
-  uint64_t term; /* fencing number under which it went out */
+  uint64_t term; /* fencing number at the time of sending */
   bool is_order;
   enum frm_order_kind order;
   bool sent;
@@ -77,7 +82,7 @@
 {
   struct duty_call *c = ctx;
 
-  /* The lease may have lapsed while the connection was opened. */
+  /* The lease may have expired while the connection was being opened. */
   if (c->is_order && !own_may_order (c->d->own, clk_now ()))
     return false;
   c->sent = true;
@@ -134,7 +139,8 @@
       LOG (order_ended, LOG_C ("server", c->vm), LOG_I ("number", c->token),
            LOG_I ("status", c->status));
       frm_order_done (d->form, now, c->token, result);
-      /* Who joins is not ready at once. */
+      /* A server that accepted a join is not ready immediately; for any other
+         result the list is read again at once. */
       if (c->order != FRM_JOIN || result != FRM_ACCEPTED)
         srv_sync_hurry (d->s, now);
     }
@@ -200,9 +206,10 @@
     }
 }
 
-/* --- the lease --------------------------------------------------------- */
+/* --- the lease of the leader key ---------------------------------------- */
 
-/** A store call of the lease; the core knows it by its token. */
+/** A store call for the lease; the ownership core identifies it by its
+    token. */
 struct lease_call
 {
   struct srv_duty *d;
@@ -290,7 +297,8 @@
   return s->duty && own_state (s->duty->own) == OWN_HOLDING;
 }
 
-/** How long a node lets those try that come before it. */
+/** Delay after which a node of this rank makes its attempt to become
+    leader. */
 static clk_ms
 turn_ms (unsigned rank)
 {
@@ -301,8 +309,9 @@
   return TURN_MOST_MS + (clk_ms)(rank - TURN_MOST_MS / TURN_MS) * TURN_LATE_MS;
 }
 
-/** Whether this node should try for the duty: nobody holds it, and those that
-    come before this one had their turn. */
+/** Whether this node should try to become leader, or stay leader: no other
+    node is leader, and the nodes of lower rank have had time for their
+    attempts. */
 static bool
 wants (const struct srv_duty *d, clk_ms now)
 {
