--- a/serve/table.c
+++ b/serve/table.c
@@ -11,8 +11,8 @@
   return t;
 }
 
-/** By host; within one, longer prefixes first, so that the first match of a
-    scan is the longest. */
+/** Orders routes by host; within a host, longer prefixes come first, so that
+    the first match of a linear scan is the longest one. */
 static int
 compare_routes (const void *a, const void *b)
 {
@@ -59,7 +59,7 @@
   free (t);
 }
 
-/** First route of @p host, or t->nroutes. */
+/** Index of the first route of @p host, or where it would be inserted. */
 static size_t
 first_of_host (const struct tbl *t, struct str host)
 {
--- a/serve/table.h
+++ b/serve/table.h
@@ -1,11 +1,11 @@
 /**
  * @file
- * The routing table: operators' configuration of one version in the form in
- * which a node uses it for each request.
+ * Routing table: one version of the operators' configuration in the form in
+ * which a node looks up each request.
  *
- * A table is built once by the platform's adapter, never changes afterwards
- * and lives as long as somebody holds a reference, so that work in flight
- * goes on under the version it began with.
+ * The platform's adapter builds a table; after that it is immutable.  Tables
+ * are reference-counted, so a request in flight keeps the version under which
+ * it was accepted.
  */
 #ifndef LAPISLINE_SERVE_TABLE_H
 #define LAPISLINE_SERVE_TABLE_H
@@ -13,43 +13,46 @@
 #include "base/clock.h"
 #include "config/arena.h"
 
-/** What may be repeated of a route's requests. */
+/** Which requests of a route may be run again. */
 enum tbl_kind
 {
-  TBL_IDEMPOTENT, /**< may run more than once */
-  TBL_ONCE,       /**< runs at most once for each try of the caller */
+  TBL_IDEMPOTENT, /**< may run any number of times */
+  TBL_ONCE,       /**< runs at most once per attempt of the caller */
   TBL_STREAM      /**< a stream of events; as TBL_ONCE unless resumable */
 };
 
-/** A model of a service whose replicas are formed from several VMs. */
+/** A model of a service; each of its replicas consists of several VMs. */
 struct tbl_model
 {
   struct str name;
-  unsigned size;  /**< VMs of one replica */
-  double share;   /**< expected part of the service's work, 0 to 1 */
-  double pace;    /**< factor on the engine's times; below 1 is faster */
-  clk_ms load_ms; /**< from the weight store */
-  clk_ms warm_ms; /**< from the VM's own memory */
+  unsigned size;  /**< number of VMs per replica */
+  double share;   /**< expected share of the service's work, 0 to 1 */
+  double pace;    /**< factor on processing times; below 1 is faster */
+  clk_ms load_ms; /**< load time from the weight store */
+  clk_ms warm_ms; /**< load time from the memory of the VM's host */
 };
 
 struct tbl_service
 {
   struct str name;
   struct str health_path;
-  struct tbl_model
-      *models; /**< none: its backend servers serve by themselves */
+  struct tbl_model *models; /**< empty: each backend server of the service
+                               takes requests by itself */
   size_t nmodels;
-  unsigned capacity;  /**< requests at once of one replica; 0: as reported */
-  double kv_tokens;   /**< memory of one replica, in tokens; 0: not limited */
-  double loads_per_s; /**< loads that may begin at the weight store */
-  unsigned loads_at_once; /**< beyond these, loads share its bandwidth */
-  unsigned host_keeps;    /**< models that a VM's host keeps in its memory */
-  clk_ms pass_ms;     /**< between two events of a stream on an idle replica */
-  double read_per_ms; /**< prompt tokens that a replica of pace 1 reads; 0: not
-                           known */
+  unsigned capacity;  /**< concurrent requests per replica; 0: as the server
+                           reports */
+  double kv_tokens;   /**< KV cache of one replica, in tokens; 0: unlimited */
+  double loads_per_s; /**< load starts allowed at the weight store */
+  unsigned loads_at_once; /**< above this number, concurrent loads share the
+                               bandwidth of the weight store */
+  unsigned host_keeps;    /**< models that a VM's host keeps in memory */
+  clk_ms pass_ms;     /**< interval between two events of a stream on an idle
+                           replica */
+  double read_per_ms; /**< prefill rate, in prompt tokens per ms, of a replica
+                           of pace 1; 0: unknown */
 };
 
-/** One service of a route and its part of the traffic. */
+/** A service of a route and its weight in the route's traffic. */
 struct tbl_target
 {
   const struct tbl_service *service;
@@ -60,16 +63,19 @@
 {
   struct str name;
   struct str host;
-  struct str prefix; /**< of the path; begins and ends with a slash */
+  struct str prefix; /**< path prefix; begins and ends with a slash */
   enum tbl_kind kind;
-  clk_ms timeout_ms;     /**< longest time that a caller is kept waiting */
-  clk_ms goal_ms;        /**< to the whole answer, or a stream's first event */
-  clk_ms gap_ms;         /**< longest pause between events that is on time; 0:
-                              none declared */
+  clk_ms timeout_ms;     /**< longest time that a caller waits */
+  clk_ms goal_ms;        /**< goal for the time to the complete answer, or to
+                              the first event of a stream */
+  clk_ms gap_ms;         /**< longest gap between two events of a stream that
+                              counts as on time; 0: no limit declared */
   unsigned priority;     /**< 0 is the highest */
-  unsigned max_attempts; /**< backend servers that one request may reach */
-  bool open;             /**< needs no key */
-  bool resumable;        /**< a stream may go on at another replica */
+  unsigned max_attempts; /**< limit on the backend servers that one request is
+                              sent to */
+  bool open;             /**< requests need no key */
+  bool resumable;        /**< an interrupted stream may continue on another
+                              replica */
   const struct tbl_target *targets;
   size_t ntargets;
   unsigned weight_sum;
@@ -79,7 +85,7 @@
 struct tbl_account
 {
   struct str name;
-  bool has_priority; /**< priority goes before the route's */
+  bool has_priority; /**< `priority` overrides the route's */
   unsigned priority;
 };
 
@@ -89,36 +95,37 @@
   const struct tbl_account *account;
 };
 
-/** Bounds on what callers send; 0: not set. */
+/** Limits on requests; 0: no limit. */
 struct tbl_limits
 {
   size_t max_header;
   size_t max_body;
-  clk_ms header_ms; /**< to send a whole head */
-  clk_ms idle_ms;   /**< between requests of one connection */
+  clk_ms header_ms; /**< time to send the complete request head */
+  clk_ms idle_ms;   /**< time between two requests on one connection */
 };
 
 struct tbl
 {
   int64_t version;
-  struct tbl_route *routes; /**< by host, then longest prefix first */
+  struct tbl_route *routes; /**< sorted by host, then longest prefix first */
   size_t nroutes;
   struct tbl_service *services;
   size_t nservices;
   struct tbl_account *accounts;
   size_t naccounts;
-  struct tbl_key *keys; /**< sorted */
+  struct tbl_key *keys; /**< sorted by key */
   size_t nkeys;
-  bool has_accounts; /**< without any, no request needs a key */
+  bool has_accounts; /**< without accounts, no request needs a key */
   struct tbl_limits limits;
-  struct arena arena; /**< owns every string and array above */
+  struct arena arena; /**< owns all strings and arrays above */
   unsigned refs;
 };
 
-/** An empty table with one reference; the caller fills it, then tbl_seal(). */
+/** Create an empty table with one reference.  Fill it, then call
+    tbl_seal(). */
 struct tbl *tbl_new (void);
 
-/** Put routes and keys in order, after which look-ups work. */
+/** Sort routes and keys; the lookup functions require it. */
 void tbl_seal (struct tbl *t);
 
 struct tbl *tbl_ref (struct tbl *t);
@@ -127,7 +134,7 @@
 /** "idempotent", "once" or "stream". */
 const char *tbl_kind_name (enum tbl_kind k);
 
-/** The route with the longest prefix of @p path, or NULL. */
+/** The route of @p host with the longest prefix of @p path, or NULL. */
 const struct tbl_route *tbl_find_route (const struct tbl *t, struct str host,
                                         struct str path);
 const struct tbl_service *tbl_find_service (const struct tbl *t,
@@ -135,19 +142,19 @@
 const struct tbl_model *tbl_find_model (const struct tbl_service *s,
                                         struct str name);
 
-/** The account that holds @p key, or NULL. */
+/** The account to which @p key belongs, or NULL. */
 const struct tbl_account *tbl_find_account (const struct tbl *t,
                                             struct str key);
 
 /**
- * Service of a route by its weights.
+ * Choose one of a route's services at random, by weight.
  * @param x  uniform in [0, 1)
  */
 const struct tbl_service *tbl_pick_service (const struct tbl_route *r,
                                             double x);
 
-/** Whether a request of this route may be given to a second backend server
-    after the first may have run it. */
+/** Whether a request of this route may be sent to a second backend server
+    after the first one may have run it. */
 bool tbl_repeatable (const struct tbl_route *r);
 
 #endif
