--- a/serve/node-int.h
+++ b/serve/node-int.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * What the files of a node's process share.
+ * Internal interfaces of the node process.
  */
 #ifndef LAPISLINE_SERVE_NODE_INT_H
 #define LAPISLINE_SERVE_NODE_INT_H
@@ -39,10 +39,12 @@
   uint64_t boot;
   struct httpc *http;
   struct store *store;
-  struct pau store_pause; /**< of all reads, and of the own entry */
+  struct pau store_pause; /**< backoff of all store reads and of the calls for
+                               this node's entry */
   struct httpd *front, *ready, *address;
   struct met_reg *met;
-  struct tbl *table; /**< NULL: none is known yet */
+  struct tbl *table; /**< routing table in force; NULL: no configuration was
+                          read yet */
   struct bks *backends;
   struct dsp *dispatch;
   struct psn *poison;
@@ -55,23 +57,26 @@
   struct srv_plan *plan;
   struct srv_peers *peers;
   struct srv_exchange *exchanges;
-  struct srv_held *held;  /**< requests that wait for the store */
-  struct buf places_told; /**< what was logged of them last */
+  struct srv_held *held;  /**< requests deferred until the store answers after
+                               a pause */
+  struct buf places_told; /**< endpoints as last logged */
   uint64_t next_id;
-  bool acting;      /**< actions are being carried out */
-  bool traffic;     /**< a request has come */
-  bool first_start; /**< no node ran here before: nothing can have lapsed */
-  clk_ms ticked_at; /**< last tick; 0: none */
-  clk_ms leaving_since; /**< 0: not leaving */
+  bool acting;      /**< dispatch actions are being run */
+  bool traffic;     /**< at least one request was received */
+  bool first_start; /**< first start of the system: no entry can have expired
+                         before */
+  clk_ms ticked_at; /**< time of the last tick; 0: none */
+  clk_ms leaving_since; /**< start of the shutdown; 0: not shutting down */
 };
 
 /* node.c */
-/** Find out whether this process did not run until now.  Called with each
-   tick, and before a request is judged, as sockets may be read first. */
+/** Detect that this process was suspended.  Called on each tick, and before
+    each request is admitted, as the event loop may read sockets before it
+    runs the timer. */
 void srv_check_pause (struct srv *s, clk_ms now);
 /** Whether callers may be sent to this node. */
 bool srv_is_ready (const struct srv *s);
-/** The table or the list of backend servers changed. */
+/** The routing table or the list of backend servers has changed. */
 void srv_places_changed (struct srv *s);
 
 /* config.c: the configuration in force */
@@ -79,81 +84,86 @@
 void srv_config_tick (struct srv *s, clk_ms now);
 /** Version in force; 0: none. */
 int64_t srv_config_version (const struct srv *s);
-/** When it was last known to be the newest; 0: never. */
+/** Last point in time at which the version in force was the newest; 0: never
+    confirmed. */
 clk_ms srv_config_known_at (const struct srv *s);
-/** How long ago that was; -1: never. */
+/** Time since srv_config_known_at(); -1: never confirmed. */
 clk_ms srv_config_age (const struct srv *s, clk_ms now);
-/** How far to rely on it. */
+/** Whether the version in force is confirmed to be the newest. */
 enum cur_trust srv_config_trust (const struct srv *s, clk_ms now);
 /**
- * Its document, for other nodes.
- * @retval false  it is too long to be sent to so many
+ * Document of the version in force, to be pushed to other nodes.
+ * @param nodes  number of nodes that it would be sent to
+ * @retval false  sending it to that many nodes would take too long
  */
 bool srv_config_text (const struct srv *s, size_t nodes, struct str *text);
-/** Another node has pushed this document. */
+/** A document was pushed by another node. */
 void srv_config_pushed (struct srv *s, int64_t version, struct str text);
-/** Another node says how current its own is. */
+/** Another node has announced its version and when that was confirmed. */
 void srv_config_announced (struct srv *s, clk_ms now,
                            const struct cur_announcement *a);
-/** This process goes on after a pause. */
+/** This process has resumed after a pause. */
 void srv_config_resumed (struct srv *s, clk_ms now);
 
-/* sync.c: backend servers out of the store */
+/* sync.c: list of backend servers in the store */
 void srv_sync_start (struct srv *s);
 void srv_sync_tick (struct srv *s, clk_ms now);
-/** The list that this node has was the newest at @p current_at, as another one
-    says that has read it. */
+/** Another node has reported that it read the list that this node has; the
+    list was current at @p current_at. */
 void srv_sync_heard (struct srv *s, clk_ms current_at);
-/** Age of the list of backend servers, by whoever read it. */
+/** Age of the list of backend servers, whether this or another node read it;
+    -1: there is no list. */
 clk_ms srv_sync_list_age (const struct srv *s, clk_ms now);
-/** This process goes on after a pause. */
+/** This process has resumed after a pause. */
 void srv_sync_resumed (struct srv *s, clk_ms now);
-/** Whether the list is still the one from before the pause, and old; a newer
-    one is due at once. */
+/** Whether the list is still the outdated one from before the pause of this
+    process and the wait for a new one has not timed out. */
 bool srv_sync_is_resuming (const struct srv *s, clk_ms now);
-/** As the last reading says; see struct store_result. */
+/** Restore counter of the store at the last read; see struct store_result. */
 int64_t srv_sync_era (const struct srv *s);
-/** Age of the last reading by this node. */
+/** Time since this node's last successful read. */
 clk_ms srv_sync_age (const struct srv *s, clk_ms now);
-/** Entries of the last reading that name no server to use. */
+/** Number of entries that could not be parsed in the last read. */
 size_t srv_sync_unread (const struct srv *s);
-/** Read the list of backend servers soon: something there has changed. */
+/** Read the list of backend servers soon, as it has probably changed. */
 void srv_sync_hurry (struct srv *s, clk_ms now);
 
-/* register.c: this node's entry, those of the others, what all nodes share */
+/* register.c: this node's entry, the other nodes' entries, shared keys */
 void srv_register_start (struct srv *s);
 void srv_register_tick (struct srv *s, clk_ms now);
-/** Take the own entry back. */
+/** Revoke the lease of this node's entry. */
 void srv_register_end (struct srv *s);
-/** Whether this node is one of very many and no hub: it leaves to these what
-    they can tell it. */
+/** Whether this node is a leaf: there are more nodes than a full mesh allows,
+    and it is not one of the relays.  A leaf receives from its relays what
+    other nodes read from the store. */
 bool srv_register_follows (const struct srv *s);
-/** This node as its entry describes it. */
+/** This node as described by its entry. */
 struct hub_node srv_spec (const struct srv *s);
-/** Whether it is known that nobody holds the key of the duty. */
+/** Whether the store is known to have no leader key. */
 bool srv_register_duty_free (const struct srv *s);
-/** How many of the known nodes come before this one in an order that is the
-    same at all of them. */
+/** Rank of this node: how many of the known nodes precede it in the order
+    that all nodes share. */
 unsigned srv_register_rank (const struct srv *s);
 
-/* duty-plan.c: what is said of the plan of replicas */
+/* duty-plan.c: log of the replica plan */
 void srv_plan_start (struct srv *s);
-/** Look at it, and log what has changed. */
+/** Compare the plan with the last logged one and log the changes. */
 void srv_plan_look (struct srv *s, struct frm *form, clk_ms now);
 
-/* duty.c: forming replicas while this node is owner */
+/* duty.c: leadership, and the orders that form replicas */
 void srv_duty_start (struct srv *s);
 void srv_duty_tick (struct srv *s, clk_ms now);
-/** The key of the duty in the store changed. */
+/** The leader key in the store was written or deleted. @param holder  node
+    named in the key */
 void srv_duty_key (struct srv *s, bool held, struct str holder);
 void srv_duty_servers (struct srv *s);
-/** A node sees nothing move at a place. */
+/** A node observes no progress at this endpoint. */
 void srv_duty_stalled (struct srv *s, uint64_t place);
 bool srv_duty_holds (const struct srv *s);
 const struct frm_figures *srv_duty_figures (const struct srv *s);
-/** As frm_models(); none where another node forms replicas. */
+/** As frm_models(); returns 0 unless this node is leader. */
 size_t srv_duty_models (const struct srv *s, struct frm_model *out);
-/** A replica is on its way. */
+/** Whether this node is leader and is forming a replica. */
 bool srv_duty_busy (const struct srv *s);
 
 /* peers.c: links to the other nodes */
@@ -167,78 +177,89 @@
 
 bool srv_peers_start (struct srv *s, const struct link_secret *secret,
                       struct buf *err);
-/** Links that begin from now on prove this secret. */
+/** Use this secret to authenticate the links opened from now on. */
 void srv_peers_secret (struct srv *s, const struct link_secret *secret);
-/** All entries of nodes as the store has them. */
+/** Set the entries of all nodes as read from the store. */
 void srv_peers_entries (struct srv *s, const struct srv_entry *list, size_t n);
-/** Tell the other nodes what changed in the list of backend servers, if this
-    node forms replicas. */
+/** If this node is leader, send the changes of the list of backend servers to
+    the other nodes. */
 void srv_peers_servers (struct srv *s);
 void srv_peers_tick (struct srv *s, clk_ms now);
-/** Tell the other nodes of long prompts that were just sent. */
+/** Send the other nodes a notice of each long prompt that was just sent to a
+    backend server. */
 void srv_peers_notices (struct srv *s);
-/** Whether the node that forms replicas is this one, or linked and heard. */
+/** Whether this node is leader, or is linked to the leader and receives its
+    messages. */
 bool srv_peers_led (const struct srv *s, clk_ms now);
-/** Nodes that share the load, this one included: those that are linked, or
-    what a hub tells. */
+/** Number of nodes that share the load, including this one: the linked ones,
+    or the number that a relay reports. */
 unsigned srv_peers_nodes (const struct srv *s);
-/** Front addresses of the nodes that callers may be sent to. */
+/** List the front addresses of the nodes to which callers may be sent.
+    @return how many */
 size_t srv_peers_ready (struct srv *s, struct net_addr *out, size_t most);
 
 /* ingress.c */
 bool srv_ingress_start (struct srv *s, struct buf *err);
-/** Go on with the requests that wait for the store after a pause. */
+/** Admit the deferred requests once the store has answered, or the wait for
+    it has timed out. */
 void srv_ingress_tick (struct srv *s, clk_ms now);
-/** Carry out what the request core wants. */
+/** Run the pending actions of the dispatch core. */
 void srv_act (struct srv *s);
 struct srv_exchange *srv_find (const struct srv *s, uint64_t id);
 
-/** Whether other nodes rely on what this one announces. */
+/** Whether other nodes rely on this node's announcements of the
+    configuration. */
 bool srv_peers_announces (const struct srv *s);
-/** This process goes on after a pause of @p ms. */
+/** This process has resumed after a pause of @p ms. */
 void srv_peers_resumed (struct srv *s, clk_ms now, clk_ms ms);
 /** Whether any other node is linked. */
 bool srv_peers_linked (const struct srv *s);
-/** Tell the other nodes of requests that crash servers. */
+/** Send the other nodes updates of poison requests, which crash backend
+    servers. */
 void srv_peers_poison (struct srv *s, const struct psn_update *list, size_t n);
 
-/** Tell the other nodes what is new of rates that servers ask for. */
+/** Send the other nodes changes of the request rates that backend servers
+    allow. */
 void srv_peers_limits (struct srv *s);
-/** Ask at once for permits that have come to be wanted. */
+/** Request the permits that are needed now, without waiting for the next
+    tick. */
 void srv_peers_wants (struct srv *s);
 
-/* poison-node.c: requests that crash servers */
-/** Act on what is new of them. */
+/* poison-node.c: poison requests, which crash backend servers */
+/** Process new updates of poison requests. */
 void srv_poison_act (struct srv *s);
 void srv_poison_tick (struct srv *s, clk_ms now);
 
-/* poison-store.c: those that are blocked, in the store */
+/* poison-store.c: blocked poison requests in the store */
 void srv_poison_store_start (struct srv *s);
 void srv_poison_store_tick (struct srv *s, clk_ms now);
-/** It is blocked from now on, or has been cleared. */
+/** This request was blocked, or unblocked. */
 void srv_poison_changed (struct srv *s, clk_ms now, uint64_t digest,
                          bool blocked);
-/** The store has this item below the prefix of blocked requests, or has it no
-    longer. @param name  of the key, behind that prefix */
+/** An item below the prefix of blocked requests was read from the store, or
+    was deleted there. @param name  rest of the key after that prefix */
 void srv_poison_item (struct srv *s, bool deleted, struct str name,
                       struct str value);
-/** All items are read anew: what does not come again is gone. */
+/** All items are about to be read again; those that are not read again are
+    deleted. */
 void srv_poison_reread (struct srv *s);
 
 /* check.c */
-/** Ask the backend server of a DSP_ACT_CHECK whether its process lives. */
+/** Probe the backend server of a DSP_ACT_CHECK to find out whether its
+    process is alive. */
 void srv_check_server (struct srv *s, const struct dsp_action *a);
 
 /* metrics.c */
-/** Where they are read, at the address of readiness. */
+/** Path of the metrics, on the listener for readiness. */
 #define SRV_METRICS_PATH "/metrics"
 void srv_metrics_start (struct srv *s);
-/** All counters and histograms in the text exposition format. */
+/** All metrics in the Prometheus text exposition format. */
 void srv_metrics (struct srv *s, struct buf *out);
-/** A request has ended. @param status of the answer; 0: the caller left */
+/** Count a request that has ended. @param status  of the answer; 0: the
+    caller disconnected */
 void srv_metrics_request (struct srv *s, const char *kind, int status,
                           const char *code, clk_ms ms);
-/** The first event of a stream went to its caller. */
+/** Record the time to the first event of a stream. */
 void srv_metrics_first (struct srv *s, clk_ms ms);
 
 /* address.c */
--- a/serve/node.c
+++ b/serve/node.c
@@ -8,18 +8,20 @@
 #include "lapisline.h"
 
 #define TICK_MS 10
-/** A tick that comes so late shows that the process was stopped, or got no
-    processor. */
+/** A tick that is later than this shows that the process was suspended or got
+    no CPU time. */
 #define PAUSED_MS ((clk_ms)500)
 
-/** Log lines a second of each event: above what a node has of any on a usual
-    day, at 15 us a line under a hundredth of a core. */
+/** Log rate limit per event, in lines per second.  It is above the normal
+    rate of any event; at 15 us a line, this is less than a hundredth of a
+    core. */
 #define LINES_PER_S 60
 
-/** After SIGTERM, new requests are taken for so long: until callers have heard
-    that this node is no longer to be used. */
+/** New requests are accepted for this long after SIGTERM, until callers have
+    learned that they should use another node. */
 #define LEAVE_TAKE_MS ((clk_ms)3000)
-/** Kept of the grace time so that the process ends by itself. */
+/** Part of the grace period that is reserved for a clean exit before
+    SIGKILL. */
 #define LEAVE_SPARE_MS ((clk_ms)400)
 
 bool
@@ -28,7 +30,8 @@
   return s->table && bks_known (s->backends) && !s->leaving_since;
 }
 
-/** Write how many places each model or service has, when that has changed. */
+/** Log the number of accepting endpoints of each model or service if it has
+    changed. */
 static void
 log_places (struct srv *s, const struct dsp_place *list, size_t n)
 {
@@ -73,7 +76,7 @@
   srv_act (s);
 }
 
-/* --- leaving ----------------------------------------------------------- */
+/* --- shutdown ----------------------------------------------------------- */
 
 static void
 leave (struct srv *s)
@@ -85,8 +88,8 @@
   srv_register_end (s);
 }
 
-/** Whether the process may end: nothing is open and callers have turned away,
-    or the grace time is over. */
+/** Refuse new requests once callers have had time to learn of the shutdown;
+    stop the event loop just before the grace period ends. */
 static void
 tick_leave (struct srv *s, clk_ms now)
 {
@@ -127,9 +130,10 @@
   buf_free (&text);
 }
 
-/* --- time -------------------------------------------------------------- */
+/* --- ticks -------------------------------------------------------------- */
 
-/** Whatever came in a pause of this process waits in its sockets still. */
+/** Handle the end of a pause of this process.  Messages that arrived during
+    the pause are still unread in the socket buffers. */
 static void
 resume (struct srv *s, clk_ms now, clk_ms ms)
 {
@@ -174,7 +178,7 @@
     tick_leave (s, now);
 }
 
-/* --- life -------------------------------------------------------------- */
+/* --- start and run ------------------------------------------------------ */
 
 static void
 start_cores (struct srv *s)
@@ -243,7 +247,8 @@
   struct buf err = BUF_INIT;
   int code = EXIT_INPUT;
 
-  signal (SIGHUP, SIG_IGN); /* until it is handled, it would end us */
+  signal (SIGHUP, SIG_IGN); /* the default action would terminate the process
+                               until a handler is installed */
   s->ad = opt->adapter;
   s->settings_path = opt->settings;
   rng_seed (&s->rng, rng_entropy ());
@@ -264,8 +269,7 @@
   LOG (serve_stopped, LOG_I ("open", dsp_open (s->dispatch)));
   code = EXIT_DONE;
 done:
-  /* Once there are sockets and timers, the kernel takes them back with the
-     process. */
+  /* After the start, sockets and timers are left to the kernel to release. */
   buf_free (&err);
   if (code == EXIT_INPUT)
     {
--- a/serve/node.h
+++ b/serve/node.h
@@ -1,18 +1,21 @@
 /**
  * @dir serve
- * A node on a platform: one process on each VM that carries callers'
- * requests, answers which node to use, and takes its turn in forming replicas.
+ * A node on a platform: one process on each VM.  It forwards callers' requests
+ * to backend servers, answers which nodes callers should use, and may be
+ * elected leader, the node that forms replicas.
  *
  *   adapter.h   what a platform's adapter provides (platform/ is one)
- *   table.h     the configuration in force
- *   backends.h  the backend servers as the platform lists them
- *   dispatch.h  decision core: which request goes where
- *   form.h      decision core: which VMs become which replica
- *   split.h     events out of bytes
+ *   table.h     the configuration in force, as a routing table
+ *   backends.h  the backend servers as listed by the platform
+ *   dispatch.h  decision core: routes each request to an endpoint
+ *   form.h      decision core: forms replicas of VMs
+ *   split.h     splits a byte stream into events
  *   hubs.h      decision core: which nodes link to which
- *   node.h      the process: node.c, sync.c (the store), register.c (this
- *               node's own entry), duty.c (orders), peers.c (other nodes),
- *               ingress.c and exchange.c (requests), address.c; node-int.h
+ *   node.h      the process: node.c, sync.c (the server list in the store),
+ *               register.c (node entries in the store), duty.c (leadership and
+ *               orders), peers.c (links to other nodes), ingress.c and
+ *               exchange.c (requests), address.c (readiness and addresses);
+ *               node-int.h
  */
 /**
  * @file
@@ -27,7 +30,7 @@
 struct srv_options
 {
   const struct srv_adapter *adapter;
-  const char *settings; /**< path; NULL: where the platform puts them */
+  const char *settings; /**< path; NULL: the platform's default path */
   enum log_format log_format;
   enum log_level log_level;
 };
