--- a/serve/address.c
+++ b/serve/address.c
@@ -1,10 +1,11 @@
 #include "serve/exchange.h"
 
-/** Addresses in one answer: as many as callers read. */
+/** Limit on the addresses in one answer; callers read no more. */
 #define MOST 64
 
-/** Life of an address answer: a node that dies is out of all answers about
-    this much later, and callers ask about every two seconds each. */
+/** Time for which callers may use an answer.  Callers ask again about every
+    two seconds, so a node that has died is in no caller's answer after about
+    this time. */
 #define LIFE_MS ((clk_ms)2000)
 
 #define BODY_MOST ((size_t)4096)
--- a/serve/ingress.c
+++ b/serve/ingress.c
@@ -3,24 +3,25 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-/** Largest body that is read at all; the configuration's bound is checked for
-    each request and may change at any time. */
+/** Limit on the body of any request.  The limit of the configuration in force
+    is checked per request, as it may change at any time. */
 #define BODY_MOST ((size_t)16 * 1024 * 1024)
 
-/** A caller's wait for a first configuration, in which a node that has just
-    started is ready. */
+/** Retry-After while the node has no configuration yet; a node that has just
+    started usually reads one within this time. */
 #define START_RETRY_MS ((clk_ms)300)
 
-/** The same for one whose request the configuration does not allow, while the
-    store does not say whether there is a newer one. */
+/** Retry-After for a request that the configuration does not allow, while the
+    store has not confirmed that this configuration is the newest. */
 #define CONFIRM_RETRY_MS ((clk_ms)1000)
 
-/** Descriptors kept for anything but callers: files, links, the store, and
-    connections to backend servers. */
+/** File descriptors reserved for everything but callers' connections: files,
+    links, the store, and connections to backend servers. */
 #define FDS_KEPT 1000
 
-/** Longest time between two requests of a connection, and for a whole head;
-    the configuration's own is not known when the port opens. */
+/** Limit on the time between two requests of a connection, and on the time to
+    send a request head.  The configuration's own limit is not yet known when
+    the port is opened. */
 #define IDLE_MS ((clk_ms)20000)
 
 struct srv_exchange *
@@ -33,8 +34,8 @@
   return ex;
 }
 
-/** Carrying out an action may bring further events, whose actions then wait
-    for their turn here. */
+/** Running an action may add further actions; the outermost call runs these
+    too. */
 void
 srv_act (struct srv *s)
 {
@@ -60,16 +61,16 @@
   srv_peers_wants (s);
 }
 
-/* --- a request's way in ------------------------------------------------ */
+/* --- admission ---------------------------------------------------------- */
 
-/** The name without a port. */
+/** The host name without a port. */
 static struct str
 host_name (struct str host)
 {
   return str_head (host, str_chr (host, ':'));
 }
 
-/** What stands in the way of a request; status 0: nothing. */
+/** Why a request is rejected; status 0: it is not. */
 struct refusal
 {
   int status;
@@ -102,7 +103,7 @@
   return check_account (ex);
 }
 
-/** Priority: the account's goes before the route's. */
+/** The account's priority overrides the route's. */
 static unsigned
 priority_of (const struct srv_exchange *ex)
 {
@@ -113,9 +114,12 @@
 }
 
 /**
- * A caller that tries again sends what is left of its time.  What it has
- * waited counts against the goal: served after those that can still be on
- * time, such a request loses nothing, and they don't lose their goal to it.
+ * Time that the caller has already waited.
+ *
+ * A caller that retries sends its remaining time; the difference from the
+ * route's timeout was spent on earlier attempts and counts against the latency
+ * goal.  A request that has missed its goal is served after those that can
+ * still meet theirs; it loses nothing by that.
  */
 static clk_ms
 waited_before (const struct srv_exchange *ex)
@@ -165,8 +169,8 @@
   srv_act (s);
 }
 
-/** Callers don't come back after a 4xx: it is given only by a configuration
-    that is known to be the newest. */
+/** Callers do not retry after a 4xx, so a 4xx is sent only while the
+    configuration is confirmed to be the newest. */
 static struct refusal
 confirm_refusal (const struct srv *s, struct refusal why)
 {
@@ -215,7 +219,7 @@
 
 /* --- after a pause of this process -------------------------------------- */
 
-/** A request that waits for what the store says after a pause. */
+/** A request that is deferred until the store has answered after a pause. */
 struct srv_held
 {
   struct srv_held *next, **prev;
@@ -279,7 +283,8 @@
   clk_ms now = clk_now ();
 
   srv_check_pause (s, now);
-  /* 404 or 401 would be final; what is allowed is just not known yet. */
+  /* Without a configuration it is unknown which requests are allowed, and a
+     404 or 401 would be final. */
   if (!s->table)
     srv_refuse (s, req, 503, "starting", START_RETRY_MS);
   else if (is_resuming (s, now))
