--- a/serve/pause.c
+++ b/serve/pause.c
@@ -1,35 +1,38 @@
 #include "serve/pause.h"
 
-/** Each change wakes every node's watch, and each wake is a priced call.  So a
-    watch that has brought something begins again only after so long for each
-    node that is known: at the start of many, their entries come in few calls.
- */
+/** Each change of an entry triggers the watch of every node, and each of these
+    events is a priced call.  So a node delays its next watch by this time per
+    known node; when many nodes start together, few calls then return all their
+    entries. */
 #define WATCH_PACE_MS ((clk_ms)12)
 #define WATCH_PACE_LEAST_MS ((clk_ms)150)
 #define WATCH_PACE_MOST_MS ((clk_ms)800)
 /**
- * Among many nodes most need not know at once: the one with the duty links to
- * those that start, and the duty is taken by one of the first in rank.  The
- * others begin their watch again only after this.  On a day on which some of
- * 63 nodes were restarted in turn, half of the priced store calls were such
- * watches, 0.017 of what the day could earn.
+ * Delay of most nodes among many.  They need no immediate view of the others:
+ * the leader links to nodes that start, and a new leader is one of the first
+ * nodes in rank.  On a day on which some of 63 nodes were restarted one after
+ * the other, half of the priced store calls were these watches; they cost
+ * 0.017 of what the day could earn.
  */
 #define WATCH_PACE_REST_MS ((clk_ms)3000)
-/** Nodes from which on there are others, and of these the first in rank. */
+/** WATCH_PACE_REST_MS applies from this number of nodes on, except to the
+    first WATCH_FIRST in rank. */
 #define WATCH_MANY 16
 #define WATCH_FIRST 4
 
-/** After the first failure: most are a single lost call. */
+/** Backoff after the first failure; most failures are a single lost call. */
 #define PAUSE_FIRST_MS ((clk_ms)200)
 /**
- * Longest pause.  It delays what a node learns once the store is back, and a
- * configuration has to be in force two seconds after it was accepted.
+ * Limit of the backoff.  The backoff delays the first read after an outage,
+ * and a configuration has to be in force two seconds after it was accepted.
  */
 #define PAUSE_MOST_MS ((clk_ms)1000)
-/** The same of a node that is told by others: its entry's lease, of which
-    two thirds are left when it is renewed, outlives some of these. */
+/** Limit of the backoff of a node to which other nodes push.  The lease of
+    its entry, of which two thirds are left when it is renewed, outlives
+    several of these intervals. */
 #define PAUSE_PUSHED_MS ((clk_ms)3000)
-/** Part of the pause that is drawn, so that nodes don't call together. */
+/** Random part of the backoff, so that the nodes' probes are not
+    synchronized. */
 #define PAUSE_SPREAD 0.25
 
 bool
@@ -72,7 +75,8 @@
   p->asking = false;
   if (status == STORE_OK || status == STORE_CONFLICT || status == STORE_GONE)
     p->failures = 0;
-  /* Calls that were under way together fail together; that is one failure. */
+  /* Calls that were in flight together fail together and count as one
+     failure. */
   else if (status == STORE_UNAVAILABLE && (!p->failures || now >= p->next))
     {
       p->failures++;
--- a/serve/pause.h
+++ b/serve/pause.h
@@ -1,12 +1,14 @@
 /**
  * @file
- * When a node calls the store again that does not answer (decision core).
+ * Backoff of a node's store calls while the store is unavailable (decision
+ * core).
  *
- * A node reads several things and keeps an entry; were each repeated on its
- * own while the store is away, every node would make a dozen calls a second
- * for nothing, and the store would meet all of them as it comes back.  So one
- * call at a time finds out whether it is back, at growing intervals, and its
- * success lets all others go.
+ * A node reads several things from the store and keeps an entry in it.  If
+ * each of these calls were retried independently during an outage, every node
+ * would make a dozen useless calls a second, and the store would receive all
+ * of them when it comes back.  So all calls of a node share one backoff: one
+ * call at a time probes the store, at growing intervals, and its success
+ * releases all the others.
  */
 #ifndef LAPISLINE_SERVE_PAUSE_H
 #define LAPISLINE_SERVE_PAUSE_H
@@ -17,30 +19,33 @@
 
 struct pau
 {
-  unsigned failures; /**< in a row; 0: the store answers */
-  clk_ms next;       /**< no call before, while it does not */
-  bool asking;       /**< the one call that finds out is under way */
-  bool pushed; /**< other nodes push all that the store would tell, so nothing
-                  waits for it but the own entry's lease */
+  unsigned failures; /**< consecutive failures; 0: the store is available */
+  clk_ms next;       /**< earliest time of the next probe after a failure */
+  bool asking;       /**< a probe is in flight */
+  bool pushed; /**< other nodes push everything that this node would read from
+                    the store, so that only the lease of its own entry depends
+                    on the store */
 };
 
-/** Others push what the store would tell, or do so no more: then the next call
-    waits as briefly as after a first failure. */
+/** Set whether other nodes push what this node would read from the store.
+    When they stop, the next probe is due no later than after a first
+    failure. */
 void pau_set_pushed (struct pau *p, clk_ms now, bool pushed, struct rng *r);
-/** Whether a call may go out. */
+/** Whether a call may be made. */
 bool pau_may_call (const struct pau *p, clk_ms now);
-/** It goes out. */
+/** A call is made. */
 void pau_called (struct pau *p);
-/** A call has ended.  @p r spreads the nodes' calls. */
+/** A call has ended. @param r  jitter, so that the nodes' probes are
+    spread */
 void pau_ended (struct pau *p, clk_ms now, enum store_status status,
                 struct rng *r);
 
 /**
- * How long after a watch of the nodes' entries has brought something the next
- * one begins.
- * @param nodes   that are known
- * @param rank    of this node: how many come before it
- * @param urgent  it has to know at once: it gives the orders, or has no link
+ * Delay between an event of the watch of node entries and the next watch.
+ * @param nodes   number of known nodes
+ * @param rank    of this node among them
+ * @param urgent  changes must be seen without delay: this node is leader or
+ *                has no link
  */
 clk_ms pau_watch_again (size_t nodes, unsigned rank, bool urgent);
 
