--- a/serve/config.c
+++ b/serve/config.c
@@ -3,21 +3,22 @@
 #include <stdlib.h>
 
 /*
- * The configuration in force.  Few nodes watch it in the store.  Among many,
- * one announces it to the others and pushes each new one, as a watch and a
- * read by each of them are most of all calls to the store.  That also reaches
- * nodes that the store turns away.  How current it is, and what follows from
- * that, is decided in currency.h.
+ * The configuration in force.  In a small deployment each node watches it in
+ * the store.  In a large one, a few nodes do: they announce the version to the
+ * others and push each new document, because watches and reads by every node
+ * would be most of all store calls.  The push also reaches nodes that the
+ * store rejects.  currency.h decides how fresh the configuration is and what
+ * follows from that.
  */
 
-/** A document is pushed if that takes no longer on the link of this node.
-    A longer one would hold up the list of backend servers; of that only the
-    version is announced, and each node reads it. */
+/** A document is pushed only if sending it takes no longer than this on the
+    node's link.  A longer one would delay the list of backend servers; its
+    version is only announced, and each node reads it from the store. */
 #define PUSH_LINK_MS ((clk_ms)500)
-/** Beside it in a frame. */
+/** Space in a frame for everything but the document. */
 #define FRAME_REST ((size_t)1024)
 
-/** How a configuration came to this node. */
+/** How a configuration reached this node. */
 enum source
 {
   SOURCE_READ,
@@ -28,12 +29,13 @@
 struct srv_config
 {
   struct srv *s;
-  struct buf end;  /* of the range that is the key alone */
-  struct buf text; /* of the version in force, if it may be pushed */
+  struct buf end;  /* end of the key range that contains config_key alone */
+  struct buf text; /* document in force; empty if it doesn't fit into a
+                      frame */
   struct store_watch *watch;
   struct cur cur;
-  int64_t seen;  /* revision up to which changes were seen */
-  bool followed; /* follows(), as it was logged last */
+  int64_t seen;  /* store revision up to which changes were seen */
+  bool followed; /* last logged result of follows() */
 };
 
 static void
@@ -79,9 +81,9 @@
 }
 
 /**
- * What is in force never goes back: an answer of the store that was under way
- * while a newer one came must not undo it.
- * @retval false  it can't be read
+ * Put a configuration in force if it is newer than the present one.  An older
+ * one is ignored: a read may return after a newer version was pushed.
+ * @retval false  it could not be parsed
  */
 static bool
 take_config (struct srv_config *c, const struct store_kv *kv, enum source from)
@@ -128,7 +130,7 @@
 {
   struct srv_config *c = ctx;
 
-  (void)why; /* whatever ended it, the whole is read again */
+  (void)why; /* whatever the reason, the configuration is read again */
   c->watch = NULL;
   cur_watch_ended (&c->cur, clk_now ());
 }
@@ -143,7 +145,8 @@
                           buf_str (&c->end), c->seen + 1, &cb, c);
 }
 
-/** Whether this node leaves it to another one to watch. */
+/** Whether this node relies on announcements instead of a watch of its
+    own. */
 static bool
 follows (const struct srv_config *c, clk_ms now)
 {
@@ -201,7 +204,7 @@
                buf_str (&c->end), on_config, c);
 }
 
-/* --- between nodes ------------------------------------------------------ */
+/* --- announcements and pushes ------------------------------------------- */
 
 int64_t
 srv_config_version (const struct srv *s)
--- a/serve/currency.c
+++ b/serve/currency.c
@@ -1,23 +1,26 @@
 #include "serve/currency.h"
 
-/** Knowledge that is older than this part of the bound is renewed by a read;
-    the rest is for one that gets no answer, and a second one. */
+/** The store is read again when `known_at` is older than this part of the
+    limit; the rest of the limit leaves time for one read that gets no answer
+    and a second one. */
 #define RENEW_DIVISOR 2
-/** The same of a node on which others rely, so that what it announces is
-    younger than what they would renew. */
+/** The same for a node whose announcements others rely on, so that these keep
+    the others from reading. */
 #define RENEW_ANNOUNCED_DIVISOR 3
-/** Part of the bound in which versions of a storm come together: operators
-    push some dozen within two seconds at times, and each is a priced call and
-    a whole document for every node. */
+/** Part of the limit that a watch waits so that several versions are returned
+    together: operators sometimes push about a dozen within two seconds, and
+    each watch result is a priced call and a whole document for every node. */
 #define PAUSE_DIVISOR 4
-/** What is announced is pushed too, and comes sooner than a read. */
+/** Time for an announced version to be pushed; a push is faster than a
+    read. */
 #define PUSH_WAIT_MS ((clk_ms)150)
-/** After a failed read. */
+/** Delay after a failed read. */
 #define READ_AGAIN_MS ((clk_ms)200)
-/** After a watch ended the whole is read. */
+/** Delay of the read that follows a failed watch. */
 #define WATCH_AGAIN_MS ((clk_ms)100)
-/** Callers wait so long for the first answer of the store after a pause of the
-    process; without one the node serves by what it knows. */
+/** Limit on deferring requests until the first answer of the store after a
+    pause of the process; after that the node serves by the configuration in
+    force. */
 #define RESUMED_MS ((clk_ms)500)
 
 void
@@ -43,7 +46,7 @@
 void
 cur_in_force (struct cur *c, int64_t version)
 {
-  /* known_at stays: the earlier version was the newest then. */
+  /* known_at stays: the previous version was the newest at that time. */
   c->version = version;
 }
 
@@ -58,7 +61,8 @@
 cur_answered (struct cur *c, clk_ms now, enum cur_answer what)
 {
   c->reading = false;
-  /* A call from before the pause says nothing of the store now. */
+  /* The result of a call sent before the pause says nothing about the store's
+     present state. */
   if (c->resumed_at && c->asked < c->resumed_at)
     {
       c->next_read = now;
@@ -74,7 +78,7 @@
     }
   known (c, c->asked);
   c->next_read = CLK_NEVER;
-  /* By then the links are up after a start, and announcements come. */
+  /* After a start, the links are up by then and announcements arrive. */
   if (c->next_watch == CLK_NEVER)
     c->next_watch = now + c->apply_ms / PAUSE_DIVISOR;
 }
@@ -129,7 +133,7 @@
   return c->known_at ? now - c->known_at : CLK_NEVER;
 }
 
-/** Whether a version that was announced has not been pushed in time. */
+/** Whether an announced version has not been pushed to this node in time. */
 static bool
 is_behind (const struct cur *c, clk_ms now)
 {
--- a/serve/currency.h
+++ b/serve/currency.h
@@ -1,20 +1,21 @@
 /**
  * @file
- * How current a node's configuration is known to be (decision core).
+ * Freshness of a node's configuration (decision core).
  *
- * The configuration in force is the newest one as of `known_at`: the sending
- * of the last read of the store that brought nothing newer, by this node or by
- * another one that has announced it.  A node whose knowledge grows old reads
- * by itself.  Once it is older than the time within which operators may count
- * on a new version, the node goes on serving, but refuses nothing for good.
+ * The configuration in force was the newest one at `known_at`: the time at
+ * which the last store read that returned no newer version was sent, by this
+ * node or by a node that announced the same version.  When `known_at` becomes
+ * too old, the node reads the store itself.  Once it is older than the time
+ * within which operators may rely on a new version being in force, the node
+ * keeps serving but sends no final refusals.
  *
- * Clocks of different nodes are not compared.  Each frame that a node sends
- * carries the sender's time, and an announcement returns the last one that
- * came from its receiver.  So time on the way makes an announcement older,
- * never younger: see cur_announced_at().  Each clock has to go on while its
- * process or VM stands still.
+ * Clocks of different nodes are not compared.  Each frame carries the sender's
+ * time, and an announcement echoes the latest time received from its receiver.
+ * So network delay makes an announcement appear older, never newer; see
+ * cur_announced_at().  Each clock has to advance while its process or VM is
+ * suspended.
  *
- * Events and time go in.
+ * The inputs are events and the time.
  */
 #ifndef LAPISLINE_SERVE_CURRENCY_H
 #define LAPISLINE_SERVE_CURRENCY_H
@@ -24,88 +25,93 @@
 
 #include "base/clock.h"
 
-/** What another node says of its configuration. */
+/** A node's announcement of its configuration. */
 struct cur_announcement
 {
   int64_t version;
-  bool stamped;  /**< it returns a time of this node */
-  clk_ms stamp;  /**< by the clock of this node */
-  clk_ms age_ms; /**< of the sender's knowledge as that time came; below 0:
-                    it has learned more since */
+  bool stamped;  /**< it echoes a time sent by this node */
+  clk_ms stamp;  /**< the echoed time, by the clock of this node */
+  clk_ms age_ms; /**< from the sender's `known_at` to its receipt of the
+                      echoed time; negative: confirmed after that receipt */
 };
 
-/** How far a node may rely on its configuration. */
+/** Freshness of the configuration in force. */
 enum cur_trust
 {
-  CUR_CONFIRMED,   /**< known to be the newest within the bound */
-  CUR_UNCONFIRMED, /**< there may be a newer one */
-  CUR_RESUMED      /**< the same, as this process did not run; an answer of the
-                      store is due at once, and requests wait for it */
+  CUR_CONFIRMED,   /**< confirmed to be the newest within the limit */
+  CUR_UNCONFIRMED, /**< there may be a newer version */
+  CUR_RESUMED      /**< as CUR_UNCONFIRMED, because this process was
+                        suspended; an answer of the store is due soon and
+                        requests are deferred until then */
 };
 
 struct cur
 {
-  clk_ms apply_ms;     /**< within which a new version is in force */
+  clk_ms apply_ms;     /**< limit: a new version is in force within this
+                            time */
   int64_t version;     /**< in force; 0: none */
-  clk_ms known_at;     /**< 0: never */
-  clk_ms announced_at; /**< the same, by announcements only */
-  int64_t newest;      /**< that another node has in force; 0: none */
-  clk_ms newest_at;    /**< when it was first announced */
+  clk_ms known_at;     /**< last time at which `version` was the newest; 0:
+                            never */
+  clk_ms announced_at; /**< the same, from announcements alone */
+  int64_t newest;      /**< newest version announced by another node; 0:
+                            none */
+  clk_ms newest_at;    /**< when `newest` was first announced */
   bool reading;
-  clk_ms asked;      /**< sending of the last read */
-  clk_ms next_read;  /**< CLK_NEVER: when the knowledge grows old */
+  clk_ms asked;      /**< when the last read was sent */
+  clk_ms next_read;  /**< CLK_NEVER: when `known_at` is too old */
   clk_ms next_watch; /**< CLK_NEVER: after the next read */
-  clk_ms resumed_at; /**< end of the last pause, until a read that was sent
-                        after it has ended; 0: none */
+  clk_ms resumed_at; /**< end of the last pause of the process, until a read
+                          sent after it has ended; 0: none */
 };
 
 void cur_init (struct cur *c, clk_ms apply_ms);
 
-/** This version has come into force. */
+/** This version is now in force. */
 void cur_in_force (struct cur *c, int64_t version);
 
-/** A read of the store is sent. */
+/** A read of the store was sent. */
 void cur_asked (struct cur *c, clk_ms now);
 
-/** How a read of the store ended. */
+/** Result of a read of the store. */
 enum cur_answer
 {
-  CUR_READ,       /**< what it brought is in force, or older than that */
-  CUR_UNREADABLE, /**< it brought what this program can't read */
+  CUR_READ,       /**< the version read is in force, or is older than that in
+                       force */
+  CUR_UNREADABLE, /**< the version read could not be parsed */
   CUR_FAILED
 };
 
 void cur_answered (struct cur *c, clk_ms now, enum cur_answer what);
 
-/** A watch has brought a version. */
+/** A watch has returned a version. */
 void cur_watched (struct cur *c, clk_ms now);
 
-/** A watch has ended with an error: it may have missed a version. */
+/** A watch has failed and may have missed a version. */
 void cur_watch_ended (struct cur *c, clk_ms now);
 
-/** When the sender's knowledge was current, by the clock of this node;
-    0: not known. */
+/** The time, by the clock of this node, at which the announced version was
+    last confirmed; 0: unknown. */
 clk_ms cur_announced_at (const struct cur_announcement *a);
 
-/** Another node has announced this. */
+/** An announcement was received. */
 void cur_announced (struct cur *c, clk_ms now,
                     const struct cur_announcement *a);
 
-/** This process goes on after it did not run for a while. */
+/** This process has resumed after a pause. */
 void cur_resumed (struct cur *c, clk_ms now);
 
-/** Whether to read the store now. @param announces  others rely on this node
- */
+/** Whether to read the store now. @param announces  other nodes rely on the
+    announcements of this node */
 bool cur_should_read (const struct cur *c, clk_ms now, bool announces);
 
-/** Whether others announce to this node what is in force. */
+/** Whether this node receives announcements that confirm its version. */
 bool cur_is_announced (const struct cur *c, clk_ms now);
 
-/** The watch was stopped, as announcements come: the next one begins after a
-    read. */
+/** The watch was stopped in favour of announcements.  The next watch starts
+    only after a read. */
 void cur_watch_stopped (struct cur *c);
 
-/** Whether a watch may begin now. */
+/** Whether a watch may start now. */
 bool cur_may_watch (const struct cur *c, clk_ms now);
 
 enum cur_trust cur_trust (const struct cur *c, clk_ms now);
