--- a/serve/metrics.c
+++ b/serve/metrics.c
@@ -41,7 +41,7 @@
                (double)ms);
 }
 
-/** A figure that is kept elsewhere, as it is now. */
+/** Set a gauge to the current value of a figure that another module keeps. */
 static void
 set (struct srv *s, const char *name, const char *help, const char *labels,
      double value)
--- a/serve/register.c
+++ b/serve/register.c
@@ -8,31 +8,32 @@
 /*
  * Keys of this project in the store, below the adapter's own prefix:
  *
- *   nodes/NODE  where the node is reached, under its lease
- *   secret      by which nodes prove to each other that they belong together
- *   duty        who gives orders to backend servers; see duty.c
- *   blocked/    requests that crash backend servers; see poison-store.c
+ *   nodes/NODE  addresses of a node, under its lease
+ *   secret      shared by the nodes to authenticate the links between them
+ *   duty        the leader, which sends orders to backend servers; see duty.c
+ *   blocked/    poison requests that are blocked; see poison-store.c
  */
 
-/** Life of a node's entry without a renewal.  Peers see by their links far
-    sooner that it is gone; the entry is how they find it.  Renewals of a lease
-    of 6 s were half of all store calls of a day. */
+/** Lease of a node's entry.  Other nodes need the entry to find this one;
+    they detect its failure much earlier, by their links.  With a lease of
+    6 s, renewals were half of all store calls of a day. */
 #define LEASE_MS ((clk_ms)15000)
 #define RENEW_MS (LEASE_MS / 3)
 #define AGAIN_MS ((clk_ms)250)
-/** When the whole system starts, nodes come within 0.3 s of each other, and
-    each entry would wake each watch; so they are looked at together. */
+/** Settle window at the start of the whole system: nodes register within
+    0.3 s of each other, and each entry would trigger the watch of every node,
+    so the entries are read together. */
 #define GATHER_MS ((clk_ms)500)
-/** Then the first in the order of hubs makes the secret; each of the others
-   only if those before it, so far apart, have not. */
+/** After the settle window the node of rank 0 writes the secret; each other
+    node does so only if it is still missing after this time per rank. */
 #define SECRET_TURN_MS ((clk_ms)50)
 #define SECRET_BYTES 32
-/** Entries that the store has lost are written again so far apart. */
+/** Stagger, per rank, of the rewriting of entries that the store has lost. */
 #define ENTER_TURN_MS ((clk_ms)10)
-/** For so long a node that is no hub does without the store when it hears of
-    nobody that forms replicas: a new one is found within two or three seconds
-    and tells it, and if all looked by themselves meanwhile, each change would
-    cost as many calls as there are nodes. */
+/** A leaf does without the store for this long when it receives nothing from
+    a leader: a new leader is elected and linked within two or three seconds,
+    and reads by every node in the meantime would make each change cost as
+    many calls as there are nodes. */
 #define UNLED_MS ((clk_ms)4000)
 
 struct srv_register
@@ -40,11 +41,12 @@
   struct srv *s;
   struct buf prefix, end, node_key, secret_key, duty_key;
   struct store_watch *watch;
-  clk_ms next_watch; /* CLK_NEVER: it runs, or the whole is read first */
-  int64_t revision;  /* up to which everything was seen */
+  clk_ms next_watch; /* CLK_NEVER: it is running, or starts after the next
+                        full read */
+  int64_t revision;  /* store revision up to which changes were seen */
   bool reading;
-  clk_ms next_read; /* CLK_NEVER: the watch runs */
-  /* The own entry. */
+  clk_ms next_read; /* CLK_NEVER: no full read is due */
+  /* This node's entry. */
   int64_t lease;
   bool entered;
   bool calling;
@@ -52,13 +54,14 @@
   struct store_compare compare;
   struct store_put put;
   struct buf value;
-  /* What the store has. */
+  /* Contents of the store. */
   struct buf secret;
-  bool secret_stored; /* the store has it */
-  bool secret_made;   /* by this node or another; the watch brings it */
-  clk_ms next_secret; /* not made by this node before */
-  bool linked;        /* the links have begun */
-  clk_ms led_at;      /* last time that somebody formed replicas */
+  bool secret_stored; /* the store has a secret */
+  bool secret_made;   /* this node or another one has written it; the watch
+                         returns it */
+  clk_ms next_secret; /* earliest write of the secret by the node of rank 0 */
+  bool linked;        /* links to other nodes were started */
+  clk_ms led_at;      /* last time at which there was a leader */
   bool duty_held;
   struct known_node *nodes;
   size_t nnodes;
@@ -71,7 +74,7 @@
   char *name;
 };
 
-/* --- what the store has ------------------------------------------------ */
+/* --- contents of the store ---------------------------------------------- */
 
 static void
 forget_node (struct srv_register *g, struct str key)
@@ -149,8 +152,9 @@
          && str_to_bytes (buf_str (&g->secret), out->key, SECRET_BYTES);
 }
 
-/** The store's is the one that counts: after it has come back from an older
-    copy, a node that did not know the secret may have made another. */
+/** The secret in the store takes precedence: after the store was restored
+    from an older copy of its data, a node that had no secret may have written
+    a new one. */
 static void
 take_secret (struct srv_register *g, struct str value)
 {
@@ -207,19 +211,19 @@
 bool
 srv_register_follows (const struct srv *s)
 {
-  /* While a node starts it knows of no other. */
+  /* During its start a node knows no other nodes. */
   return s->reg && s->reg->nnodes > HUB_MESH_MOST
          && srv_register_rank (s) >= HUB_LINKS;
 }
 
 /**
- * Whether this node hears by its links all that the store would tell it of
- * other nodes: it is one of very many, no hub, and somebody forms replicas.
+ * Whether the links bring this node everything about other nodes that it would
+ * read from the store: it is a leaf, and there is a leader.
  */
 static bool
 may_rest (struct srv_register *g, clk_ms now)
 {
-  /* It tells all others, so it has to know them. */
+  /* The leader sends the entries to all others, so it has to read them. */
   if (srv_duty_holds (g->s))
     return false;
   if (srv_peers_led (g->s, now))
@@ -233,7 +237,8 @@
 {
   struct srv_register *g = s->reg;
 
-  /* One that rests may not have seen who has taken it. */
+  /* Without a watch this node may not have seen that another became
+     leader. */
   return g && g->next_read == CLK_NEVER && !g->duty_held
          && !may_rest (g, clk_now ());
 }
@@ -275,13 +280,14 @@
 {
   struct srv_register *g = ctx;
 
-  (void)why; /* whatever ended it, the whole is read again */
+  (void)why; /* whatever the reason, all keys are read again */
   g->watch = NULL;
   g->next_watch = CLK_NEVER;
   g->next_read = clk_now () + AGAIN_MS;
 }
 
-/** The store has lost this node's entry: it came back from an older copy. */
+/** The store has lost this node's entry, as it was restored from an older
+    copy. */
 static void
 enter_again (struct srv_register *g)
 {
@@ -289,7 +295,7 @@
   g->next_call = clk_now () + srv_register_rank (g->s) * ENTER_TURN_MS;
 }
 
-/** The whole was read: what is not in it is gone. */
+/** Apply a full read: keys that are not in it no longer exist. */
 static void
 take_all (struct srv_register *g, const struct store_result *r)
 {
@@ -351,7 +357,7 @@
     begin_watch (g);
 }
 
-/* --- the own entry ----------------------------------------------------- */
+/* --- this node's entry -------------------------------------------------- */
 
 static void
 begin_call (struct srv_register *g)
@@ -378,7 +384,7 @@
   g->entered = r->status == STORE_OK;
   if (r->status == STORE_GONE)
     g->lease = 0;
-  /* A lost answer is settled by writing the same once more. */
+  /* If the answer was lost, writing the same value again is harmless. */
   call_ended (g, r->status, g->entered ? RENEW_MS : AGAIN_MS);
 }
 
@@ -425,7 +431,8 @@
 {
   struct srv_register *g = ctx;
 
-  /* Written or not, the watch shows the one that counts. */
+  /* Whether or not this write succeeded, the watch returns the secret that is
+     stored. */
   g->secret_made = r->status == STORE_OK || r->status == STORE_CONFLICT;
   call_ended (g, r->status, 0);
 }
@@ -443,8 +450,8 @@
   buf_add_hex (text, bytes, sizeof bytes);
 }
 
-/** The first node makes the secret, or writes it again if the store has lost
-    it; a race is settled by the store. */
+/** Write the secret, a new one or the known one that the store has lost.  If
+    two nodes do this at once, the store accepts the first write only. */
 static void
 make_secret (struct srv_register *g)
 {
@@ -464,7 +471,8 @@
   buf_free (&text);
 }
 
-/** Whether the secret is missing and it is this node's turn to make it. */
+/** Whether the secret is missing in the store and this node should write it
+    now. */
 static bool
 lacks_secret (const struct srv_register *g, clk_ms now)
 {
@@ -494,8 +502,8 @@
     }
 }
 
-/** A node that has just taken the duty may have begun to wait as one of many.
- */
+/** Shorten the wait for the next watch of a node that has just become leader;
+    the wait may have been set when it was one of many others. */
 static void
 hurry_watch (struct srv_register *g, clk_ms now)
 {
@@ -554,7 +562,7 @@
 
   g->s = s;
   s->reg = g;
-  /* Others run already, and whoever leads will be linked in a moment. */
+  /* Other nodes are running, and a link to the leader will be up shortly. */
   g->led_at = s->set.first_start ? 0 : clk_now ();
   g->next_watch = CLK_NEVER;
   buf_add_c (&g->prefix, s->ad->own_prefix);
--- a/serve/sync.c
+++ b/serve/sync.c
@@ -4,40 +4,44 @@
 #include <stdlib.h>
 
 /**
- * How often the list of backend servers is read by the node that forms
- * replicas, and while one is on its way, when each step waits for a report.
- * The others hear of changes from that node.
+ * Poll intervals of the leader, which alone polls the list of backend servers
+ * often: normally, and while a replica is being formed, when each step waits
+ * for a server's report.  Other nodes receive the changes from the leader.
  */
 #define POLL_DUTY_MS ((clk_ms)300)
 #define POLL_BUSY_MS ((clk_ms)100)
 /** When an order has ended, the list is read at once, as the next step of a
-    repair waits for what it shows.  Where the list is long this waits, by what
-    such a pause would grow with its length. */
+    repair depends on it.  If the list is long, the read is delayed by the
+    amount by which an interval of this length would be stretched for such a
+    list. */
 #define POLL_HURRY_MS ((clk_ms)50)
 
-/** When the whole system starts there is nothing to serve yet, and whoever
-   forms replicas tells the list long before there is; until then a node reads
-   it this many times more seldom. */
+/** At the start of the whole system there is nothing to serve, and the leader
+    sends the list long before there is; until the first request, the interval
+    of the other nodes is longer by this factor. */
 #define START_READS_PART 4
 
-/** After a failed read, and while nothing is known yet. */
+/** Delay after a failed read, and the shortest interval of nodes other than
+    the leader. */
 #define POLL_AGAIN_MS ((clk_ms)200)
-/** Callers wait so long for a list after a pause of this process. */
+/** Limit on deferring requests until a new list is read after a pause of this
+    process. */
 #define RESUMED_MS ((clk_ms)500)
 
 struct srv_sync
 {
   struct srv *s;
-  struct unr *unread; /* entries of the list that can't be read */
+  struct unr *unread; /* entries of the list that could not be parsed */
   struct buf servers_end;
   bool reading_servers;
   clk_ms asked_servers;
   clk_ms next_servers;
-  clk_ms current_at; /* when the list that this node has was the newest, as the
-                        node that reads it has told */
-  clk_ms resumed_at; /* 0: this process has not stood still */
-  clk_ms read_at;    /* sending of the last good read of this node's own */
-  int64_t era;       /* of that reading; see struct store_result */
+  clk_ms current_at; /* when the list that this node has was current, as
+                        reported by the node that read it */
+  clk_ms resumed_at; /* end of the last pause of this process; 0: none */
+  clk_ms read_at;    /* when this node's last successful read was sent */
+  int64_t era;       /* restore counter at that read; see struct
+                        store_result */
   bool store_ok;
 };
 
@@ -123,7 +127,8 @@
   return unr_count (s->sync->unread);
 }
 
-/** It may name servers that have said since that they leave. */
+/** Whether the list is so old that it may contain servers that have since
+    announced that they are leaving. */
 static bool
 is_outdated (const struct srv *s, clk_ms now)
 {
