--- a/serve/duty-plan.c
+++ b/serve/duty-plan.c
@@ -5,7 +5,7 @@
  * an operator can find out later why a model had few replicas.
  */
 
-#define LOOK_MS ((clk_ms)1000)
+#define CHECK_MS ((clk_ms)1000)
 
 /** The last logged plan of one model. */
 struct plan_row
@@ -17,56 +17,58 @@
 
 struct srv_plan
 {
-  struct plan_row told[FRM_MODEL_ROWS];
-  clk_ms looked_at;
+  struct plan_row logged[FRM_MODEL_ROWS];
+  clk_ms checked_at;
 };
 
 static struct plan_row *
-row_of (struct srv_plan *p, const struct frm_model *m)
+find_row (struct srv_plan *p, const struct frm_model *m)
 {
   uint64_t model = str_hash (m->name, str_hash (m->service, 0));
   size_t i = 0;
 
-  while (i < FRM_MODEL_ROWS && p->told[i].model && p->told[i].model != model)
+  while (i < FRM_MODEL_ROWS && p->logged[i].model
+         && p->logged[i].model != model)
     i++;
   /* If there are more models than rows, the surplus models share the last
      row. */
   if (i == FRM_MODEL_ROWS)
     i--;
-  p->told[i].model = model;
-  return &p->told[i];
+  p->logged[i].model = model;
+  return &p->logged[i];
 }
 
 static void
-tell (const struct frm_model *m, struct plan_row *told, clk_ms age_ms)
+log_changes (const struct frm_model *m, struct plan_row *logged, clk_ms age_ms)
 {
-  if (told->wanted == m->wanted && told->formed == m->formed
-      && told->yielded == m->yielded)
+  if (logged->wanted == m->wanted && logged->formed == m->formed
+      && logged->yielded == m->yielded)
     return;
   LOG (plan_changed, LOG_S ("service", m->service), LOG_S ("model", m->name),
        LOG_I ("wanted", m->wanted), LOG_I ("formed", m->formed),
-       LOG_I ("wanted_before", told->wanted),
-       LOG_I ("formed_before", told->formed),
+       LOG_I ("wanted_before", logged->wanted),
+       LOG_I ("formed_before", logged->formed),
        LOG_I ("requests", (long long)(m->requests + 0.5)),
        LOG_I ("yielded", m->yielded), LOG_I ("servers_age_ms", age_ms));
-  told->wanted = m->wanted;
-  told->formed = m->formed;
-  told->yielded = m->yielded;
+  logged->wanted = m->wanted;
+  logged->formed = m->formed;
+  logged->yielded = m->yielded;
 }
 
 void
-srv_plan_look (struct srv *s, struct frm *form, clk_ms now)
+srv_plan_log_changes (struct srv *s, struct frm *form, clk_ms now)
 {
   struct srv_plan *p = s->plan;
   struct frm_model models[FRM_MODEL_ROWS];
   size_t n;
 
-  if (now - p->looked_at < LOOK_MS)
+  if (now - p->checked_at < CHECK_MS)
     return;
-  p->looked_at = now;
+  p->checked_at = now;
   n = frm_models (form, models);
   for (size_t i = 0; i < n; i++)
-    tell (&models[i], row_of (p, &models[i]), srv_sync_list_age (s, now));
+    log_changes (&models[i], find_row (p, &models[i]),
+                 srv_sync_list_age (s, now));
 }
 
 void
--- a/serve/metrics.c
+++ b/serve/metrics.c
@@ -115,7 +115,7 @@
 static void
 set_views (struct srv *s)
 {
-  const struct frm_figures *f = srv_duty_figures (s);
+  const struct frm_figures *f = srv_leader_figures (s);
   size_t n;
 
   bks_list (s->backends, &n);
@@ -157,7 +157,7 @@
 set_models (struct srv *s)
 {
   struct frm_model list[FRM_MODEL_ROWS];
-  size_t n = srv_duty_models (s, list);
+  size_t n = srv_leader_models (s, list);
   char labels[256];
 
   for (size_t i = 0; i < n; i++)
--- a/serve/node-int.h
+++ b/serve/node-int.h
@@ -22,7 +22,7 @@
 struct srv_config;
 struct srv_sync;
 struct srv_register;
-struct srv_duty;
+struct srv_leader;
 struct srv_plan;
 struct srv_peers;
 struct srv_poison;
@@ -53,7 +53,7 @@
   struct srv_config *config;
   struct srv_sync *sync;
   struct srv_register *reg;
-  struct srv_duty *duty;
+  struct srv_leader *leader;
   struct srv_plan *plan;
   struct srv_peers *peers;
   struct srv_exchange *exchanges;
@@ -140,7 +140,7 @@
 /** This node as described by its entry. */
 struct hub_node srv_spec (const struct srv *s);
 /** Whether the store is known to have no leader key. */
-bool srv_register_duty_free (const struct srv *s);
+bool srv_register_leader_vacant (const struct srv *s);
 /** Rank of this node: how many of the known nodes precede it in the order
     that all nodes share. */
 unsigned srv_register_rank (const struct srv *s);
@@ -148,23 +148,23 @@
 /* duty-plan.c: log of the replica plan */
 void srv_plan_start (struct srv *s);
 /** Compare the plan with the last logged one and log the changes. */
-void srv_plan_look (struct srv *s, struct frm *form, clk_ms now);
+void srv_plan_log_changes (struct srv *s, struct frm *form, clk_ms now);
 
 /* duty.c: leadership, and the orders that form replicas */
-void srv_duty_start (struct srv *s);
-void srv_duty_tick (struct srv *s, clk_ms now);
+void srv_leader_start (struct srv *s);
+void srv_leader_tick (struct srv *s, clk_ms now);
 /** The leader key in the store was written or deleted. @param holder  node
     named in the key */
-void srv_duty_key (struct srv *s, bool held, struct str holder);
-void srv_duty_servers (struct srv *s);
+void srv_leader_key_changed (struct srv *s, bool held, struct str holder);
+void srv_leader_servers_changed (struct srv *s);
 /** A node observes no progress at this endpoint. */
 void srv_duty_stalled (struct srv *s, uint64_t place);
 bool srv_duty_holds (const struct srv *s);
-const struct frm_figures *srv_duty_figures (const struct srv *s);
+const struct frm_figures *srv_leader_figures (const struct srv *s);
 /** As frm_models(); returns 0 unless this node is leader. */
-size_t srv_duty_models (const struct srv *s, struct frm_model *out);
+size_t srv_leader_models (const struct srv *s, struct frm_model *out);
 /** Whether this node is leader and is forming a replica. */
-bool srv_duty_busy (const struct srv *s);
+bool srv_leader_is_forming (const struct srv *s);
 
 /* peers.c: links to the other nodes */
 struct srv_entry
--- a/serve/node.c
+++ b/serve/node.c
@@ -171,7 +171,7 @@
   srv_ingress_tick (s, now);
   srv_sync_tick (s, now);
   srv_register_tick (s, now);
-  srv_duty_tick (s, now);
+  srv_leader_tick (s, now);
   srv_peers_tick (s, now);
   srv_poison_tick (s, now);
   if (s->leaving_since)
@@ -215,7 +215,7 @@
     return false;
   s->http = httpc_new (&s->loop);
   s->store = s->ad->store (&s->loop, s->http, &s->set);
-  srv_duty_start (s);
+  srv_leader_start (s);
   srv_config_start (s);
   srv_sync_start (s);
   srv_poison_store_start (s);
--- a/serve/register.c
+++ b/serve/register.c
@@ -135,7 +135,7 @@
   struct json_object *o = held ? jsn_parse (value) : NULL;
 
   g->duty_held = held;
-  srv_duty_key (g->s, held, jsn_str (o, "node"));
+  srv_leader_key_changed (g->s, held, jsn_str (o, "node"));
   json_object_put (o);
 }
 
@@ -233,7 +233,7 @@
 }
 
 bool
-srv_register_duty_free (const struct srv *s)
+srv_register_leader_vacant (const struct srv *s)
 {
   struct srv_register *g = s->reg;
 
--- a/serve/sync.c
+++ b/serve/sync.c
@@ -79,7 +79,7 @@
   unr_end (y->unread);
   if (bks_update (s->backends, clk_now (), y->asked_servers, list, n))
     srv_places_changed (s);
-  srv_duty_servers (s);
+  srv_leader_servers_changed (s);
   srv_peers_servers (s);
   arena_free (&text);
   free (list);
@@ -91,9 +91,9 @@
   clk_ms ms = bks_untold_ms (s->set.drain_ms, srv_register_follows (s));
 
   if (srv_duty_holds (s))
-    return bks_duty_pace (s->backends,
-                          srv_duty_busy (s) ? POLL_BUSY_MS : POLL_DUTY_MS,
-                          s->set.drain_ms);
+    return bks_duty_pace (
+        s->backends, srv_leader_is_forming (s) ? POLL_BUSY_MS : POLL_DUTY_MS,
+        s->set.drain_ms);
   if (s->set.first_start && !s->traffic)
     ms = bks_untold_ms (s->set.drain_ms, false) * START_READS_PART;
   return ms > POLL_AGAIN_MS ? ms : POLL_AGAIN_MS;
