--- a/serve/address.c
+++ b/serve/address.c
@@ -1,15 +1,15 @@
 #include "serve/exchange.h"
 
 /** Limit on the addresses in one answer; callers read no more. */
-#define MOST 64
+#define ADDRESSES_MAX 64
 
 /** Time for which callers may use an answer.  Callers ask again about every
     two seconds, so a node that has died is in no caller's answer after about
     this time. */
-#define LIFE_MS ((clk_ms)2000)
+#define ANSWER_TTL_MS ((clk_ms)2000)
 
-#define BODY_MOST ((size_t)4096)
-#define CONNECTIONS_MOST 500
+#define BODY_MAX ((size_t)4096)
+#define CONNECTIONS_MAX 500
 #define IDLE_MS ((clk_ms)20000)
 
 static void
@@ -25,7 +25,7 @@
       = { { { "content-type", 12 }, { "text/plain; version=0.0.4", 25 } } };
   struct buf body = BUF_INIT;
 
-  srv_metrics (s, &body);
+  srv_metrics_expose (s, &body);
   httpd_answer (req, 200, text, 1, buf_str (&body));
   buf_free (&body);
 }
@@ -50,9 +50,10 @@
   static const struct http_header json[]
       = { { { "content-type", 12 }, { "application/json", 16 } } };
   struct srv *s = ctx;
-  struct net_addr list[MOST];
+  struct net_addr list[ADDRESSES_MAX];
   struct buf body = BUF_INIT;
-  clk_ms life = s->set.address_ms < LIFE_MS ? s->set.address_ms : LIFE_MS;
+  clk_ms ttl
+      = s->set.address_ms < ANSWER_TTL_MS ? s->set.address_ms : ANSWER_TTL_MS;
   size_t n;
 
   if (!str_is (httpd_get (req)->path, s->ad->address_path))
@@ -60,13 +61,13 @@
       answer_empty (req, 404);
       return;
     }
-  n = srv_peers_ready (s, list, MOST);
+  n = srv_peers_ready (s, list, ADDRESSES_MAX);
   if (n == 0)
     {
       srv_refuse (s, req, 503, "no-node", 0);
       return;
     }
-  s->ad->addresses (list, n, life, &body);
+  s->ad->addresses (list, n, ttl, &body);
   httpd_answer (req, 200, json, 1, buf_str (&body));
   buf_free (&body);
 }
@@ -74,8 +75,8 @@
 bool
 srv_address_start (struct srv *s, struct buf *err)
 {
-  struct httpd_limits limits = { .max_body = BODY_MOST,
-                                 .max_connections = CONNECTIONS_MOST,
+  struct httpd_limits limits = { .max_body = BODY_MAX,
+                                 .max_connections = CONNECTIONS_MAX,
                                  .request_ms = IDLE_MS };
 
   s->ready = httpd_listen (&s->loop, &s->set.ready, &limits, on_ready, s, err);
--- a/serve/config.c
+++ b/serve/config.c
@@ -29,13 +29,14 @@
 struct srv_config
 {
   struct srv *s;
-  struct buf end;  /* end of the key range that contains config_key alone */
-  struct buf text; /* document in force; empty if it doesn't fit into a
+  struct buf
+      range_end; /* end of the key range that contains config_key alone */
+  struct buf document; /* document in force; empty if it doesn't fit into a
                       frame */
   struct store_watch *watch;
   struct cur cur;
-  int64_t seen;  /* store revision up to which changes were seen */
-  bool followed; /* last logged result of follows() */
+  int64_t seen;       /* store revision up to which changes were seen */
+  bool was_following; /* last logged result of follows() */
 };
 
 static void
@@ -71,9 +72,9 @@
        LOG_I ("revision", kv->mod_rev), LOG_I ("routes", t->nroutes),
        LOG_C ("from", names[from]),
        LOG_I ("known_age_ms", srv_config_age (s, clk_now ())));
-  buf_clear (&c->text);
+  buf_clear (&c->document);
   if (kv->value.len + FRAME_REST <= LINK_MAX_FRAME)
-    buf_add (&c->text, kv->value);
+    buf_add (&c->document, kv->value);
   tbl_unref (s->table);
   s->table = t;
   cur_in_force (&c->cur, t->version);
@@ -142,7 +143,7 @@
   struct srv *s = c->s;
 
   c->watch = store_watch (s->store, str_from (s->ad->config_key),
-                          buf_str (&c->end), c->seen + 1, &cb, c);
+                          buf_str (&c->range_end), c->seen + 1, &cb, c);
 }
 
 /** Whether this node relies on announcements instead of a watch of its
@@ -157,14 +158,14 @@
 static void
 check_watch (struct srv_config *c, clk_ms now)
 {
-  bool followed = follows (c, now);
+  bool following = follows (c, now);
 
-  if (followed != c->followed)
-    LOG (config_followed, LOG_I ("follows", followed),
+  if (following != c->was_following)
+    LOG (config_followed, LOG_I ("follows", following),
          LOG_I ("version", c->cur.version),
          LOG_I ("known_age_ms", srv_config_age (c->s, now)));
-  c->followed = followed;
-  if (followed)
+  c->was_following = following;
+  if (following)
     {
       if (c->watch)
         store_watch_stop (c->watch);
@@ -201,7 +202,7 @@
   cur_asked (&c->cur, now);
   pau_called (&s->store_pause);
   store_range (s->store, STORE_CONFIG, str_from (s->ad->config_key),
-               buf_str (&c->end), on_config, c);
+               buf_str (&c->range_end), on_config, c);
 }
 
 /* --- announcements and pushes ------------------------------------------- */
@@ -224,7 +225,7 @@
   const struct srv_config *c = s->config;
   double ms = 0;
 
-  *text = buf_str (&c->text);
+  *text = buf_str (&c->document);
   if (s->set.link_bytes_per_s > 0)
     ms = (double)(text->len * nodes) * (double)CLK_SECOND
          / s->set.link_bytes_per_s;
@@ -250,7 +251,7 @@
 /* --- time --------------------------------------------------------------- */
 
 enum cur_trust
-srv_config_trust (const struct srv *s, clk_ms now)
+srv_config_state (const struct srv *s, clk_ms now)
 {
   return cur_trust (&s->config->cur, now);
 }
@@ -279,7 +280,7 @@
 
   c->s = s;
   cur_init (&c->cur, s->set.apply_ms);
-  store_prefix_end (str_from (s->ad->config_key), &c->end);
+  store_prefix_end (str_from (s->ad->config_key), &c->range_end);
   s->config = c;
   srv_config_tick (s, clk_now ());
 }
--- a/serve/duty.c
+++ b/serve/duty.c
@@ -142,7 +142,7 @@
       /* A server that accepted a join is not ready immediately; for any other
          result the list is read again at once. */
       if (c->order != FRM_JOIN || result != FRM_ACCEPTED)
-        srv_sync_hurry (lead->s, now);
+        srv_sync_read_soon (lead->s, now);
     }
   else if (c->sent_fence == (uint64_t)own_fence (lead->own))
     frm_asked (lead->form, now, c->token,
@@ -237,7 +237,7 @@
 
   LOG (duty_gained, LOG_I ("fence", fence));
   frm_owner (lead->form, now, true, fence);
-  srv_sync_hurry (lead->s, now);
+  srv_sync_read_soon (lead->s, now);
 }
 
 static void
--- a/serve/ingress.c
+++ b/serve/ingress.c
@@ -5,7 +5,7 @@
 
 /** Limit on the body of any request.  The limit of the configuration in force
     is checked per request, as it may change at any time. */
-#define BODY_MOST ((size_t)16 * 1024 * 1024)
+#define BODY_MAX ((size_t)16 * 1024 * 1024)
 
 /** Retry-After while the node has no configuration yet; a node that has just
     started usually reads one within this time. */
@@ -17,7 +17,7 @@
 
 /** File descriptors reserved for everything but callers' connections: files,
     links, the store, and connections to backend servers. */
-#define FDS_KEPT 1000
+#define FDS_RESERVED 1000
 
 /** Limit on the time between two requests of a connection, and on the time to
     send a request head.  The configuration's own limit is not yet known when
@@ -25,7 +25,7 @@
 #define IDLE_MS ((clk_ms)20000)
 
 struct srv_exchange *
-srv_find (const struct srv *s, uint64_t id)
+srv_find_exchange (const struct srv *s, uint64_t id)
 {
   struct srv_exchange *ex = s->exchanges;
 
@@ -41,12 +41,12 @@
 {
   struct dsp_action a;
 
-  if (s->acting)
+  if (s->running_actions)
     return;
-  s->acting = true;
+  s->running_actions = true;
   while (dsp_next (s->dispatch, &a))
     {
-      struct srv_exchange *ex = srv_find (s, a.id);
+      struct srv_exchange *ex = srv_find_exchange (s, a.id);
       if (a.kind == DSP_ACT_STALLED)
         LOG (place_stalled, LOG_S ("server", a.server),
              LOG_I ("silent_ms", a.left_ms));
@@ -55,7 +55,7 @@
       else if (ex)
         srv_exchange_act (ex, &a);
     }
-  s->acting = false;
+  s->running_actions = false;
   srv_peers_notices (s);
   srv_poison_act (s);
   srv_peers_wants (s);
@@ -71,35 +71,35 @@
 }
 
 /** Why a request is rejected; status 0: it is not. */
-struct refusal
+struct rejection
 {
   int status;
   const char *code;
   clk_ms retry_ms;
 };
 
-static struct refusal
+static struct rejection
 check_account (struct srv_exchange *ex)
 {
   if (!ex->table->has_accounts)
-    return (struct refusal){ 0 };
+    return (struct rejection){ 0 };
   ex->account = tbl_find_account (ex->table, ex->call.key);
   if (!ex->account && !ex->route->open)
-    return (struct refusal){ 401, "unknown-key", 0 };
-  return (struct refusal){ 0 };
+    return (struct rejection){ 401, "unknown-key", 0 };
+  return (struct rejection){ 0 };
 }
 
-static struct refusal
-check (struct srv_exchange *ex)
+static struct rejection
+check_request (struct srv_exchange *ex)
 {
   const struct httpd_view *v = httpd_get (ex->req);
   const struct tbl_limits *l = &ex->table->limits;
 
   ex->route = tbl_find_route (ex->table, host_name (ex->host), v->path);
   if (!ex->route)
-    return (struct refusal){ 404, "no-route", 0 };
+    return (struct rejection){ 404, "no-route", 0 };
   if (l->max_body && v->body.len > l->max_body)
-    return (struct refusal){ 413, "body-too-large", 0 };
+    return (struct rejection){ 413, "body-too-large", 0 };
   return check_account (ex);
 }
 
@@ -122,12 +122,12 @@
  * still meet theirs; it loses nothing by that.
  */
 static clk_ms
-waited_before (const struct srv_exchange *ex)
+earlier_wait (const struct srv_exchange *ex)
 {
-  clk_ms whole = ex->route->timeout_ms;
+  clk_ms timeout = ex->route->timeout_ms;
 
-  return ex->call.deadline_ms > 0 && ex->call.deadline_ms < whole
-             ? whole - ex->call.deadline_ms
+  return ex->call.deadline_ms > 0 && ex->call.deadline_ms < timeout
+             ? timeout - ex->call.deadline_ms
              : 0;
 }
 
@@ -142,7 +142,7 @@
 }
 
 static void
-arrive (struct srv_exchange *ex)
+submit (struct srv_exchange *ex)
 {
   struct srv *s = ex->s;
 
@@ -157,7 +157,7 @@
           .service = tbl_pick_service (ex->route, rng_unit (&s->rng)),
           .priority = priority_of (ex),
           .deadline = deadline_of (ex),
-          .waited = waited_before (ex),
+          .waited = earlier_wait (ex),
           .prompt = ex->call.prompt,
           .answer = ex->call.answer,
           .digest = ex->digest };
@@ -171,18 +171,18 @@
 
 /** Callers do not retry after a 4xx, so a 4xx is sent only while the
     configuration is confirmed to be the newest. */
-static struct refusal
-confirm_refusal (const struct srv *s, struct refusal why)
+static struct rejection
+confirm_rejection (const struct srv *s, struct rejection why)
 {
-  static const struct refusal unconfirmed
+  static const struct rejection unconfirmed
       = { 503, "config-unconfirmed", CONFIRM_RETRY_MS };
-  bool confirmed = srv_config_trust (s, clk_now ()) == CUR_CONFIRMED;
+  bool confirmed = srv_config_state (s, clk_now ()) == CUR_CONFIRMED;
 
   return why.status && !confirmed ? unconfirmed : why;
 }
 
 static void
-log_denied (const struct srv_exchange *ex, const struct refusal *why)
+log_rejection (const struct srv_exchange *ex, const struct rejection *why)
 {
   struct srv *s = ex->s;
 
@@ -198,20 +198,20 @@
 admit (struct srv *s, struct httpd_req *req, clk_ms since)
 {
   struct srv_exchange *ex = srv_exchange_new (s, req, s->table);
-  struct refusal why;
+  struct rejection why;
   size_t n;
   const struct http_header *h = httpd_headers (req, &n);
 
   ex->since = since;
   s->ad->call (h, n, &ex->call);
   ex->host = httpd_get (req)->host;
-  why = confirm_refusal (s, check (ex));
+  why = confirm_rejection (s, check_request (ex));
   if (why.status == 0)
     {
-      arrive (ex);
+      submit (ex);
       return;
     }
-  log_denied (ex, &why);
+  log_rejection (ex, &why);
   ex->req = NULL;
   srv_exchange_free (ex);
   srv_refuse (s, req, why.status, why.code, why.retry_ms);
@@ -220,22 +220,22 @@
 /* --- after a pause of this process -------------------------------------- */
 
 /** A request that is deferred until the store has answered after a pause. */
-struct srv_held
+struct srv_deferred
 {
-  struct srv_held *next, **prev;
+  struct srv_deferred *next, **prev;
   struct httpd_req *req;
   clk_ms since;
 };
 
 static bool
-is_resuming (const struct srv *s, clk_ms now)
+awaits_store (const struct srv *s, clk_ms now)
 {
-  return srv_config_trust (s, now) == CUR_RESUMED
+  return srv_config_state (s, now) == CUR_RESUMED
          || srv_sync_is_resuming (s, now);
 }
 
 static void
-unhold (struct srv_held *w)
+undefer (struct srv_deferred *w)
 {
   *w->prev = w->next;
   if (w->next)
@@ -244,34 +244,34 @@
 }
 
 static void
-on_held_gone (void *ctx)
+on_deferred_gone (void *ctx)
 {
-  unhold (ctx);
+  undefer (ctx);
 }
 
 static void
-hold (struct srv *s, struct httpd_req *req)
+defer (struct srv *s, struct httpd_req *req)
 {
-  struct srv_held *w = xcalloc (1, sizeof *w);
+  struct srv_deferred *w = xcalloc (1, sizeof *w);
 
   w->req = req;
   w->since = clk_now ();
-  w->next = s->held;
-  w->prev = &s->held;
+  w->next = s->deferred;
+  w->prev = &s->deferred;
   if (w->next)
     w->next->prev = &w->next;
-  s->held = w;
-  httpd_on_gone (req, on_held_gone, w);
+  s->deferred = w;
+  httpd_on_gone (req, on_deferred_gone, w);
 }
 
 void
 srv_ingress_tick (struct srv *s, clk_ms now)
 {
-  while (s->held && !is_resuming (s, now))
+  while (s->deferred && !awaits_store (s, now))
     {
-      struct httpd_req *req = s->held->req;
-      clk_ms since = s->held->since;
-      unhold (s->held);
+      struct httpd_req *req = s->deferred->req;
+      clk_ms since = s->deferred->since;
+      undefer (s->deferred);
       admit (s, req, since);
     }
 }
@@ -287,8 +287,8 @@
      404 or 401 would be final. */
   if (!s->table)
     srv_refuse (s, req, 503, "starting", START_RETRY_MS);
-  else if (is_resuming (s, now))
-    hold (s, req);
+  else if (awaits_store (s, now))
+    defer (s, req);
   else
     admit (s, req, now);
 }
@@ -298,9 +298,9 @@
 {
   size_t fds = s->set.max_fds;
   struct httpd_limits limits
-      = { .max_body = BODY_MOST,
-          .max_connections
-          = fds > 2 * FDS_KEPT ? (fds - FDS_KEPT) / 2 : FDS_KEPT / 2,
+      = { .max_body = BODY_MAX,
+          .max_connections = fds > 2 * FDS_RESERVED ? (fds - FDS_RESERVED) / 2
+                                                    : FDS_RESERVED / 2,
           .request_ms = IDLE_MS };
 
   s->front
--- a/serve/metrics.c
+++ b/serve/metrics.c
@@ -43,8 +43,8 @@
 
 /** Set a gauge to the current value of a figure that another module keeps. */
 static void
-set (struct srv *s, const char *name, const char *help, const char *labels,
-     double value)
+gauge (struct srv *s, const char *name, const char *help, const char *labels,
+       double value)
 {
   met_set (met_gauge (s->met, name, help, labels), value);
 }
@@ -54,27 +54,27 @@
 {
   const struct dsp_figures *f = dsp_figures (s->dispatch);
 
-  set (s, PREFIX "open", "Requests that have not ended.", NULL,
-       (double)dsp_open (s->dispatch));
-  set (s, PREFIX "attempts_sent", "Attempts whose bytes went out.", NULL,
-       (double)f->sent);
-  set (s, PREFIX "attempts_repeated", "Of these, beyond a request's first.",
-       NULL, (double)f->repeated);
-  set (s, PREFIX "repeats_denied", "Repeats that the budget did not allow.",
-       NULL, (double)f->repeat_denied);
-  set (s, PREFIX "streams_resumed", "Streams that went on elsewhere.", NULL,
-       (double)f->resumed);
-  set (s, PREFIX "stalls", "Places at which nothing moved.", NULL,
-       (double)f->stalls);
-  set (s, PREFIX "requests_blocked",
-       "Requests that are refused as servers crash when they run them.", NULL,
-       (double)psn_count_blocked (s->poison));
-  set (s, PREFIX "servers_ended",
-       "Backend servers whose process ended under requests of this node.",
-       NULL, (double)f->servers_ended);
-  set (s, PREFIX "ejections",
-       "Places that failed and got nothing for a while.", NULL,
-       (double)f->ejections);
+  gauge (s, PREFIX "open", "Requests that have not ended.", NULL,
+         (double)dsp_open (s->dispatch));
+  gauge (s, PREFIX "attempts_sent", "Attempts whose bytes went out.", NULL,
+         (double)f->sent);
+  gauge (s, PREFIX "attempts_repeated", "Of these, beyond a request's first.",
+         NULL, (double)f->repeated);
+  gauge (s, PREFIX "repeats_denied", "Repeats that the budget did not allow.",
+         NULL, (double)f->repeat_denied);
+  gauge (s, PREFIX "streams_resumed", "Streams that went on elsewhere.", NULL,
+         (double)f->resumed);
+  gauge (s, PREFIX "stalls", "Places at which nothing moved.", NULL,
+         (double)f->stalls);
+  gauge (s, PREFIX "requests_blocked",
+         "Requests that are refused as servers crash when they run them.",
+         NULL, (double)psn_count_blocked (s->poison));
+  gauge (s, PREFIX "servers_ended",
+         "Backend servers whose process ended under requests of this node.",
+         NULL, (double)f->servers_ended);
+  gauge (s, PREFIX "ejections",
+         "Places that failed and got nothing for a while.", NULL,
+         (double)f->ejections);
 }
 
 static void
@@ -82,16 +82,16 @@
 {
   struct lim_figures f = lim_figures (s->limits, clk_now ());
 
-  set (s, PREFIX "servers_limited",
-       "Backend servers that have named the request rate that they take.",
-       NULL, (double)f.limited);
-  set (s, PREFIX "sent_limited", "Requests sent to such servers.", NULL,
-       (double)f.sent);
-  set (s, PREFIX "permits_granted", "Permits for such requests, by this node.",
-       NULL, (double)f.granted);
-  set (s, PREFIX "permits_followers",
-       "Nodes that take their permits from this one.", NULL,
-       (double)f.followers);
+  gauge (s, PREFIX "servers_limited",
+         "Backend servers that have named the request rate that they take.",
+         NULL, (double)f.limited);
+  gauge (s, PREFIX "sent_limited", "Requests sent to such servers.", NULL,
+         (double)f.sent);
+  gauge (s, PREFIX "permits_granted",
+         "Permits for such requests, by this node.", NULL, (double)f.granted);
+  gauge (s, PREFIX "permits_followers",
+         "Nodes that take their permits from this one.", NULL,
+         (double)f.followers);
 }
 
 static void
@@ -101,56 +101,62 @@
   static const char help[] = "Calls to the store by kind, and what they met.";
   const struct store_counts *n = store_counts (s->store);
 
-  set (s, name, help, "kind=\"range\"", (double)n->ranges);
-  set (s, name, help, "kind=\"txn\"", (double)n->txns);
-  set (s, name, help, "kind=\"grant\"", (double)n->grants);
-  set (s, name, help, "kind=\"keep\"", (double)n->keeps);
-  set (s, name, help, "kind=\"watch\"", (double)n->watches);
-  set (s, name, help, "met=\"over_budget\"", (double)n->over_budget);
-  set (s, name, help, "met=\"uncertain\"", (double)n->uncertain);
-  set (s, name, help, "met=\"unavailable\"", (double)n->unavailable);
-  set (s, name, help, "met=\"conflict\"", (double)n->conflicts);
+  gauge (s, name, help, "kind=\"range\"", (double)n->ranges);
+  gauge (s, name, help, "kind=\"txn\"", (double)n->txns);
+  gauge (s, name, help, "kind=\"grant\"", (double)n->grants);
+  gauge (s, name, help, "kind=\"keep\"", (double)n->keeps);
+  gauge (s, name, help, "kind=\"watch\"", (double)n->watches);
+  gauge (s, name, help, "met=\"over_budget\"", (double)n->over_budget);
+  gauge (s, name, help, "met=\"uncertain\"", (double)n->uncertain);
+  gauge (s, name, help, "met=\"unavailable\"", (double)n->unavailable);
+  gauge (s, name, help, "met=\"conflict\"", (double)n->conflicts);
 }
 
 static void
-set_views (struct srv *s)
+set_state (struct srv *s)
 {
   const struct frm_figures *f = srv_leader_figures (s);
   size_t n;
 
   bks_list (s->backends, &n);
-  set (s, PREFIX "config_version", "Version in force; 0: none.", NULL,
-       s->table ? (double)s->table->version : 0);
-  set (s, PREFIX "config_age_ms",
-       "Time since it was last known to be the newest; -1: never.", NULL,
-       (double)srv_config_age (s, clk_now ()));
-  set (s, PREFIX "servers", "Backend servers in the list.", NULL, (double)n);
-  set (s, PREFIX "store_era",
-       "How often the store has come back from an older copy of its data, as "
-       "it counts; 0: not known.",
-       NULL, (double)srv_sync_era (s));
-  set (s, PREFIX "entries_not_taken",
-       "Entries of the list that can't be read, at this node's last reading.",
-       NULL, (double)srv_sync_unread (s));
-  set (s, PREFIX "servers_age_ms", "Age of that list; -1: none.", NULL,
-       (double)srv_sync_list_age (s, clk_now ()));
-  set (s, PREFIX "nodes", "Nodes that are linked, this one included.", NULL,
-       srv_peers_nodes (s));
-  set (s, PREFIX "ready", "Whether callers are sent here.", NULL,
-       srv_is_ready (s));
-  set (s, PREFIX "duty", "Whether this node forms replicas.", NULL,
-       srv_duty_holds (s));
-  set (s, PREFIX "replicas", "Replicas by state, where this node forms them.",
-       "state=\"open\"", f->open);
-  set (s, PREFIX "replicas", "Replicas by state, where this node forms them.",
-       "state=\"forming\"", f->forming);
-  set (s, PREFIX "replicas", "Replicas by state, where this node forms them.",
-       "state=\"closing\"", f->closing);
-  set (s, PREFIX "spares", "VMs in no replica, and those warm for one.", NULL,
-       f->spares);
-  set (s, PREFIX "loads", "Loads of weights ordered.", NULL, (double)f->loads);
-  set (s, PREFIX "orders", "Orders to backend servers.", NULL,
-       (double)f->orders);
+  gauge (s, PREFIX "config_version", "Version in force; 0: none.", NULL,
+         s->table ? (double)s->table->version : 0);
+  gauge (s, PREFIX "config_age_ms",
+         "Time since it was last known to be the newest; -1: never.", NULL,
+         (double)srv_config_age (s, clk_now ()));
+  gauge (s, PREFIX "servers", "Backend servers in the list.", NULL, (double)n);
+  gauge (
+      s, PREFIX "store_era",
+      "How often the store has come back from an older copy of its data, as "
+      "it counts; 0: not known.",
+      NULL, (double)srv_sync_era (s));
+  gauge (
+      s, PREFIX "entries_not_taken",
+      "Entries of the list that can't be read, at this node's last reading.",
+      NULL, (double)srv_sync_unparsed (s));
+  gauge (s, PREFIX "servers_age_ms", "Age of that list; -1: none.", NULL,
+         (double)srv_sync_list_age (s, clk_now ()));
+  gauge (s, PREFIX "nodes", "Nodes that are linked, this one included.", NULL,
+         srv_peers_nodes (s));
+  gauge (s, PREFIX "ready", "Whether callers are sent here.", NULL,
+         srv_is_ready (s));
+  gauge (s, PREFIX "duty", "Whether this node forms replicas.", NULL,
+         srv_duty_holds (s));
+  gauge (s, PREFIX "replicas",
+         "Replicas by state, where this node forms them.", "state=\"open\"",
+         f->open);
+  gauge (s, PREFIX "replicas",
+         "Replicas by state, where this node forms them.", "state=\"forming\"",
+         f->forming);
+  gauge (s, PREFIX "replicas",
+         "Replicas by state, where this node forms them.", "state=\"closing\"",
+         f->closing);
+  gauge (s, PREFIX "spares", "VMs in no replica, and those warm for one.",
+         NULL, f->spares);
+  gauge (s, PREFIX "loads", "Loads of weights ordered.", NULL,
+         (double)f->loads);
+  gauge (s, PREFIX "orders", "Orders to backend servers.", NULL,
+         (double)f->orders);
 }
 
 static void
@@ -164,28 +170,28 @@
     {
       snprintf (labels, sizeof labels, "service=\"%.*s\",model=\"%.*s\"",
                 STR_ARG (list[i].service), STR_ARG (list[i].name));
-      set (s, PREFIX "replicas_wanted",
-           "Replicas that the plans of all domains have, by model.", labels,
-           list[i].wanted);
-      set (s, PREFIX "replicas_formed",
-           "Replicas that are open or on their way, by model.", labels,
-           list[i].formed);
-      set (s, PREFIX "requests_asked",
-           "Requests under way or waiting at all nodes, averaged, by model.",
-           labels, list[i].requests);
-      set (s, PREFIX "replicas_yielded",
-           "Replicas that closed for one of another model.", labels,
-           (double)list[i].yielded);
+      gauge (s, PREFIX "replicas_wanted",
+             "Replicas that the plans of all domains have, by model.", labels,
+             list[i].wanted);
+      gauge (s, PREFIX "replicas_formed",
+             "Replicas that are open or on their way, by model.", labels,
+             list[i].formed);
+      gauge (s, PREFIX "requests_asked",
+             "Requests under way or waiting at all nodes, averaged, by model.",
+             labels, list[i].requests);
+      gauge (s, PREFIX "replicas_yielded",
+             "Replicas that closed for one of another model.", labels,
+             (double)list[i].yielded);
     }
 }
 
 void
-srv_metrics (struct srv *s, struct buf *out)
+srv_metrics_expose (struct srv *s, struct buf *out)
 {
   set_dispatch (s);
   set_limits (s);
   set_store (s);
-  set_views (s);
+  set_state (s);
   set_models (s);
   met_expose (s->met, out);
 }
--- a/serve/node-int.h
+++ b/serve/node-int.h
@@ -18,7 +18,7 @@
 #include "serve/pause.h"
 
 struct srv_exchange;
-struct srv_held;
+struct srv_deferred;
 struct srv_config;
 struct srv_sync;
 struct srv_register;
@@ -57,15 +57,15 @@
   struct srv_plan *plan;
   struct srv_peers *peers;
   struct srv_exchange *exchanges;
-  struct srv_held *held;  /**< requests deferred until the store answers after
-                               a pause */
-  struct buf places_told; /**< endpoints as last logged */
+  struct srv_deferred *deferred; /**< requests deferred until the store answers
+                              after a pause */
+  struct buf logged_endpoints;   /**< endpoints as last logged */
   uint64_t next_id;
-  bool acting;      /**< dispatch actions are being run */
-  bool traffic;     /**< at least one request was received */
+  bool running_actions; /**< dispatch actions are being run */
+  bool traffic;         /**< at least one request was received */
   bool first_start; /**< first start of the system: no entry can have expired
                          before */
-  clk_ms ticked_at; /**< time of the last tick; 0: none */
+  clk_ms last_tick_at;  /**< time of the last tick; 0: none */
   clk_ms leaving_since; /**< start of the shutdown; 0: not shutting down */
 };
 
@@ -90,7 +90,7 @@
 /** Time since srv_config_known_at(); -1: never confirmed. */
 clk_ms srv_config_age (const struct srv *s, clk_ms now);
 /** Whether the version in force is confirmed to be the newest. */
-enum cur_trust srv_config_trust (const struct srv *s, clk_ms now);
+enum cur_trust srv_config_state (const struct srv *s, clk_ms now);
 /**
  * Document of the version in force, to be pushed to other nodes.
  * @param nodes  number of nodes that it would be sent to
@@ -124,15 +124,15 @@
 /** Time since this node's last successful read. */
 clk_ms srv_sync_age (const struct srv *s, clk_ms now);
 /** Number of entries that could not be parsed in the last read. */
-size_t srv_sync_unread (const struct srv *s);
+size_t srv_sync_unparsed (const struct srv *s);
 /** Read the list of backend servers soon, as it has probably changed. */
-void srv_sync_hurry (struct srv *s, clk_ms now);
+void srv_sync_read_soon (struct srv *s, clk_ms now);
 
 /* register.c: this node's entry, the other nodes' entries, shared keys */
 void srv_register_start (struct srv *s);
 void srv_register_tick (struct srv *s, clk_ms now);
 /** Revoke the lease of this node's entry. */
-void srv_register_end (struct srv *s);
+void srv_register_revoke (struct srv *s);
 /** Whether this node is a leaf: there are more nodes than a full mesh allows,
     and it is not one of the relays.  A leaf receives from its relays what
     other nodes read from the store. */
@@ -205,7 +205,7 @@
 void srv_ingress_tick (struct srv *s, clk_ms now);
 /** Run the pending actions of the dispatch core. */
 void srv_act (struct srv *s);
-struct srv_exchange *srv_find (const struct srv *s, uint64_t id);
+struct srv_exchange *srv_find_exchange (const struct srv *s, uint64_t id);
 
 /** Whether other nodes rely on this node's announcements of the
     configuration. */
@@ -254,7 +254,7 @@
 #define SRV_METRICS_PATH "/metrics"
 void srv_metrics_start (struct srv *s);
 /** All metrics in the Prometheus text exposition format. */
-void srv_metrics (struct srv *s, struct buf *out);
+void srv_metrics_expose (struct srv *s, struct buf *out);
 /** Count a request that has ended. @param status  of the answer; 0: the
     caller disconnected */
 void srv_metrics_request (struct srv *s, const char *kind, int status,
--- a/serve/node.c
+++ b/serve/node.c
@@ -10,19 +10,19 @@
 #define TICK_MS 10
 /** A tick that is later than this shows that the process was suspended or got
     no CPU time. */
-#define PAUSED_MS ((clk_ms)500)
+#define PAUSE_THRESHOLD_MS ((clk_ms)500)
 
 /** Log rate limit per event, in lines per second.  It is above the normal
     rate of any event; at 15 us a line, this is less than a hundredth of a
     core. */
-#define LINES_PER_S 60
+#define LOG_LINES_PER_S 60
 
 /** New requests are accepted for this long after SIGTERM, until callers have
     learned that they should use another node. */
-#define LEAVE_TAKE_MS ((clk_ms)3000)
+#define SHUTDOWN_ACCEPT_MS ((clk_ms)3000)
 /** Part of the grace period that is reserved for a clean exit before
     SIGKILL. */
-#define LEAVE_SPARE_MS ((clk_ms)400)
+#define SHUTDOWN_MARGIN_MS ((clk_ms)400)
 
 bool
 srv_is_ready (const struct srv *s)
@@ -33,14 +33,14 @@
 /** Log the number of accepting endpoints of each model or service if it has
     changed. */
 static void
-log_places (struct srv *s, const struct dsp_place *list, size_t n)
+log_endpoints (struct srv *s, const struct dsp_place *list, size_t n)
 {
   struct buf text = BUF_INIT;
 
   for (size_t i = 0; i < n; i++)
     {
       struct str name = list[i].model.len ? list[i].model : list[i].service;
-      size_t open = 0;
+      size_t accepting_count = 0;
       bool first = true;
       for (size_t k = 0; k < n; k++)
         {
@@ -49,17 +49,17 @@
           if (!str_eq (name, other))
             continue;
           first = first && k >= i;
-          open += list[k].accepting;
+          accepting_count += list[k].accepting;
         }
       if (first)
         buf_addf (&text, "%s%.*s=%zu", text.len ? " " : "", STR_ARG (name),
-                  open);
+                  accepting_count);
     }
-  if (!str_eq (buf_str (&text), buf_str (&s->places_told)))
+  if (!str_eq (buf_str (&text), buf_str (&s->logged_endpoints)))
     LOG (servers_changed, LOG_S ("places", buf_str (&text)),
          LOG_I ("version", bks_version (s->backends)));
-  buf_clear (&s->places_told);
-  buf_add (&s->places_told, buf_str (&text));
+  buf_clear (&s->logged_endpoints);
+  buf_add (&s->logged_endpoints, buf_str (&text));
   buf_free (&text);
 }
 
@@ -71,7 +71,7 @@
   if (!s->table || !bks_known (s->backends))
     return;
   const struct dsp_place *list = bks_places (s->backends, s->table, &n);
-  log_places (s, list, n);
+  log_endpoints (s, list, n);
   dsp_places (s->dispatch, clk_now (), list, n);
   srv_act (s);
 }
@@ -79,26 +79,26 @@
 /* --- shutdown ----------------------------------------------------------- */
 
 static void
-leave (struct srv *s)
+begin_shutdown (struct srv *s)
 {
   if (s->leaving_since)
     return;
   s->leaving_since = clk_now ();
   LOG (serve_leaving, LOG_I ("open", dsp_open (s->dispatch)));
-  srv_register_end (s);
+  srv_register_revoke (s);
 }
 
 /** Refuse new requests once callers have had time to learn of the shutdown;
     stop the event loop just before the grace period ends. */
 static void
-tick_leave (struct srv *s, clk_ms now)
+tick_shutdown (struct srv *s, clk_ms now)
 {
-  clk_ms gone = now - s->leaving_since;
+  clk_ms elapsed = now - s->leaving_since;
 
-  if (gone < LEAVE_TAKE_MS)
+  if (elapsed < SHUTDOWN_ACCEPT_MS)
     return;
   dsp_leave (s->dispatch);
-  if (gone > s->set.grace_ms - LEAVE_SPARE_MS)
+  if (elapsed > s->set.grace_ms - SHUTDOWN_MARGIN_MS)
     uv_stop (&s->loop);
 }
 
@@ -106,26 +106,26 @@
 on_term (uv_signal_t *h, int signum)
 {
   (void)signum;
-  leave (h->data);
+  begin_shutdown (h->data);
 }
 
 static void
 on_hangup (uv_signal_t *h, int signum)
 {
   struct srv *s = h->data;
-  struct srv_settings fresh = { 0 };
+  struct srv_settings settings_read = { 0 };
   struct fnd_list findings = { 0 };
   struct buf text = BUF_INIT;
 
   (void)signum;
-  if (s->ad->settings (s->settings_path, &fresh, &findings))
+  if (s->ad->settings (s->settings_path, &settings_read, &findings))
     LOG (serve_reloaded, LOG_S ("settings", str_from (s->settings_path)));
   else
     {
       fnd_print (&findings, &text);
       LOG (serve_settings_bad, LOG_S ("findings", buf_str (&text)));
     }
-  arena_free (&fresh.text);
+  arena_free (&settings_read.text);
   fnd_free (&findings);
   buf_free (&text);
 }
@@ -135,7 +135,7 @@
 /** Handle the end of a pause of this process.  Messages that arrived during
     the pause are still unread in the socket buffers. */
 static void
-resume (struct srv *s, clk_ms now, clk_ms ms)
+handle_resume (struct srv *s, clk_ms now, clk_ms ms)
 {
   LOG (serve_paused, LOG_I ("ms", ms));
   srv_peers_resumed (s, now, ms);
@@ -146,12 +146,12 @@
 void
 srv_check_pause (struct srv *s, clk_ms now)
 {
-  clk_ms ms = now - s->ticked_at;
+  clk_ms ms = now - s->last_tick_at;
 
-  if (s->ticked_at == 0 || ms <= PAUSED_MS)
+  if (s->last_tick_at == 0 || ms <= PAUSE_THRESHOLD_MS)
     return;
-  s->ticked_at = now;
-  resume (s, now, ms);
+  s->last_tick_at = now;
+  handle_resume (s, now, ms);
 }
 
 static void
@@ -161,7 +161,7 @@
   clk_ms now = clk_now ();
 
   srv_check_pause (s, now);
-  s->ticked_at = now;
+  s->last_tick_at = now;
   if (now >= dsp_wake (s->dispatch))
     {
       dsp_tick (s->dispatch, now);
@@ -175,7 +175,7 @@
   srv_peers_tick (s, now);
   srv_poison_tick (s, now);
   if (s->leaving_since)
-    tick_leave (s, now);
+    tick_shutdown (s, now);
 }
 
 /* --- start and run ------------------------------------------------------ */
@@ -256,7 +256,7 @@
   if (!read_settings (s))
     goto done;
   log_setup (opt->log_format, opt->log_level, s->set.node);
-  log_output (STDOUT_FILENO, LINES_PER_S);
+  log_output (STDOUT_FILENO, LOG_LINES_PER_S);
   uv_loop_init (&s->loop);
   code = EXIT_FAILED;
   if (!start (s, &err))
--- a/serve/register.c
+++ b/serve/register.c
@@ -541,7 +541,7 @@
 }
 
 void
-srv_register_end (struct srv *s)
+srv_register_revoke (struct srv *s)
 {
   if (s->reg->lease)
     store_lease_revoke (s->store, s->reg->lease, on_secret, s->reg);
--- a/serve/sync.c
+++ b/serve/sync.c
@@ -122,7 +122,7 @@
 }
 
 size_t
-srv_sync_unread (const struct srv *s)
+srv_sync_unparsed (const struct srv *s)
 {
   return unr_count (s->sync->unread);
 }
@@ -201,7 +201,7 @@
 }
 
 void
-srv_sync_hurry (struct srv *s, clk_ms now)
+srv_sync_read_soon (struct srv *s, clk_ms now)
 {
   struct srv_sync *y = s->sync;
   clk_ms more = bks_pace (s->backends, POLL_HURRY_MS) - POLL_HURRY_MS;
