--- a/serve/config.c
+++ b/serve/config.c
@@ -14,9 +14,9 @@
 /** A document is pushed only if sending it takes no longer than this on the
     node's link.  A longer one would delay the list of backend servers; its
     version is only announced, and each node reads it from the store. */
-#define PUSH_LINK_MS ((clk_ms)500)
+#define PUSH_MAX_MS ((clk_ms)500)
 /** Space in a frame for everything but the document. */
-#define FRAME_REST ((size_t)1024)
+#define FRAME_OVERHEAD ((size_t)1024)
 
 /** How a configuration reached this node. */
 enum source
@@ -32,11 +32,11 @@
   struct buf
       range_end; /* end of the key range that contains config_key alone */
   struct buf document; /* document in force; empty if it doesn't fit into a
-                      frame */
+                          frame */
   struct store_watch *watch;
-  struct cur cur;
-  int64_t seen;       /* store revision up to which changes were seen */
-  bool was_following; /* last logged result of follows() */
+  struct fresh fresh;
+  int64_t seen_revision; /* store revision up to which changes were seen */
+  bool was_following;    /* last logged relies_on_announcements() */
 };
 
 static void
@@ -54,14 +54,14 @@
 clk_ms
 srv_config_age (const struct srv *s, clk_ms now)
 {
-  const struct cur *c = &s->config->cur;
+  const struct fresh *c = &s->config->fresh;
 
-  return c->known_at ? now - c->known_at : -1;
+  return c->confirmed_at ? now - c->confirmed_at : -1;
 }
 
 static void
-put_in_force (struct srv_config *c, struct tbl *t, const struct store_kv *kv,
-              enum source from)
+activate (struct srv_config *c, struct tbl *t, const struct store_kv *kv,
+          enum source from)
 {
   static const char *const names[] = {
     [SOURCE_READ] = "read", [SOURCE_WATCH] = "watch", [SOURCE_NODE] = "node"
@@ -73,11 +73,11 @@
        LOG_C ("from", names[from]),
        LOG_I ("known_age_ms", srv_config_age (s, clk_now ())));
   buf_clear (&c->document);
-  if (kv->value.len + FRAME_REST <= LINK_MAX_FRAME)
+  if (kv->value.len + FRAME_OVERHEAD <= LINK_MAX_FRAME)
     buf_add (&c->document, kv->value);
   tbl_unref (s->table);
   s->table = t;
-  cur_in_force (&c->cur, t->version);
+  fresh_set_version (&c->fresh, t->version);
   srv_places_changed (s);
 }
 
@@ -87,7 +87,8 @@
  * @retval false  it could not be parsed
  */
 static bool
-take_config (struct srv_config *c, const struct store_kv *kv, enum source from)
+apply_config (struct srv_config *c, const struct store_kv *kv,
+              enum source from)
 {
   struct srv *s = c->s;
   struct fnd_list findings = { 0 };
@@ -105,7 +106,7 @@
   if (s->table && t->version <= s->table->version)
     tbl_unref (t);
   else
-    put_in_force (c, t, kv, from);
+    activate (c, t, kv, from);
   return true;
 }
 
@@ -119,11 +120,11 @@
 
   store_watch_stop (c->watch);
   c->watch = NULL;
-  c->seen = revision;
-  cur_watched (&c->cur, clk_now ());
+  c->seen_revision = revision;
+  fresh_watch_fired (&c->fresh, clk_now ());
   for (size_t i = 0; i < n; i++)
     if (!ev[i].deleted)
-      take_config (c, &ev[i].kv, SOURCE_WATCH);
+      apply_config (c, &ev[i].kv, SOURCE_WATCH);
 }
 
 static void
@@ -133,7 +134,7 @@
 
   (void)why; /* whatever the reason, the configuration is read again */
   c->watch = NULL;
-  cur_watch_ended (&c->cur, clk_now ());
+  fresh_watch_failed (&c->fresh, clk_now ());
 }
 
 static void
@@ -142,27 +143,28 @@
   static const struct store_watch_cb cb = { on_config_events, on_config_end };
   struct srv *s = c->s;
 
-  c->watch = store_watch (s->store, str_from (s->ad->config_key),
-                          buf_str (&c->range_end), c->seen + 1, &cb, c);
+  c->watch
+      = store_watch (s->store, str_from (s->ad->config_key),
+                     buf_str (&c->range_end), c->seen_revision + 1, &cb, c);
 }
 
 /** Whether this node relies on announcements instead of a watch of its
     own. */
 static bool
-follows (const struct srv_config *c, clk_ms now)
+relies_on_announcements (const struct srv_config *c, clk_ms now)
 {
-  return cur_is_announced (&c->cur, now) && !srv_peers_announces (c->s)
+  return fresh_is_announced (&c->fresh, now) && !srv_peers_announces (c->s)
          && srv_register_follows (c->s);
 }
 
 static void
 check_watch (struct srv_config *c, clk_ms now)
 {
-  bool following = follows (c, now);
+  bool following = relies_on_announcements (c, now);
 
   if (following != c->was_following)
     LOG (config_followed, LOG_I ("follows", following),
-         LOG_I ("version", c->cur.version),
+         LOG_I ("version", c->fresh.version),
          LOG_I ("known_age_ms", srv_config_age (c->s, now)));
   c->was_following = following;
   if (following)
@@ -170,9 +172,9 @@
       if (c->watch)
         store_watch_stop (c->watch);
       c->watch = NULL;
-      cur_watch_stopped (&c->cur);
+      fresh_watch_stopped (&c->fresh);
     }
-  else if (!c->watch && cur_may_watch (&c->cur, now))
+  else if (!c->watch && fresh_may_watch (&c->fresh, now))
     watch_config (c);
 }
 
@@ -183,15 +185,16 @@
 {
   struct srv_config *c = ctx;
   struct srv *s = c->s;
-  enum cur_answer what = r->status == STORE_OK ? CUR_READ : CUR_FAILED;
+  enum fresh_read_result what
+      = r->status == STORE_OK ? FRESH_READ_OK : FRESH_READ_FAILED;
 
   pau_ended (&s->store_pause, clk_now (), r->status, &s->rng);
   for (size_t i = 0; i < r->nkvs; i++)
-    if (!take_config (c, &r->kvs[i], SOURCE_READ))
-      what = CUR_UNREADABLE;
+    if (!apply_config (c, &r->kvs[i], SOURCE_READ))
+      what = FRESH_READ_UNPARSABLE;
   if (r->status == STORE_OK)
-    c->seen = r->revision;
-  cur_answered (&c->cur, clk_now (), what);
+    c->seen_revision = r->revision;
+  fresh_read_done (&c->fresh, clk_now (), what);
 }
 
 static void
@@ -199,7 +202,7 @@
 {
   struct srv *s = c->s;
 
-  cur_asked (&c->cur, now);
+  fresh_read_sent (&c->fresh, now);
   pau_called (&s->store_pause);
   store_range (s->store, STORE_CONFIG, str_from (s->ad->config_key),
                buf_str (&c->range_end), on_config, c);
@@ -210,13 +213,13 @@
 int64_t
 srv_config_version (const struct srv *s)
 {
-  return s->config->cur.version;
+  return s->config->fresh.version;
 }
 
 clk_ms
 srv_config_known_at (const struct srv *s)
 {
-  return s->config->cur.known_at;
+  return s->config->fresh.confirmed_at;
 }
 
 bool
@@ -229,7 +232,7 @@
   if (s->set.link_bytes_per_s > 0)
     ms = (double)(text->len * nodes) * (double)CLK_SECOND
          / s->set.link_bytes_per_s;
-  return text->len > 0 && ms <= (double)PUSH_LINK_MS;
+  return text->len > 0 && ms <= (double)PUSH_MAX_MS;
 }
 
 void
@@ -238,28 +241,28 @@
   struct store_kv kv = { .key = str_from (s->ad->config_key), .value = text };
 
   if (version > srv_config_version (s))
-    take_config (s->config, &kv, SOURCE_NODE);
+    apply_config (s->config, &kv, SOURCE_NODE);
 }
 
 void
 srv_config_announced (struct srv *s, clk_ms now,
                       const struct cur_announcement *a)
 {
-  cur_announced (&s->config->cur, now, a);
+  fresh_on_announcement (&s->config->fresh, now, a);
 }
 
 /* --- time --------------------------------------------------------------- */
 
-enum cur_trust
+enum fresh_state
 srv_config_state (const struct srv *s, clk_ms now)
 {
-  return cur_trust (&s->config->cur, now);
+  return fresh_state (&s->config->fresh, now);
 }
 
 void
 srv_config_resumed (struct srv *s, clk_ms now)
 {
-  cur_resumed (&s->config->cur, now);
+  fresh_on_resume (&s->config->fresh, now);
 }
 
 void
@@ -267,7 +270,7 @@
 {
   struct srv_config *c = s->config;
 
-  if (cur_should_read (&c->cur, now, srv_peers_announces (s))
+  if (fresh_should_read (&c->fresh, now, srv_peers_announces (s))
       && pau_may_call (&s->store_pause, now))
     read_config (c, now);
   check_watch (c, now);
@@ -279,7 +282,7 @@
   struct srv_config *c = xcalloc (1, sizeof *c);
 
   c->s = s;
-  cur_init (&c->cur, s->set.apply_ms);
+  fresh_init (&c->fresh, s->set.apply_ms);
   store_prefix_end (str_from (s->ad->config_key), &c->range_end);
   s->config = c;
   srv_config_tick (s, clk_now ());
--- a/serve/currency.h
+++ b/serve/currency.h
@@ -2,17 +2,17 @@
  * @file
  * Freshness of a node's configuration (decision core).
  *
- * The configuration in force was the newest one at `known_at`: the time at
+ * The configuration in force was the newest one at `confirmed_at`: the time at
  * which the last store read that returned no newer version was sent, by this
- * node or by a node that announced the same version.  When `known_at` becomes
- * too old, the node reads the store itself.  Once it is older than the time
- * within which operators may rely on a new version being in force, the node
- * keeps serving but sends no final refusals.
+ * node or by a node that announced the same version.  When `confirmed_at`
+ * becomes too old, the node reads the store itself.  Once it is older than the
+ * time within which operators may rely on a new version being in force, the
+ * node keeps serving but sends no final refusals.
  *
  * Clocks of different nodes are not compared.  Each frame carries the sender's
  * time, and an announcement echoes the latest time received from its receiver.
  * So network delay makes an announcement appear older, never newer; see
- * cur_announced_at().  Each clock has to advance while its process or VM is
+ * fresh_confirmed_at().  Each clock has to advance while its process or VM is
  * suspended.
  *
  * The inputs are events and the time.
@@ -31,89 +31,90 @@
   int64_t version;
   bool stamped;  /**< it echoes a time sent by this node */
   clk_ms stamp;  /**< the echoed time, by the clock of this node */
-  clk_ms age_ms; /**< from the sender's `known_at` to its receipt of the
+  clk_ms age_ms; /**< from the sender's `confirmed_at` to its receipt of the
                       echoed time; negative: confirmed after that receipt */
 };
 
 /** Freshness of the configuration in force. */
-enum cur_trust
+enum fresh_state
 {
-  CUR_CONFIRMED,   /**< confirmed to be the newest within the limit */
-  CUR_UNCONFIRMED, /**< there may be a newer version */
-  CUR_RESUMED      /**< as CUR_UNCONFIRMED, because this process was
-                        suspended; an answer of the store is due soon and
-                        requests are deferred until then */
+  FRESH_CONFIRMED,   /**< confirmed to be the newest within the limit */
+  FRESH_UNCONFIRMED, /**< there may be a newer version */
+  FRESH_RESUMED      /**< as FRESH_UNCONFIRMED, because this process was
+                          suspended; an answer of the store is due soon and
+                          requests are deferred until then */
 };
 
-struct cur
+struct fresh
 {
   clk_ms apply_ms;     /**< limit: a new version is in force within this
                             time */
   int64_t version;     /**< in force; 0: none */
-  clk_ms known_at;     /**< last time at which `version` was the newest; 0:
+  clk_ms confirmed_at; /**< last time at which `version` was the newest; 0:
                             never */
   clk_ms announced_at; /**< the same, from announcements alone */
-  int64_t newest;      /**< newest version announced by another node; 0:
-                            none */
-  clk_ms newest_at;    /**< when `newest` was first announced */
+  int64_t announced_version; /**< newest version announced by another node; 0:
+                                  none */
+  clk_ms announced_since; /**< when `announced_version` was first announced */
   bool reading;
-  clk_ms asked;      /**< when the last read was sent */
-  clk_ms next_read;  /**< CLK_NEVER: when `known_at` is too old */
-  clk_ms next_watch; /**< CLK_NEVER: after the next read */
-  clk_ms resumed_at; /**< end of the last pause of the process, until a read
-                          sent after it has ended; 0: none */
+  clk_ms read_sent_at; /**< when the last read was sent */
+  clk_ms next_read;    /**< CLK_NEVER: when `confirmed_at` is too old */
+  clk_ms next_watch;   /**< CLK_NEVER: after the next read */
+  clk_ms resumed_at;   /**< end of the last pause of the process, until a read
+                            sent after it has ended; 0: none */
 };
 
-void cur_init (struct cur *c, clk_ms apply_ms);
+void fresh_init (struct fresh *f, clk_ms apply_ms);
 
 /** This version is now in force. */
-void cur_in_force (struct cur *c, int64_t version);
+void fresh_set_version (struct fresh *f, int64_t version);
 
 /** A read of the store was sent. */
-void cur_asked (struct cur *c, clk_ms now);
+void fresh_read_sent (struct fresh *f, clk_ms now);
 
 /** Result of a read of the store. */
-enum cur_answer
+enum fresh_read_result
 {
-  CUR_READ,       /**< the version read is in force, or is older than that in
-                       force */
-  CUR_UNREADABLE, /**< the version read could not be parsed */
-  CUR_FAILED
+  FRESH_READ_OK, /**< the version read is in force, or is older than that in
+                      force */
+  FRESH_READ_UNPARSABLE, /**< the version read could not be parsed */
+  FRESH_READ_FAILED
 };
 
-void cur_answered (struct cur *c, clk_ms now, enum cur_answer what);
+void fresh_read_done (struct fresh *f, clk_ms now,
+                      enum fresh_read_result what);
 
 /** A watch has returned a version. */
-void cur_watched (struct cur *c, clk_ms now);
+void fresh_watch_fired (struct fresh *f, clk_ms now);
 
 /** A watch has failed and may have missed a version. */
-void cur_watch_ended (struct cur *c, clk_ms now);
+void fresh_watch_failed (struct fresh *f, clk_ms now);
 
 /** The time, by the clock of this node, at which the announced version was
     last confirmed; 0: unknown. */
-clk_ms cur_announced_at (const struct cur_announcement *a);
+clk_ms fresh_confirmed_at (const struct cur_announcement *a);
 
 /** An announcement was received. */
-void cur_announced (struct cur *c, clk_ms now,
-                    const struct cur_announcement *a);
+void fresh_on_announcement (struct fresh *f, clk_ms now,
+                            const struct cur_announcement *a);
 
 /** This process has resumed after a pause. */
-void cur_resumed (struct cur *c, clk_ms now);
+void fresh_on_resume (struct fresh *f, clk_ms now);
 
 /** Whether to read the store now. @param announces  other nodes rely on the
     announcements of this node */
-bool cur_should_read (const struct cur *c, clk_ms now, bool announces);
+bool fresh_should_read (const struct fresh *f, clk_ms now, bool announces);
 
 /** Whether this node receives announcements that confirm its version. */
-bool cur_is_announced (const struct cur *c, clk_ms now);
+bool fresh_is_announced (const struct fresh *f, clk_ms now);
 
 /** The watch was stopped in favour of announcements.  The next watch starts
     only after a read. */
-void cur_watch_stopped (struct cur *c);
+void fresh_watch_stopped (struct fresh *f);
 
 /** Whether a watch may start now. */
-bool cur_may_watch (const struct cur *c, clk_ms now);
+bool fresh_may_watch (const struct fresh *f, clk_ms now);
 
-enum cur_trust cur_trust (const struct cur *c, clk_ms now);
+enum fresh_state fresh_state (const struct fresh *f, clk_ms now);
 
 #endif
--- a/serve/ingress.c
+++ b/serve/ingress.c
@@ -176,7 +176,7 @@
 {
   static const struct rejection unconfirmed
       = { 503, "config-unconfirmed", CONFIRM_RETRY_MS };
-  bool confirmed = srv_config_state (s, clk_now ()) == CUR_CONFIRMED;
+  bool confirmed = srv_config_state (s, clk_now ()) == FRESH_CONFIRMED;
 
   return why.status && !confirmed ? unconfirmed : why;
 }
@@ -230,7 +230,7 @@
 static bool
 awaits_store (const struct srv *s, clk_ms now)
 {
-  return srv_config_state (s, now) == CUR_RESUMED
+  return srv_config_state (s, now) == FRESH_RESUMED
          || srv_sync_is_resuming (s, now);
 }
 
--- a/serve/node-int.h
+++ b/serve/node-int.h
@@ -39,7 +39,7 @@
   uint64_t boot;
   struct httpc *http;
   struct store *store;
-  struct pau store_pause; /**< backoff of all store reads and of the calls for
+  struct bof store_pause; /**< backoff of all store reads and of the calls for
                                this node's entry */
   struct httpd *front, *ready, *address;
   struct met_reg *met;
@@ -57,8 +57,8 @@
   struct srv_plan *plan;
   struct srv_peers *peers;
   struct srv_exchange *exchanges;
-  struct srv_deferred *deferred; /**< requests deferred until the store answers
-                              after a pause */
+  struct srv_deferred *deferred; /**< requests deferred until the store
+                                      answers after a pause */
   struct buf logged_endpoints;   /**< endpoints as last logged */
   uint64_t next_id;
   bool running_actions; /**< dispatch actions are being run */
@@ -90,7 +90,7 @@
 /** Time since srv_config_known_at(); -1: never confirmed. */
 clk_ms srv_config_age (const struct srv *s, clk_ms now);
 /** Whether the version in force is confirmed to be the newest. */
-enum cur_trust srv_config_state (const struct srv *s, clk_ms now);
+enum fresh_state srv_config_state (const struct srv *s, clk_ms now);
 /**
  * Document of the version in force, to be pushed to other nodes.
  * @param nodes  number of nodes that it would be sent to
--- a/serve/pause.c
+++ b/serve/pause.c
@@ -4,9 +4,9 @@
     events is a priced call.  So a node delays its next watch by this time per
     known node; when many nodes start together, few calls then return all their
     entries. */
-#define WATCH_PACE_MS ((clk_ms)12)
-#define WATCH_PACE_LEAST_MS ((clk_ms)150)
-#define WATCH_PACE_MOST_MS ((clk_ms)800)
+#define WATCH_DELAY_PER_NODE_MS ((clk_ms)12)
+#define WATCH_DELAY_MIN_MS ((clk_ms)150)
+#define WATCH_DELAY_MAX_MS ((clk_ms)800)
 /**
  * Delay of most nodes among many.  They need no immediate view of the others:
  * the leader links to nodes that start, and a new leader is one of the first
@@ -14,86 +14,89 @@
  * the other, half of the priced store calls were these watches; they cost
  * 0.017 of what the day could earn.
  */
-#define WATCH_PACE_REST_MS ((clk_ms)3000)
-/** WATCH_PACE_REST_MS applies from this number of nodes on, except to the
-    first WATCH_FIRST in rank. */
-#define WATCH_MANY 16
-#define WATCH_FIRST 4
+#define WATCH_DELAY_LOW_RANK_MS ((clk_ms)3000)
+/** WATCH_DELAY_LOW_RANK_MS applies from this number of nodes on, except to the
+    first WATCH_FIRST_RANKS in rank. */
+#define WATCH_MANY_NODES 16
+#define WATCH_FIRST_RANKS 4
 
 /** Backoff after the first failure; most failures are a single lost call. */
-#define PAUSE_FIRST_MS ((clk_ms)200)
+#define BACKOFF_FIRST_MS ((clk_ms)200)
 /**
  * Limit of the backoff.  The backoff delays the first read after an outage,
  * and a configuration has to be in force two seconds after it was accepted.
  */
-#define PAUSE_MOST_MS ((clk_ms)1000)
+#define BACKOFF_MAX_MS ((clk_ms)1000)
 /** Limit of the backoff of a node to which other nodes push.  The lease of
     its entry, of which two thirds are left when it is renewed, outlives
     several of these intervals. */
-#define PAUSE_PUSHED_MS ((clk_ms)3000)
+#define BACKOFF_PUSHED_MAX_MS ((clk_ms)3000)
 /** Random part of the backoff, so that the nodes' probes are not
     synchronized. */
-#define PAUSE_SPREAD 0.25
+#define BACKOFF_JITTER 0.25
 
 bool
-pau_may_call (const struct pau *p, clk_ms now)
+pau_may_call (const struct bof *b, clk_ms now)
 {
-  return p->failures == 0 || (!p->asking && now >= p->next);
+  return b->failures == 0 || (!b->probing && now >= b->next_call);
 }
 
 void
-pau_called (struct pau *p)
+pau_called (struct bof *b)
 {
-  p->asking = true;
+  b->probing = true;
 }
 
 static clk_ms
-pause_ms (unsigned failures, clk_ms most, struct rng *r)
+backoff_ms (unsigned failures, clk_ms limit, struct rng *r)
 {
-  clk_ms ms = PAUSE_FIRST_MS;
+  clk_ms ms = BACKOFF_FIRST_MS;
 
-  for (unsigned i = 1; i < failures && ms < most; i++)
+  for (unsigned i = 1; i < failures && ms < limit; i++)
     ms *= 2;
-  if (ms > most)
-    ms = most;
-  return (clk_ms)((double)ms * (1 - PAUSE_SPREAD * rng_unit (r)));
+  if (ms > limit)
+    ms = limit;
+  return (clk_ms)((double)ms * (1 - BACKOFF_JITTER * rng_unit (r)));
 }
 
 void
-pau_set_pushed (struct pau *p, clk_ms now, bool pushed, struct rng *r)
+bof_set_pushed (struct bof *b, clk_ms now, bool pushed, struct rng *r)
 {
-  clk_ms soon = now + pause_ms (1, PAUSE_MOST_MS, r);
+  clk_ms soon = now + backoff_ms (1, BACKOFF_MAX_MS, r);
 
-  if (p->pushed && !pushed && p->next > soon)
-    p->next = soon;
-  p->pushed = pushed;
+  if (b->pushed && !pushed && b->next_call > soon)
+    b->next_call = soon;
+  b->pushed = pushed;
 }
 
 void
-pau_ended (struct pau *p, clk_ms now, enum store_status status, struct rng *r)
+pau_ended (struct bof *b, clk_ms now, enum store_status status, struct rng *r)
 {
-  p->asking = false;
+  b->probing = false;
   if (status == STORE_OK || status == STORE_CONFLICT || status == STORE_GONE)
-    p->failures = 0;
+    b->failures = 0;
   /* Calls that were in flight together fail together and count as one
      failure. */
-  else if (status == STORE_UNAVAILABLE && (!p->failures || now >= p->next))
+  else if (status == STORE_UNAVAILABLE
+           && (!b->failures || now >= b->next_call))
     {
-      p->failures++;
-      p->next = now
-                + pause_ms (p->failures,
-                            p->pushed ? PAUSE_PUSHED_MS : PAUSE_MOST_MS, r);
+      b->failures++;
+      b->next_call
+          = now
+            + backoff_ms (b->failures,
+                          b->pushed ? BACKOFF_PUSHED_MAX_MS : BACKOFF_MAX_MS,
+                          r);
     }
 }
 
 clk_ms
-pau_watch_again (size_t nodes, unsigned rank, bool urgent)
+bof_watch_delay_ms (size_t nodes, unsigned rank, bool urgent)
 {
-  clk_ms pace = (clk_ms)nodes * WATCH_PACE_MS;
+  clk_ms delay = (clk_ms)nodes * WATCH_DELAY_PER_NODE_MS;
 
-  if (nodes >= WATCH_MANY && rank >= WATCH_FIRST && !urgent)
-    return WATCH_PACE_REST_MS;
-  if (pace < WATCH_PACE_LEAST_MS)
-    return WATCH_PACE_LEAST_MS;
-  return pace < WATCH_PACE_MOST_MS ? pace : WATCH_PACE_MOST_MS;
+  if (nodes >= WATCH_MANY_NODES && rank >= WATCH_FIRST_RANKS && !urgent)
+    return WATCH_DELAY_LOW_RANK_MS;
+  if (delay < WATCH_DELAY_MIN_MS)
+    return WATCH_DELAY_MIN_MS;
+  return delay < WATCH_DELAY_MAX_MS ? delay : WATCH_DELAY_MAX_MS;
 }
--- a/serve/pause.h
+++ b/serve/pause.h
@@ -17,11 +17,11 @@
 #include "base/rng.h"
 #include "store/store.h"
 
-struct pau
+struct bof
 {
   unsigned failures; /**< consecutive failures; 0: the store is available */
-  clk_ms next;       /**< earliest time of the next probe after a failure */
-  bool asking;       /**< a probe is in flight */
+  clk_ms next_call;  /**< earliest time of the next probe after a failure */
+  bool probing;      /**< a probe is in flight */
   bool pushed; /**< other nodes push everything that this node would read from
                     the store, so that only the lease of its own entry depends
                     on the store */
@@ -30,14 +30,14 @@
 /** Set whether other nodes push what this node would read from the store.
     When they stop, the next probe is due no later than after a first
     failure. */
-void pau_set_pushed (struct pau *p, clk_ms now, bool pushed, struct rng *r);
+void bof_set_pushed (struct bof *b, clk_ms now, bool pushed, struct rng *r);
 /** Whether a call may be made. */
-bool pau_may_call (const struct pau *p, clk_ms now);
+bool pau_may_call (const struct bof *b, clk_ms now);
 /** A call is made. */
-void pau_called (struct pau *p);
+void pau_called (struct bof *b);
 /** A call has ended. @param r  jitter, so that the nodes' probes are
     spread */
-void pau_ended (struct pau *p, clk_ms now, enum store_status status,
+void pau_ended (struct bof *b, clk_ms now, enum store_status status,
                 struct rng *r);
 
 /**
@@ -47,6 +47,6 @@
  * @param urgent  changes must be seen without delay: this node is leader or
  *                has no link
  */
-clk_ms pau_watch_again (size_t nodes, unsigned rank, bool urgent);
+clk_ms bof_watch_delay_ms (size_t nodes, unsigned rank, bool urgent);
 
 #endif
--- a/serve/register.c
+++ b/serve/register.c
@@ -19,27 +19,27 @@
     6 s, renewals were half of all store calls of a day. */
 #define LEASE_MS ((clk_ms)15000)
 #define RENEW_MS (LEASE_MS / 3)
-#define AGAIN_MS ((clk_ms)250)
+#define RETRY_MS ((clk_ms)250)
 /** Settle window at the start of the whole system: nodes register within
     0.3 s of each other, and each entry would trigger the watch of every node,
     so the entries are read together. */
-#define GATHER_MS ((clk_ms)500)
+#define SETTLE_MS ((clk_ms)500)
 /** After the settle window the node of rank 0 writes the secret; each other
     node does so only if it is still missing after this time per rank. */
-#define SECRET_TURN_MS ((clk_ms)50)
+#define SECRET_STAGGER_MS ((clk_ms)50)
 #define SECRET_BYTES 32
 /** Stagger, per rank, of the rewriting of entries that the store has lost. */
-#define ENTER_TURN_MS ((clk_ms)10)
+#define ENTRY_STAGGER_MS ((clk_ms)10)
 /** A leaf does without the store for this long when it receives nothing from
     a leader: a new leader is elected and linked within two or three seconds,
     and reads by every node in the meantime would make each change cost as
     many calls as there are nodes. */
-#define UNLED_MS ((clk_ms)4000)
+#define NO_LEADER_GRACE_MS ((clk_ms)4000)
 
 struct srv_register
 {
   struct srv *s;
-  struct buf prefix, end, node_key, secret_key, duty_key;
+  struct buf prefix, end, node_key, secret_key, leader_key;
   struct store_watch *watch;
   clk_ms next_watch; /* CLK_NEVER: it is running, or starts after the next
                         full read */
@@ -48,26 +48,26 @@
   clk_ms next_read; /* CLK_NEVER: no full read is due */
   /* This node's entry. */
   int64_t lease;
-  bool entered;
-  bool calling;
-  clk_ms next_call;
+  bool entry_written;
+  bool call_in_flight;
+  clk_ms call_due_at;
   struct store_compare compare;
   struct store_put put;
   struct buf value;
   /* Contents of the store. */
   struct buf secret;
-  bool secret_stored; /* the store has a secret */
-  bool secret_made;   /* this node or another one has written it; the watch
-                         returns it */
-  clk_ms next_secret; /* earliest write of the secret by the node of rank 0 */
-  bool linked;        /* links to other nodes were started */
-  clk_ms led_at;      /* last time at which there was a leader */
-  bool duty_held;
-  struct known_node *nodes;
+  bool secret_stored;    /* the store has a secret */
+  bool secret_written;   /* this node or another one has written it; the watch
+                            returns it */
+  clk_ms secret_due_at;  /* earliest write by the node of rank 0 */
+  bool links_started;    /* links to other nodes were started */
+  clk_ms leader_seen_at; /* last time at which there was a leader */
+  bool has_leader;
+  struct node_record *nodes;
   size_t nnodes;
 };
 
-struct known_node
+struct node_record
 {
   char *key;
   struct srv_entry e;
@@ -77,7 +77,7 @@
 /* --- contents of the store ---------------------------------------------- */
 
 static void
-forget_node (struct srv_register *g, struct str key)
+remove_node (struct srv_register *g, struct str key)
 {
   for (size_t i = 0; i < g->nnodes; i++)
     if (str_is (key, g->nodes[i].key))
@@ -90,13 +90,13 @@
 }
 
 static void
-take_node (struct srv_register *g, const struct store_kv *kv)
+apply_node (struct srv_register *g, const struct store_kv *kv)
 {
   struct json_object *o = jsn_parse (kv->value);
-  struct known_node n = { 0 };
+  struct node_record n = { 0 };
   struct str prefix = buf_str (&g->prefix);
 
-  forget_node (g, kv->key);
+  remove_node (g, kv->key);
   if (net_addr_parse (jsn_str (o, "front"), false, &n.e.front)
       && net_addr_parse (jsn_str (o, "peer"), false, &n.e.peer))
     {
@@ -119,7 +119,7 @@
 }
 
 static void
-tell_nodes (struct srv_register *g)
+publish_nodes (struct srv_register *g)
 {
   struct srv_entry *list = xcalloc (g->nnodes + 1, sizeof *list);
 
@@ -130,11 +130,11 @@
 }
 
 static void
-take_duty (struct srv_register *g, bool held, struct str value)
+apply_leader_key (struct srv_register *g, bool held, struct str value)
 {
   struct json_object *o = held ? jsn_parse (value) : NULL;
 
-  g->duty_held = held;
+  g->has_leader = held;
   srv_leader_key_changed (g->s, held, jsn_str (o, "node"));
   json_object_put (o);
 }
@@ -156,7 +156,7 @@
     from an older copy of its data, a node that had no secret may have written
     a new one. */
 static void
-take_secret (struct srv_register *g, struct str value)
+apply_secret (struct srv_register *g, struct str value)
 {
   struct link_secret secret;
 
@@ -165,28 +165,28 @@
     return;
   buf_clear (&g->secret);
   buf_add (&g->secret, value);
-  if (g->linked && read_secret (g, &secret))
+  if (g->links_started && read_secret (g, &secret))
     srv_peers_secret (g->s, &secret);
 }
 
 static void
-take_item (struct srv_register *g, bool deleted, const struct store_kv *kv)
+apply_item (struct srv_register *g, bool deleted, const struct store_kv *kv)
 {
   if (is_node_key (g, kv->key))
     {
       if (deleted)
-        forget_node (g, kv->key);
+        remove_node (g, kv->key);
       else
-        take_node (g, kv);
+        apply_node (g, kv);
     }
-  else if (str_eq (kv->key, buf_str (&g->duty_key)))
-    take_duty (g, !deleted, kv->value);
+  else if (str_eq (kv->key, buf_str (&g->leader_key)))
+    apply_leader_key (g, !deleted, kv->value);
   else if (is_blocked_key (g, kv->key))
     srv_poison_item (g->s, deleted,
                      str_skip (kv->key, g->prefix.len + sizeof "blocked/" - 1),
                      kv->value);
   else if (!deleted && str_eq (kv->key, buf_str (&g->secret_key)))
-    take_secret (g, kv->value);
+    apply_secret (g, kv->value);
 }
 
 struct hub_node
@@ -221,14 +221,14 @@
  * read from the store: it is a leaf, and there is a leader.
  */
 static bool
-may_rest (struct srv_register *g, clk_ms now)
+may_skip_reads (struct srv_register *g, clk_ms now)
 {
   /* The leader sends the entries to all others, so it has to read them. */
   if (srv_duty_holds (g->s))
     return false;
   if (srv_peers_led (g->s, now))
-    g->led_at = now;
-  return g->led_at && now - g->led_at < UNLED_MS
+    g->leader_seen_at = now;
+  return g->leader_seen_at && now - g->leader_seen_at < NO_LEADER_GRACE_MS
          && srv_register_follows (g->s);
 }
 
@@ -239,8 +239,8 @@
 
   /* Without a watch this node may not have seen that another became
      leader. */
-  return g && g->next_read == CLK_NEVER && !g->duty_held
-         && !may_rest (g, clk_now ());
+  return g && g->next_read == CLK_NEVER && !g->has_leader
+         && !may_skip_reads (g, clk_now ());
 }
 
 static void
@@ -249,15 +249,15 @@
   struct link_secret secret;
   struct buf err = BUF_INIT;
 
-  if (g->linked || !read_secret (g, &secret))
+  if (g->links_started || !read_secret (g, &secret))
     return;
-  g->linked = srv_peers_start (g->s, &secret, &err);
+  g->links_started = srv_peers_start (g->s, &secret, &err);
   buf_free (&err);
 }
 
 static void
-on_events (void *ctx, int64_t revision, const struct store_watch_event *ev,
-           size_t n)
+on_watch_events (void *ctx, int64_t revision,
+                 const struct store_watch_event *ev, size_t n)
 {
   struct srv_register *g = ctx;
 
@@ -267,12 +267,13 @@
     store_watch_stop (g->watch);
   g->watch = NULL;
   for (size_t i = 0; i < n; i++)
-    take_item (g, ev[i].deleted, &ev[i].kv);
+    apply_item (g, ev[i].deleted, &ev[i].kv);
   start_links (g);
-  tell_nodes (g);
-  g->next_watch = clk_now ()
-                  + pau_watch_again (g->nnodes, srv_register_rank (g->s),
-                                     !g->linked || srv_duty_holds (g->s));
+  publish_nodes (g);
+  g->next_watch
+      = clk_now ()
+        + bof_watch_delay_ms (g->nnodes, srv_register_rank (g->s),
+                              !g->links_started || srv_duty_holds (g->s));
 }
 
 static void
@@ -283,46 +284,48 @@
   (void)why; /* whatever the reason, all keys are read again */
   g->watch = NULL;
   g->next_watch = CLK_NEVER;
-  g->next_read = clk_now () + AGAIN_MS;
+  g->next_read = clk_now () + RETRY_MS;
 }
 
 /** The store has lost this node's entry, as it was restored from an older
     copy. */
 static void
-enter_again (struct srv_register *g)
+schedule_entry_rewrite (struct srv_register *g)
 {
-  g->entered = false;
-  g->next_call = clk_now () + srv_register_rank (g->s) * ENTER_TURN_MS;
+  g->entry_written = false;
+  g->call_due_at = clk_now () + srv_register_rank (g->s) * ENTRY_STAGGER_MS;
 }
 
 /** Apply a full read: keys that are not in it no longer exist. */
 static void
-take_all (struct srv_register *g, const struct store_result *r)
+apply_all (struct srv_register *g, const struct store_result *r)
 {
-  bool duty = false, own = false;
+  bool leader_key_seen = false, own_entry_seen = false;
 
   while (g->nnodes > 0)
-    forget_node (g, str_from (g->nodes[0].key));
-  g->secret_stored = g->secret_made = false;
+    remove_node (g, str_from (g->nodes[0].key));
+  g->secret_stored = g->secret_written = false;
   srv_poison_reread (g->s);
   for (size_t i = 0; i < r->nkvs; i++)
     {
-      take_item (g, false, &r->kvs[i]);
-      duty = duty || str_eq (r->kvs[i].key, buf_str (&g->duty_key));
-      own = own || str_eq (r->kvs[i].key, buf_str (&g->node_key));
+      apply_item (g, false, &r->kvs[i]);
+      leader_key_seen = leader_key_seen
+                        || str_eq (r->kvs[i].key, buf_str (&g->leader_key));
+      own_entry_seen
+          = own_entry_seen || str_eq (r->kvs[i].key, buf_str (&g->node_key));
     }
-  if (!duty)
-    take_duty (g, false, STR_EMPTY);
-  if (!own && g->entered)
-    enter_again (g);
+  if (!leader_key_seen)
+    apply_leader_key (g, false, STR_EMPTY);
+  if (!own_entry_seen && g->entry_written)
+    schedule_entry_rewrite (g);
   start_links (g);
-  tell_nodes (g);
+  publish_nodes (g);
 }
 
 static void
 begin_watch (struct srv_register *g)
 {
-  static const struct store_watch_cb cb = { on_events, on_watch_end };
+  static const struct store_watch_cb cb = { on_watch_events, on_watch_end };
 
   g->next_watch = CLK_NEVER;
   g->watch = store_watch (g->s->store, buf_str (&g->prefix), buf_str (&g->end),
@@ -338,21 +341,21 @@
   pau_ended (&g->s->store_pause, clk_now (), r->status, &g->s->rng);
   if (r->status != STORE_OK)
     {
-      g->next_read = clk_now () + AGAIN_MS;
+      g->next_read = clk_now () + RETRY_MS;
       return;
     }
   g->next_read = CLK_NEVER;
   if (g->revision == 0 && r->nkvs == 0)
     g->s->first_start = true;
   g->revision = r->revision;
-  take_all (g, r);
+  apply_all (g, r);
   if (g->s->set.first_start && g->secret.len == 0)
     {
-      g->next_watch = clk_now () + GATHER_MS;
-      g->next_secret = g->next_watch + SECRET_TURN_MS;
+      g->next_watch = clk_now () + SETTLE_MS;
+      g->secret_due_at = g->next_watch + SECRET_STAGGER_MS;
     }
   else if (g->nnodes > HUB_MESH_MOST)
-    g->next_watch = clk_now () + GATHER_MS; /* the links are up by then */
+    g->next_watch = clk_now () + SETTLE_MS; /* the links are up by then */
   else
     begin_watch (g);
 }
@@ -362,41 +365,41 @@
 static void
 begin_call (struct srv_register *g)
 {
-  g->calling = true;
+  g->call_in_flight = true;
   pau_called (&g->s->store_pause);
 }
 
 static void
-call_ended (struct srv_register *g, enum store_status status, clk_ms wait)
+end_call (struct srv_register *g, enum store_status status, clk_ms wait)
 {
   clk_ms now = clk_now ();
 
-  g->calling = false;
-  g->next_call = now + wait;
+  g->call_in_flight = false;
+  g->call_due_at = now + wait;
   pau_ended (&g->s->store_pause, now, status, &g->s->rng);
 }
 
 static void
-on_entered (void *ctx, const struct store_result *r)
+on_entry_written (void *ctx, const struct store_result *r)
 {
   struct srv_register *g = ctx;
 
-  g->entered = r->status == STORE_OK;
+  g->entry_written = r->status == STORE_OK;
   if (r->status == STORE_GONE)
     g->lease = 0;
   /* If the answer was lost, writing the same value again is harmless. */
-  call_ended (g, r->status, g->entered ? RENEW_MS : AGAIN_MS);
+  end_call (g, r->status, g->entry_written ? RENEW_MS : RETRY_MS);
 }
 
 static void
-enter (struct srv_register *g)
+write_entry (struct srv_register *g)
 {
   struct store_txn txn = { .puts = &g->put, .nputs = 1 };
 
   begin_call (g);
   g->put = (struct store_put){ buf_str (&g->node_key), buf_str (&g->value),
                                g->lease };
-  store_txn (g->s->store, STORE_ROSTER, &txn, on_entered, g);
+  store_txn (g->s->store, STORE_ROSTER, &txn, on_entry_written, g);
 }
 
 static void
@@ -406,11 +409,11 @@
 
   if (r->status != STORE_OK)
     {
-      call_ended (g, r->status, AGAIN_MS);
+      end_call (g, r->status, RETRY_MS);
       return;
     }
   g->lease = r->lease;
-  enter (g);
+  write_entry (g);
 }
 
 static void
@@ -421,9 +424,9 @@
   if (r->status == STORE_GONE)
     {
       g->lease = 0;
-      g->entered = false;
+      g->entry_written = false;
     }
-  call_ended (g, r->status, r->status == STORE_OK ? RENEW_MS : AGAIN_MS);
+  end_call (g, r->status, r->status == STORE_OK ? RENEW_MS : RETRY_MS);
 }
 
 static void
@@ -433,12 +436,12 @@
 
   /* Whether or not this write succeeded, the watch returns the secret that is
      stored. */
-  g->secret_made = r->status == STORE_OK || r->status == STORE_CONFLICT;
-  call_ended (g, r->status, 0);
+  g->secret_written = r->status == STORE_OK || r->status == STORE_CONFLICT;
+  end_call (g, r->status, 0);
 }
 
 static void
-draw_secret (struct buf *text)
+generate_secret (struct buf *text)
 {
   uint8_t bytes[SECRET_BYTES];
 
@@ -453,7 +456,7 @@
 /** Write the secret, a new one or the known one that the store has lost.  If
     two nodes do this at once, the store accepts the first write only. */
 static void
-make_secret (struct srv_register *g)
+write_secret (struct srv_register *g)
 {
   struct buf text = BUF_INIT;
   struct store_txn txn = {
@@ -463,7 +466,7 @@
   if (g->secret.len)
     buf_add (&text, buf_str (&g->secret));
   else
-    draw_secret (&text);
+    generate_secret (&text);
   begin_call (g);
   g->compare = (struct store_compare){ buf_str (&g->secret_key), 0 };
   g->put = (struct store_put){ buf_str (&g->secret_key), buf_str (&text), 0 };
@@ -474,18 +477,19 @@
 /** Whether the secret is missing in the store and this node should write it
     now. */
 static bool
-lacks_secret (const struct srv_register *g, clk_ms now)
+should_write_secret (const struct srv_register *g, clk_ms now)
 {
-  return g->next_read == CLK_NEVER && !g->secret_stored && !g->secret_made
+  return g->next_read == CLK_NEVER && !g->secret_stored && !g->secret_written
          && (g->nnodes > 0 || !g->s->set.first_start)
-         && now >= g->next_secret + srv_register_rank (g->s) * SECRET_TURN_MS;
+         && now >= g->secret_due_at
+                       + srv_register_rank (g->s) * SECRET_STAGGER_MS;
 }
 
 static void
-next_call (struct srv_register *g, clk_ms now)
+make_due_call (struct srv_register *g, clk_ms now)
 {
-  if (lacks_secret (g, now))
-    make_secret (g);
+  if (should_write_secret (g, now))
+    write_secret (g);
   else if (g->s->leaving_since)
     return;
   else if (g->lease == 0)
@@ -493,8 +497,8 @@
       begin_call (g);
       store_lease_grant (g->s->store, LEASE_MS, on_granted, g);
     }
-  else if (!g->entered)
-    enter (g);
+  else if (!g->entry_written)
+    write_entry (g);
   else
     {
       begin_call (g);
@@ -505,14 +509,14 @@
 /** Shorten the wait for the next watch of a node that has just become leader;
     the wait may have been set when it was one of many others. */
 static void
-hurry_watch (struct srv_register *g, clk_ms now)
+advance_watch (struct srv_register *g, clk_ms now)
 {
-  clk_ms soon
-      = now + pau_watch_again (g->nnodes, srv_register_rank (g->s), true);
+  clk_ms soonest
+      = now + bof_watch_delay_ms (g->nnodes, srv_register_rank (g->s), true);
 
   if (srv_duty_holds (g->s) && g->next_watch != CLK_NEVER
-      && g->next_watch > soon)
-    g->next_watch = soon;
+      && g->next_watch > soonest)
+    g->next_watch = soonest;
 }
 
 void
@@ -520,9 +524,9 @@
 {
   struct srv_register *g = s->reg;
 
-  hurry_watch (g, now);
-  pau_set_pushed (&s->store_pause, now,
-                  may_rest (g, now) && srv_peers_led (s, now)
+  advance_watch (g, now);
+  bof_set_pushed (&s->store_pause, now,
+                  may_skip_reads (g, now) && srv_peers_led (s, now)
                       && bks_known (s->backends),
                   &s->rng);
   if (!g->reading && now >= g->next_read
@@ -533,11 +537,12 @@
       store_range (s->store, STORE_ROSTER, buf_str (&g->prefix),
                    buf_str (&g->end), on_read, g);
     }
-  if (now >= g->next_watch && !may_rest (g, now))
+  if (now >= g->next_watch && !may_skip_reads (g, now))
     begin_watch (g);
-  if (!g->calling && (now >= g->next_call || lacks_secret (g, now))
+  if (!g->call_in_flight
+      && (now >= g->call_due_at || should_write_secret (g, now))
       && pau_may_call (&s->store_pause, now))
-    next_call (g, now);
+    make_due_call (g, now);
 }
 
 void
@@ -563,14 +568,14 @@
   g->s = s;
   s->reg = g;
   /* Other nodes are running, and a link to the leader will be up shortly. */
-  g->led_at = s->set.first_start ? 0 : clk_now ();
+  g->leader_seen_at = s->set.first_start ? 0 : clk_now ();
   g->next_watch = CLK_NEVER;
   buf_add_c (&g->prefix, s->ad->own_prefix);
   store_prefix_end (buf_str (&g->prefix), &g->end);
   buf_addf (&g->node_key, "%snodes/%.*s", s->ad->own_prefix,
             STR_ARG (s->set.node));
   buf_addf (&g->secret_key, "%ssecret", s->ad->own_prefix);
-  buf_addf (&g->duty_key, "%sduty", s->ad->own_prefix);
+  buf_addf (&g->leader_key, "%sduty", s->ad->own_prefix);
   buf_add_char (&g->value, '{');
   add_addr (&g->value, "front", &s->set.front);
   buf_add_char (&g->value, ',');
--- a/serve/sync.c
+++ b/serve/sync.c
@@ -8,45 +8,45 @@
  * often: normally, and while a replica is being formed, when each step waits
  * for a server's report.  Other nodes receive the changes from the leader.
  */
-#define POLL_DUTY_MS ((clk_ms)300)
-#define POLL_BUSY_MS ((clk_ms)100)
+#define POLL_LEADER_MS ((clk_ms)300)
+#define POLL_FORMING_MS ((clk_ms)100)
 /** When an order has ended, the list is read at once, as the next step of a
     repair depends on it.  If the list is long, the read is delayed by the
     amount by which an interval of this length would be stretched for such a
     list. */
-#define POLL_HURRY_MS ((clk_ms)50)
+#define POLL_SOON_MS ((clk_ms)50)
 
 /** At the start of the whole system there is nothing to serve, and the leader
     sends the list long before there is; until the first request, the interval
     of the other nodes is longer by this factor. */
-#define START_READS_PART 4
+#define START_POLL_FACTOR 4
 
 /** Delay after a failed read, and the shortest interval of nodes other than
     the leader. */
-#define POLL_AGAIN_MS ((clk_ms)200)
+#define POLL_RETRY_MS ((clk_ms)200)
 /** Limit on deferring requests until a new list is read after a pause of this
     process. */
-#define RESUMED_MS ((clk_ms)500)
+#define RESUME_WAIT_MS ((clk_ms)500)
 
 struct srv_sync
 {
   struct srv *s;
-  struct unr *unread; /* entries of the list that could not be parsed */
-  struct buf servers_end;
-  bool reading_servers;
-  clk_ms asked_servers;
-  clk_ms next_servers;
-  clk_ms current_at; /* when the list that this node has was current, as
-                        reported by the node that read it */
-  clk_ms resumed_at; /* end of the last pause of this process; 0: none */
-  clk_ms read_at;    /* when this node's last successful read was sent */
-  int64_t era;       /* restore counter at that read; see struct
-                        store_result */
+  struct unr *unparsed; /* entries of the list that could not be parsed */
+  struct buf range_end;
+  bool reading;
+  clk_ms read_sent_at;
+  clk_ms next_read_at;
+  clk_ms current_at;   /* when the list that this node has was current, as
+                          reported by the node that read it */
+  clk_ms resumed_at;   /* end of the last pause of this process; 0: none */
+  clk_ms last_read_at; /* when this node's last successful read was sent */
+  int64_t era;         /* restore counter at that read; see struct
+                          store_result */
   bool store_ok;
 };
 
 static void
-note_store (struct srv_sync *y, bool ok)
+log_store_state (struct srv_sync *y, bool ok)
 {
   if (ok && !y->store_ok)
     LOG (store_back, LOG_C ("read", "servers"));
@@ -58,26 +58,26 @@
 /* --- backend servers --------------------------------------------------- */
 
 static void
-take_servers (struct srv_sync *y, const struct store_result *r)
+apply_servers (struct srv_sync *y, const struct store_result *r)
 {
   struct srv *s = y->s;
   struct bks_entry *list = xcalloc (r->nkvs + 1, sizeof *list);
   struct arena text = { 0 };
   size_t n = 0;
 
-  unr_begin (y->unread);
+  unr_begin (y->unparsed);
   for (size_t i = 0; i < r->nkvs; i++)
     {
       const struct store_kv *kv = &r->kvs[i];
       const char *wrong;
       if (s->ad->server (kv->key, kv->value, &text, &list[n], &wrong))
         n++;
-      else if (unr_note (y->unread, kv->key, kv->value))
+      else if (unr_note (y->unparsed, kv->key, kv->value))
         LOG (entry_not_taken, LOG_S ("key", kv->key), LOG_C ("field", wrong),
              LOG_I ("revision", kv->mod_rev));
     }
-  unr_end (y->unread);
-  if (bks_update (s->backends, clk_now (), y->asked_servers, list, n))
+  unr_end (y->unparsed);
+  if (bks_update (s->backends, clk_now (), y->read_sent_at, list, n))
     srv_places_changed (s);
   srv_leader_servers_changed (s);
   srv_peers_servers (s);
@@ -91,12 +91,13 @@
   clk_ms ms = bks_untold_ms (s->set.drain_ms, srv_register_follows (s));
 
   if (srv_duty_holds (s))
-    return bks_duty_pace (
-        s->backends, srv_leader_is_forming (s) ? POLL_BUSY_MS : POLL_DUTY_MS,
-        s->set.drain_ms);
+    return bks_duty_pace (s->backends,
+                          srv_leader_is_forming (s) ? POLL_FORMING_MS
+                                                    : POLL_LEADER_MS,
+                          s->set.drain_ms);
   if (s->set.first_start && !s->traffic)
-    ms = bks_untold_ms (s->set.drain_ms, false) * START_READS_PART;
-  return ms > POLL_AGAIN_MS ? ms : POLL_AGAIN_MS;
+    ms = bks_untold_ms (s->set.drain_ms, false) * START_POLL_FACTOR;
+  return ms > POLL_RETRY_MS ? ms : POLL_RETRY_MS;
 }
 
 void
@@ -107,8 +108,8 @@
 
   if (current_at > y->current_at)
     y->current_at = current_at;
-  if (!srv_duty_holds (s) && next > y->next_servers)
-    y->next_servers = next;
+  if (!srv_duty_holds (s) && next > y->next_read_at)
+    y->next_read_at = next;
 }
 
 clk_ms
@@ -124,7 +125,7 @@
 size_t
 srv_sync_unparsed (const struct srv *s)
 {
-  return unr_count (s->sync->unread);
+  return unr_count (s->sync->unparsed);
 }
 
 /** Whether the list is so old that it may contain servers that have since
@@ -140,7 +141,7 @@
 {
   s->sync->resumed_at = now;
   if (is_outdated (s, now))
-    s->sync->next_servers = now;
+    s->sync->next_read_at = now;
 }
 
 bool
@@ -148,7 +149,7 @@
 {
   const struct srv_sync *y = s->sync;
 
-  return y->resumed_at && now - y->resumed_at < RESUMED_MS
+  return y->resumed_at && now - y->resumed_at < RESUME_WAIT_MS
          && is_outdated (s, now);
 }
 
@@ -161,7 +162,7 @@
 clk_ms
 srv_sync_age (const struct srv *s, clk_ms now)
 {
-  return now - s->sync->read_at;
+  return now - s->sync->last_read_at;
 }
 
 static void
@@ -171,21 +172,21 @@
   struct srv *s = y->s;
   clk_ms now = clk_now ();
 
-  y->reading_servers = false;
+  y->reading = false;
   pau_ended (&s->store_pause, now, r->status, &s->rng);
-  note_store (y, r->status == STORE_OK);
+  log_store_state (y, r->status == STORE_OK);
   if (r->status != STORE_OK)
     {
       bks_unreadable (s->backends, now);
-      y->next_servers = now + POLL_AGAIN_MS;
+      y->next_read_at = now + POLL_RETRY_MS;
       return;
     }
-  y->read_at = y->asked_servers;
+  y->last_read_at = y->read_sent_at;
   if (y->era && r->era > y->era)
     bks_restored (s->backends, now);
   y->era = r->era;
-  take_servers (y, r);
-  y->next_servers = y->asked_servers + poll_ms (s);
+  apply_servers (y, r);
+  y->next_read_at = y->read_sent_at + poll_ms (s);
 }
 
 static void
@@ -193,24 +194,24 @@
 {
   struct srv *s = y->s;
 
-  y->reading_servers = true;
+  y->reading = true;
   pau_called (&s->store_pause);
-  y->asked_servers = now;
+  y->read_sent_at = now;
   store_range (s->store, STORE_ASSIGNMENT, str_from (s->ad->servers_prefix),
-               buf_str (&y->servers_end), on_servers, y);
+               buf_str (&y->range_end), on_servers, y);
 }
 
 void
 srv_sync_read_soon (struct srv *s, clk_ms now)
 {
   struct srv_sync *y = s->sync;
-  clk_ms more = bks_pace (s->backends, POLL_HURRY_MS) - POLL_HURRY_MS;
-  clk_ms next = y->asked_servers + more;
+  clk_ms stretch = bks_pace (s->backends, POLL_SOON_MS) - POLL_SOON_MS;
+  clk_ms next = y->read_sent_at + stretch;
 
   if (next < now)
     next = now;
-  if (next < y->next_servers)
-    y->next_servers = next;
+  if (next < y->next_read_at)
+    y->next_read_at = next;
 }
 
 void
@@ -218,7 +219,7 @@
 {
   struct srv_sync *y = s->sync;
 
-  if (!y->reading_servers && now >= y->next_servers
+  if (!y->reading && now >= y->next_read_at
       && pau_may_call (&s->store_pause, now))
     read_servers (y, now);
 }
@@ -231,9 +232,9 @@
   y->s = s;
   y->store_ok = true;
   if (s->set.first_start)
-    y->next_servers = clk_now () + poll_ms (s);
-  y->unread = unr_new ();
+    y->next_read_at = clk_now () + poll_ms (s);
+  y->unparsed = unr_new ();
   s->sync = y;
-  store_prefix_end (str_from (s->ad->servers_prefix), &y->servers_end);
+  store_prefix_end (str_from (s->ad->servers_prefix), &y->range_end);
   srv_sync_tick (s, clk_now ());
 }
--- a/serve/table.h
+++ b/serve/table.h
@@ -37,7 +37,7 @@
   struct str name;
   struct str health_path;
   struct tbl_model *models; /**< empty: each backend server of the service
-                               takes requests by itself */
+                                 takes requests by itself */
   size_t nmodels;
   unsigned capacity;  /**< concurrent requests per replica; 0: as the server
                            reports */
--- a/t/t9203-pause.c
+++ b/t/t9203-pause.c
@@ -12,7 +12,7 @@
 
 struct node
 {
-  struct pau p;
+  struct bof p;
   struct rng rng;
   clk_ms until[ASKERS]; /* of the call under way; 0: none */
   unsigned calls;
@@ -132,14 +132,14 @@
 
   for (unsigned rank = 0; rank < 60; rank++)
     {
-      clk_ms pace = pau_watch_again (60, rank, false);
+      clk_ms pace = bof_watch_delay_ms (60, rank, false);
       cr_expect (rank < 4 ? pace <= 800 : pace >= 3000, "rank %u: %lld", rank,
                  (long long)pace);
       calls += (unsigned)(30000 / pace);
     }
   cr_expect_lt (calls, 60 * 13, "%u calls in 30 s", calls);
-  cr_expect_leq (pau_watch_again (60, 30, true), 800);
-  cr_expect_leq (pau_watch_again (9, 8, false), 200);
+  cr_expect_leq (bof_watch_delay_ms (60, 30, true), 800);
+  cr_expect_leq (bof_watch_delay_ms (9, 8, false), 200);
 }
 
 /* Guards against a node that waits out a long pause after it has lost the
@@ -150,9 +150,9 @@
   struct node n = { 0 };
 
   rng_seed (&n.rng, 1);
-  pau_set_pushed (&n.p, 1000, true, &n.rng);
+  bof_set_pushed (&n.p, 1000, true, &n.rng);
   run (&n, 1000, 10000, STORE_UNAVAILABLE);
-  cr_assert_gt (n.p.next, 10000 + 300);
-  pau_set_pushed (&n.p, 10000, false, &n.rng);
-  cr_expect_leq (n.p.next, 10000 + 200);
+  cr_assert_gt (n.p.next_call, 10000 + 300);
+  bof_set_pushed (&n.p, 10000, false, &n.rng);
+  cr_expect_leq (n.p.next_call, 10000 + 200);
 }
--- a/t/t9209-currency.c
+++ b/t/t9209-currency.c
@@ -34,7 +34,7 @@
 
 static struct script
 {
-  struct cur cur;
+  struct fresh fresh;
   clk_ms now;
   int64_t store;
   int64_t readable; /* the last version that this program can read */
@@ -49,29 +49,29 @@
 read_store (void)
 {
   buf_addf (&log_text, "%lld read\n", (long long)(s.now - START_MS));
-  cur_asked (&s.cur, s.now);
+  fresh_read_sent (&s.fresh, s.now);
   s.answer = s.silent ? 0 : s.store;
   s.answer_at = s.now + (s.silent ? NO_ANSWER_MS : s.answer_ms);
 }
 
-static enum cur_answer
+static enum fresh_read_result
 result (void)
 {
   if (s.answer == 0)
-    return CUR_FAILED;
-  return s.answer > s.readable ? CUR_UNREADABLE : CUR_READ;
+    return FRESH_READ_FAILED;
+  return s.answer > s.readable ? FRESH_READ_UNPARSABLE : FRESH_READ_OK;
 }
 
 static void
 step (void)
 {
-  if (s.cur.reading && s.now >= s.answer_at)
+  if (s.fresh.reading && s.now >= s.answer_at)
     {
-      if (s.answer > s.cur.version && s.answer <= s.readable)
-        cur_in_force (&s.cur, s.answer);
-      cur_answered (&s.cur, s.now, result ());
+      if (s.answer > s.fresh.version && s.answer <= s.readable)
+        fresh_set_version (&s.fresh, s.answer);
+      fresh_read_done (&s.fresh, s.now, result ());
     }
-  if (cur_should_read (&s.cur, s.now, s.announces))
+  if (fresh_should_read (&s.fresh, s.now, s.announces))
     read_store ();
 }
 
@@ -87,20 +87,20 @@
 {
   struct cur_announcement a = { version, stamped, s.now, age };
 
-  cur_announced (&s.cur, s.now, &a);
+  fresh_on_announcement (&s.fresh, s.now, &a);
 }
 
 static void
 show (void)
 {
-  static const char *const names[] = { [CUR_CONFIRMED] = "confirmed",
-                                       [CUR_UNCONFIRMED] = "unconfirmed",
-                                       [CUR_RESUMED] = "resumed" };
-
-  buf_addf (&log_text, "version %lld %s%s%s\n", (long long)s.cur.version,
-            names[cur_trust (&s.cur, s.now)],
-            cur_is_announced (&s.cur, s.now) ? " announced" : "",
-            cur_may_watch (&s.cur, s.now) ? " may-watch" : "");
+  static const char *const names[] = { [FRESH_CONFIRMED] = "confirmed",
+                                       [FRESH_UNCONFIRMED] = "unconfirmed",
+                                       [FRESH_RESUMED] = "resumed" };
+
+  buf_addf (&log_text, "version %lld %s%s%s\n", (long long)s.fresh.version,
+            names[fresh_state (&s.fresh, s.now)],
+            fresh_is_announced (&s.fresh, s.now) ? " announced" : "",
+            fresh_may_watch (&s.fresh, s.now) ? " may-watch" : "");
 }
 
 static void
@@ -119,7 +119,7 @@
       s.answer_ms = n;
     }
   else if (!strcmp (word, "in-force"))
-    cur_in_force (&s.cur, n);
+    fresh_set_version (&s.fresh, n);
   else if (!strcmp (word, "hear"))
     hear (n, true, atoll (strtok (NULL, " ")));
   else if (!strcmp (word, "hear-new"))
@@ -131,10 +131,10 @@
   else if (!strcmp (word, "pause"))
     {
       s.now += n;
-      cur_resumed (&s.cur, s.now);
+      fresh_on_resume (&s.fresh, s.now);
     }
   else if (!strcmp (word, "watch-ends"))
-    cur_watch_ended (&s.cur, s.now);
+    fresh_watch_failed (&s.fresh, s.now);
   else if (!strcmp (word, "show"))
     show ();
   else
@@ -147,7 +147,7 @@
   s = (struct script){
     .now = START_MS, .store = 1, .readable = INT64_MAX, .answer_ms = 10
   };
-  cur_init (&s.cur, APPLY_MS);
+  fresh_init (&s.fresh, APPLY_MS);
   transcript_check (&log_text, run_command, text);
 }
 
@@ -317,7 +317,7 @@
 
 struct node
 {
-  struct cur cur;
+  struct fresh fresh;
   bool alive;
   clk_ms offset; /* of its clock */
   clk_ms frozen_until, ticked_at, next_announce;
@@ -359,7 +359,7 @@
   *n = (struct node){ .alive = true,
                       .offset = START_MS + (clk_ms)rng_below (&f.rng, 99999),
                       .ticked_at = f.now };
-  cur_init (&n->cur, APPLY_MS);
+  fresh_init (&n->fresh, APPLY_MS);
 }
 
 static void
@@ -376,10 +376,10 @@
           .from = from,
           .to = to,
           .sent = clock_of (n),
-          .a = { .version = n->cur.version,
-                 .stamped = n->stamp[to] && n->cur.known_at,
+          .a = { .version = n->fresh.version,
+                 .stamped = n->stamp[to] && n->fresh.confirmed_at,
                  .stamp = n->stamp[to],
-                 .age_ms = n->stamp_at[to] - n->cur.known_at }
+                 .age_ms = n->stamp_at[to] - n->fresh.confirmed_at }
         };
         return;
       }
@@ -394,7 +394,7 @@
     return;
   n->stamp[x->from] = x->sent;
   n->stamp_at[x->from] = clock_of (n);
-  cur_announced (&n->cur, clock_of (n), &x->a);
+  fresh_on_announcement (&n->fresh, clock_of (n), &x->a);
 }
 
 static void
@@ -404,17 +404,18 @@
   clk_ms now = clock_of (n);
 
   if (f.now - n->ticked_at > 500)
-    cur_resumed (&n->cur, now);
+    fresh_on_resume (&n->fresh, now);
   n->ticked_at = f.now;
-  if (n->cur.reading && f.now >= n->answer_at)
+  if (n->fresh.reading && f.now >= n->answer_at)
     {
-      if (n->answer > n->cur.version)
-        cur_in_force (&n->cur, n->answer);
-      cur_answered (&n->cur, now, n->answer > 0 ? CUR_READ : CUR_FAILED);
+      if (n->answer > n->fresh.version)
+        fresh_set_version (&n->fresh, n->answer);
+      fresh_read_done (&n->fresh, now,
+                       n->answer > 0 ? FRESH_READ_OK : FRESH_READ_FAILED);
     }
-  if (cur_should_read (&n->cur, now, i < RELAYS))
+  if (fresh_should_read (&n->fresh, now, i < RELAYS))
     {
-      cur_asked (&n->cur, now);
+      fresh_read_sent (&n->fresh, now);
       n->answer = rng_below (&f.rng, 20) ? f.newest : 0;
       n->answer_at = f.now + 1 + (clk_ms)rng_below (&f.rng, 300);
     }
@@ -431,10 +432,10 @@
 static void
 check_node (const struct node *n)
 {
-  if (cur_trust (&n->cur, clock_of (n)) != CUR_CONFIRMED)
+  if (fresh_state (&n->fresh, clock_of (n)) != FRESH_CONFIRMED)
     return;
   f.checked++;
-  for (int64_t v = n->cur.version + 1; v <= f.newest; v++)
+  for (int64_t v = n->fresh.version + 1; v <= f.newest; v++)
     f.behind += f.acked[v] < f.now - APPLY_MS;
 }
 
