--- a/t/t9203-pause.c
+++ b/t/t9203-pause.c
@@ -1,6 +1,7 @@
 /*
- * When the store is called again that does not answer.  The script counts the
- * calls that a node with several things to ask makes.
+ * Backoff of store calls while the store is unavailable, and the delay of
+ * watches.  A scripted node runs several callers that each want to make a call
+ * at all times; the tests count its calls.
  */
 #include <criterion/criterion.h>
 
@@ -14,11 +15,11 @@
 {
   struct bof p;
   struct rng rng;
-  clk_ms until[ASKERS]; /* of the call under way; 0: none */
+  clk_ms until[ASKERS]; /* end of the call in flight; 0: none */
   unsigned calls;
 };
 
-/** All askers want to call all the time; the answer is always @p status. */
+/** Run the node; every call is answered with @p status after ANSWER_MS. */
 static void
 run (struct node *n, clk_ms from, clk_ms to, enum store_status status)
 {
@@ -40,8 +41,9 @@
 }
 
 /*
- * The store is away for ten seconds.  Callers are served by what is known; a
- * node finds out with one call a second in all, not with four of each asker.
+ * Guards against an outage of the store in which each caller of a node retries
+ * by itself.  In an outage of ten seconds the node makes about one call a
+ * second in all, not one a second per caller.
  */
 Test (pause, an_outage_costs_few_calls)
 {
@@ -56,8 +58,9 @@
 }
 
 /*
- * The store turns this node away for nine seconds; the others tell it all that
- * it needs.  Its callers notice nothing, and it asks every third second.
+ * Guards against useless calls of a node that the store rejects while other
+ * nodes push it everything that it would read.  In nine seconds it makes about
+ * one call every three seconds.
  */
 Test (pause, a_node_that_is_told_asks_seldom)
 {
@@ -71,8 +74,9 @@
 }
 
 /*
- * It is back.  Within a second and a bit the node knows, and then nothing
- * waits: all askers call in the same step.
+ * Guards against callers that stay blocked after an outage.  The backoff is at
+ * most a second, so a probe succeeds soon after the store is back; after that
+ * all callers call in the same step.
  */
 Test (pause, the_first_answer_lets_all_go)
 {
@@ -86,7 +90,8 @@
     cr_expect (n.until[i] > 0, "asker %d waits", i);
 }
 
-/* Calls that were out together when the store went are one failure. */
+/* Guards against a backoff that grows with each of several calls that were in
+   flight together when the store failed. */
 Test (pause, calls_lost_together_are_one_failure)
 {
   struct node n = { 0 };
@@ -102,8 +107,9 @@
 }
 
 /*
- * The store answers that a lease is gone, or that a compare failed, or a
- * write's answer is lost: none of these says that it is away.
+ * Guards against a backoff after results that show the store to be available:
+ * a lease that is gone, a failed comparison, a write with an unknown result or
+ * an exceeded budget.
  */
 Test (pause, other_answers_are_no_outage)
 {
@@ -121,10 +127,11 @@
 }
 
 /*
- * Sixty nodes are restarted one after the other, and each start and stop wakes
- * every watch.  Who gives orders, and the few that may be next, look again at
- * once; for the rest the changes of some seconds go together.  Few nodes, and
- * one without a link, look at once.
+ * Guards against a cost of watches that grows with the square of the number of
+ * nodes.  While sixty nodes are restarted one after the other, each start and
+ * stop triggers every watch.  The leader and the first nodes in rank renew
+ * their watch at once; the others collect the changes of some seconds.  In a
+ * small deployment, and without a link, a node renews it at once.
  */
 Test (pause, most_of_many_nodes_watch_in_turns_of_seconds)
 {
@@ -142,9 +149,9 @@
   cr_expect_leq (bof_watch_delay_ms (9, 8, false), 200);
 }
 
-/* Guards against a node that waits out a long pause after it has lost the
-   nodes that pushed the configuration to it: a new version would come too
-   late. */
+/* Guards against a node that stays in a long backoff after it has lost the
+   nodes that pushed the configuration to it: a new version would come into
+   force too late. */
 Test (pause, who_is_pushed_to_no_more_calls_soon)
 {
   struct node n = { 0 };
--- a/t/t9209-currency.c
+++ b/t/t9209-currency.c
@@ -1,21 +1,21 @@
 /*
- * How current the configuration of a node is known to be: at one node, by a
- * script, and at many under random delays, pauses and ends.
+ * Freshness of a node's configuration: of one node, by a script, and of many
+ * nodes under random delays, pauses and restarts.
  *
- *   store VERSION     the version that the store has
- *   answers MS        reads are answered after so long; "none": after a second
- *                     they have failed
- *   readable VERSION  later ones can't be read
- *   in-force VERSION
- *   hear VERSION AGE  an announcement, of knowledge that is so old
- *   hear-new VERSION  one that returns no time of this node
- *   announces yes|no  whether others go by this node
- *   run MS            time passes
- *   pause MS          the same, while the process does not run
- *   watch-ends
- *   show              a line: how far the node goes by its configuration
+ *   store VERSION         set the version in the store
+ *   answers MS            answer reads after this time; "none": fail them
+ *                         after a second
+ *   readable VERSION      later versions cannot be parsed
+ *   in-force VERSION      put a version in force
+ *   announce VERSION AGE  receive an announcement confirmed AGE ms ago
+ *   announce-new VERSION  receive one that echoes no time of this node
+ *   announces yes|no      whether other nodes rely on this node
+ *   run MS                let time pass
+ *   pause MS              the same, while the process is suspended
+ *   watch-ends            the watch fails
+ *   show                  print the version and its freshness
  *
- * The log shows reads with the time since the start.
+ * The log shows each read with the time since the start.
  */
 #include <criterion/criterion.h>
 #include <stdio.h>
@@ -29,7 +29,7 @@
 #define APPLY_MS ((clk_ms)3000)
 #define STEP_MS ((clk_ms)10)
 #define NO_ANSWER_MS ((clk_ms)1000)
-/** Clocks don't begin at 0, which means "never". */
+/** Clocks do not start at 0, which means "never". */
 #define START_MS ((clk_ms)100000)
 
 static struct script
@@ -37,11 +37,11 @@
   struct fresh fresh;
   clk_ms now;
   int64_t store;
-  int64_t readable; /* the last version that this program can read */
+  int64_t readable; /* last version that can be parsed */
   clk_ms answer_ms;
   bool silent, announces;
   clk_ms answer_at;
-  int64_t answer; /* 0: none */
+  int64_t answer; /* 0: the read fails */
 } s;
 static struct buf log_text = BUF_INIT;
 
@@ -151,8 +151,8 @@
   transcript_check (&log_text, run_command, text);
 }
 
-/* Guards against a node that holds an old configuration for current as nobody
-   says otherwise. */
+/* Guards against a node that keeps using an old configuration as confirmed
+   because it receives nothing that contradicts it. */
 Test (currency, knowledge_that_grows_old_is_renewed)
 {
   play ("> run 100\n"
@@ -169,7 +169,8 @@
         "version 2 confirmed may-watch\n");
 }
 
-/* Guards against an announcement that is taken for as new as its arrival. */
+/* Guards against an announcement that counts as confirmed when it arrives
+   instead of when its sender confirmed it. */
 Test (currency, the_age_of_an_announcement_counts)
 {
   play ("> run 1000\n"
@@ -186,8 +187,8 @@
         "3700 read\n");
 }
 
-/* Guards against a node that waits for a document that is not handed on to it:
-   it links after the version came, or the document is too long. */
+/* Guards against a node that waits for a push that never comes: the node
+   linked after the push, or the document is too long to be pushed. */
 Test (currency, what_is_announced_and_not_handed_on_is_read)
 {
   play ("> run 1000\n"
@@ -208,8 +209,8 @@
         "1900 read\n");
 }
 
-/* Guards against nodes that each go by another's word, and none by the
-   store. */
+/* Guards against nodes that confirm their versions by each other's
+   announcements while none reads the store. */
 Test (currency, who_announces_reads_before_the_others_would)
 {
   play ("> announces yes\n"
@@ -220,8 +221,8 @@
         "3000 read\n");
 }
 
-/* Guards against a refusal that callers take for final by a node that may have
-   missed the newest version. */
+/* Guards against a final refusal by a node that may have missed the newest
+   version. */
 Test (currency, nothing_is_final_without_the_store)
 {
   play ("> run 500\n"
@@ -242,8 +243,8 @@
         "version 1 confirmed may-watch\n");
 }
 
-/* Guards against requests that waited for a stopped process and are then
-   answered by what it knew before. */
+/* Guards against requests that arrived while the process was suspended and are
+   answered by the configuration from before the pause. */
 Test (currency, a_pause_is_no_time_in_which_a_version_was_known)
 {
   play ("> run 500\n"
@@ -258,8 +259,9 @@
         "version 2 confirmed may-watch\n");
 }
 
-/* Guards against a call from before the pause, which ends as failed on waking,
-   being taken for the store's answer; and against a wait without an end. */
+/* Guards against a read sent before a pause: it fails on resuming, which must
+   not count as an answer of the store.  Guards also against deferring requests
+   without a limit. */
 Test (currency, a_call_from_before_a_pause_says_nothing)
 {
   play ("> answers none\n"
@@ -278,8 +280,8 @@
         "version 1 unconfirmed\n");
 }
 
-/* Guards against a node that asks the store all the time for a version that it
-   can't read, and against one that denies what that version may allow. */
+/* Guards against a node that reads a version that it cannot parse in a tight
+   loop, and against final refusals of what that version may allow. */
 Test (currency, a_version_that_cannot_be_read_confirms_nothing)
 {
   play ("> readable 1\n"
@@ -293,8 +295,8 @@
         "version 1 unconfirmed may-watch\n");
 }
 
-/* Guards against a watch that ended, and may have missed a version, without a
-   read after it. */
+/* Guards against a failed watch that has missed a version and is not followed
+   by a read. */
 Test (currency, a_watch_that_ended_is_followed_by_a_read)
 {
   play ("> run 1000\n"
@@ -319,7 +321,7 @@
 {
   struct fresh fresh;
   bool alive;
-  clk_ms offset; /* of its clock */
+  clk_ms offset; /* offset of the node's clock */
   clk_ms frozen_until, ticked_at, next_announce;
   clk_ms stamp[NODES], stamp_at[NODES]; /* by sender; 0: none */
   clk_ms answer_at;
@@ -427,8 +429,8 @@
       send_frame (i, to);
 }
 
-/** A node that goes by its configuration has all that was acknowledged longer
-    ago than the bound. */
+/** Count versions that were accepted longer ago than the limit and are not in
+    force at a node that calls its version confirmed. */
 static void
 check_node (const struct node *n)
 {
@@ -439,7 +441,8 @@
     f.behind += f.acked[v] < f.now - APPLY_MS;
 }
 
-/** Its links break: times of its earlier life are forgotten. */
+/** Restart a node: its links break and the times received from it are
+    dropped. */
 static void
 restart (struct node *n)
 {
@@ -496,8 +499,8 @@
 }
 
 /* Guards against any order of delays, pauses and restarts in which a node
-   holds a configuration for current that is not, and against one in which
-   hardly any does. */
+   takes an outdated configuration for confirmed, and against one in which
+   hardly any node has a confirmed one. */
 Test (currency, confirmed_is_never_behind)
 {
   const unsigned all = NODES * (unsigned)(PLAY_MS / STEP_MS);
