--- a/t/t9203-pause.c
+++ b/t/t9203-pause.c
@@ -7,15 +7,15 @@
 
 #include "serve/pause.h"
 
-#define ASKERS 4
+#define CALLERS 4
 #define STEP_MS ((clk_ms)10)
 #define ANSWER_MS ((clk_ms)20)
 
 struct node
 {
-  struct bof p;
+  struct bof backoff;
   struct rng rng;
-  clk_ms until[ASKERS]; /* end of the call in flight; 0: none */
+  clk_ms call_ends_at[CALLERS]; /* end of the call in flight; 0: none */
   unsigned calls;
 };
 
@@ -24,17 +24,17 @@
 run (struct node *n, clk_ms from, clk_ms to, enum store_status status)
 {
   for (clk_ms now = from; now < to; now += STEP_MS)
-    for (int i = 0; i < ASKERS; i++)
+    for (int i = 0; i < CALLERS; i++)
       {
-        if (n->until[i] && now >= n->until[i])
+        if (n->call_ends_at[i] && now >= n->call_ends_at[i])
           {
-            n->until[i] = 0;
-            pau_ended (&n->p, now, status, &n->rng);
+            n->call_ends_at[i] = 0;
+            pau_ended (&n->backoff, now, status, &n->rng);
           }
-        if (!n->until[i] && pau_may_call (&n->p, now))
+        if (!n->call_ends_at[i] && pau_may_call (&n->backoff, now))
           {
-            pau_called (&n->p);
-            n->until[i] = now + ANSWER_MS;
+            pau_called (&n->backoff);
+            n->call_ends_at[i] = now + ANSWER_MS;
             n->calls++;
           }
       }
@@ -45,7 +45,7 @@
  * by itself.  In an outage of ten seconds the node makes about one call a
  * second in all, not one a second per caller.
  */
-Test (pause, an_outage_costs_few_calls)
+Test (backoff, outage_causes_few_calls)
 {
   struct node n = { 0 };
 
@@ -53,7 +53,7 @@
   run (&n, 1000, 1100, STORE_OK);
   n.calls = 0;
   run (&n, 1100, 11100, STORE_UNAVAILABLE);
-  cr_expect_leq (n.calls, ASKERS + 16, "%u calls", n.calls);
+  cr_expect_leq (n.calls, CALLERS + 16, "%u calls", n.calls);
   cr_expect_geq (n.calls, 8, "%u calls", n.calls);
 }
 
@@ -62,15 +62,15 @@
  * nodes push it everything that it would read.  In nine seconds it makes about
  * one call every three seconds.
  */
-Test (pause, a_node_that_is_told_asks_seldom)
+Test (backoff, pushed_node_probes_less_often)
 {
-  struct node n = { .p = { .pushed = true } };
+  struct node n = { .backoff = { .pushed = true } };
 
   rng_seed (&n.rng, 4);
   run (&n, 1000, 1100, STORE_OK);
   n.calls = 0;
   run (&n, 1100, 10100, STORE_UNAVAILABLE);
-  cr_expect_leq (n.calls, ASKERS + 7, "%u calls", n.calls);
+  cr_expect_leq (n.calls, CALLERS + 7, "%u calls", n.calls);
 }
 
 /*
@@ -78,32 +78,32 @@
  * most a second, so a probe succeeds soon after the store is back; after that
  * all callers call in the same step.
  */
-Test (pause, the_first_answer_lets_all_go)
+Test (backoff, first_success_releases_all_callers)
 {
   struct node n = { 0 };
 
   rng_seed (&n.rng, 2);
   run (&n, 1000, 9000, STORE_UNAVAILABLE);
   run (&n, 9000, 10100, STORE_OK);
-  cr_expect_eq (n.p.failures, 0);
-  for (int i = 0; i < ASKERS; i++)
-    cr_expect (n.until[i] > 0, "asker %d waits", i);
+  cr_expect_eq (n.backoff.failures, 0);
+  for (int i = 0; i < CALLERS; i++)
+    cr_expect (n.call_ends_at[i] > 0, "caller %d waits", i);
 }
 
 /* Guards against a backoff that grows with each of several calls that were in
    flight together when the store failed. */
-Test (pause, calls_lost_together_are_one_failure)
+Test (backoff, concurrent_failures_count_once)
 {
   struct node n = { 0 };
 
   rng_seed (&n.rng, 3);
-  for (int i = 0; i < ASKERS; i++)
-    pau_called (&n.p);
-  for (int i = 0; i < ASKERS; i++)
-    pau_ended (&n.p, 1000 + i, STORE_UNAVAILABLE, &n.rng);
-  cr_expect_eq (n.p.failures, 1);
-  cr_expect_not (pau_may_call (&n.p, 1100));
-  cr_expect (pau_may_call (&n.p, 1250));
+  for (int i = 0; i < CALLERS; i++)
+    pau_called (&n.backoff);
+  for (int i = 0; i < CALLERS; i++)
+    pau_ended (&n.backoff, 1000 + i, STORE_UNAVAILABLE, &n.rng);
+  cr_expect_eq (n.backoff.failures, 1);
+  cr_expect_not (pau_may_call (&n.backoff, 1100));
+  cr_expect (pau_may_call (&n.backoff, 1250));
 }
 
 /*
@@ -111,7 +111,7 @@
  * a lease that is gone, a failed comparison, a write with an unknown result or
  * an exceeded budget.
  */
-Test (pause, other_answers_are_no_outage)
+Test (backoff, other_results_cause_no_backoff)
 {
   static const enum store_status other[]
       = { STORE_CONFLICT, STORE_GONE, STORE_UNCERTAIN, STORE_OVER_BUDGET };
@@ -120,9 +120,9 @@
   rng_seed (&n.rng, 4);
   for (size_t i = 0; i < sizeof other / sizeof other[0]; i++)
     {
-      pau_called (&n.p);
-      pau_ended (&n.p, 1000, other[i], &n.rng);
-      cr_expect (pau_may_call (&n.p, 1000), "status %d", other[i]);
+      pau_called (&n.backoff);
+      pau_ended (&n.backoff, 1000, other[i], &n.rng);
+      cr_expect (pau_may_call (&n.backoff, 1000), "status %d", other[i]);
     }
 }
 
@@ -133,16 +133,16 @@
  * their watch at once; the others collect the changes of some seconds.  In a
  * small deployment, and without a link, a node renews it at once.
  */
-Test (pause, most_of_many_nodes_watch_in_turns_of_seconds)
+Test (backoff, low_ranks_of_many_nodes_delay_watches)
 {
   unsigned calls = 0;
 
   for (unsigned rank = 0; rank < 60; rank++)
     {
-      clk_ms pace = bof_watch_delay_ms (60, rank, false);
-      cr_expect (rank < 4 ? pace <= 800 : pace >= 3000, "rank %u: %lld", rank,
-                 (long long)pace);
-      calls += (unsigned)(30000 / pace);
+      clk_ms delay = bof_watch_delay_ms (60, rank, false);
+      cr_expect (rank < 4 ? delay <= 800 : delay >= 3000, "rank %u: %lld",
+                 rank, (long long)delay);
+      calls += (unsigned)(30000 / delay);
     }
   cr_expect_lt (calls, 60 * 13, "%u calls in 30 s", calls);
   cr_expect_leq (bof_watch_delay_ms (60, 30, true), 800);
@@ -152,14 +152,14 @@
 /* Guards against a node that stays in a long backoff after it has lost the
    nodes that pushed the configuration to it: a new version would come into
    force too late. */
-Test (pause, who_is_pushed_to_no_more_calls_soon)
+Test (backoff, backoff_is_shortened_when_pushes_stop)
 {
   struct node n = { 0 };
 
   rng_seed (&n.rng, 1);
-  bof_set_pushed (&n.p, 1000, true, &n.rng);
+  bof_set_pushed (&n.backoff, 1000, true, &n.rng);
   run (&n, 1000, 10000, STORE_UNAVAILABLE);
-  cr_assert_gt (n.p.next_call, 10000 + 300);
-  bof_set_pushed (&n.p, 10000, false, &n.rng);
-  cr_expect_leq (n.p.next_call, 10000 + 200);
+  cr_assert_gt (n.backoff.next_call, 10000 + 300);
+  bof_set_pushed (&n.backoff, 10000, false, &n.rng);
+  cr_expect_leq (n.backoff.next_call, 10000 + 200);
 }
--- a/t/t9209-currency.c
+++ b/t/t9209-currency.c
@@ -8,7 +8,8 @@
  *   readable VERSION      later versions cannot be parsed
  *   in-force VERSION      put a version in force
  *   announce VERSION AGE  receive an announcement confirmed AGE ms ago
- *   announce-new VERSION  receive one that echoes no time of this node
+ *   announce-unstamped VERSION
+ *                         receive one that echoes no time of this node
  *   announces yes|no      whether other nodes rely on this node
  *   run MS                let time pass
  *   pause MS              the same, while the process is suspended
@@ -39,7 +40,7 @@
   int64_t store;
   int64_t readable; /* last version that can be parsed */
   clk_ms answer_ms;
-  bool silent, announces;
+  bool no_answer, announces;
   clk_ms answer_at;
   int64_t answer; /* 0: the read fails */
 } s;
@@ -50,8 +51,8 @@
 {
   buf_addf (&log_text, "%lld read\n", (long long)(s.now - START_MS));
   fresh_read_sent (&s.fresh, s.now);
-  s.answer = s.silent ? 0 : s.store;
-  s.answer_at = s.now + (s.silent ? NO_ANSWER_MS : s.answer_ms);
+  s.answer = s.no_answer ? 0 : s.store;
+  s.answer_at = s.now + (s.no_answer ? NO_ANSWER_MS : s.answer_ms);
 }
 
 static enum fresh_read_result
@@ -83,7 +84,7 @@
 }
 
 static void
-hear (int64_t version, bool stamped, clk_ms age)
+receive_announcement (int64_t version, bool stamped, clk_ms age)
 {
   struct cur_announcement a = { version, stamped, s.now, age };
 
@@ -115,15 +116,15 @@
     s.readable = n;
   else if (!strcmp (word, "answers"))
     {
-      s.silent = !strcmp (arg, "none");
+      s.no_answer = !strcmp (arg, "none");
       s.answer_ms = n;
     }
   else if (!strcmp (word, "in-force"))
     fresh_set_version (&s.fresh, n);
-  else if (!strcmp (word, "hear"))
-    hear (n, true, atoll (strtok (NULL, " ")));
-  else if (!strcmp (word, "hear-new"))
-    hear (n, false, 0);
+  else if (!strcmp (word, "announce"))
+    receive_announcement (n, true, atoll (strtok (NULL, " ")));
+  else if (!strcmp (word, "announce-unstamped"))
+    receive_announcement (n, false, 0);
   else if (!strcmp (word, "announces"))
     s.announces = !strcmp (arg, "yes");
   else if (!strcmp (word, "run"))
@@ -142,7 +143,7 @@
 }
 
 static void
-play (const char *text)
+run_script (const char *text)
 {
   s = (struct script){
     .now = START_MS, .store = 1, .readable = INT64_MAX, .answer_ms = 10
@@ -153,159 +154,159 @@
 
 /* Guards against a node that keeps using an old configuration as confirmed
    because it receives nothing that contradicts it. */
-Test (currency, knowledge_that_grows_old_is_renewed)
+Test (freshness, old_confirmation_is_renewed_by_a_read)
 {
-  play ("> run 100\n"
-        "0 read\n"
-        "> show\n"
-        "version 1 confirmed\n"
-        "> run 900\n"
-        "> show\n"
-        "version 1 confirmed may-watch\n"
-        "> store 2\n"
-        "> run 1000\n"
-        "1500 read\n"
-        "> show\n"
-        "version 2 confirmed may-watch\n");
+  run_script ("> run 100\n"
+              "0 read\n"
+              "> show\n"
+              "version 1 confirmed\n"
+              "> run 900\n"
+              "> show\n"
+              "version 1 confirmed may-watch\n"
+              "> store 2\n"
+              "> run 1000\n"
+              "1500 read\n"
+              "> show\n"
+              "version 2 confirmed may-watch\n");
 }
 
 /* Guards against an announcement that counts as confirmed when it arrives
    instead of when its sender confirmed it. */
-Test (currency, the_age_of_an_announcement_counts)
+Test (freshness, announcement_counts_from_its_confirmation)
 {
-  play ("> run 1000\n"
-        "0 read\n"
-        "> hear 1 300\n"
-        "> run 1000\n"
-        "> show\n"
-        "version 1 confirmed announced may-watch\n"
-        "> hear 1 1600\n"
-        "> run 300\n"
-        "2200 read\n"
-        "> hear-new 1\n"
-        "> run 1500\n"
-        "3700 read\n");
+  run_script ("> run 1000\n"
+              "0 read\n"
+              "> announce 1 300\n"
+              "> run 1000\n"
+              "> show\n"
+              "version 1 confirmed announced may-watch\n"
+              "> announce 1 1600\n"
+              "> run 300\n"
+              "2200 read\n"
+              "> announce-unstamped 1\n"
+              "> run 1500\n"
+              "3700 read\n");
 }
 
 /* Guards against a node that waits for a push that never comes: the node
    linked after the push, or the document is too long to be pushed. */
-Test (currency, what_is_announced_and_not_handed_on_is_read)
+Test (freshness, announced_version_without_push_is_read)
 {
-  play ("> run 1000\n"
-        "0 read\n"
-        "> store 2\n"
-        "> hear 2 0\n"
-        "> run 200\n"
-        "1150 read\n"
-        "> show\n"
-        "version 2 confirmed may-watch\n"
-        "> hear 3 0\n"
-        "> run 100\n"
-        "> in-force 3\n"
-        "> run 200\n"
-        "> store 4\n"
-        "> hear 4 0\n"
-        "> run 700\n"
-        "1900 read\n");
+  run_script ("> run 1000\n"
+              "0 read\n"
+              "> store 2\n"
+              "> announce 2 0\n"
+              "> run 200\n"
+              "1150 read\n"
+              "> show\n"
+              "version 2 confirmed may-watch\n"
+              "> announce 3 0\n"
+              "> run 100\n"
+              "> in-force 3\n"
+              "> run 200\n"
+              "> store 4\n"
+              "> announce 4 0\n"
+              "> run 700\n"
+              "1900 read\n");
 }
 
 /* Guards against nodes that confirm their versions by each other's
    announcements while none reads the store. */
-Test (currency, who_announces_reads_before_the_others_would)
+Test (freshness, announcer_reads_more_often)
 {
-  play ("> announces yes\n"
-        "> run 3010\n"
-        "0 read\n"
-        "1000 read\n"
-        "2000 read\n"
-        "3000 read\n");
+  run_script ("> announces yes\n"
+              "> run 3010\n"
+              "0 read\n"
+              "1000 read\n"
+              "2000 read\n"
+              "3000 read\n");
 }
 
 /* Guards against a final refusal by a node that may have missed the newest
    version. */
-Test (currency, nothing_is_final_without_the_store)
+Test (freshness, unavailable_store_ends_confirmation)
 {
-  play ("> run 500\n"
-        "0 read\n"
-        "> answers none\n"
-        "> run 2400\n"
-        "1500 read\n"
-        "2700 read\n"
-        "> show\n"
-        "version 1 confirmed may-watch\n"
-        "> run 200\n"
-        "> show\n"
-        "version 1 unconfirmed may-watch\n"
-        "> answers 10\n"
-        "> run 2000\n"
-        "3900 read\n"
-        "> show\n"
-        "version 1 confirmed may-watch\n");
+  run_script ("> run 500\n"
+              "0 read\n"
+              "> answers none\n"
+              "> run 2400\n"
+              "1500 read\n"
+              "2700 read\n"
+              "> show\n"
+              "version 1 confirmed may-watch\n"
+              "> run 200\n"
+              "> show\n"
+              "version 1 unconfirmed may-watch\n"
+              "> answers 10\n"
+              "> run 2000\n"
+              "3900 read\n"
+              "> show\n"
+              "version 1 confirmed may-watch\n");
 }
 
 /* Guards against requests that arrived while the process was suspended and are
    answered by the configuration from before the pause. */
-Test (currency, a_pause_is_no_time_in_which_a_version_was_known)
+Test (freshness, pause_counts_toward_age)
 {
-  play ("> run 500\n"
-        "0 read\n"
-        "> store 2\n"
-        "> pause 2800\n"
-        "> show\n"
-        "version 1 resumed may-watch\n"
-        "> run 20\n"
-        "3300 read\n"
-        "> show\n"
-        "version 2 confirmed may-watch\n");
+  run_script ("> run 500\n"
+              "0 read\n"
+              "> store 2\n"
+              "> pause 2800\n"
+              "> show\n"
+              "version 1 resumed may-watch\n"
+              "> run 20\n"
+              "3300 read\n"
+              "> show\n"
+              "version 2 confirmed may-watch\n");
 }
 
 /* Guards against a read sent before a pause: it fails on resuming, which must
    not count as an answer of the store.  Guards also against deferring requests
    without a limit. */
-Test (currency, a_call_from_before_a_pause_says_nothing)
+Test (freshness, read_from_before_a_pause_is_ignored)
 {
-  play ("> answers none\n"
-        "> run 100\n"
-        "0 read\n"
-        "> in-force 1\n"
-        "> pause 4000\n"
-        "> show\n"
-        "version 1 resumed\n"
-        "> run 100\n"
-        "4100 read\n"
-        "> show\n"
-        "version 1 resumed\n"
-        "> run 500\n"
-        "> show\n"
-        "version 1 unconfirmed\n");
+  run_script ("> answers none\n"
+              "> run 100\n"
+              "0 read\n"
+              "> in-force 1\n"
+              "> pause 4000\n"
+              "> show\n"
+              "version 1 resumed\n"
+              "> run 100\n"
+              "4100 read\n"
+              "> show\n"
+              "version 1 resumed\n"
+              "> run 500\n"
+              "> show\n"
+              "version 1 unconfirmed\n");
 }
 
 /* Guards against a node that reads a version that it cannot parse in a tight
    loop, and against final refusals of what that version may allow. */
-Test (currency, a_version_that_cannot_be_read_confirms_nothing)
+Test (freshness, unparsable_version_confirms_nothing)
 {
-  play ("> readable 1\n"
-        "> run 500\n"
-        "0 read\n"
-        "> store 2\n"
-        "> run 3000\n"
-        "1500 read\n"
-        "3010 read\n"
-        "> show\n"
-        "version 1 unconfirmed may-watch\n");
+  run_script ("> readable 1\n"
+              "> run 500\n"
+              "0 read\n"
+              "> store 2\n"
+              "> run 3000\n"
+              "1500 read\n"
+              "3010 read\n"
+              "> show\n"
+              "version 1 unconfirmed may-watch\n");
 }
 
 /* Guards against a failed watch that has missed a version and is not followed
    by a read. */
-Test (currency, a_watch_that_ended_is_followed_by_a_read)
+Test (freshness, failed_watch_is_followed_by_a_read)
 {
-  play ("> run 1000\n"
-        "0 read\n"
-        "> watch-ends\n"
-        "> run 200\n"
-        "1100 read\n"
-        "> show\n"
-        "version 1 confirmed\n");
+  run_script ("> run 1000\n"
+              "0 read\n"
+              "> watch-ends\n"
+              "> run 200\n"
+              "1100 read\n"
+              "> show\n"
+              "version 1 confirmed\n");
 }
 
 /* --- many nodes --------------------------------------------------------- */
@@ -314,7 +315,7 @@
 #define RELAYS 4
 #define FRAMES 4000
 #define VERSIONS 200
-#define PLAY_MS ((clk_ms)20000)
+#define RUN_MS ((clk_ms)20000)
 #define ANNOUNCE_MS ((clk_ms)100)
 
 struct node
@@ -388,7 +389,7 @@
 }
 
 static void
-take_frame (const struct frame *x)
+deliver_frame (const struct frame *x)
 {
   struct node *n = &f.node[x->to];
 
@@ -457,7 +458,7 @@
 }
 
 static void
-disturb (void)
+inject_fault (void)
 {
   struct node *n = &f.node[rng_below (&f.rng, NODES)];
   unsigned what = (unsigned)rng_below (&f.rng, 1000);
@@ -474,15 +475,15 @@
 }
 
 static void
-play_fleet (uint64_t seed)
+run_fleet (uint64_t seed)
 {
   f = (struct fleet){ .now = 1, .newest = 1 };
   rng_seed (&f.rng, seed);
   for (int i = 0; i < NODES; i++)
     start_node (&f.node[i]);
-  for (; f.now < PLAY_MS; f.now += STEP_MS)
+  for (; f.now < RUN_MS; f.now += STEP_MS)
     {
-      disturb ();
+      inject_fault ();
       for (int i = 0; i < NODES; i++)
         if (f.now >= f.node[i].frozen_until)
           tick_node (i);
@@ -490,7 +491,7 @@
         if (f.frame[i].due && f.now >= f.frame[i].due
             && f.now >= f.node[f.frame[i].to].frozen_until)
           {
-            take_frame (&f.frame[i]);
+            deliver_frame (&f.frame[i]);
             f.frame[i].due = 0;
           }
       for (int i = 0; i < NODES; i++)
@@ -501,15 +502,15 @@
 /* Guards against any order of delays, pauses and restarts in which a node
    takes an outdated configuration for confirmed, and against one in which
    hardly any node has a confirmed one. */
-Test (currency, confirmed_is_never_behind)
+Test (freshness, confirmed_is_never_behind)
 {
-  const unsigned all = NODES * (unsigned)(PLAY_MS / STEP_MS);
+  const unsigned all = NODES * (unsigned)(RUN_MS / STEP_MS);
   const char *seeds = getenv ("CURRENCY_SEEDS");
   uint64_t n = seeds ? strtoull (seeds, NULL, 10) : 20;
 
   for (uint64_t seed = 1; seed <= n; seed++)
     {
-      play_fleet (seed);
+      run_fleet (seed);
       cr_expect_eq (f.behind, 0, "seed %llu: %u", (unsigned long long)seed,
                     f.behind);
       cr_expect_gt (f.checked, all / 2, "seed %llu: %u of %u",
