--- a/serve/duty.c
+++ b/serve/duty.c
@@ -374,10 +374,10 @@
 }
 
 void
-srv_duty_stalled (struct srv *s, uint64_t place)
+srv_duty_stalled (struct srv *s, uint64_t endpoint)
 {
   if (srv_duty_holds (s))
-    frm_stalled (s->leader->form, clk_now (), place);
+    frm_stalled (s->leader->form, clk_now (), endpoint);
 }
 
 static void
--- a/serve/node-int.h
+++ b/serve/node-int.h
@@ -142,7 +142,7 @@
 /** Whether the store is known to have no leader key. */
 bool srv_register_leader_vacant (const struct srv *s);
 /** Rank of this node: how many of the known nodes precede it in the order
-    that all nodes share. */
+    of hub_cmp(), which is the same at all nodes. */
 unsigned srv_register_rank (const struct srv *s);
 
 /* duty-plan.c: log of the replica plan */
@@ -157,8 +157,8 @@
     named in the key */
 void srv_leader_key_changed (struct srv *s, bool held, struct str holder);
 void srv_leader_servers_changed (struct srv *s);
-/** A node observes no progress at this endpoint. */
-void srv_duty_stalled (struct srv *s, uint64_t place);
+/** A node observes no progress at the endpoint with this hash. */
+void srv_duty_stalled (struct srv *s, uint64_t endpoint);
 bool srv_duty_holds (const struct srv *s);
 const struct frm_figures *srv_leader_figures (const struct srv *s);
 /** As frm_models(); returns 0 unless this node is leader. */
--- a/serve/sync.c
+++ b/serve/sync.c
@@ -11,9 +11,8 @@
 #define POLL_LEADER_MS ((clk_ms)300)
 #define POLL_FORMING_MS ((clk_ms)100)
 /** When an order has ended, the list is read at once, as the next step of a
-    repair depends on it.  If the list is long, the read is delayed by the
-    amount by which an interval of this length would be stretched for such a
-    list. */
+    repair depends on it.  bks_pace() stretches an interval in proportion to
+    the length of the list; the read is delayed by what it adds to this one. */
 #define POLL_SOON_MS ((clk_ms)50)
 
 /** At the start of the whole system there is nothing to serve, and the leader
--- a/serve/table.h
+++ b/serve/table.h
@@ -49,7 +49,7 @@
   clk_ms pass_ms;     /**< interval between two events of a stream on an idle
                            replica */
   double read_per_ms; /**< prefill rate, in prompt tokens per ms, of a replica
-                           of pace 1; 0: unknown */
+                           whose model's time factor is 1; 0: unknown */
 };
 
 /** A service of a route and its weight in the route's traffic. */
