--- a/serve/config.c
+++ b/serve/config.c
@@ -29,10 +29,9 @@
 struct srv_config
 {
   struct srv *s;
-  struct buf
-      range_end; /* end of the key range that contains config_key alone */
-  struct buf document; /* document in force; empty if it doesn't fit into a
-                          frame */
+  struct buf range_end; /* end of the key range of config_key alone */
+  struct buf document;  /* document in force; empty if it doesn't fit into a
+                           frame */
   struct store_watch *watch;
   struct fresh fresh;
   int64_t seen_revision; /* store revision up to which changes were seen */
--- a/serve/currency.h
+++ b/serve/currency.h
@@ -58,7 +58,7 @@
   clk_ms announced_since; /**< when `announced_version` was first announced */
   bool reading;
   clk_ms read_sent_at; /**< when the last read was sent */
-  clk_ms next_read;    /**< CLK_NEVER: when `confirmed_at` is too old */
+  clk_ms next_read;    /**< CLK_NEVER: once `confirmed_at` is too old */
   clk_ms next_watch;   /**< CLK_NEVER: after the next read */
   clk_ms resumed_at;   /**< end of the last pause of the process, until a read
                             sent after it has ended; 0: none */
--- a/serve/duty.c
+++ b/serve/duty.c
@@ -3,9 +3,10 @@
 #include <stdlib.h>
 
 /*
- * Leadership: at any time one node, the leader, sends orders to the backend
- * servers.  The leader holds a key in the store under a lease; the revision
- * at which the key was created is the fencing number of all its orders.
+ * Leadership: at most one node at a time, the leader, sends orders to the
+ * backend servers.  The leader holds a key in the store under a lease; the
+ * revision at which the key was created is the fencing number of all its
+ * orders.
  */
 
 /** Lease of the leader key.  After the leader has died, a new one takes over
@@ -17,7 +18,7 @@
     store calls. */
 #define ATTEMPT_STAGGER_MS ((clk_ms)250)
 /** From this total delay on, attempts follow each other at the shorter
-    ATTEMPT_LATE_STAGGER_MS: if the nodes of all lower ranks have made no
+    ATTEMPT_LATE_STAGGER_MS: if no node of the preceding ranks has made an
     attempt by then, nearly all nodes are down. */
 #define ATTEMPT_STAGGER_LIMIT_MS ((clk_ms)3000)
 #define ATTEMPT_LATE_STAGGER_MS ((clk_ms)50)
@@ -312,8 +313,8 @@
 }
 
 /** Whether this node should try to become leader, or stay leader: no other
-    node is leader, and the nodes of lower rank have had time for their
-    attempts. */
+    node is leader, and the nodes of the preceding ranks have had time for
+    their attempts. */
 static bool
 should_lead (const struct srv_leader *lead, clk_ms now)
 {
--- a/serve/node-int.h
+++ b/serve/node-int.h
@@ -94,7 +94,8 @@
 /**
  * Document of the version in force, to be pushed to other nodes.
  * @param nodes  number of nodes that it would be sent to
- * @retval false  sending it to that many nodes would take too long
+ * @retval false  it does not fit into a frame, or sending it to that many
+ *                nodes would take too long
  */
 bool srv_config_text (const struct srv *s, size_t nodes, struct str *text);
 /** A document was pushed by another node. */
