--- a/serve/node.c
+++ b/serve/node.c
@@ -8,19 +8,21 @@
 #include "lapisline.h"
 
 #define TICK_MS 10
-/** A tick that comes so late shows that the process was stopped, or got no
-    processor. */
-#define PAUSED_MS ((clk_ms)500)
-
-/** Log lines a second of each event: above what a node has of any on a usual
-    day, at 15 us a line under a hundredth of a core. */
-#define LINES_PER_S 60
-
-/** After SIGTERM, new requests are taken for so long: until callers have heard
-    that this node is no longer to be used. */
-#define LEAVE_TAKE_MS ((clk_ms)3000)
-/** Kept of the grace time so that the process ends by itself. */
-#define LEAVE_SPARE_MS ((clk_ms)400)
+/** A tick that is later than this shows that the process was suspended or got
+    no CPU time. */
+#define PAUSE_THRESHOLD_MS ((clk_ms)500)
+
+/** Log rate limit per event, in lines per second.  It is above the normal
+    rate of any event; at 15 us a line, this is less than a hundredth of a
+    core. */
+#define LOG_LINES_PER_S 60
+
+/** New requests are accepted for this long after SIGTERM, until callers have
+    learned that they should use another node. */
+#define SHUTDOWN_ACCEPT_MS ((clk_ms)3000)
+/** Part of the grace period that is reserved for a clean exit before
+    SIGKILL. */
+#define SHUTDOWN_MARGIN_MS ((clk_ms)400)
 
 bool
 srv_is_ready (const struct srv *s)
@@ -28,16 +30,17 @@
   return s->table && bks_known (s->backends) && !s->leaving_since;
 }
 
-/** Write how many places each model or service has, when that has changed. */
+/** Log the number of accepting endpoints of each model or service if it has
+    changed. */
 static void
-log_places (struct srv *s, const struct dsp_place *list, size_t n)
+log_endpoints (struct srv *s, const struct dsp_place *list, size_t n)
 {
   struct buf text = BUF_INIT;
 
   for (size_t i = 0; i < n; i++)
     {
       struct str name = list[i].model.len ? list[i].model : list[i].service;
-      size_t open = 0;
+      size_t accepting_count = 0;
       bool first = true;
       for (size_t k = 0; k < n; k++)
         {
@@ -46,17 +49,17 @@
           if (!str_eq (name, other))
             continue;
           first = first && k >= i;
-          open += list[k].accepting;
+          accepting_count += list[k].accepting;
         }
       if (first)
         buf_addf (&text, "%s%.*s=%zu", text.len ? " " : "", STR_ARG (name),
-                  open);
+                  accepting_count);
     }
-  if (!str_eq (buf_str (&text), buf_str (&s->places_told)))
+  if (!str_eq (buf_str (&text), buf_str (&s->logged_endpoints)))
     LOG (servers_changed, LOG_S ("places", buf_str (&text)),
          LOG_I ("version", bks_version (s->backends)));
-  buf_clear (&s->places_told);
-  buf_add (&s->places_told, buf_str (&text));
+  buf_clear (&s->logged_endpoints);
+  buf_add (&s->logged_endpoints, buf_str (&text));
   buf_free (&text);
 }
 
@@ -68,34 +71,34 @@
   if (!s->table || !bks_known (s->backends))
     return;
   const struct dsp_place *list = bks_places (s->backends, s->table, &n);
-  log_places (s, list, n);
+  log_endpoints (s, list, n);
   dsp_places (s->dispatch, clk_now (), list, n);
   srv_act (s);
 }
 
-/* --- leaving ----------------------------------------------------------- */
+/* --- shutdown ----------------------------------------------------------- */
 
 static void
-leave (struct srv *s)
+begin_shutdown (struct srv *s)
 {
   if (s->leaving_since)
     return;
   s->leaving_since = clk_now ();
   LOG (serve_leaving, LOG_I ("open", dsp_open (s->dispatch)));
-  srv_register_end (s);
+  srv_register_revoke (s);
 }
 
-/** Whether the process may end: nothing is open and callers have turned away,
-    or the grace time is over. */
+/** Refuse new requests once callers have had time to learn of the shutdown;
+    stop the event loop just before the grace period ends. */
 static void
-tick_leave (struct srv *s, clk_ms now)
+tick_shutdown (struct srv *s, clk_ms now)
 {
-  clk_ms gone = now - s->leaving_since;
+  clk_ms elapsed = now - s->leaving_since;
 
-  if (gone < LEAVE_TAKE_MS)
+  if (elapsed < SHUTDOWN_ACCEPT_MS)
     return;
   dsp_leave (s->dispatch);
-  if (gone > s->set.grace_ms - LEAVE_SPARE_MS)
+  if (elapsed > s->set.grace_ms - SHUTDOWN_MARGIN_MS)
     uv_stop (&s->loop);
 }
 
@@ -103,35 +106,36 @@
 on_term (uv_signal_t *h, int signum)
 {
   (void)signum;
-  leave (h->data);
+  begin_shutdown (h->data);
 }
 
 static void
 on_hangup (uv_signal_t *h, int signum)
 {
   struct srv *s = h->data;
-  struct srv_settings fresh = { 0 };
+  struct srv_settings settings_read = { 0 };
   struct fnd_list findings = { 0 };
   struct buf text = BUF_INIT;
 
   (void)signum;
-  if (s->ad->settings (s->settings_path, &fresh, &findings))
+  if (s->ad->settings (s->settings_path, &settings_read, &findings))
     LOG (serve_reloaded, LOG_S ("settings", str_from (s->settings_path)));
   else
     {
       fnd_print (&findings, &text);
       LOG (serve_settings_bad, LOG_S ("findings", buf_str (&text)));
     }
-  arena_free (&fresh.text);
+  arena_free (&settings_read.text);
   fnd_free (&findings);
   buf_free (&text);
 }
 
-/* --- time -------------------------------------------------------------- */
+/* --- ticks -------------------------------------------------------------- */
 
-/** Whatever came in a pause of this process waits in its sockets still. */
+/** Handle the end of a pause of this process.  Messages that arrived during
+    the pause are still unread in the socket buffers. */
 static void
-resume (struct srv *s, clk_ms now, clk_ms ms)
+handle_resume (struct srv *s, clk_ms now, clk_ms ms)
 {
   LOG (serve_paused, LOG_I ("ms", ms));
   srv_peers_resumed (s, now, ms);
@@ -142,12 +146,12 @@
 void
 srv_check_pause (struct srv *s, clk_ms now)
 {
-  clk_ms ms = now - s->ticked_at;
+  clk_ms ms = now - s->last_tick_at;
 
-  if (s->ticked_at == 0 || ms <= PAUSED_MS)
+  if (s->last_tick_at == 0 || ms <= PAUSE_THRESHOLD_MS)
     return;
-  s->ticked_at = now;
-  resume (s, now, ms);
+  s->last_tick_at = now;
+  handle_resume (s, now, ms);
 }
 
 static void
@@ -157,7 +161,7 @@
   clk_ms now = clk_now ();
 
   srv_check_pause (s, now);
-  s->ticked_at = now;
+  s->last_tick_at = now;
   if (now >= dsp_wake (s->dispatch))
     {
       dsp_tick (s->dispatch, now);
@@ -167,14 +171,14 @@
   srv_ingress_tick (s, now);
   srv_sync_tick (s, now);
   srv_register_tick (s, now);
-  srv_duty_tick (s, now);
+  srv_leader_tick (s, now);
   srv_peers_tick (s, now);
   srv_poison_tick (s, now);
   if (s->leaving_since)
-    tick_leave (s, now);
+    tick_shutdown (s, now);
 }
 
-/* --- life -------------------------------------------------------------- */
+/* --- start and run ------------------------------------------------------ */
 
 static void
 start_cores (struct srv *s)
@@ -211,7 +215,7 @@
     return false;
   s->http = httpc_new (&s->loop);
   s->store = s->ad->store (&s->loop, s->http, &s->set);
-  srv_duty_start (s);
+  srv_leader_start (s);
   srv_config_start (s);
   srv_sync_start (s);
   srv_poison_store_start (s);
@@ -243,7 +247,8 @@
   struct buf err = BUF_INIT;
   int code = EXIT_INPUT;
 
-  signal (SIGHUP, SIG_IGN); /* until it is handled, it would end us */
+  signal (SIGHUP, SIG_IGN); /* the default action would terminate the process
+                               until a handler is installed */
   s->ad = opt->adapter;
   s->settings_path = opt->settings;
   rng_seed (&s->rng, rng_entropy ());
@@ -251,7 +256,7 @@
   if (!read_settings (s))
     goto done;
   log_setup (opt->log_format, opt->log_level, s->set.node);
-  log_output (STDOUT_FILENO, LINES_PER_S);
+  log_output (STDOUT_FILENO, LOG_LINES_PER_S);
   uv_loop_init (&s->loop);
   code = EXIT_FAILED;
   if (!start (s, &err))
@@ -264,8 +269,7 @@
   LOG (serve_stopped, LOG_I ("open", dsp_open (s->dispatch)));
   code = EXIT_DONE;
 done:
-  /* Once there are sockets and timers, the kernel takes them back with the
-     process. */
+  /* After the start, sockets and timers are left to the kernel to release. */
   buf_free (&err);
   if (code == EXIT_INPUT)
     {
--- a/t/t9203-pause.c
+++ b/t/t9203-pause.c
@@ -1,49 +1,51 @@
 /*
- * When the store is called again that does not answer.  The script counts the
- * calls that a node with several things to ask makes.
+ * Backoff of store calls while the store is unavailable, and the delay of
+ * watches.  A scripted node runs several callers that each want to make a call
+ * at all times; the tests count its calls.
  */
 #include <criterion/criterion.h>
 
 #include "serve/pause.h"
 
-#define ASKERS 4
+#define CALLERS 4
 #define STEP_MS ((clk_ms)10)
 #define ANSWER_MS ((clk_ms)20)
 
 struct node
 {
-  struct pau p;
+  struct bof backoff;
   struct rng rng;
-  clk_ms until[ASKERS]; /* of the call under way; 0: none */
+  clk_ms call_ends_at[CALLERS]; /* end of the call in flight; 0: none */
   unsigned calls;
 };
 
-/** All askers want to call all the time; the answer is always @p status. */
+/** Run the node; every call is answered with @p status after ANSWER_MS. */
 static void
 run (struct node *n, clk_ms from, clk_ms to, enum store_status status)
 {
   for (clk_ms now = from; now < to; now += STEP_MS)
-    for (int i = 0; i < ASKERS; i++)
+    for (int i = 0; i < CALLERS; i++)
       {
-        if (n->until[i] && now >= n->until[i])
+        if (n->call_ends_at[i] && now >= n->call_ends_at[i])
           {
-            n->until[i] = 0;
-            pau_ended (&n->p, now, status, &n->rng);
+            n->call_ends_at[i] = 0;
+            pau_ended (&n->backoff, now, status, &n->rng);
           }
-        if (!n->until[i] && pau_may_call (&n->p, now))
+        if (!n->call_ends_at[i] && pau_may_call (&n->backoff, now))
           {
-            pau_called (&n->p);
-            n->until[i] = now + ANSWER_MS;
+            pau_called (&n->backoff);
+            n->call_ends_at[i] = now + ANSWER_MS;
             n->calls++;
           }
       }
 }
 
 /*
- * The store is away for ten seconds.  Callers are served by what is known; a
- * node finds out with one call a second in all, not with four of each asker.
+ * Guards against an outage of the store in which each caller of a node retries
+ * by itself.  In an outage of ten seconds the node makes about one call a
+ * second in all, not one a second per caller.
  */
-Test (pause, an_outage_costs_few_calls)
+Test (backoff, outage_causes_few_calls)
 {
   struct node n = { 0 };
 
@@ -51,61 +53,65 @@
   run (&n, 1000, 1100, STORE_OK);
   n.calls = 0;
   run (&n, 1100, 11100, STORE_UNAVAILABLE);
-  cr_expect_leq (n.calls, ASKERS + 16, "%u calls", n.calls);
+  cr_expect_leq (n.calls, CALLERS + 16, "%u calls", n.calls);
   cr_expect_geq (n.calls, 8, "%u calls", n.calls);
 }
 
 /*
- * The store turns this node away for nine seconds; the others tell it all that
- * it needs.  Its callers notice nothing, and it asks every third second.
+ * Guards against useless calls of a node that the store rejects while other
+ * nodes push it everything that it would read.  In nine seconds it makes about
+ * one call every three seconds.
  */
-Test (pause, a_node_that_is_told_asks_seldom)
+Test (backoff, pushed_node_probes_less_often)
 {
-  struct node n = { .p = { .pushed = true } };
+  struct node n = { .backoff = { .pushed = true } };
 
   rng_seed (&n.rng, 4);
   run (&n, 1000, 1100, STORE_OK);
   n.calls = 0;
   run (&n, 1100, 10100, STORE_UNAVAILABLE);
-  cr_expect_leq (n.calls, ASKERS + 7, "%u calls", n.calls);
+  cr_expect_leq (n.calls, CALLERS + 7, "%u calls", n.calls);
 }
 
 /*
- * It is back.  Within a second and a bit the node knows, and then nothing
- * waits: all askers call in the same step.
+ * Guards against callers that stay blocked after an outage.  The backoff is at
+ * most a second, so a probe succeeds soon after the store is back; after that
+ * all callers call in the same step.
  */
-Test (pause, the_first_answer_lets_all_go)
+Test (backoff, first_success_releases_all_callers)
 {
   struct node n = { 0 };
 
   rng_seed (&n.rng, 2);
   run (&n, 1000, 9000, STORE_UNAVAILABLE);
   run (&n, 9000, 10100, STORE_OK);
-  cr_expect_eq (n.p.failures, 0);
-  for (int i = 0; i < ASKERS; i++)
-    cr_expect (n.until[i] > 0, "asker %d waits", i);
+  cr_expect_eq (n.backoff.failures, 0);
+  for (int i = 0; i < CALLERS; i++)
+    cr_expect (n.call_ends_at[i] > 0, "caller %d waits", i);
 }
 
-/* Calls that were out together when the store went are one failure. */
-Test (pause, calls_lost_together_are_one_failure)
+/* Guards against a backoff that grows with each of several calls that were in
+   flight together when the store failed. */
+Test (backoff, concurrent_failures_count_once)
 {
   struct node n = { 0 };
 
   rng_seed (&n.rng, 3);
-  for (int i = 0; i < ASKERS; i++)
-    pau_called (&n.p);
-  for (int i = 0; i < ASKERS; i++)
-    pau_ended (&n.p, 1000 + i, STORE_UNAVAILABLE, &n.rng);
-  cr_expect_eq (n.p.failures, 1);
-  cr_expect_not (pau_may_call (&n.p, 1100));
-  cr_expect (pau_may_call (&n.p, 1250));
+  for (int i = 0; i < CALLERS; i++)
+    pau_called (&n.backoff);
+  for (int i = 0; i < CALLERS; i++)
+    pau_ended (&n.backoff, 1000 + i, STORE_UNAVAILABLE, &n.rng);
+  cr_expect_eq (n.backoff.failures, 1);
+  cr_expect_not (pau_may_call (&n.backoff, 1100));
+  cr_expect (pau_may_call (&n.backoff, 1250));
 }
 
 /*
- * The store answers that a lease is gone, or that a compare failed, or a
- * write's answer is lost: none of these says that it is away.
+ * Guards against a backoff after results that show the store to be available:
+ * a lease that is gone, a failed comparison, a write with an unknown result or
+ * an exceeded budget.
  */
-Test (pause, other_answers_are_no_outage)
+Test (backoff, other_results_cause_no_backoff)
 {
   static const enum store_status other[]
       = { STORE_CONFLICT, STORE_GONE, STORE_UNCERTAIN, STORE_OVER_BUDGET };
@@ -114,45 +120,46 @@
   rng_seed (&n.rng, 4);
   for (size_t i = 0; i < sizeof other / sizeof other[0]; i++)
     {
-      pau_called (&n.p);
-      pau_ended (&n.p, 1000, other[i], &n.rng);
-      cr_expect (pau_may_call (&n.p, 1000), "status %d", other[i]);
+      pau_called (&n.backoff);
+      pau_ended (&n.backoff, 1000, other[i], &n.rng);
+      cr_expect (pau_may_call (&n.backoff, 1000), "status %d", other[i]);
     }
 }
 
 /*
- * Sixty nodes are restarted one after the other, and each start and stop wakes
- * every watch.  Who gives orders, and the few that may be next, look again at
- * once; for the rest the changes of some seconds go together.  Few nodes, and
- * one without a link, look at once.
+ * Guards against a cost of watches that grows with the square of the number of
+ * nodes.  While sixty nodes are restarted one after the other, each start and
+ * stop triggers every watch.  The leader and the first nodes in rank renew
+ * their watch at once; the others collect the changes of some seconds.  In a
+ * small deployment, and without a link, a node renews it at once.
  */
-Test (pause, most_of_many_nodes_watch_in_turns_of_seconds)
+Test (backoff, low_ranks_of_many_nodes_delay_watches)
 {
   unsigned calls = 0;
 
   for (unsigned rank = 0; rank < 60; rank++)
     {
-      clk_ms pace = pau_watch_again (60, rank, false);
-      cr_expect (rank < 4 ? pace <= 800 : pace >= 3000, "rank %u: %lld", rank,
-                 (long long)pace);
-      calls += (unsigned)(30000 / pace);
+      clk_ms delay = bof_watch_delay_ms (60, rank, false);
+      cr_expect (rank < 4 ? delay <= 800 : delay >= 3000, "rank %u: %lld",
+                 rank, (long long)delay);
+      calls += (unsigned)(30000 / delay);
     }
   cr_expect_lt (calls, 60 * 13, "%u calls in 30 s", calls);
-  cr_expect_leq (pau_watch_again (60, 30, true), 800);
-  cr_expect_leq (pau_watch_again (9, 8, false), 200);
+  cr_expect_leq (bof_watch_delay_ms (60, 30, true), 800);
+  cr_expect_leq (bof_watch_delay_ms (9, 8, false), 200);
 }
 
-/* Guards against a node that waits out a long pause after it has lost the
-   nodes that pushed the configuration to it: a new version would come too
-   late. */
-Test (pause, who_is_pushed_to_no_more_calls_soon)
+/* Guards against a node that stays in a long backoff after it has lost the
+   nodes that pushed the configuration to it: a new version would come into
+   force too late. */
+Test (backoff, backoff_is_shortened_when_pushes_stop)
 {
   struct node n = { 0 };
 
   rng_seed (&n.rng, 1);
-  pau_set_pushed (&n.p, 1000, true, &n.rng);
+  bof_set_pushed (&n.backoff, 1000, true, &n.rng);
   run (&n, 1000, 10000, STORE_UNAVAILABLE);
-  cr_assert_gt (n.p.next, 10000 + 300);
-  pau_set_pushed (&n.p, 10000, false, &n.rng);
-  cr_expect_leq (n.p.next, 10000 + 200);
+  cr_assert_gt (n.backoff.next_call, 10000 + 300);
+  bof_set_pushed (&n.backoff, 10000, false, &n.rng);
+  cr_expect_leq (n.backoff.next_call, 10000 + 200);
 }
--- a/t/t9209-currency.c
+++ b/t/t9209-currency.c
@@ -1,21 +1,22 @@
 /*
- * How current the configuration of a node is known to be: at one node, by a
- * script, and at many under random delays, pauses and ends.
+ * Freshness of a node's configuration: of one node, by a script, and of many
+ * nodes under random delays, pauses and restarts.
  *
- *   store VERSION     the version that the store has
- *   answers MS        reads are answered after so long; "none": after a second
- *                     they have failed
- *   readable VERSION  later ones can't be read
- *   in-force VERSION
- *   hear VERSION AGE  an announcement, of knowledge that is so old
- *   hear-new VERSION  one that returns no time of this node
- *   announces yes|no  whether others go by this node
- *   run MS            time passes
- *   pause MS          the same, while the process does not run
- *   watch-ends
- *   show              a line: how far the node goes by its configuration
+ *   store VERSION         set the version in the store
+ *   answers MS            answer reads after this time; "none": fail them
+ *                         after a second
+ *   readable VERSION      later versions cannot be parsed
+ *   in-force VERSION      put a version in force
+ *   announce VERSION AGE  receive an announcement confirmed AGE ms ago
+ *   announce-unstamped VERSION
+ *                         receive one that echoes no time of this node
+ *   announces yes|no      whether other nodes rely on this node
+ *   run MS                let time pass
+ *   pause MS              the same, while the process is suspended
+ *   watch-ends            the watch fails
+ *   show                  print the version and its freshness
  *
- * The log shows reads with the time since the start.
+ * The log shows each read with the time since the start.
  */
 #include <criterion/criterion.h>
 #include <stdio.h>
@@ -29,19 +30,19 @@
 #define APPLY_MS ((clk_ms)3000)
 #define STEP_MS ((clk_ms)10)
 #define NO_ANSWER_MS ((clk_ms)1000)
-/** Clocks don't begin at 0, which means "never". */
+/** Clocks do not start at 0, which means "never". */
 #define START_MS ((clk_ms)100000)
 
 static struct script
 {
-  struct cur cur;
+  struct fresh fresh;
   clk_ms now;
   int64_t store;
-  int64_t readable; /* the last version that this program can read */
+  int64_t readable; /* last version that can be parsed */
   clk_ms answer_ms;
-  bool silent, announces;
+  bool no_answer, announces;
   clk_ms answer_at;
-  int64_t answer; /* 0: none */
+  int64_t answer; /* 0: the read fails */
 } s;
 static struct buf log_text = BUF_INIT;
 
@@ -49,29 +50,29 @@
 read_store (void)
 {
   buf_addf (&log_text, "%lld read\n", (long long)(s.now - START_MS));
-  cur_asked (&s.cur, s.now);
-  s.answer = s.silent ? 0 : s.store;
-  s.answer_at = s.now + (s.silent ? NO_ANSWER_MS : s.answer_ms);
+  fresh_read_sent (&s.fresh, s.now);
+  s.answer = s.no_answer ? 0 : s.store;
+  s.answer_at = s.now + (s.no_answer ? NO_ANSWER_MS : s.answer_ms);
 }
 
-static enum cur_answer
+static enum fresh_read_result
 result (void)
 {
   if (s.answer == 0)
-    return CUR_FAILED;
-  return s.answer > s.readable ? CUR_UNREADABLE : CUR_READ;
+    return FRESH_READ_FAILED;
+  return s.answer > s.readable ? FRESH_READ_UNPARSABLE : FRESH_READ_OK;
 }
 
 static void
 step (void)
 {
-  if (s.cur.reading && s.now >= s.answer_at)
+  if (s.fresh.reading && s.now >= s.answer_at)
     {
-      if (s.answer > s.cur.version && s.answer <= s.readable)
-        cur_in_force (&s.cur, s.answer);
-      cur_answered (&s.cur, s.now, result ());
+      if (s.answer > s.fresh.version && s.answer <= s.readable)
+        fresh_set_version (&s.fresh, s.answer);
+      fresh_read_done (&s.fresh, s.now, result ());
     }
-  if (cur_should_read (&s.cur, s.now, s.announces))
+  if (fresh_should_read (&s.fresh, s.now, s.announces))
     read_store ();
 }
 
@@ -83,24 +84,24 @@
 }
 
 static void
-hear (int64_t version, bool stamped, clk_ms age)
+receive_announcement (int64_t version, bool stamped, clk_ms age)
 {
   struct cur_announcement a = { version, stamped, s.now, age };
 
-  cur_announced (&s.cur, s.now, &a);
+  fresh_on_announcement (&s.fresh, s.now, &a);
 }
 
 static void
 show (void)
 {
-  static const char *const names[] = { [CUR_CONFIRMED] = "confirmed",
-                                       [CUR_UNCONFIRMED] = "unconfirmed",
-                                       [CUR_RESUMED] = "resumed" };
-
-  buf_addf (&log_text, "version %lld %s%s%s\n", (long long)s.cur.version,
-            names[cur_trust (&s.cur, s.now)],
-            cur_is_announced (&s.cur, s.now) ? " announced" : "",
-            cur_may_watch (&s.cur, s.now) ? " may-watch" : "");
+  static const char *const names[] = { [FRESH_CONFIRMED] = "confirmed",
+                                       [FRESH_UNCONFIRMED] = "unconfirmed",
+                                       [FRESH_RESUMED] = "resumed" };
+
+  buf_addf (&log_text, "version %lld %s%s%s\n", (long long)s.fresh.version,
+            names[fresh_state (&s.fresh, s.now)],
+            fresh_is_announced (&s.fresh, s.now) ? " announced" : "",
+            fresh_may_watch (&s.fresh, s.now) ? " may-watch" : "");
 }
 
 static void
@@ -115,15 +116,15 @@
     s.readable = n;
   else if (!strcmp (word, "answers"))
     {
-      s.silent = !strcmp (arg, "none");
+      s.no_answer = !strcmp (arg, "none");
       s.answer_ms = n;
     }
   else if (!strcmp (word, "in-force"))
-    cur_in_force (&s.cur, n);
-  else if (!strcmp (word, "hear"))
-    hear (n, true, atoll (strtok (NULL, " ")));
-  else if (!strcmp (word, "hear-new"))
-    hear (n, false, 0);
+    fresh_set_version (&s.fresh, n);
+  else if (!strcmp (word, "announce"))
+    receive_announcement (n, true, atoll (strtok (NULL, " ")));
+  else if (!strcmp (word, "announce-unstamped"))
+    receive_announcement (n, false, 0);
   else if (!strcmp (word, "announces"))
     s.announces = !strcmp (arg, "yes");
   else if (!strcmp (word, "run"))
@@ -131,10 +132,10 @@
   else if (!strcmp (word, "pause"))
     {
       s.now += n;
-      cur_resumed (&s.cur, s.now);
+      fresh_on_resume (&s.fresh, s.now);
     }
   else if (!strcmp (word, "watch-ends"))
-    cur_watch_ended (&s.cur, s.now);
+    fresh_watch_failed (&s.fresh, s.now);
   else if (!strcmp (word, "show"))
     show ();
   else
@@ -142,168 +143,170 @@
 }
 
 static void
-play (const char *text)
+run_script (const char *text)
 {
   s = (struct script){
     .now = START_MS, .store = 1, .readable = INT64_MAX, .answer_ms = 10
   };
-  cur_init (&s.cur, APPLY_MS);
+  fresh_init (&s.fresh, APPLY_MS);
   transcript_check (&log_text, run_command, text);
 }
 
-/* Guards against a node that holds an old configuration for current as nobody
-   says otherwise. */
-Test (currency, knowledge_that_grows_old_is_renewed)
+/* Guards against a node that keeps using an old configuration as confirmed
+   because it receives nothing that contradicts it. */
+Test (freshness, old_confirmation_is_renewed_by_a_read)
 {
-  play ("> run 100\n"
-        "0 read\n"
-        "> show\n"
-        "version 1 confirmed\n"
-        "> run 900\n"
-        "> show\n"
-        "version 1 confirmed may-watch\n"
-        "> store 2\n"
-        "> run 1000\n"
-        "1500 read\n"
-        "> show\n"
-        "version 2 confirmed may-watch\n");
+  run_script ("> run 100\n"
+              "0 read\n"
+              "> show\n"
+              "version 1 confirmed\n"
+              "> run 900\n"
+              "> show\n"
+              "version 1 confirmed may-watch\n"
+              "> store 2\n"
+              "> run 1000\n"
+              "1500 read\n"
+              "> show\n"
+              "version 2 confirmed may-watch\n");
 }
 
-/* Guards against an announcement that is taken for as new as its arrival. */
-Test (currency, the_age_of_an_announcement_counts)
+/* Guards against an announcement that counts as confirmed when it arrives
+   instead of when its sender confirmed it. */
+Test (freshness, announcement_counts_from_its_confirmation)
 {
-  play ("> run 1000\n"
-        "0 read\n"
-        "> hear 1 300\n"
-        "> run 1000\n"
-        "> show\n"
-        "version 1 confirmed announced may-watch\n"
-        "> hear 1 1600\n"
-        "> run 300\n"
-        "2200 read\n"
-        "> hear-new 1\n"
-        "> run 1500\n"
-        "3700 read\n");
+  run_script ("> run 1000\n"
+              "0 read\n"
+              "> announce 1 300\n"
+              "> run 1000\n"
+              "> show\n"
+              "version 1 confirmed announced may-watch\n"
+              "> announce 1 1600\n"
+              "> run 300\n"
+              "2200 read\n"
+              "> announce-unstamped 1\n"
+              "> run 1500\n"
+              "3700 read\n");
 }
 
-/* Guards against a node that waits for a document that is not handed on to it:
-   it links after the version came, or the document is too long. */
-Test (currency, what_is_announced_and_not_handed_on_is_read)
+/* Guards against a node that waits for a push that never comes: the node
+   linked after the push, or the document is too long to be pushed. */
+Test (freshness, announced_version_without_push_is_read)
 {
-  play ("> run 1000\n"
-        "0 read\n"
-        "> store 2\n"
-        "> hear 2 0\n"
-        "> run 200\n"
-        "1150 read\n"
-        "> show\n"
-        "version 2 confirmed may-watch\n"
-        "> hear 3 0\n"
-        "> run 100\n"
-        "> in-force 3\n"
-        "> run 200\n"
-        "> store 4\n"
-        "> hear 4 0\n"
-        "> run 700\n"
-        "1900 read\n");
+  run_script ("> run 1000\n"
+              "0 read\n"
+              "> store 2\n"
+              "> announce 2 0\n"
+              "> run 200\n"
+              "1150 read\n"
+              "> show\n"
+              "version 2 confirmed may-watch\n"
+              "> announce 3 0\n"
+              "> run 100\n"
+              "> in-force 3\n"
+              "> run 200\n"
+              "> store 4\n"
+              "> announce 4 0\n"
+              "> run 700\n"
+              "1900 read\n");
 }
 
-/* Guards against nodes that each go by another's word, and none by the
-   store. */
-Test (currency, who_announces_reads_before_the_others_would)
+/* Guards against nodes that confirm their versions by each other's
+   announcements while none reads the store. */
+Test (freshness, announcer_reads_more_often)
 {
-  play ("> announces yes\n"
-        "> run 3010\n"
-        "0 read\n"
-        "1000 read\n"
-        "2000 read\n"
-        "3000 read\n");
+  run_script ("> announces yes\n"
+              "> run 3010\n"
+              "0 read\n"
+              "1000 read\n"
+              "2000 read\n"
+              "3000 read\n");
 }
 
-/* Guards against a refusal that callers take for final by a node that may have
-   missed the newest version. */
-Test (currency, nothing_is_final_without_the_store)
+/* Guards against a final refusal by a node that may have missed the newest
+   version. */
+Test (freshness, unavailable_store_ends_confirmation)
 {
-  play ("> run 500\n"
-        "0 read\n"
-        "> answers none\n"
-        "> run 2400\n"
-        "1500 read\n"
-        "2700 read\n"
-        "> show\n"
-        "version 1 confirmed may-watch\n"
-        "> run 200\n"
-        "> show\n"
-        "version 1 unconfirmed may-watch\n"
-        "> answers 10\n"
-        "> run 2000\n"
-        "3900 read\n"
-        "> show\n"
-        "version 1 confirmed may-watch\n");
+  run_script ("> run 500\n"
+              "0 read\n"
+              "> answers none\n"
+              "> run 2400\n"
+              "1500 read\n"
+              "2700 read\n"
+              "> show\n"
+              "version 1 confirmed may-watch\n"
+              "> run 200\n"
+              "> show\n"
+              "version 1 unconfirmed may-watch\n"
+              "> answers 10\n"
+              "> run 2000\n"
+              "3900 read\n"
+              "> show\n"
+              "version 1 confirmed may-watch\n");
 }
 
-/* Guards against requests that waited for a stopped process and are then
-   answered by what it knew before. */
-Test (currency, a_pause_is_no_time_in_which_a_version_was_known)
+/* Guards against requests that arrived while the process was suspended and are
+   answered by the configuration from before the pause. */
+Test (freshness, pause_counts_toward_age)
 {
-  play ("> run 500\n"
-        "0 read\n"
-        "> store 2\n"
-        "> pause 2800\n"
-        "> show\n"
-        "version 1 resumed may-watch\n"
-        "> run 20\n"
-        "3300 read\n"
-        "> show\n"
-        "version 2 confirmed may-watch\n");
+  run_script ("> run 500\n"
+              "0 read\n"
+              "> store 2\n"
+              "> pause 2800\n"
+              "> show\n"
+              "version 1 resumed may-watch\n"
+              "> run 20\n"
+              "3300 read\n"
+              "> show\n"
+              "version 2 confirmed may-watch\n");
 }
 
-/* Guards against a call from before the pause, which ends as failed on waking,
-   being taken for the store's answer; and against a wait without an end. */
-Test (currency, a_call_from_before_a_pause_says_nothing)
+/* Guards against a read sent before a pause: it fails on resuming, which must
+   not count as an answer of the store.  Guards also against deferring requests
+   without a limit. */
+Test (freshness, read_from_before_a_pause_is_ignored)
 {
-  play ("> answers none\n"
-        "> run 100\n"
-        "0 read\n"
-        "> in-force 1\n"
-        "> pause 4000\n"
-        "> show\n"
-        "version 1 resumed\n"
-        "> run 100\n"
-        "4100 read\n"
-        "> show\n"
-        "version 1 resumed\n"
-        "> run 500\n"
-        "> show\n"
-        "version 1 unconfirmed\n");
+  run_script ("> answers none\n"
+              "> run 100\n"
+              "0 read\n"
+              "> in-force 1\n"
+              "> pause 4000\n"
+              "> show\n"
+              "version 1 resumed\n"
+              "> run 100\n"
+              "4100 read\n"
+              "> show\n"
+              "version 1 resumed\n"
+              "> run 500\n"
+              "> show\n"
+              "version 1 unconfirmed\n");
 }
 
-/* Guards against a node that asks the store all the time for a version that it
-   can't read, and against one that denies what that version may allow. */
-Test (currency, a_version_that_cannot_be_read_confirms_nothing)
+/* Guards against a node that reads a version that it cannot parse in a tight
+   loop, and against final refusals of what that version may allow. */
+Test (freshness, unparsable_version_confirms_nothing)
 {
-  play ("> readable 1\n"
-        "> run 500\n"
-        "0 read\n"
-        "> store 2\n"
-        "> run 3000\n"
-        "1500 read\n"
-        "3010 read\n"
-        "> show\n"
-        "version 1 unconfirmed may-watch\n");
+  run_script ("> readable 1\n"
+              "> run 500\n"
+              "0 read\n"
+              "> store 2\n"
+              "> run 3000\n"
+              "1500 read\n"
+              "3010 read\n"
+              "> show\n"
+              "version 1 unconfirmed may-watch\n");
 }
 
-/* Guards against a watch that ended, and may have missed a version, without a
-   read after it. */
-Test (currency, a_watch_that_ended_is_followed_by_a_read)
+/* Guards against a failed watch that has missed a version and is not followed
+   by a read. */
+Test (freshness, failed_watch_is_followed_by_a_read)
 {
-  play ("> run 1000\n"
-        "0 read\n"
-        "> watch-ends\n"
-        "> run 200\n"
-        "1100 read\n"
-        "> show\n"
-        "version 1 confirmed\n");
+  run_script ("> run 1000\n"
+              "0 read\n"
+              "> watch-ends\n"
+              "> run 200\n"
+              "1100 read\n"
+              "> show\n"
+              "version 1 confirmed\n");
 }
 
 /* --- many nodes --------------------------------------------------------- */
@@ -312,14 +315,14 @@
 #define RELAYS 4
 #define FRAMES 4000
 #define VERSIONS 200
-#define PLAY_MS ((clk_ms)20000)
+#define RUN_MS ((clk_ms)20000)
 #define ANNOUNCE_MS ((clk_ms)100)
 
 struct node
 {
-  struct cur cur;
+  struct fresh fresh;
   bool alive;
-  clk_ms offset; /* of its clock */
+  clk_ms offset; /* offset of the node's clock */
   clk_ms frozen_until, ticked_at, next_announce;
   clk_ms stamp[NODES], stamp_at[NODES]; /* by sender; 0: none */
   clk_ms answer_at;
@@ -359,7 +362,7 @@
   *n = (struct node){ .alive = true,
                       .offset = START_MS + (clk_ms)rng_below (&f.rng, 99999),
                       .ticked_at = f.now };
-  cur_init (&n->cur, APPLY_MS);
+  fresh_init (&n->fresh, APPLY_MS);
 }
 
 static void
@@ -376,17 +379,17 @@
           .from = from,
           .to = to,
           .sent = clock_of (n),
-          .a = { .version = n->cur.version,
-                 .stamped = n->stamp[to] && n->cur.known_at,
+          .a = { .version = n->fresh.version,
+                 .stamped = n->stamp[to] && n->fresh.confirmed_at,
                  .stamp = n->stamp[to],
-                 .age_ms = n->stamp_at[to] - n->cur.known_at }
+                 .age_ms = n->stamp_at[to] - n->fresh.confirmed_at }
         };
         return;
       }
 }
 
 static void
-take_frame (const struct frame *x)
+deliver_frame (const struct frame *x)
 {
   struct node *n = &f.node[x->to];
 
@@ -394,7 +397,7 @@
     return;
   n->stamp[x->from] = x->sent;
   n->stamp_at[x->from] = clock_of (n);
-  cur_announced (&n->cur, clock_of (n), &x->a);
+  fresh_on_announcement (&n->fresh, clock_of (n), &x->a);
 }
 
 static void
@@ -404,17 +407,18 @@
   clk_ms now = clock_of (n);
 
   if (f.now - n->ticked_at > 500)
-    cur_resumed (&n->cur, now);
+    fresh_on_resume (&n->fresh, now);
   n->ticked_at = f.now;
-  if (n->cur.reading && f.now >= n->answer_at)
+  if (n->fresh.reading && f.now >= n->answer_at)
     {
-      if (n->answer > n->cur.version)
-        cur_in_force (&n->cur, n->answer);
-      cur_answered (&n->cur, now, n->answer > 0 ? CUR_READ : CUR_FAILED);
+      if (n->answer > n->fresh.version)
+        fresh_set_version (&n->fresh, n->answer);
+      fresh_read_done (&n->fresh, now,
+                       n->answer > 0 ? FRESH_READ_OK : FRESH_READ_FAILED);
     }
-  if (cur_should_read (&n->cur, now, i < RELAYS))
+  if (fresh_should_read (&n->fresh, now, i < RELAYS))
     {
-      cur_asked (&n->cur, now);
+      fresh_read_sent (&n->fresh, now);
       n->answer = rng_below (&f.rng, 20) ? f.newest : 0;
       n->answer_at = f.now + 1 + (clk_ms)rng_below (&f.rng, 300);
     }
@@ -426,19 +430,20 @@
       send_frame (i, to);
 }
 
-/** A node that goes by its configuration has all that was acknowledged longer
-    ago than the bound. */
+/** Count versions that were accepted longer ago than the limit and are not in
+    force at a node that calls its version confirmed. */
 static void
 check_node (const struct node *n)
 {
-  if (cur_trust (&n->cur, clock_of (n)) != CUR_CONFIRMED)
+  if (fresh_state (&n->fresh, clock_of (n)) != FRESH_CONFIRMED)
     return;
   f.checked++;
-  for (int64_t v = n->cur.version + 1; v <= f.newest; v++)
+  for (int64_t v = n->fresh.version + 1; v <= f.newest; v++)
     f.behind += f.acked[v] < f.now - APPLY_MS;
 }
 
-/** Its links break: times of its earlier life are forgotten. */
+/** Restart a node: its links break and the times received from it are
+    dropped. */
 static void
 restart (struct node *n)
 {
@@ -453,7 +458,7 @@
 }
 
 static void
-disturb (void)
+inject_fault (void)
 {
   struct node *n = &f.node[rng_below (&f.rng, NODES)];
   unsigned what = (unsigned)rng_below (&f.rng, 1000);
@@ -470,15 +475,15 @@
 }
 
 static void
-play_fleet (uint64_t seed)
+run_fleet (uint64_t seed)
 {
   f = (struct fleet){ .now = 1, .newest = 1 };
   rng_seed (&f.rng, seed);
   for (int i = 0; i < NODES; i++)
     start_node (&f.node[i]);
-  for (; f.now < PLAY_MS; f.now += STEP_MS)
+  for (; f.now < RUN_MS; f.now += STEP_MS)
     {
-      disturb ();
+      inject_fault ();
       for (int i = 0; i < NODES; i++)
         if (f.now >= f.node[i].frozen_until)
           tick_node (i);
@@ -486,7 +491,7 @@
         if (f.frame[i].due && f.now >= f.frame[i].due
             && f.now >= f.node[f.frame[i].to].frozen_until)
           {
-            take_frame (&f.frame[i]);
+            deliver_frame (&f.frame[i]);
             f.frame[i].due = 0;
           }
       for (int i = 0; i < NODES; i++)
@@ -495,17 +500,17 @@
 }
 
 /* Guards against any order of delays, pauses and restarts in which a node
-   holds a configuration for current that is not, and against one in which
-   hardly any does. */
-Test (currency, confirmed_is_never_behind)
+   takes an outdated configuration for confirmed, and against one in which
+   hardly any node has a confirmed one. */
+Test (freshness, confirmed_is_never_behind)
 {
-  const unsigned all = NODES * (unsigned)(PLAY_MS / STEP_MS);
+  const unsigned all = NODES * (unsigned)(RUN_MS / STEP_MS);
   const char *seeds = getenv ("CURRENCY_SEEDS");
   uint64_t n = seeds ? strtoull (seeds, NULL, 10) : 20;
 
   for (uint64_t seed = 1; seed <= n; seed++)
     {
-      play_fleet (seed);
+      run_fleet (seed);
       cr_expect_eq (f.behind, 0, "seed %llu: %u", (unsigned long long)seed,
                     f.behind);
       cr_expect_gt (f.checked, all / 2, "seed %llu: %u of %u",
