--- a/serve/adapter.h
+++ b/serve/adapter.h
@@ -28,15 +28,16 @@
   struct net_addr address; /**< listens for address queries of clients */
   struct net_addr peer;    /**< listens for connections of other nodes */
   struct net_addr store;
-  double store_writes;   /**< per second, all nodes together */
-  double store_reads;    /**< per second, all nodes together */
-  clk_ms lease_least_ms; /**< minimum lease that the store grants */
-  clk_ms drain_ms; /**< a leaving backend server gets no new requests after
-                        this time */
-  clk_ms grace_ms; /**< from SIGTERM to SIGKILL */
-  clk_ms apply_ms; /**< maximum time until all nodes use a new configuration */
-  clk_ms address_ms; /**< maximum TTL of an address response */
-  clk_ms stall_ms;   /**< a replica that lost a member fails after this time */
+  double store_writes; /**< per second, all nodes together */
+  double store_reads;  /**< per second, all nodes together */
+  clk_ms lease_min_ms; /**< minimum lease that the store grants */
+  clk_ms drain_ms;     /**< a leaving backend server gets no new requests after
+                            this time */
+  clk_ms grace_ms;     /**< from SIGTERM to SIGKILL */
+  clk_ms config_apply_ms; /**< maximum time until all nodes use a new
+                             configuration */
+  clk_ms address_ttl_ms;  /**< maximum TTL of an address response */
+  clk_ms stall_ms; /**< a replica that lost a member fails after this time */
   double retry_ratio;
   double retry_slack;
   clk_ms retry_window_ms;
@@ -49,31 +50,32 @@
 };
 
 /** Fields of a client request, decoded from its headers. */
-struct srv_call
+struct srv_request
 {
   struct str id;
-  struct str key;        /**< API key of the client account; empty: none */
-  struct str model;      /**< empty: not specified */
-  struct str last_event; /**< id of the last event received; for resuming */
-  clk_ms deadline_ms;    /**< client timeout; 0: not specified */
-  double prompt;         /**< tokens in the prompt; 0: not specified */
-  double answer; /**< maximum number of output tokens; 0: not specified */
+  struct str key;           /**< API key of the client account; empty: none */
+  struct str model;         /**< empty: not specified */
+  struct str last_event;    /**< id of the last event received; for resuming */
+  clk_ms deadline_ms;       /**< client timeout; 0: not specified */
+  double prompt_tokens;     /**< tokens in the prompt; 0: not specified */
+  double max_output_tokens; /**< maximum number of output tokens; 0: not
+                               specified */
 };
 
 /** Maximum number of headers in a list before those that an attempt adds. */
-#define SRV_HEADERS 100
+#define SRV_MAX_HEADERS 100
 
 /** List of headers to send.  Initialize it with zeros, and release it with
     srv_headers_free(). */
 struct srv_headers
 {
-  struct http_header list[SRV_HEADERS + 8];
+  struct http_header list[SRV_MAX_HEADERS + 8];
   size_t n;
   struct buf text; /**< storage for the values that are generated here */
 };
 
 /** Values for the headers that an attempt adds to those of the client. */
-struct srv_forward
+struct srv_forward_params
 {
   struct str host;
   struct str server;     /**< id of the intended backend server */
@@ -85,22 +87,22 @@
 };
 
 /** Head of a response from a backend server, decoded. */
-struct srv_answer
+struct srv_response
 {
-  bool same_request; /**< it belongs to the request that was sent */
-  bool sealed;       /**< it carries the seal of the backend server */
-  bool unrun;        /**< it states that the request was not run */
-  bool events;       /**< the body is an event stream */
-  bool encoded;      /**< encoded body: not as the backend server sent it */
-  bool misdirected;  /**< it comes from a server other than the intended one */
-  enum lim_says limit;
-  double rate;   /**< if LIM_SAYS_RATE: requests per second */
+  bool same_request;    /**< it belongs to the request that was sent */
+  bool sealed;          /**< it carries the seal of the backend server */
+  bool not_run;         /**< it states that the request was not run */
+  bool is_event_stream; /**< the body is an event stream */
+  bool encoded;         /**< encoded body: not as the backend server sent it */
+  bool misdirected; /**< it comes from a server other than the intended one */
+  enum lim_report_kind limit;
+  double rate;   /**< if LIM_REPORT_RATE: requests per second */
   bool has_load; /**< the three counts below are set */
   unsigned running, waiting, slots;
 };
 
 /** Query to the address service. */
-struct srv_where
+struct srv_address_query
 {
   struct str host;
   struct str zone;
@@ -111,10 +113,10 @@
   /** Read and check the settings.
       @param path  NULL: the default location of the platform
       @return false, with all findings, if the settings are invalid */
-  bool (*settings) (const char *path, struct srv_settings *out,
-                    struct fnd_list *findings);
-  struct store *(*store) (uv_loop_t *loop, struct httpc *http,
-                          const struct srv_settings *set);
+  bool (*read_settings) (const char *path, struct srv_settings *out,
+                         struct fnd_list *findings);
+  struct store *(*open_store) (uv_loop_t *loop, struct httpc *http,
+                               const struct srv_settings *set);
 
   const char *config_key;     /**< store key of the configuration */
   const char *servers_prefix; /**< store prefix of the server list */
@@ -122,42 +124,45 @@
 
   /** Parse the configuration.
       @return  NULL, with findings, if it is invalid */
-  struct tbl *(*table) (struct str text, struct fnd_list *findings);
+  struct tbl *(*parse_config) (struct str text, struct fnd_list *findings);
   /** Parse one entry of the server list; its strings are stored in @p text.
       @param wrong  receives the name of the invalid field, or NULL
       @return false if the entry is invalid and contains no usable server */
-  bool (*server) (struct str key, struct str value, struct arena *text,
-                  struct bks_entry *out, const char **wrong);
+  bool (*parse_server) (struct str key, struct str value, struct arena *text,
+                        struct bks_entry *out, const char **wrong);
 
   /** Path and body of an order to a backend server. */
   const char *order_path;
-  void (*order) (const struct frm_action *a, struct buf *body);
+  void (*format_order) (const struct frm_action *a, struct buf *body);
   enum frm_result (*order_result) (int status);
   const char *report_path; /**< responds while the server process runs */
   /** Name of the header with the id of the intended backend server, in lower
       case. */
   const char *expect_header;
 
-  void (*call) (const struct http_header *h, size_t n, struct srv_call *out);
+  void (*parse_request) (const struct http_header *h, size_t n,
+                         struct srv_request *out);
   /** Build the headers of an attempt.
       @retval false  too many headers */
-  bool (*forward) (const struct http_header *h, size_t n,
-                   const struct srv_forward *f, struct srv_headers *out);
-  void (*answer) (struct str request_id, int status,
-                  const struct http_header *h, size_t n,
-                  struct srv_answer *out);
+  bool (*build_headers) (const struct http_header *h, size_t n,
+                         const struct srv_forward_params *f,
+                         struct srv_headers *out);
+  void (*parse_response) (struct str request_id, int status,
+                          const struct http_header *h, size_t n,
+                          struct srv_response *out);
   /** Whether a header of a response is forwarded to the client. */
-  bool (*passes) (const struct http_header *h);
+  bool (*forwards_header) (const struct http_header *h);
   /** Name and value of the header that tells the client when to retry, for
       responses generated by this node. */
-  void (*retry_after) (clk_ms ms, struct buf *name, struct buf *value);
+  void (*format_retry_after) (clk_ms ms, struct buf *name, struct buf *value);
 
   const char *ready_path;
   const char *address_path;
-  void (*where) (struct str query, struct srv_where *out);
+  void (*parse_address_query) (struct str query,
+                               struct srv_address_query *out);
   /** Body of an address response. */
-  void (*addresses) (const struct net_addr *list, size_t n, clk_ms ttl_ms,
-                     struct buf *body);
+  void (*format_addresses) (const struct net_addr *list, size_t n,
+                            clk_ms ttl_ms, struct buf *body);
 };
 
 void srv_headers_free (struct srv_headers *h);
--- a/serve/address.c
+++ b/serve/address.c
@@ -52,8 +52,8 @@
   struct srv *s = ctx;
   struct net_addr list[ADDRESSES_MAX];
   struct buf body = BUF_INIT;
-  clk_ms ttl
-      = s->set.address_ms < ANSWER_TTL_MS ? s->set.address_ms : ANSWER_TTL_MS;
+  clk_ms ttl = s->set.address_ttl_ms < ANSWER_TTL_MS ? s->set.address_ttl_ms
+                                                     : ANSWER_TTL_MS;
   size_t n;
 
   if (!str_is (httpd_get (req)->path, s->ad->address_path))
@@ -61,13 +61,13 @@
       answer_empty (req, 404);
       return;
     }
-  n = srv_peers_ready (s, list, ADDRESSES_MAX);
+  n = srv_peers_list_ready (s, list, ADDRESSES_MAX);
   if (n == 0)
     {
-      srv_refuse (s, req, 503, "no-node", 0);
+      srv_send_error (s, req, 503, "no-node", 0);
       return;
     }
-  s->ad->addresses (list, n, ttl, &body);
+  s->ad->format_addresses (list, n, ttl, &body);
   httpd_answer (req, 200, json, 1, buf_str (&body));
   buf_free (&body);
 }
--- a/serve/backends.c
+++ b/serve/backends.c
@@ -71,7 +71,7 @@
                              one arrived */
   clk_ms restored_at;     /* when the store was restored from an older copy;
                              0: never */
-  struct dsp_place *endpoints;
+  struct dsp_endpoint *endpoints;
 };
 
 static guint
@@ -136,7 +136,7 @@
   free (g->id);
   g->id = str_dup (e->id);
   g->version = b->version;
-  g->heartbeat = e->beat;
+  g->heartbeat = e->heartbeat;
 }
 
 uint64_t
@@ -177,10 +177,10 @@
 static bool
 same_preloaded (const struct bks_entry *a, const struct bks_entry *b)
 {
-  if (a->nstaged != b->nstaged)
+  if (a->npreloaded != b->npreloaded)
     return false;
-  for (size_t i = 0; i < a->nstaged; i++)
-    if (!str_eq (a->staged[i], b->staged[i]))
+  for (size_t i = 0; i < a->npreloaded; i++)
+    if (!str_eq (a->preloaded[i], b->preloaded[i]))
       return false;
   return true;
 }
@@ -188,13 +188,14 @@
 static bool
 same_entry (const struct bks_entry *a, const struct bks_entry *b)
 {
-  return a->born == b->born && str_eq (a->service, b->service)
+  return a->start_time == b->start_time && str_eq (a->service, b->service)
          && str_eq (a->zone, b->zone) && str_eq (a->domain, b->domain)
          && net_addr_eq (&a->addr, &b->addr) && a->capacity == b->capacity
          && a->draining == b->draining && str_eq (a->model, b->model)
          && same_preloaded (a, b) && str_eq (a->replica, b->replica)
          && a->generation == b->generation && a->rank == b->rank
-         && a->part == b->part && a->acceptance == b->acceptance;
+         && a->member_state == b->member_state
+         && a->acceptance == b->acceptance;
 }
 
 static void
@@ -208,8 +209,8 @@
   s->e.zone = arena_str (&text, in->zone);
   s->e.domain = arena_str (&text, in->domain);
   s->e.model = arena_str (&text, in->model);
-  for (size_t i = 0; i < in->nstaged; i++)
-    s->e.staged[i] = arena_str (&text, in->staged[i]);
+  for (size_t i = 0; i < in->npreloaded; i++)
+    s->e.preloaded[i] = arena_str (&text, in->preloaded[i]);
   s->e.replica = arena_str (&text, in->replica);
   arena_free (&s->text);
   s->text = text;
@@ -224,7 +225,7 @@
 is_earlier_incarnation (const struct bks_entry *recorded,
                         const struct bks_entry *in)
 {
-  return in->born < recorded->born;
+  return in->start_time < recorded->start_time;
 }
 
 static const struct removed *
@@ -251,9 +252,10 @@
   if (!b->restored_at || now - b->restored_at >= OLD_COPY_MS)
     return false;
   if (recorded)
-    return in->born == recorded->e.born && in->beat < recorded->e.beat;
+    return in->start_time == recorded->e.start_time
+           && in->heartbeat < recorded->e.heartbeat;
   removed = find_removed (b, in->id);
-  return removed && in->beat && in->beat <= removed->heartbeat;
+  return removed && in->heartbeat && in->heartbeat <= removed->heartbeat;
 }
 
 /** The server has restarted under its id.  The new process holds no state
@@ -278,10 +280,11 @@
           || from_older_copy))
     {
       s->seen = true;
-      s->e.beat = in->beat > s->e.beat ? in->beat : s->e.beat;
+      s->e.heartbeat
+          = in->heartbeat > s->e.heartbeat ? in->heartbeat : s->e.heartbeat;
       return false;
     }
-  if (s && s->e.born != in->born)
+  if (s && s->e.start_time != in->start_time)
     begin_incarnation (s, now);
   if (!s)
     {
@@ -321,7 +324,7 @@
 }
 
 clk_ms
-bks_asked_at (const struct bks *b)
+bks_read_started_at (const struct bks *b)
 {
   return b->read_started_at;
 }
@@ -380,7 +383,7 @@
 }
 
 void
-bks_unreadable (struct bks *b, clk_ms now)
+bks_read_failed (struct bks *b, clk_ms now)
 {
   (void)now;
   if (b->has_list)
@@ -388,14 +391,14 @@
 }
 
 void
-bks_restored (struct bks *b, clk_ms now)
+bks_store_restored (struct bks *b, clk_ms now)
 {
-  bks_unreadable (b, now);
+  bks_read_failed (b, now);
   b->restored_at = now;
 }
 
 bool
-bks_settled (const struct bks *b, clk_ms now)
+bks_is_stable (const struct bks *b, clk_ms now)
 {
   return b->has_list && !b->last_read_failed
          && now - b->first_read_at >= RECOVERY_MS
@@ -403,7 +406,7 @@
 }
 
 clk_ms
-bks_pace (const struct bks *b, clk_ms min_interval)
+bks_poll_interval (const struct bks *b, clk_ms min_interval)
 {
   return b->n > FULL_RATE_SERVERS
              ? min_interval * (clk_ms)b->n / FULL_RATE_SERVERS
@@ -411,16 +414,17 @@
 }
 
 clk_ms
-bks_duty_pace (const struct bks *b, clk_ms min_interval, clk_ms drain_ms)
+bks_leader_poll_interval (const struct bks *b, clk_ms min_interval,
+                          clk_ms drain_ms)
 {
-  clk_ms interval = bks_pace (b, min_interval);
-  clk_ms max_interval = bks_untold_ms (drain_ms, false);
+  clk_ms interval = bks_poll_interval (b, min_interval);
+  clk_ms max_interval = bks_fallback_poll_ms (drain_ms, false);
 
   return interval < max_interval ? interval : max_interval;
 }
 
 clk_ms
-bks_untold_ms (clk_ms drain_ms, bool large_fleet)
+bks_fallback_poll_ms (clk_ms drain_ms, bool large_fleet)
 {
   if (large_fleet)
     return (clk_ms)((double)drain_ms * LARGE_FLEET_DRAIN_PART);
@@ -428,7 +432,7 @@
 }
 
 bool
-bks_known (const struct bks *b)
+bks_has_list (const struct bks *b)
 {
   return b->has_list;
 }
@@ -454,7 +458,7 @@
 static bool
 is_unavailable (const struct bks_entry *e)
 {
-  return e->draining || (e->rank > 0 && e->part != BKS_READY);
+  return e->draining || (e->rank > 0 && e->member_state != BKS_READY);
 }
 
 static unsigned
@@ -492,7 +496,7 @@
     if (is_member (&b->list[i]->e, &leader->e))
       leader->members[leader->nmembers++]
           = (struct bks_member){ str_dup (b->list[i]->e.id),
-                                 b->list[i]->e.born };
+                                 b->list[i]->e.start_time };
 }
 
 /** Whether no member of the complete replica is listed outside the replica
@@ -506,7 +510,7 @@
       const struct bks_server *s = find (b, str_from (member->id));
       if (s
           && (!is_member (&s->e, &leader->e)
-              || s->e.born != member->start_time))
+              || s->e.start_time != member->start_time))
         return false;
     }
   return true;
@@ -565,13 +569,13 @@
   const struct bks_entry *e = &s->e;
 
   mark_endpoint (b, s, true, accepting);
-  b->endpoints[(*n)++] = (struct dsp_place){ .server = e->id,
-                                             .born = e->born,
-                                             .service = e->service,
-                                             .zone = e->zone,
-                                             .addr = e->addr,
-                                             .capacity = capacity,
-                                             .accepting = accepting };
+  b->endpoints[(*n)++] = (struct dsp_endpoint){ .server = e->id,
+                                                .start_time = e->start_time,
+                                                .service = e->service,
+                                                .zone = e->zone,
+                                                .addr = e->addr,
+                                                .capacity = capacity,
+                                                .accepting = accepting };
 }
 
 /**
@@ -587,23 +591,24 @@
   const struct tbl_model *m = tbl_find_model (s, e->model);
   bool accepting = e->acceptance == BKS_ACCEPTING;
 
-  if (!m || e->rank != 0 || e->replica.len == 0 || e->part < BKS_OPEN)
+  if (!m || e->rank != 0 || e->replica.len == 0 || e->member_state < BKS_OPEN)
     {
       mark_endpoint (b, leader, false, false);
       return;
     }
   if (e->acceptance == BKS_ACCEPTANCE_UNKNOWN)
-    accepting = e->part == BKS_OPEN && is_complete (b, leader, m->size);
+    accepting
+        = e->member_state == BKS_OPEN && is_complete (b, leader, m->size);
   add_endpoint (b, n, leader, s->capacity ? s->capacity : e->capacity,
                 accepting);
   b->endpoints[*n - 1].model = m->name;
-  b->endpoints[*n - 1].read_per_ms
-      = s->read_per_ms / (m->pace > 0 ? m->pace : 1);
+  b->endpoints[*n - 1].prefill_per_ms
+      = s->prefill_per_ms / (m->time_factor > 0 ? m->time_factor : 1);
   b->endpoints[*n - 1].generation = e->generation;
 }
 
-const struct dsp_place *
-bks_places (struct bks *b, const struct tbl *t, size_t *n)
+const struct dsp_endpoint *
+bks_endpoints (struct bks *b, const struct tbl *t, size_t *n)
 {
   *n = 0;
   b->endpoints = xrealloc (b->endpoints, (b->n + 1) * sizeof *b->endpoints);
--- a/serve/backends.h
+++ b/serve/backends.h
@@ -17,13 +17,13 @@
 #include "serve/dispatch.h"
 
 /** Most models whose weights are kept in memory by the host of a VM. */
-#define BKS_STAGED 8
+#define BKS_PRELOADED_MAX 8
 
 /** State of a backend server as a member of a replica. */
-enum bks_part
+enum bks_member_state
 {
-  BKS_ALONE,   /**< it belongs to no replica */
-  BKS_JOINING, /**< it is not ready yet */
+  BKS_NO_REPLICA, /**< it belongs to no replica */
+  BKS_JOINING,    /**< it is not ready yet */
   BKS_READY,
   BKS_OPEN,    /**< leader: the replica takes requests */
   BKS_CLOSING, /**< leader: the replica finishes its requests and takes no
@@ -45,24 +45,25 @@
 struct bks_entry
 {
   struct str id;
-  int64_t born; /**< wall clock time at which its process started, in Unix
-                     ms.  A server that restarts under the same id counts as
-                     another server; 0: not reported */
-  int64_t beat; /**< sequence number of the heartbeat that wrote the entry;
-                     0: unknown */
+  int64_t start_time; /**< wall clock time at which its process started, in
+                     Unix ms.  A server that restarts under the same id counts
+                     as another server; 0: not reported */
+  int64_t heartbeat;  /**< sequence number of the heartbeat that wrote the
+                      entry;  0: unknown */
   struct str service;
   struct str zone;
   struct str domain; /**< fabric domain; empty: none */
   struct net_addr addr;
   unsigned capacity; /**< requests in parallel */
   bool draining;
-  struct str model;              /**< loaded model; empty: none */
-  struct str staged[BKS_STAGED]; /**< models in the memory of its host */
-  size_t nstaged;
+  struct str model; /**< loaded model; empty: none */
+  struct str
+      preloaded[BKS_PRELOADED_MAX]; /**< models in the memory of its host */
+  size_t npreloaded;
   struct str replica; /**< name; empty: no replica */
   int64_t generation;
   unsigned rank;
-  enum bks_part part;
+  enum bks_member_state member_state;
   enum bks_acceptance acceptance;
 };
 
@@ -113,10 +114,10 @@
  * backend servers have written again, the list contains old entries and lacks
  * others.
  */
-void bks_restored (struct bks *b, clk_ms now);
+void bks_store_restored (struct bks *b, clk_ms now);
 
 /** When the last successful read was sent. */
-clk_ms bks_asked_at (const struct bks *b);
+clk_ms bks_read_started_at (const struct bks *b);
 
 /**
  * Apply changes of the list that another node has read.
@@ -139,7 +140,7 @@
                         const struct str **ids, size_t *n);
 
 /** A read of the list has failed. */
-void bks_unreadable (struct bks *b, clk_ms now);
+void bks_read_failed (struct bks *b, clk_ms now);
 
 /**
  * Whether servers that are missing in the list can be taken as gone: reads
@@ -148,28 +149,28 @@
  * start of this process, which cannot determine whether there was an outage
  * before.
  */
-bool bks_settled (const struct bks *b, clk_ms now);
+bool bks_is_stable (const struct bks *b, clk_ms now);
 
 /**
  * Interval between reads of the list: @p min_interval, or longer in proportion
  * to the length of a long list, since each read returns the complete list.
  */
-clk_ms bks_pace (const struct bks *b, clk_ms min_interval);
+clk_ms bks_poll_interval (const struct bks *b, clk_ms min_interval);
 
 /** The same for the leader node, which sends the list to all others: short
     enough for all nodes to receive in time that a server drains. */
-clk_ms bks_duty_pace (const struct bks *b, clk_ms min_interval,
-                      clk_ms drain_ms);
+clk_ms bks_leader_poll_interval (const struct bks *b, clk_ms min_interval,
+                                 clk_ms drain_ms);
 
 /**
  * Interval between reads of the list at a node that receives it from no other
  * node.
  * @param large_fleet  the leader sends the list to many nodes
  */
-clk_ms bks_untold_ms (clk_ms drain_ms, bool large_fleet);
+clk_ms bks_fallback_poll_ms (clk_ms drain_ms, bool large_fleet);
 
 /** Whether the list was read or received at least once. */
-bool bks_known (const struct bks *b);
+bool bks_has_list (const struct bks *b);
 
 const struct bks_server *const *bks_list (const struct bks *b, size_t *n);
 const struct bks_server *bks_find (const struct bks *b, struct str id);
@@ -179,7 +180,7 @@
  * records for each server whether it is an endpoint, for the frames to other
  * nodes.
  */
-const struct dsp_place *bks_places (struct bks *b, const struct tbl *t,
-                                    size_t *n);
+const struct dsp_endpoint *bks_endpoints (struct bks *b, const struct tbl *t,
+                                          size_t *n);
 
 #endif
--- a/serve/check.c
+++ b/serve/check.c
@@ -55,14 +55,14 @@
   struct srv *s = c->s;
   clk_ms now = clk_now ();
   enum dsp_liveness found = classify_liveness (c, end, now - c->started_at);
-  size_t runs = dsp_checked (s->dispatch, now, c->endpoint, found);
+  size_t runs = dsp_process_checked (s->dispatch, now, c->endpoint, found);
 
   LOG (server_checked, LOG_C ("server", c->server),
        LOG_C ("process", dsp_liveness_name (found)), LOG_I ("runs", runs),
        LOG_I ("ms", now - c->started_at));
   free (c->server);
   free (c);
-  srv_act (s);
+  srv_run_actions (s);
 }
 
 void
@@ -81,7 +81,7 @@
                              .fresh = true };
 
   c->s = s;
-  c->endpoint = a->place;
+  c->endpoint = a->endpoint;
   c->server = str_dup (a->server);
   c->started_at = clk_now ();
   httpc_start (s->http, &r, &cb, c);
--- a/serve/config.c
+++ b/serve/config.c
@@ -33,7 +33,7 @@
   struct buf document;  /* document in force; empty if it doesn't fit into a
                            frame */
   struct store_watch *watch;
-  struct fresh fresh;
+  struct cur fresh;
   int64_t seen_revision; /* store revision up to which changes were seen */
   bool was_following;    /* last logged relies_on_announcements() */
 };
@@ -53,7 +53,7 @@
 clk_ms
 srv_config_age (const struct srv *s, clk_ms now)
 {
-  const struct fresh *c = &s->config->fresh;
+  const struct cur *c = &s->config->fresh;
 
   return c->confirmed_at ? now - c->confirmed_at : -1;
 }
@@ -76,8 +76,8 @@
     buf_add (&c->document, kv->value);
   tbl_unref (s->table);
   s->table = t;
-  fresh_set_version (&c->fresh, t->version);
-  srv_places_changed (s);
+  cur_set_version (&c->fresh, t->version);
+  srv_endpoints_changed (s);
 }
 
 /**
@@ -95,7 +95,7 @@
 
   if (!str_is (kv->key, s->ad->config_key))
     return true;
-  t = s->ad->table (kv->value, &findings);
+  t = s->ad->parse_config (kv->value, &findings);
   if (!t)
     {
       log_findings (&findings, kv->mod_rev);
@@ -120,7 +120,7 @@
   store_watch_stop (c->watch);
   c->watch = NULL;
   c->seen_revision = revision;
-  fresh_watch_fired (&c->fresh, clk_now ());
+  cur_watch_fired (&c->fresh, clk_now ());
   for (size_t i = 0; i < n; i++)
     if (!ev[i].deleted)
       apply_config (c, &ev[i].kv, SOURCE_WATCH);
@@ -133,7 +133,7 @@
 
   (void)why; /* whatever the reason, the configuration is read again */
   c->watch = NULL;
-  fresh_watch_failed (&c->fresh, clk_now ());
+  cur_watch_failed (&c->fresh, clk_now ());
 }
 
 static void
@@ -152,8 +152,8 @@
 static bool
 relies_on_announcements (const struct srv_config *c, clk_ms now)
 {
-  return fresh_is_announced (&c->fresh, now) && !srv_peers_announces (c->s)
-         && srv_register_follows (c->s);
+  return cur_is_announced (&c->fresh, now) && !srv_peers_is_announcer (c->s)
+         && srv_is_leaf (c->s);
 }
 
 static void
@@ -171,9 +171,9 @@
       if (c->watch)
         store_watch_stop (c->watch);
       c->watch = NULL;
-      fresh_watch_stopped (&c->fresh);
+      cur_watch_stopped (&c->fresh);
     }
-  else if (!c->watch && fresh_may_watch (&c->fresh, now))
+  else if (!c->watch && cur_may_watch (&c->fresh, now))
     watch_config (c);
 }
 
@@ -184,16 +184,16 @@
 {
   struct srv_config *c = ctx;
   struct srv *s = c->s;
-  enum fresh_read_result what
-      = r->status == STORE_OK ? FRESH_READ_OK : FRESH_READ_FAILED;
+  enum cur_read_result what
+      = r->status == STORE_OK ? CUR_READ_OK : CUR_READ_FAILED;
 
-  pau_ended (&s->store_pause, clk_now (), r->status, &s->rng);
+  pau_call_ended (&s->store_backoff, clk_now (), r->status, &s->rng);
   for (size_t i = 0; i < r->nkvs; i++)
     if (!apply_config (c, &r->kvs[i], SOURCE_READ))
-      what = FRESH_READ_UNPARSABLE;
+      what = CUR_READ_UNPARSABLE;
   if (r->status == STORE_OK)
     c->seen_revision = r->revision;
-  fresh_read_done (&c->fresh, clk_now (), what);
+  cur_read_done (&c->fresh, clk_now (), what);
 }
 
 static void
@@ -201,8 +201,8 @@
 {
   struct srv *s = c->s;
 
-  fresh_read_sent (&c->fresh, now);
-  pau_called (&s->store_pause);
+  cur_read_sent (&c->fresh, now);
+  pau_call_started (&s->store_backoff);
   store_range (s->store, STORE_CONFIG, str_from (s->ad->config_key),
                buf_str (&c->range_end), on_config, c);
 }
@@ -216,13 +216,13 @@
 }
 
 clk_ms
-srv_config_known_at (const struct srv *s)
+srv_config_confirmed_at (const struct srv *s)
 {
   return s->config->fresh.confirmed_at;
 }
 
 bool
-srv_config_text (const struct srv *s, size_t nodes, struct str *text)
+srv_config_document (const struct srv *s, size_t nodes, struct str *text)
 {
   const struct srv_config *c = s->config;
   double ms = 0;
@@ -247,21 +247,21 @@
 srv_config_announced (struct srv *s, clk_ms now,
                       const struct cur_announcement *a)
 {
-  fresh_on_announcement (&s->config->fresh, now, a);
+  cur_on_announcement (&s->config->fresh, now, a);
 }
 
 /* --- time --------------------------------------------------------------- */
 
-enum fresh_state
+enum cur_state
 srv_config_state (const struct srv *s, clk_ms now)
 {
-  return fresh_state (&s->config->fresh, now);
+  return cur_state (&s->config->fresh, now);
 }
 
 void
 srv_config_resumed (struct srv *s, clk_ms now)
 {
-  fresh_on_resume (&s->config->fresh, now);
+  cur_on_resume (&s->config->fresh, now);
 }
 
 void
@@ -269,8 +269,8 @@
 {
   struct srv_config *c = s->config;
 
-  if (fresh_should_read (&c->fresh, now, srv_peers_announces (s))
-      && pau_may_call (&s->store_pause, now))
+  if (cur_should_read (&c->fresh, now, srv_peers_is_announcer (s))
+      && pau_may_call (&s->store_backoff, now))
     read_config (c, now);
   check_watch (c, now);
 }
@@ -281,7 +281,7 @@
   struct srv_config *c = xcalloc (1, sizeof *c);
 
   c->s = s;
-  fresh_init (&c->fresh, s->set.apply_ms);
+  cur_init (&c->fresh, s->set.config_apply_ms);
   store_prefix_end (str_from (s->ad->config_key), &c->range_end);
   s->config = c;
   srv_config_tick (s, clk_now ());
--- a/serve/currency.c
+++ b/serve/currency.c
@@ -24,41 +24,41 @@
 #define RESUME_WAIT_MS ((clk_ms)500)
 
 void
-fresh_init (struct fresh *f, clk_ms apply_ms)
+cur_init (struct cur *f, clk_ms apply_ms)
 {
-  *f = (struct fresh){ .apply_ms = apply_ms, .next_watch = CLK_NEVER };
+  *f = (struct cur){ .apply_ms = apply_ms, .next_watch = CLK_NEVER };
 }
 
 static void
-confirm (struct fresh *f, clk_ms at)
+confirm (struct cur *f, clk_ms at)
 {
   if (at > f->confirmed_at)
     f->confirmed_at = at;
 }
 
 static void
-schedule_read (struct fresh *f, clk_ms at)
+schedule_read (struct cur *f, clk_ms at)
 {
   if (at < f->next_read)
     f->next_read = at;
 }
 
 void
-fresh_set_version (struct fresh *f, int64_t version)
+cur_set_version (struct cur *f, int64_t version)
 {
   /* confirmed_at stays: the previous version was the newest at that time. */
   f->version = version;
 }
 
 void
-fresh_read_sent (struct fresh *f, clk_ms now)
+cur_read_sent (struct cur *f, clk_ms now)
 {
   f->reading = true;
   f->read_sent_at = now;
 }
 
 void
-fresh_read_done (struct fresh *f, clk_ms now, enum fresh_read_result what)
+cur_read_done (struct cur *f, clk_ms now, enum cur_read_result what)
 {
   f->reading = false;
   /* The result of a call sent before the pause says nothing about the store's
@@ -69,12 +69,12 @@
       return;
     }
   f->resumed_at = 0;
-  if (what != FRESH_READ_OK)
+  if (what != CUR_READ_OK)
     {
       f->next_read
           = now
-            + (what == FRESH_READ_FAILED ? READ_RETRY_MS
-                                         : f->apply_ms / REREAD_DIVISOR);
+            + (what == CUR_READ_FAILED ? READ_RETRY_MS
+                                       : f->apply_ms / REREAD_DIVISOR);
       return;
     }
   confirm (f, f->read_sent_at);
@@ -85,29 +85,29 @@
 }
 
 void
-fresh_watch_fired (struct fresh *f, clk_ms now)
+cur_watch_fired (struct cur *f, clk_ms now)
 {
   f->next_watch = now + f->apply_ms / SETTLE_DIVISOR;
 }
 
 void
-fresh_watch_failed (struct fresh *f, clk_ms now)
+cur_watch_failed (struct cur *f, clk_ms now)
 {
   f->next_watch = CLK_NEVER;
   schedule_read (f, now + WATCH_FAILED_READ_MS);
 }
 
 clk_ms
-fresh_confirmed_at (const struct cur_announcement *a)
+cur_confirmed_at (const struct cur_announcement *a)
 {
-  return a->stamped ? a->stamp - a->age_ms : 0;
+  return a->has_echo ? a->echoed_at - a->age_ms : 0;
 }
 
 void
-fresh_on_announcement (struct fresh *f, clk_ms now,
-                       const struct cur_announcement *a)
+cur_on_announcement (struct cur *f, clk_ms now,
+                     const struct cur_announcement *a)
 {
-  clk_ms at = fresh_confirmed_at (a);
+  clk_ms at = cur_confirmed_at (a);
 
   if (a->version > f->announced_version)
     {
@@ -124,20 +124,20 @@
 }
 
 void
-fresh_on_resume (struct fresh *f, clk_ms now)
+cur_on_resume (struct cur *f, clk_ms now)
 {
   f->resumed_at = now;
 }
 
 static clk_ms
-age (const struct fresh *f, clk_ms now)
+age (const struct cur *f, clk_ms now)
 {
   return f->confirmed_at ? now - f->confirmed_at : CLK_NEVER;
 }
 
 /** Whether an announced version has not been pushed to this node in time. */
 static bool
-is_push_overdue (const struct fresh *f, clk_ms now)
+is_push_overdue (const struct cur *f, clk_ms now)
 {
   return f->announced_version > f->version
          && now >= f->announced_since + PUSH_WAIT_MS
@@ -145,7 +145,7 @@
 }
 
 bool
-fresh_should_read (const struct fresh *f, clk_ms now, bool announces)
+cur_should_read (const struct cur *f, clk_ms now, bool announces)
 {
   clk_ms max_age
       = f->apply_ms / (announces ? REREAD_ANNOUNCER_DIVISOR : REREAD_DIVISOR);
@@ -158,30 +158,30 @@
 }
 
 bool
-fresh_is_announced (const struct fresh *f, clk_ms now)
+cur_is_announced (const struct cur *f, clk_ms now)
 {
   return f->announced_at
          && now - f->announced_at < f->apply_ms / REREAD_DIVISOR;
 }
 
 void
-fresh_watch_stopped (struct fresh *f)
+cur_watch_stopped (struct cur *f)
 {
   f->next_watch = CLK_NEVER;
 }
 
 bool
-fresh_may_watch (const struct fresh *f, clk_ms now)
+cur_may_watch (const struct cur *f, clk_ms now)
 {
   return now >= f->next_watch;
 }
 
-enum fresh_state
-fresh_state (const struct fresh *f, clk_ms now)
+enum cur_state
+cur_state (const struct cur *f, clk_ms now)
 {
   if (age (f, now) <= f->apply_ms)
-    return FRESH_CONFIRMED;
+    return CUR_CONFIRMED;
   return f->resumed_at && now - f->resumed_at < RESUME_WAIT_MS
-             ? FRESH_RESUMED
-             : FRESH_UNCONFIRMED;
+             ? CUR_RESUMED
+             : CUR_UNCONFIRMED;
 }
--- a/serve/currency.h
+++ b/serve/currency.h
@@ -12,7 +12,7 @@
  * Clocks of different nodes are not compared.  Each frame carries the sender's
  * time, and an announcement echoes the latest time received from its receiver.
  * So network delay makes an announcement appear older, never newer; see
- * fresh_confirmed_at().  Each clock has to advance while its process or VM is
+ * cur_confirmed_at().  Each clock has to advance while its process or VM is
  * suspended.
  *
  * The inputs are events and the time.
@@ -29,23 +29,23 @@
 struct cur_announcement
 {
   int64_t version;
-  bool stamped;  /**< it echoes a time sent by this node */
-  clk_ms stamp;  /**< the echoed time, by the clock of this node */
-  clk_ms age_ms; /**< from the sender's `confirmed_at` to its receipt of the
-                      echoed time; negative: confirmed after that receipt */
+  bool has_echo;    /**< it echoes a time sent by this node */
+  clk_ms echoed_at; /**< the echoed time, by the clock of this node */
+  clk_ms age_ms;    /**< from the sender's `confirmed_at` to its receipt of the
+                         echoed time; negative: confirmed after that receipt */
 };
 
 /** Freshness of the configuration in force. */
-enum fresh_state
+enum cur_state
 {
-  FRESH_CONFIRMED,   /**< confirmed to be the newest within the limit */
-  FRESH_UNCONFIRMED, /**< there may be a newer version */
-  FRESH_RESUMED      /**< as FRESH_UNCONFIRMED, because this process was
+  CUR_CONFIRMED,   /**< confirmed to be the newest within the limit */
+  CUR_UNCONFIRMED, /**< there may be a newer version */
+  CUR_RESUMED      /**< as CUR_UNCONFIRMED, because this process was
                           suspended; an answer of the store is due soon and
                           requests are deferred until then */
 };
 
-struct fresh
+struct cur
 {
   clk_ms apply_ms;     /**< limit: a new version is in force within this
                             time */
@@ -64,57 +64,56 @@
                             sent after it has ended; 0: none */
 };
 
-void fresh_init (struct fresh *f, clk_ms apply_ms);
+void cur_init (struct cur *f, clk_ms apply_ms);
 
 /** This version is now in force. */
-void fresh_set_version (struct fresh *f, int64_t version);
+void cur_set_version (struct cur *f, int64_t version);
 
 /** A read of the store was sent. */
-void fresh_read_sent (struct fresh *f, clk_ms now);
+void cur_read_sent (struct cur *f, clk_ms now);
 
 /** Result of a read of the store. */
-enum fresh_read_result
+enum cur_read_result
 {
-  FRESH_READ_OK, /**< the version read is in force, or is older than that in
+  CUR_READ_OK, /**< the version read is in force, or is older than that in
                       force */
-  FRESH_READ_UNPARSABLE, /**< the version read could not be parsed */
-  FRESH_READ_FAILED
+  CUR_READ_UNPARSABLE, /**< the version read could not be parsed */
+  CUR_READ_FAILED
 };
 
-void fresh_read_done (struct fresh *f, clk_ms now,
-                      enum fresh_read_result what);
+void cur_read_done (struct cur *f, clk_ms now, enum cur_read_result what);
 
 /** A watch has returned a version. */
-void fresh_watch_fired (struct fresh *f, clk_ms now);
+void cur_watch_fired (struct cur *f, clk_ms now);
 
 /** A watch has failed and may have missed a version. */
-void fresh_watch_failed (struct fresh *f, clk_ms now);
+void cur_watch_failed (struct cur *f, clk_ms now);
 
 /** The time, by the clock of this node, at which the announced version was
     last confirmed; 0: unknown. */
-clk_ms fresh_confirmed_at (const struct cur_announcement *a);
+clk_ms cur_confirmed_at (const struct cur_announcement *a);
 
 /** An announcement was received. */
-void fresh_on_announcement (struct fresh *f, clk_ms now,
-                            const struct cur_announcement *a);
+void cur_on_announcement (struct cur *f, clk_ms now,
+                          const struct cur_announcement *a);
 
 /** This process has resumed after a pause. */
-void fresh_on_resume (struct fresh *f, clk_ms now);
+void cur_on_resume (struct cur *f, clk_ms now);
 
 /** Whether to read the store now. @param announces  other nodes rely on the
     announcements of this node */
-bool fresh_should_read (const struct fresh *f, clk_ms now, bool announces);
+bool cur_should_read (const struct cur *f, clk_ms now, bool announces);
 
 /** Whether this node receives announcements that confirm its version. */
-bool fresh_is_announced (const struct fresh *f, clk_ms now);
+bool cur_is_announced (const struct cur *f, clk_ms now);
 
 /** The watch was stopped in favour of announcements.  The next watch starts
     only after a read. */
-void fresh_watch_stopped (struct fresh *f);
+void cur_watch_stopped (struct cur *f);
 
 /** Whether a watch may start now. */
-bool fresh_may_watch (const struct fresh *f, clk_ms now);
+bool cur_may_watch (const struct cur *f, clk_ms now);
 
-enum fresh_state fresh_state (const struct fresh *f, clk_ms now);
+enum cur_state cur_state (const struct cur *f, clk_ms now);
 
 #endif
--- a/serve/dispatch-crash.c
+++ b/serve/dispatch-crash.c
@@ -51,11 +51,11 @@
 static struct dsp_interruption *
 start_check (struct dsp *d, const struct dsp_endpoint_state *s)
 {
-  struct dsp_action *a = dsp_add_action (d, DSP_ACT_CHECK, NULL);
+  struct dsp_action *a = dsp_add_action (d, DSP_ACT_CHECK_PROCESS, NULL);
 
   a->server = str_from (s->server);
   a->addr = s->addr;
-  a->place = s->hash;
+  a->endpoint = s->hash;
   return add_interruption (d, s->hash);
 }
 
@@ -66,7 +66,7 @@
   struct psn_update run
       = { .kind = PSN_CRASH,
           .digest = q->digest,
-          .place = s->hash,
+          .endpoint = s->hash,
           .ran_ms = q->streaming ? d->now - q->first_event_at : PSN_NO_EVENT };
   struct dsp_interruption *b = find_interruption (d, s->hash);
 
@@ -82,8 +82,8 @@
 }
 
 size_t
-dsp_checked (struct dsp *d, clk_ms now, uint64_t endpoint,
-             enum dsp_liveness found)
+dsp_process_checked (struct dsp *d, clk_ms now, uint64_t endpoint,
+                     enum dsp_liveness found)
 {
   struct dsp_endpoint_state *s;
   struct dsp_interruption *b;
@@ -108,7 +108,7 @@
 bool
 dsp_is_suspect (const struct dsp *d, const struct dsp_req *q)
 {
-  return d->opt.poison && psn_suspects (d->opt.poison, q->digest);
+  return d->opt.poison && psn_is_suspect (d->opt.poison, q->digest);
 }
 
 bool
@@ -132,7 +132,7 @@
 }
 
 void
-dsp_blocked (struct dsp *d, clk_ms now, uint64_t digest)
+dsp_request_blocked (struct dsp *d, clk_ms now, uint64_t digest)
 {
   struct dsp_req *next;
 
--- a/serve/dispatch-health.c
+++ b/serve/dispatch-health.c
@@ -170,7 +170,7 @@
       if (q->awaits_first_event && q->sent_at < m.oldest_sent_at)
         {
           m.oldest_sent_at = q->sent_at;
-          m.goal_ms = q->route->goal_ms;
+          m.goal_ms = q->route->latency_goal_ms;
         }
     }
   return m;
@@ -188,12 +188,12 @@
         continue;
       for (size_t k = 0; k < p->n; k++)
         {
-          const struct dsp_count *c = &p->loads[k];
-          if (c->place != s->hash || c->begun == 0 || c->stalled)
+          const struct dsp_endpoint_load *c = &p->loads[k];
+          if (c->endpoint != s->hash || c->streaming == 0 || c->stalled)
             continue;
-          *streaming += c->begun;
-          if (c->heard > *last_event_at)
-            *last_event_at = c->heard;
+          *streaming += c->streaming;
+          if (c->last_event_at > *last_event_at)
+            *last_event_at = c->last_event_at;
         }
     }
 }
@@ -263,7 +263,7 @@
   struct dsp_action *note = dsp_add_action (d, DSP_ACT_STALLED, NULL);
 
   note->server = str_from (s->server);
-  note->left_ms = silence_duration (d, s);
+  note->duration_ms = silence_duration (d, s);
   s->stalled = true;
   s->stalled_at = d->now;
   d->stats.stalls++;
--- a/serve/dispatch-int.h
+++ b/serve/dispatch-int.h
@@ -191,14 +191,14 @@
 {
   uint64_t node;
   clk_ms received_at;
-  struct dsp_count *loads;
+  struct dsp_endpoint_load *loads;
   size_t n;
 };
 
 /** A prompt notice received from another node. */
 struct dsp_received_notice
 {
-  struct dsp_notice notice;
+  struct dsp_prompt_notice notice;
   clk_ms expires_at; /**< time at which the prompt counts as processed */
 };
 
@@ -243,15 +243,15 @@
   size_t open_count;
   struct dsp_action *actions;
   size_t act_head, act_n, act_cap;
-  struct dsp_count *own_loads;
+  struct dsp_endpoint_load *own_loads;
   /** ring buffer */
   struct dsp_received_notice received_notices[DSP_NOTICES_MAX];
   size_t received_first, nreceived;
   /** not yet announced */
-  struct dsp_notice outgoing_notices[DSP_NOTICES_MAX];
+  struct dsp_prompt_notice outgoing_notices[DSP_NOTICES_MAX];
   size_t noutgoing;
   struct dsp_interruption interruptions[DSP_INTERRUPTIONS_MAX];
-  struct dsp_figures stats;
+  struct dsp_stats stats;
 };
 
 /* dispatch.c */
--- a/serve/dispatch-limit.c
+++ b/serve/dispatch-limit.c
@@ -13,22 +13,22 @@
 #define RATE_WINDOW_MS 2000.0
 
 enum lim_change
-dsp_answer_limit (struct dsp *d, clk_ms now, uint64_t id, unsigned attempt,
-                  enum lim_says says, double rate)
+dsp_response_limit (struct dsp *d, clk_ms now, uint64_t id, unsigned attempt,
+                    enum lim_report_kind says, double rate)
 {
   struct dsp_req *q = dsp_find_attempt (d, id, attempt);
-  struct lim_word statement = { .says = says, .rate = rate };
+  struct lim_report statement = { .kind = says, .rate = rate };
 
   d->now = now;
   if (!q || !d->opt.limits)
-    return LIM_SAME;
+    return LIM_UNCHANGED;
   statement.server = q->endpoint->process_hash;
   statement.sent_at = q->sent_at;
-  return lim_answered (d->opt.limits, now, &statement);
+  return lim_on_report (d->opt.limits, now, &statement);
 }
 
 uint64_t
-dsp_sent_limited (const struct dsp *d, uint64_t id, unsigned attempt)
+dsp_sent_while_limited (const struct dsp *d, uint64_t id, unsigned attempt)
 {
   const struct dsp_req *q = dsp_find_attempt (d, id, attempt);
 
@@ -49,14 +49,14 @@
 {
   /* Count each request once, however often it is considered. */
   if (q->queued_at == d->now)
-    lim_want (d->opt.limits, d->now, s->process_hash);
+    lim_request_permit (d->opt.limits, d->now, s->process_hash);
 }
 
 void
 dsp_limit_use_permit (const struct dsp *d, const struct dsp_endpoint_state *s)
 {
   if (d->opt.limits)
-    lim_take (d->opt.limits, d->now, s->process_hash);
+    lim_use_permit (d->opt.limits, d->now, s->process_hash);
 }
 
 bool
@@ -64,11 +64,11 @@
 {
   double rate;
 
-  return d->opt.limits && lim_rate (d->opt.limits, s->process_hash, &rate);
+  return d->opt.limits && lim_get_rate (d->opt.limits, s->process_hash, &rate);
 }
 
 void
-dsp_permitted (struct dsp *d, clk_ms now)
+dsp_permits_granted (struct dsp *d, clk_ms now)
 {
   d->now = now;
   dsp_send_all_queued (d);
@@ -79,7 +79,7 @@
 {
   double rate, slots = s->capacity;
 
-  if (d->opt.limits && lim_rate (d->opt.limits, s->process_hash, &rate)
+  if (d->opt.limits && lim_get_rate (d->opt.limits, s->process_hash, &rate)
       && s->pool->response_ms > 0)
     slots = fmin (slots, rate * s->pool->response_ms / (double)CLK_SECOND);
   return slots;
@@ -108,7 +108,7 @@
 void
 dsp_limit_count_request (const struct dsp *d, const struct dsp_req *q)
 {
-  if (d->opt.limits && lim_any (d->opt.limits))
+  if (d->opt.limits && lim_any_limited (d->opt.limits))
     count_event (&q->pool->request_rates[q->priority < DSP_PRIORITIES
                                              ? q->priority
                                              : DSP_PRIORITIES - 1],
@@ -126,17 +126,18 @@
   double sum = 0, rate;
 
   *spent = true;
-  if (!d->opt.limits || !lim_any (d->opt.limits))
+  if (!d->opt.limits || !lim_any_limited (d->opt.limits))
     return 0;
   for (size_t i = 0; i < p->n; i++)
     {
       const struct dsp_endpoint_state *s = p->endpoints[i];
       if (!dsp_health_usable (d, s))
         continue;
-      if (!lim_rate (d->opt.limits, s->process_hash, &rate))
+      if (!lim_get_rate (d->opt.limits, s->process_hash, &rate))
         return 0;
-      sum += fmax (rate, LIM_RATE_LEAST);
-      *spent = *spent && lim_is_spent (d->opt.limits, d->now, s->process_hash);
+      sum += fmax (rate, LIM_MIN_RATE);
+      *spent = *spent
+               && lim_is_exhausted (d->opt.limits, d->now, s->process_hash);
     }
   return sum;
 }
--- a/serve/dispatch-load.c
+++ b/serve/dispatch-load.c
@@ -1,5 +1,5 @@
 #include "serve/dispatch-int.h"
-#include "serve/relays.h"
+#include "serve/hubs.h"
 
 #include <stdlib.h>
 #include <string.h>
@@ -44,17 +44,18 @@
 {
   for (size_t i = 0; i < p->n; i++)
     {
-      const struct dsp_count *c = &p->loads[i];
-      struct dsp_endpoint_state *s = dsp_find_endpoint (d, c->place);
+      const struct dsp_endpoint_load *c = &p->loads[i];
+      struct dsp_endpoint_state *s = dsp_find_endpoint (d, c->endpoint);
       if (!s)
         continue;
       s->peer_requests
           = add ? s->peer_requests + c->in_flight
                 : subtract_saturating (s->peer_requests, c->in_flight);
       s->peer_streaming
-          = add ? s->peer_streaming + c->begun
-                : subtract_saturating (s->peer_streaming, c->begun);
-      s->peer_prefill += add ? (double)c->unread : -(double)c->unread;
+          = add ? s->peer_streaming + c->streaming
+                : subtract_saturating (s->peer_streaming, c->streaming);
+      s->peer_prefill
+          += add ? (double)c->pending_prefill : -(double)c->pending_prefill;
       if (s->peer_prefill < 0)
         s->peer_prefill = 0;
     }
@@ -84,7 +85,7 @@
 /* --- other nodes ------------------------------------------------------- */
 
 void
-dsp_nodes (struct dsp *d, unsigned n)
+dsp_set_node_count (struct dsp *d, unsigned n)
 {
   d->node_count = n ? n : 1;
 }
@@ -101,8 +102,8 @@
 }
 
 void
-dsp_peer_load (struct dsp *d, clk_ms now, uint64_t peer,
-               const struct dsp_count *counts, size_t n)
+dsp_set_peer_load (struct dsp *d, clk_ms now, uint64_t peer,
+                   const struct dsp_endpoint_load *counts, size_t n)
 {
   struct dsp_peer *p = get_peer (d, peer);
 
@@ -115,12 +116,12 @@
   p->received_at = now;
   add_peer_loads (d, p, true);
   for (size_t i = 0; i < n; i++)
-    if (counts[i].ended)
-      dsp_peer_reported_ended (d, dsp_find_endpoint (d, counts[i].place));
+    if (counts[i].process_ended)
+      dsp_peer_reported_ended (d, dsp_find_endpoint (d, counts[i].endpoint));
   dsp_send_all_queued (d);
 }
 
-const struct dsp_count *
+const struct dsp_endpoint_load *
 dsp_own_load (struct dsp *d, size_t *n)
 {
   size_t endpoints = 0;
@@ -136,14 +137,14 @@
         const struct dsp_endpoint_state *s = d->pools[i]->endpoints[k];
         bool ended = d->now < s->process_ended_until;
         if (s->own_requests || s->stalled || ended)
-          d->own_loads[(*n)++] = (struct dsp_count){
-            .place = s->hash,
+          d->own_loads[(*n)++] = (struct dsp_endpoint_load){
+            .endpoint = s->hash,
             .in_flight = s->own_requests,
-            .begun = s->own_streaming,
-            .unread = (uint32_t)(s->own_prefill - s->own_noticed),
-            .heard = s->last_data_at,
+            .streaming = s->own_streaming,
+            .pending_prefill = (uint32_t)(s->own_prefill - s->own_noticed),
+            .last_event_at = s->last_data_at,
             .stalled = s->stalled,
-            .ended = ended
+            .process_ended = ended
           };
       }
   return d->own_loads;
@@ -186,7 +187,7 @@
 {
   return s->prefill_per_ms > 0
          && prompt / s->prefill_per_ms >= NOTICE_MIN_PREFILL_MS
-         && d->node_count > 1 && d->node_count <= HUB_MESH_MOST
+         && d->node_count > 1 && d->node_count <= RLY_MESH_MAX
          && d->noutgoing < DSP_NOTICES_MAX;
 }
 
@@ -202,7 +203,7 @@
     return;
   s->own_noticed += q->prompt_tokens;
   d->outgoing_notices[d->noutgoing++]
-      = (struct dsp_notice){ s->hash, (uint32_t)q->prompt_tokens };
+      = (struct dsp_prompt_notice){ s->hash, (uint32_t)q->prompt_tokens };
 }
 
 void
@@ -217,8 +218,8 @@
   q->prefill_counted = q->prefill_noticed = false;
 }
 
-const struct dsp_notice *
-dsp_notices (struct dsp *d, size_t *n)
+const struct dsp_prompt_notice *
+dsp_take_notices (struct dsp *d, size_t *n)
 {
   *n = d->noutgoing;
   d->noutgoing = 0;
@@ -226,9 +227,9 @@
 }
 
 static void
-apply_notice (const struct dsp *d, const struct dsp_notice *n, bool add)
+apply_notice (const struct dsp *d, const struct dsp_prompt_notice *n, bool add)
 {
-  struct dsp_endpoint_state *s = dsp_find_endpoint (d, n->place);
+  struct dsp_endpoint_state *s = dsp_find_endpoint (d, n->endpoint);
 
   if (!s)
     return;
@@ -255,8 +256,8 @@
 }
 
 void
-dsp_noticed (struct dsp *d, clk_ms now, const struct dsp_notice *list,
-             size_t n)
+dsp_receive_notices (struct dsp *d, clk_ms now,
+                     const struct dsp_prompt_notice *list, size_t n)
 {
   d->now = now;
   dsp_load_expire_notices (d);
--- a/serve/dispatch-place.c
+++ b/serve/dispatch-place.c
@@ -23,7 +23,7 @@
 #define OTHER_ZONE_PENALTY 0.3
 
 uint64_t
-dsp_place_hash (struct str server, int64_t start_time, int64_t generation)
+dsp_endpoint_hash (struct str server, int64_t start_time, int64_t generation)
 {
   uint64_t process_hash = str_hash (server, (uint64_t)start_time);
 
@@ -67,9 +67,10 @@
 }
 
 static struct dsp_endpoint_state *
-get_endpoint (struct dsp_pool *p, const struct dsp_place *in)
+get_endpoint (struct dsp_pool *p, const struct dsp_endpoint *in)
 {
-  uint64_t hash = dsp_place_hash (in->server, in->born, in->generation);
+  uint64_t hash
+      = dsp_endpoint_hash (in->server, in->start_time, in->generation);
 
   for (size_t i = 0; i < p->n; i++)
     if (p->endpoints[i]->hash == hash)
@@ -79,7 +80,7 @@
   s->server = str_dup (in->server);
   s->generation = in->generation;
   s->hash = hash;
-  s->process_hash = dsp_place_hash (in->server, in->born, 0);
+  s->process_hash = dsp_endpoint_hash (in->server, in->start_time, 0);
   p->endpoints = xrealloc (p->endpoints, (p->n + 1) * sizeof (*p->endpoints));
   p->endpoints[p->n++] = s;
   return s;
@@ -100,7 +101,8 @@
 }
 
 void
-dsp_places (struct dsp *d, clk_ms now, const struct dsp_place *list, size_t n)
+dsp_set_endpoints (struct dsp *d, clk_ms now, const struct dsp_endpoint *list,
+                   size_t n)
 {
   d->now = now;
   for (size_t i = 0; i < d->npools; i++)
@@ -114,7 +116,7 @@
       s->addr = list[i].addr;
       s->same_zone = str_is (list[i].zone, d->zone);
       s->capacity = list[i].capacity;
-      s->prefill_per_ms = list[i].read_per_ms;
+      s->prefill_per_ms = list[i].prefill_per_ms;
       s->accepting = list[i].accepting;
     }
   for (size_t i = 0; i < d->npools; i++)
--- a/serve/dispatch-retry.c
+++ b/serve/dispatch-retry.c
@@ -75,7 +75,7 @@
           + d->opt.retry_slack / (d->node_count ? d->node_count : 1);
   if (window_sum (d, b, b->retries) + 1 > USED_FRACTION * limit)
     {
-      d->stats.repeat_denied++;
+      d->stats.retries_denied++;
       return false;
     }
   b->retries[b->newest_second % DSP_BUDGET_SECONDS]++;
--- a/serve/dispatch-wait.c
+++ b/serve/dispatch-wait.c
@@ -115,11 +115,11 @@
   a = dsp_add_action (d, DSP_ACT_SEND, q);
   a->addr = s->addr;
   a->server = str_from (s->server);
-  a->left_ms = q->deadline - d->now;
+  a->duration_ms = q->deadline - d->now;
   /* The peer may have closed an idle connection, or the connection may be dead
      without notice. A request that can't be retried must not be sent on
      one. */
-  a->fresh = !q->retryable;
+  a->new_connection = !q->retryable;
   a->resume = q->forwarded;
   a->priority = server_priority (q);
 }
--- a/serve/dispatch.c
+++ b/serve/dispatch.c
@@ -172,15 +172,16 @@
   if (d->open_count >= d->by_id_size)
     grow_buckets (d);
   q->id = in->id;
-  q->config = tbl_ref (in->table);
+  q->config = tbl_ref (in->config);
   q->route = r;
   q->priority = in->priority;
   q->arrived_at = d->now;
-  q->goal_at = d->now - in->waited + r->goal_ms;
+  q->goal_at = d->now - in->waited_ms + r->latency_goal_ms;
   q->deadline = in->deadline;
-  q->prompt_tokens = in->prompt > 0 ? in->prompt : DEFAULT_PROMPT_TOKENS;
+  q->prompt_tokens
+      = in->prompt_tokens > 0 ? in->prompt_tokens : DEFAULT_PROMPT_TOKENS;
   q->digest = in->digest;
-  q->retryable = tbl_repeatable (r);
+  q->retryable = tbl_is_retryable (r);
   q->state = DSP_S_RECEIVED;
   q->pool = dsp_get_pool (d, in->service->name, in->model);
   q->hash_next = d->by_id[q->id & (d->by_id_size - 1)];
@@ -251,7 +252,7 @@
 
   dsp_dequeue (q);
   release_endpoint (q);
-  dsp_add_action (d, DSP_ACT_FORGET, q);
+  dsp_add_action (d, DSP_ACT_RELEASE, q);
   free_request (d, q);
   d->stats.ended++;
   dsp_send_queued (d, p);
@@ -278,11 +279,11 @@
 respond_error (struct dsp *d, struct dsp_req *q, enum dsp_code code,
                clk_ms retry_ms)
 {
-  struct dsp_action *a
-      = dsp_add_action (d, q->forwarded ? DSP_ACT_CUT : DSP_ACT_ANSWER, q);
+  struct dsp_action *a = dsp_add_action (
+      d, q->forwarded ? DSP_ACT_TRUNCATE : DSP_ACT_RESPOND_ERROR, q);
 
   a->code = code;
-  a->retry_ms = retry_ms;
+  a->retry_after_ms = retry_ms;
   d->stats.answered[code]++;
   finish_request (d, q);
 }
@@ -363,7 +364,7 @@
 /* --- events of an attempt ---------------------------------------------- */
 
 bool
-dsp_sent (struct dsp *d, clk_ms now, uint64_t id, unsigned attempt)
+dsp_request_sent (struct dsp *d, clk_ms now, uint64_t id, unsigned attempt)
 {
   struct dsp_req *q = dsp_find_attempt (d, id, attempt);
 
@@ -375,7 +376,7 @@
   q->sent_at = q->last_data_at = now;
   q->awaits_first_event = true;
   d->stats.sent++;
-  d->stats.repeated += q->sent_attempts > 1;
+  d->stats.retried += q->sent_attempts > 1;
   return true;
 }
 
@@ -417,8 +418,8 @@
 }
 
 void
-dsp_head (struct dsp *d, clk_ms now, uint64_t id, unsigned attempt,
-          enum dsp_head head)
+dsp_response_head (struct dsp *d, clk_ms now, uint64_t id, unsigned attempt,
+                   enum dsp_response_head head)
 {
   struct dsp_req *q = dsp_find_attempt (d, id, attempt);
 
@@ -428,12 +429,12 @@
   q->last_data_at = q->endpoint->last_data_at = now;
   switch (head)
     {
-    case DSP_HEAD_GOOD:
+    case DSP_RESPONSE_OK:
       break;
-    case DSP_HEAD_UNRUN:
+    case DSP_RESPONSE_NOT_EXECUTED:
       on_not_executed (d, q);
       break;
-    case DSP_HEAD_ERROR:
+    case DSP_RESPONSE_ERROR:
       q->error_response = true;
       dsp_health_failure (d, q->endpoint);
       /* An error response to a resumed stream can't be appended to what the
@@ -442,7 +443,7 @@
           || (q->retryable && q->sent_attempts < q->route->max_attempts))
         dsp_attempt_failed (d, q, DSP_INTERRUPTED);
       break;
-    case DSP_HEAD_FINAL:
+    case DSP_RESPONSE_FINAL:
       if (q->forwarded)
         dsp_attempt_failed (d, q, DSP_INTERRUPTED);
       break;
@@ -461,12 +462,12 @@
     return;
   dsp_transition (q, DSP_X_PASS);
   q->forwarded = true;
-  dsp_add_action (d, DSP_ACT_PASS, q);
+  dsp_add_action (d, DSP_ACT_FORWARD, q);
 }
 
 void
-dsp_heard (struct dsp *d, clk_ms now, uint64_t id, unsigned attempt,
-           bool event)
+dsp_data_received (struct dsp *d, clk_ms now, uint64_t id, unsigned attempt,
+                   bool event)
 {
   struct dsp_req *q = dsp_find_attempt (d, id, attempt);
 
@@ -480,7 +481,8 @@
 }
 
 void
-dsp_whole (struct dsp *d, clk_ms now, uint64_t id, unsigned attempt)
+dsp_response_complete (struct dsp *d, clk_ms now, uint64_t id,
+                       unsigned attempt)
 {
   struct dsp_req *q = dsp_find_attempt (d, id, attempt);
   double ms;
@@ -503,12 +505,13 @@
   q->pool->response_ms
       += (q->pool->response_ms > 0 ? 0.05 : 1) * (ms - q->pool->response_ms);
   dsp_transition (q, DSP_X_WHOLE);
-  dsp_add_action (d, DSP_ACT_END, q);
+  dsp_add_action (d, DSP_ACT_COMPLETE, q);
   finish_request (d, q);
 }
 
 void
-dsp_broken (struct dsp *d, clk_ms now, uint64_t id, unsigned attempt)
+dsp_response_interrupted (struct dsp *d, clk_ms now, uint64_t id,
+                          unsigned attempt)
 {
   struct dsp_req *q = dsp_find_attempt (d, id, attempt);
 
@@ -526,11 +529,11 @@
 queue_deadline (const struct dsp_req *q)
 {
   return q->queued_at
-         + (clk_ms)(QUEUE_TIME_FRACTION * (double)q->route->goal_ms);
+         + (clk_ms)(QUEUE_TIME_FRACTION * (double)q->route->latency_goal_ms);
 }
 
 void
-dsp_arrive (struct dsp *d, clk_ms now, const struct dsp_request *in)
+dsp_submit (struct dsp *d, clk_ms now, const struct dsp_request *in)
 {
   struct dsp_req *q;
   clk_ms retry_ms;
@@ -548,7 +551,8 @@
       respond_error (d, q, DSP_SHUTTING_DOWN, MIN_RETRY_MS);
       return;
     }
-  if (d->opt.poison && psn_refuses (d->opt.poison, now, q->digest, &retry_ms))
+  if (d->opt.poison
+      && psn_should_refuse (d->opt.poison, now, q->digest, &retry_ms))
     {
       dsp_transition (q, DSP_X_REFUSE);
       respond_error (d, q, DSP_POISON, retry_ms);
@@ -567,7 +571,7 @@
 }
 
 void
-dsp_gone (struct dsp *d, clk_ms now, uint64_t id)
+dsp_client_disconnected (struct dsp *d, clk_ms now, uint64_t id)
 {
   struct dsp_req *q = find_request (d, id);
 
@@ -579,7 +583,7 @@
 }
 
 void
-dsp_leave (struct dsp *d)
+dsp_stop_accepting (struct dsp *d)
 {
   d->shutting_down = true;
 }
@@ -592,7 +596,7 @@
   return q->route->kind == TBL_IDEMPOTENT && q->state == DSP_S_SENT
          && q->sent_attempts < q->route->max_attempts
          && (double)(d->now - q->sent_at)
-                > RESPONSE_TIMEOUT_FACTOR * (double)q->route->goal_ms;
+                > RESPONSE_TIMEOUT_FACTOR * (double)q->route->latency_goal_ms;
 }
 
 /** Reason for which the pool has no endpoint for a request. */
@@ -705,13 +709,13 @@
 }
 
 size_t
-dsp_open (const struct dsp *d)
+dsp_count_open (const struct dsp *d)
 {
   return d->open_count;
 }
 
-const struct dsp_figures *
-dsp_figures (const struct dsp *d)
+const struct dsp_stats *
+dsp_stats (const struct dsp *d)
 {
   return &d->stats;
 }
--- a/serve/dispatch.h
+++ b/serve/dispatch.h
@@ -44,94 +44,94 @@
 struct dsp_request
 {
   uint64_t id;
-  const struct tbl_route *route; /**< belongs to @p table */
-  struct tbl *table;             /**< the function takes a reference */
+  const struct tbl_route *route; /**< belongs to @p config */
+  struct tbl *config;            /**< the function takes a reference */
   const struct tbl_service *service;
-  struct str model;  /**< empty: the service has no models */
-  unsigned priority; /**< 0 is the highest */
-  clk_ms deadline;   /**< absolute: the client's or the route's, whichever
-                          is earlier */
-  clk_ms waited;     /**< time the client spent waiting for earlier tries of
-                          this request */
-  double prompt;     /**< prompt length in tokens; 0: unknown */
-  double answer;     /**< limit on generated tokens; 0: unknown */
-  uint64_t digest;   /**< equal for identical requests of the same client */
+  struct str model;     /**< empty: the service has no models */
+  unsigned priority;    /**< 0 is the highest */
+  clk_ms deadline;      /**< absolute: the client's or the route's,
+                             whichever is earlier */
+  clk_ms waited_ms;     /**< time the client spent waiting for earlier tries
+                             of this request */
+  double prompt_tokens; /**< prompt length in tokens; 0: unknown */
+  double max_answer_tokens; /**< limit on generated tokens; 0: unknown */
+  uint64_t digest; /**< equal for identical requests of the same client */
 };
 
 /** A destination for requests: a backend server of a plain service, or the
     leader of a replica of a model. */
-struct dsp_place
+struct dsp_endpoint
 {
   struct str server;  /**< id of the backend server */
-  int64_t born;       /**< start time of its process; 0: not reported */
+  int64_t start_time; /**< start time of its process; 0: not reported */
   int64_t generation; /**< of the replica that the server leads; 0: none */
   struct str service;
   struct str model;
   struct str zone;
   struct net_addr addr;
   unsigned capacity;
-  double read_per_ms; /**< prompt tokens processed per ms; 0: unknown */
-  bool accepting;     /**< false: requests in flight continue, but no new
-                           ones are sent */
+  double prefill_per_ms; /**< prompt tokens processed per ms; 0: unknown */
+  bool accepting;        /**< false: requests in flight continue, but no new
+                              ones are sent */
 };
 
 /** Load that one node has at one endpoint, as exchanged between nodes. */
-struct dsp_count
+struct dsp_endpoint_load
 {
-  uint64_t place;     /**< dsp_place_hash() */
+  uint64_t endpoint;  /**< dsp_endpoint_hash() */
   uint32_t in_flight; /**< requests assigned to the endpoint and not
                            finished */
-  uint32_t begun;     /**< streams among these that have received an event */
-  uint32_t unread;    /**< prompt tokens not yet processed, without those
-                           announced by a notice */
-  clk_ms heard; /**< time of the last event of any of these streams, by the
-                     receiving node's clock */
-  bool stalled; /**< the reporting node has detected a stall */
-  bool ended;   /**< the reporting node has found that the server's process
-                     has ended */
+  uint32_t streaming; /**< streams among these that have received an event */
+  uint32_t pending_prefill; /**< prompt tokens not yet processed, without
+                                 those announced by a notice */
+  clk_ms last_event_at; /**< time of the last event of any of these streams,
+                             by the receiving node's clock */
+  bool stalled;         /**< the reporting node has detected a stall */
+  bool process_ended;   /**< the reporting node has found that the server's
+                             process has ended */
 };
 
 /** Announces a long prompt that a node has just sent to an endpoint. */
-struct dsp_notice
+struct dsp_prompt_notice
 {
-  uint64_t place; /**< dsp_place_hash() */
+  uint64_t endpoint; /**< dsp_endpoint_hash() */
   uint32_t tokens;
 };
 
 /** Hash that identifies an endpoint in messages between nodes. */
-uint64_t dsp_place_hash (struct str server, int64_t start_time,
-                         int64_t generation);
+uint64_t dsp_endpoint_hash (struct str server, int64_t start_time,
+                            int64_t generation);
 
 /** Classification of a response by its head. */
-enum dsp_head
+enum dsp_response_head
 {
-  DSP_HEAD_GOOD,  /**< 2xx */
-  DSP_HEAD_FINAL, /**< another status that a retry would not change */
-  DSP_HEAD_ERROR, /**< executed and failed; a retry may succeed */
-  DSP_HEAD_UNRUN  /**< the backend server reports that it did not execute
-                       the request */
+  DSP_RESPONSE_OK,    /**< 2xx */
+  DSP_RESPONSE_FINAL, /**< another status that a retry would not change */
+  DSP_RESPONSE_ERROR, /**< executed and failed; a retry may succeed */
+  DSP_RESPONSE_NOT_EXECUTED /**< the backend server reports that it did not
+                                 execute the request */
 };
 
 enum dsp_action_kind
 {
   DSP_ACT_SEND,   /**< id, attempt, server, addr, duration: connect and send */
   DSP_ACT_CANCEL, /**< id, attempt: close its connection */
-  DSP_ACT_PASS,   /**< id, attempt: forward events to the client as they
-                       arrive */
-  DSP_ACT_END,    /**< id, attempt: the response is complete; deliver the
-                       rest */
-  DSP_ACT_ANSWER, /**< id, code, retry delay: send an error response
-                       generated by this node */
-  DSP_ACT_CUT,    /**< id, code: abort the partly forwarded response so that
-                       the client can detect it */
-  DSP_ACT_FORGET, /**< id: free the request's resources; no further action
-                       names it */
+  DSP_ACT_FORWARD,  /**< id, attempt: forward events to the client as they
+                         arrive */
+  DSP_ACT_COMPLETE, /**< id, attempt: the response is complete; deliver the
+                         rest */
+  DSP_ACT_RESPOND_ERROR, /**< id, code, retry delay: send an error response
+                              generated by this node */
+  DSP_ACT_TRUNCATE,      /**< id, code: abort the partly forwarded response
+                              so that the client can detect it */
+  DSP_ACT_RELEASE, /**< id: free the request's resources; no further action
+                        names it */
   DSP_ACT_STALLED, /**< server, duration: the endpoint has sent nothing for
                         that time; only for the log, its requests are moved
                         by separate actions */
-  DSP_ACT_CHECK    /**< server, addr, endpoint: responses were interrupted
-                        there; find out whether the process has ended, then
-                        call dsp_checked() */
+  DSP_ACT_CHECK_PROCESS /**< server, addr, endpoint: responses were
+                             interrupted there; find out whether the process
+                             has ended, then call dsp_process_checked() */
 };
 
 /** State of a backend server's process. */
@@ -148,16 +148,17 @@
   uint64_t id;
   unsigned attempt;
   struct net_addr addr;
-  struct str server; /**< valid until the next event */
-  uint64_t place;    /**< dsp_place_hash() */
-  clk_ms left_ms;    /**< SEND: time until the request's deadline; STALLED:
-                          duration of the silence */
-  bool fresh;        /**< don't reuse an idle connection */
-  bool resume;       /**< resume the stream after the last event forwarded */
-  unsigned priority; /**< priority sent to the backend server, 0 (first) to
-                          9 */
+  struct str server;   /**< valid until the next event */
+  uint64_t endpoint;   /**< dsp_endpoint_hash() */
+  clk_ms duration_ms;  /**< SEND: time until the request's deadline;
+                            STALLED: duration of the silence */
+  bool new_connection; /**< don't reuse an idle connection */
+  bool resume;         /**< resume the stream after the last event forwarded */
+  unsigned priority;   /**< priority sent to the backend server, 0 (first)
+                            to 9 */
   enum dsp_code code;
-  clk_ms retry_ms; /**< delay after which the client may retry; 0: not given */
+  clk_ms retry_after_ms; /**< delay after which the client may retry; 0: not
+                              given */
 };
 
 struct dsp_options
@@ -189,79 +190,83 @@
 clk_ms dsp_wake (const struct dsp *d);
 
 /** Replaces the list of endpoints. */
-void dsp_places (struct dsp *d, clk_ms now, const struct dsp_place *list,
-                 size_t n);
+void dsp_set_endpoints (struct dsp *d, clk_ms now,
+                        const struct dsp_endpoint *list, size_t n);
 
 /** Sets the number of nodes that share the load, this one included. */
-void dsp_nodes (struct dsp *d, unsigned n);
+void dsp_set_node_count (struct dsp *d, unsigned n);
 
 /** Replaces the load reported by the node @p peer; @p n is 0 also when the
     peer is gone. */
-void dsp_peer_load (struct dsp *d, clk_ms now, uint64_t peer,
-                    const struct dsp_count *counts, size_t n);
+void dsp_set_peer_load (struct dsp *d, clk_ms now, uint64_t peer,
+                        const struct dsp_endpoint_load *counts, size_t n);
 
 /** Records long prompts that another node has just sent. */
-void dsp_noticed (struct dsp *d, clk_ms now, const struct dsp_notice *list,
-                  size_t n);
+void dsp_receive_notices (struct dsp *d, clk_ms now,
+                          const struct dsp_prompt_notice *list, size_t n);
 
 /** Long prompts sent since the last call, to be announced to the other nodes
     at once; valid until the next event. */
-const struct dsp_notice *dsp_notices (struct dsp *d, size_t *n);
+const struct dsp_prompt_notice *dsp_take_notices (struct dsp *d, size_t *n);
 
 /** Load of this node, to be reported to the others; valid until the next
     event. */
-const struct dsp_count *dsp_own_load (struct dsp *d, size_t *n);
+const struct dsp_endpoint_load *dsp_own_load (struct dsp *d, size_t *n);
 
 /** Rejects all new requests from now on. */
-void dsp_leave (struct dsp *d);
+void dsp_stop_accepting (struct dsp *d);
 
-void dsp_arrive (struct dsp *d, clk_ms now, const struct dsp_request *in);
+void dsp_submit (struct dsp *d, clk_ms now, const struct dsp_request *in);
 
 /** The client has disconnected. */
-void dsp_gone (struct dsp *d, clk_ms now, uint64_t id);
+void dsp_client_disconnected (struct dsp *d, clk_ms now, uint64_t id);
 
 /** The request's bytes are about to be written to the socket. @retval false
     the attempt has ended */
-bool dsp_sent (struct dsp *d, clk_ms now, uint64_t id, unsigned attempt);
+bool dsp_request_sent (struct dsp *d, clk_ms now, uint64_t id,
+                       unsigned attempt);
 void dsp_connect_failed (struct dsp *d, clk_ms now, uint64_t id,
                          unsigned attempt);
-void dsp_head (struct dsp *d, clk_ms now, uint64_t id, unsigned attempt,
-               enum dsp_head head);
+void dsp_response_head (struct dsp *d, clk_ms now, uint64_t id,
+                        unsigned attempt, enum dsp_response_head head);
 
 /** Applies the rate limit stated in a response head; call it before
-    dsp_head(). @param rate requests per second */
-enum lim_change dsp_answer_limit (struct dsp *d, clk_ms now, uint64_t id,
-                                  unsigned attempt, enum lim_says says,
-                                  double rate);
+    dsp_response_head(). @param rate requests per second */
+enum lim_change dsp_response_limit (struct dsp *d, clk_ms now, uint64_t id,
+                                    unsigned attempt,
+                                    enum lim_report_kind says, double rate);
 /** Number of requests that this node has sent to the attempt's server while it
     was rate-limited. */
-uint64_t dsp_sent_limited (const struct dsp *d, uint64_t id, unsigned attempt);
+uint64_t dsp_sent_while_limited (const struct dsp *d, uint64_t id,
+                                 unsigned attempt);
 
 /** Permits for rate-limited servers have been granted. */
-void dsp_permitted (struct dsp *d, clk_ms now);
+void dsp_permits_granted (struct dsp *d, clk_ms now);
 
 /** Response bytes have arrived. @param event they complete at least one
     event */
-void dsp_heard (struct dsp *d, clk_ms now, uint64_t id, unsigned attempt,
-                bool event);
-void dsp_whole (struct dsp *d, clk_ms now, uint64_t id, unsigned attempt);
+void dsp_data_received (struct dsp *d, clk_ms now, uint64_t id,
+                        unsigned attempt, bool event);
+void dsp_response_complete (struct dsp *d, clk_ms now, uint64_t id,
+                            unsigned attempt);
 /** The response was interrupted, or none came. */
-void dsp_broken (struct dsp *d, clk_ms now, uint64_t id, unsigned attempt);
+void dsp_response_interrupted (struct dsp *d, clk_ms now, uint64_t id,
+                               unsigned attempt);
 
-/** Reports the result of DSP_ACT_CHECK. @return number of runs interrupted
-    there */
-size_t dsp_checked (struct dsp *d, clk_ms now, uint64_t endpoint,
-                    enum dsp_liveness found);
+/** Reports the result of DSP_ACT_CHECK_PROCESS. @return number of runs
+   interrupted there */
+size_t dsp_process_checked (struct dsp *d, clk_ms now, uint64_t endpoint,
+                            enum dsp_liveness found);
 
 /** The request with that digest crashes servers: fails those instances whose
     execution has not begun. */
-void dsp_blocked (struct dsp *d, clk_ms now, uint64_t digest);
+void dsp_request_blocked (struct dsp *d, clk_ms now, uint64_t digest);
 
 /** Takes the next action; call it after each event until it returns false. */
 bool dsp_next (struct dsp *d, struct dsp_action *out);
 
 /** Number of requests that have not ended. */
-size_t dsp_open (const struct dsp *d);
+size_t dsp_count_open (const struct dsp *d);
 
 /** Requests of a model that hold or wait for a slot, estimated for all
     nodes. */
@@ -272,12 +277,12 @@
 int dsp_code_status (enum dsp_code c);
 
 /** Counters since the start of the process. */
-struct dsp_figures
+struct dsp_stats
 {
   uint64_t arrived, ended, answered[DSP_DEADLINE + 1];
-  uint64_t sent, repeated, repeat_denied, resumed, stalls, ejections;
+  uint64_t sent, retried, retries_denied, resumed, stalls, ejections;
   uint64_t servers_ended; /**< while they executed requests of this node */
 };
-const struct dsp_figures *dsp_figures (const struct dsp *d);
+const struct dsp_stats *dsp_stats (const struct dsp *d);
 
 #endif
--- a/serve/duty-plan.c
+++ b/serve/duty-plan.c
@@ -42,17 +42,17 @@
 log_changes (const struct frm_model *m, struct plan_row *logged, clk_ms age_ms)
 {
   if (logged->wanted == m->wanted && logged->formed == m->formed
-      && logged->yielded == m->yielded)
+      && logged->yielded == m->reassigned)
     return;
   LOG (plan_changed, LOG_S ("service", m->service), LOG_S ("model", m->name),
        LOG_I ("wanted", m->wanted), LOG_I ("formed", m->formed),
        LOG_I ("wanted_before", logged->wanted),
        LOG_I ("formed_before", logged->formed),
        LOG_I ("requests", (long long)(m->requests + 0.5)),
-       LOG_I ("yielded", m->yielded), LOG_I ("servers_age_ms", age_ms));
+       LOG_I ("yielded", m->reassigned), LOG_I ("servers_age_ms", age_ms));
   logged->wanted = m->wanted;
   logged->formed = m->formed;
-  logged->yielded = m->yielded;
+  logged->yielded = m->reassigned;
 }
 
 void
--- a/serve/duty.c
+++ b/serve/duty.c
@@ -146,8 +146,8 @@
         srv_sync_read_soon (lead->s, now);
     }
   else if (c->sent_fence == (uint64_t)own_fence (lead->own))
-    frm_asked (lead->form, now, c->token,
-               c->status != 0 && c->status != STATUS_MISDIRECTED);
+    frm_probe_done (lead->form, now, c->token,
+                    c->status != 0 && c->status != STATUS_MISDIRECTED);
   free (c->vm);
   free (c);
   run_form_actions (lead);
@@ -185,7 +185,7 @@
   lead->calls = c;
   lead->ncalls++;
   if (order)
-    s->ad->order (a, &body);
+    s->ad->format_order (a, &body);
   if (order)
     LOG (order_sent, LOG_S ("server", a->vm), LOG_I ("number", a->token),
          LOG_S ("order", buf_str (&body)));
@@ -199,7 +199,7 @@
 {
   struct frm_action a;
 
-  while (lead->ncalls < CALLS_MAX && frm_next (lead->form, &a))
+  while (lead->ncalls < CALLS_MAX && frm_next_action (lead->form, &a))
     {
       if (own_may_order (lead->own, clk_now ()))
         call_server (lead, &a);
@@ -237,7 +237,7 @@
   clk_ms now = clk_now ();
 
   LOG (duty_gained, LOG_I ("fence", fence));
-  frm_owner (lead->form, now, true, fence);
+  frm_set_leading (lead->form, now, true, fence);
   srv_sync_read_soon (lead->s, now);
 }
 
@@ -245,7 +245,7 @@
 lose_leadership (struct srv_leader *lead)
 {
   LOG (duty_lost, LOG_I ("fence", own_fence (lead->own)));
-  frm_owner (lead->form, clk_now (), false, 0);
+  frm_set_leading (lead->form, clk_now (), false, 0);
 }
 
 static void
@@ -293,7 +293,7 @@
 }
 
 bool
-srv_duty_holds (const struct srv *s)
+srv_is_leader (const struct srv *s)
 {
   return s->leader && own_state (s->leader->own) == OWN_HOLDING;
 }
@@ -320,15 +320,14 @@
 {
   const struct srv *s = lead->s;
 
-  if (s->leaving_since || !s->table)
+  if (s->stopping_since || !s->table)
     return false;
   if (own_state (lead->own) != OWN_IDLE)
     return !lead->other_leads;
   if (!lead->vacant_since || !srv_register_leader_vacant (s))
     return false;
   return now - lead->started >= START_WAIT_MS
-         && now - lead->vacant_since
-                >= attempt_delay_ms (srv_register_rank (s));
+         && now - lead->vacant_since >= attempt_delay_ms (srv_node_rank (s));
 }
 
 void
@@ -351,15 +350,15 @@
 
   if (!s->table)
     return;
-  frm_servers (lead->form, clk_now (), s->backends, s->table,
-               s->first_start || bks_settled (s->backends, clk_now ()));
+  frm_set_servers (lead->form, clk_now (), s->backends, s->table,
+                   s->first_start || bks_is_stable (s->backends, clk_now ()));
   run_form_actions (lead);
 }
 
-const struct frm_figures *
+const struct frm_stats *
 srv_leader_figures (const struct srv *s)
 {
-  return frm_figures (s->leader->form);
+  return frm_stats (s->leader->form);
 }
 
 size_t
@@ -371,13 +370,13 @@
 bool
 srv_leader_is_forming (const struct srv *s)
 {
-  return srv_duty_holds (s) && frm_busy (s->leader->form);
+  return srv_is_leader (s) && frm_wants_fast_poll (s->leader->form);
 }
 
 void
-srv_duty_stalled (struct srv *s, uint64_t endpoint)
+srv_leader_endpoint_stalled (struct srv *s, uint64_t endpoint)
 {
-  if (srv_duty_holds (s))
+  if (srv_is_leader (s))
     frm_stalled (s->leader->form, clk_now (), endpoint);
 }
 
@@ -404,8 +403,8 @@
   own_want (lead->own, now, should_lead (lead, now));
   own_tick (lead->own, now);
   run_lease_actions (lead);
-  if (s->traffic)
-    frm_traffic (lead->form);
+  if (s->had_traffic)
+    frm_traffic_started (lead->form);
   if (now < lead->next_tick)
     return;
   lead->next_tick = now + FRM_TICK_MS;
@@ -425,8 +424,8 @@
   struct own_options own
       = { .node = s->set.node,
           .boot = s->boot,
-          .ttl = s->set.lease_least_ms > LEASE_MS ? s->set.lease_least_ms
-                                                  : LEASE_MS,
+          .ttl
+          = s->set.lease_min_ms > LEASE_MS ? s->set.lease_min_ms : LEASE_MS,
           .checks_fence = true,
           .order_flight_ms = ORDER_TIMEOUT_MS };
 
--- a/serve/exchange.c
+++ b/serve/exchange.c
@@ -35,7 +35,7 @@
      views into it. */
   buf_reserve (&head->text, size + 1);
   for (size_t i = 0; i < n; i++)
-    if (s->ad->passes (&h[i]))
+    if (s->ad->forwards_header (&h[i]))
       head->list[head->n++]
           = (struct http_header){ copy_text (&head->text, h[i].name),
                                   copy_text (&head->text, h[i].value) };
@@ -90,7 +90,7 @@
 {
   clk_ms now = clk_now ();
 
-  LOG (attempt_lost, LOG_S ("id", at->ex->call.id),
+  LOG (attempt_lost, LOG_S ("id", at->ex->request.id),
        LOG_C ("digest", at->ex->digest_text), LOG_I ("attempt", at->number),
        LOG_C ("server", at->server), LOG_C ("why", why),
        LOG_I ("status", at->head.status), LOG_I ("passed", at->forwarding),
@@ -104,7 +104,8 @@
   struct srv_attempt *at = ctx;
 
   at->ex->attempts_sent++;
-  return dsp_sent (at->ex->s->dispatch, clk_now (), at->ex->id, at->number);
+  return dsp_request_sent (at->ex->s->dispatch, clk_now (), at->ex->id,
+                           at->number);
 }
 
 /** Whether the status tells clients that the request was not run.  A backend
@@ -121,21 +122,21 @@
 is_valid_response (const struct srv_attempt *at, int status)
 {
   if (!at->response.same_request
-      || (is_not_run_status (status) && !at->response.unrun))
+      || (is_not_run_status (status) && !at->response.not_run))
     return false;
   if (status >= 200 && status < 300)
     return at->response.sealed && !at->response.encoded;
   return status >= 400;
 }
 
-static enum dsp_head
+static enum dsp_response_head
 classify_head (const struct srv_attempt *at, int status)
 {
-  if (at->response.unrun)
-    return DSP_HEAD_UNRUN;
+  if (at->response.not_run)
+    return DSP_RESPONSE_NOT_EXECUTED;
   if (status >= 500)
-    return DSP_HEAD_ERROR;
-  return status >= 300 ? DSP_HEAD_FINAL : DSP_HEAD_GOOD;
+    return DSP_RESPONSE_ERROR;
+  return status >= 300 ? DSP_RESPONSE_FINAL : DSP_RESPONSE_OK;
 }
 
 /** Process the rate limit in a response, and log changes. */
@@ -144,33 +145,33 @@
 {
   struct srv_exchange *ex = at->ex;
   struct dsp *d = ex->s->dispatch;
-  enum lim_change change = LIM_SAME;
+  enum lim_change change = LIM_UNCHANGED;
   char rate[32];
 
   /* Ignore the limit if the response comes from another server or belongs to
      another request. */
   if (!at->response.misdirected && at->response.same_request)
-    change = dsp_answer_limit (d, clk_now (), ex->id, at->number,
-                               at->response.limit, at->response.rate);
+    change = dsp_response_limit (d, clk_now (), ex->id, at->number,
+                                 at->response.limit, at->response.rate);
   snprintf (rate, sizeof rate, "%g", at->response.rate);
-  if (change != LIM_SAME)
-    srv_peers_limits (ex->s);
+  if (change != LIM_UNCHANGED)
+    srv_peers_send_limits (ex->s);
   switch (change)
     {
-    case LIM_SAME:
+    case LIM_UNCHANGED:
       break;
     case LIM_SET:
       LOG (limit_named, LOG_C ("server", at->server), LOG_C ("per_s", rate),
-           LOG_S ("id", ex->call.id));
+           LOG_S ("id", ex->request.id));
       break;
     case LIM_ENDED:
       LOG (limit_ended, LOG_C ("server", at->server),
-           LOG_S ("id", ex->call.id),
-           LOG_I ("sent", dsp_sent_limited (d, ex->id, at->number)));
+           LOG_S ("id", ex->request.id),
+           LOG_I ("sent", dsp_sent_while_limited (d, ex->id, at->number)));
       break;
     case LIM_UNREADABLE:
       LOG (limit_unreadable, LOG_C ("server", at->server),
-           LOG_S ("id", ex->call.id));
+           LOG_S ("id", ex->request.id));
       break;
     }
 }
@@ -182,26 +183,26 @@
   struct srv_exchange *ex = at->ex;
   struct srv *s = ex->s;
 
-  s->ad->answer (ex->call.id, status, h, n, &at->response);
+  s->ad->parse_response (ex->request.id, status, h, n, &at->response);
   copy_head (s, &at->head, status, h, n);
   handle_rate_limit (at);
-  if (at->response.unrun || status >= 500)
-    log_attempt_lost (at, at->response.unrun ? "not-run" : "error");
+  if (at->response.not_run || status >= 500)
+    log_attempt_lost (at, at->response.not_run ? "not-run" : "error");
   if (is_valid_response (at, status))
-    dsp_head (s->dispatch, clk_now (), ex->id, at->number,
-              classify_head (at, status));
+    dsp_response_head (s->dispatch, clk_now (), ex->id, at->number,
+                       classify_head (at, status));
   else
     {
       log_attempt_lost (at, "no-answer-to-this");
-      dsp_broken (s->dispatch, clk_now (), ex->id, at->number);
+      dsp_response_interrupted (s->dispatch, clk_now (), ex->id, at->number);
     }
-  srv_act (s);
+  srv_run_actions (s);
 }
 
 static bool
 is_stream (const struct srv_attempt *at)
 {
-  return at->ex->route->kind == TBL_STREAM && at->response.events
+  return at->ex->route->kind == TBL_STREAM && at->response.is_event_stream
          && at->head.status == 200;
 }
 
@@ -213,7 +214,7 @@
   clk_ms now = clk_now ();
 
   if (ex->first_ms == 0)
-    ex->first_ms = now - ex->since;
+    ex->first_ms = now - ex->started_at;
   else if (now - ex->last_write_at > ex->pause_ms)
     ex->pause_ms = now - ex->last_write_at;
   ex->last_write_at = now;
@@ -245,12 +246,13 @@
       buf_add (&at->body, bytes);
       return;
     }
-  events = spl_take (&at->split, bytes, &at->body);
+  events = spl_feed (&at->split, bytes, &at->body);
   if (events > 0 && !at->first_event_at)
     at->first_event_at = clk_now ();
   forward_events (at);
-  dsp_heard (s->dispatch, clk_now (), at->ex->id, at->number, events > 0);
-  srv_act (s);
+  dsp_data_received (s->dispatch, clk_now (), at->ex->id, at->number,
+                     events > 0);
+  srv_run_actions (s);
 }
 
 static void
@@ -268,11 +270,11 @@
     case HTTPC_UNBOUNDED: /* closed cleanly, without a length */
       if (at->head.status != 0 && !(is_stream (at) && at->split.rest.len > 0))
         {
-          dsp_whole (s->dispatch, now, ex->id, at->number);
+          dsp_response_complete (s->dispatch, now, ex->id, at->number);
           break;
         }
       log_attempt_lost (at, "cut-in-an-event");
-      dsp_broken (s->dispatch, now, ex->id, at->number);
+      dsp_response_interrupted (s->dispatch, now, ex->id, at->number);
       break;
     case HTTPC_CONNECT_FAILED:
     case HTTPC_STOPPED:
@@ -282,10 +284,10 @@
     case HTTPC_BROKEN:
     case HTTPC_SILENT:
       log_attempt_lost (at, end == HTTPC_SILENT ? "silent" : "broken");
-      dsp_broken (s->dispatch, now, ex->id, at->number);
+      dsp_response_interrupted (s->dispatch, now, ex->id, at->number);
       break;
     }
-  srv_act (s);
+  srv_run_actions (s);
 }
 
 /** Build the request headers and start the call.
@@ -301,10 +303,11 @@
   struct buf path = BUF_INIT, last = BUF_INIT;
   size_t n;
   const struct http_header *from = httpd_headers (ex->req, &n);
-  struct srv_forward f = { .host = ex->host,
-                           .server = a->server,
-                           .left_ms = a->left_ms > 0 ? a->left_ms : 1,
-                           .priority = (int)a->priority };
+  struct srv_forward_params f
+      = { .host = ex->host,
+          .server = a->server,
+          .left_ms = a->duration_ms > 0 ? a->duration_ms : 1,
+          .priority = (int)a->priority };
 
   if (ex->account)
     f.account = ex->account->name;
@@ -317,7 +320,7 @@
       buf_add_char (&path, '?');
       buf_add (&path, v->query);
     }
-  bool ok = ex->s->ad->forward (from, n, &f, &headers);
+  bool ok = ex->s->ad->build_headers (from, n, &f, &headers);
   struct httpc_request r = { .to = a->addr,
                              .method = v->method,
                              .path = buf_str (&path),
@@ -325,8 +328,8 @@
                              .nheaders = headers.n,
                              .body = v->body,
                              .connect_ms = CONNECT_MS,
-                             .progress_ms = a->left_ms + CLK_SECOND,
-                             .fresh = a->fresh };
+                             .progress_ms = a->duration_ms + CLK_SECOND,
+                             .fresh = a->new_connection };
   if (ok)
     at->call = httpc_start (ex->s->http, &r, &cb, at);
   srv_headers_free (&headers);
@@ -391,8 +394,8 @@
 /* --- response to the client --------------------------------------------- */
 
 void
-srv_refuse (struct srv *s, struct httpd_req *req, int status, const char *code,
-            clk_ms retry_ms)
+srv_send_error (struct srv *s, struct httpd_req *req, int status,
+                const char *code, clk_ms retry_ms)
 {
   struct buf name = BUF_INIT, value = BUF_INIT, body = BUF_INIT;
   struct http_header h[2]
@@ -401,7 +404,7 @@
 
   if (retry_ms > 0)
     {
-      s->ad->retry_after (retry_ms, &name, &value);
+      s->ad->format_retry_after (retry_ms, &name, &value);
       h[n++] = (struct http_header){ buf_str (&name), buf_str (&value) };
     }
   buf_addf (&body, "{\"error\":\"%s\"}\n", code);
@@ -415,11 +418,11 @@
 static void
 log_end (struct srv_exchange *ex, int status, const char *code)
 {
-  clk_ms ms = clk_now () - ex->since;
+  clk_ms ms = clk_now () - ex->started_at;
 
   srv_metrics_request (ex->s, tbl_kind_name (ex->route->kind), status, code,
                        ms);
-  LOG (request_ended, LOG_S ("id", ex->call.id),
+  LOG (request_ended, LOG_S ("id", ex->request.id),
        LOG_C ("digest", ex->digest_text), LOG_S ("route", ex->route->name),
        LOG_I ("status", status), LOG_C ("code", code),
        LOG_I ("attempts", ex->attempts_sent),
@@ -449,7 +452,7 @@
   if (!ex->head_sent)
     {
       drop_content_length (&at->head);
-      srv_metrics_first (ex->s, clk_now () - ex->since);
+      srv_metrics_first_event (ex->s, clk_now () - ex->started_at);
       httpd_begin (ex->req, at->head.status, at->head.list, at->head.n);
       ex->head_sent = true;
       ex->status = at->head.status;
@@ -475,21 +478,21 @@
 static void
 send_error_response (struct srv_exchange *ex, const struct dsp_action *a)
 {
-  LOG (request_failed, LOG_S ("id", ex->call.id),
+  LOG (request_failed, LOG_S ("id", ex->request.id),
        LOG_C ("code", dsp_code_name (a->code)),
        LOG_S ("route", ex->route->name), LOG_I ("attempts", a->attempt),
-       LOG_I ("retry_ms", a->retry_ms),
+       LOG_I ("retry_ms", a->retry_after_ms),
        LOG_I ("servers_age_ms", srv_sync_list_age (ex->s, clk_now ())),
-       LOG_I ("after_ms", clk_now () - ex->since));
+       LOG_I ("after_ms", clk_now () - ex->started_at));
   if (ex->req)
-    srv_refuse (
+    srv_send_error (
         ex->s,
         release_req (ex, dsp_code_status (a->code), dsp_code_name (a->code)),
-        dsp_code_status (a->code), dsp_code_name (a->code), a->retry_ms);
+        dsp_code_status (a->code), dsp_code_name (a->code), a->retry_after_ms);
 }
 
 void
-srv_exchange_act (struct srv_exchange *ex, const struct dsp_action *a)
+srv_exchange_run_action (struct srv_exchange *ex, const struct dsp_action *a)
 {
   struct srv_attempt *at = find_attempt (ex, a->attempt);
 
@@ -502,27 +505,27 @@
       if (at)
         free_attempt (at);
       break;
-    case DSP_ACT_PASS:
+    case DSP_ACT_FORWARD:
       if (at)
         start_forwarding (ex, at);
       break;
-    case DSP_ACT_END:
+    case DSP_ACT_COMPLETE:
       if (at)
         send_complete_response (ex, at);
       break;
-    case DSP_ACT_ANSWER:
+    case DSP_ACT_RESPOND_ERROR:
       send_error_response (ex, a);
       break;
-    case DSP_ACT_CUT:
+    case DSP_ACT_TRUNCATE:
       if (ex->req)
         httpd_end (release_req (ex, ex->status, dsp_code_name (a->code)),
                    false);
       break;
-    case DSP_ACT_FORGET:
+    case DSP_ACT_RELEASE:
       srv_exchange_free (ex);
       break;
     case DSP_ACT_STALLED:
-    case DSP_ACT_CHECK:
+    case DSP_ACT_CHECK_PROCESS:
       break; /* not related to a request */
     }
 }
@@ -536,8 +539,8 @@
 
   log_end (ex, 0, "gone");
   ex->req = NULL;
-  dsp_gone (ex->s->dispatch, clk_now (), ex->id);
-  srv_act (ex->s);
+  dsp_client_disconnected (ex->s->dispatch, clk_now (), ex->id);
+  srv_run_actions (ex->s);
 }
 
 struct srv_exchange *
@@ -549,7 +552,7 @@
   ex->id = ++s->next_id;
   ex->req = req;
   ex->table = tbl_ref (table);
-  ex->since = clk_now ();
+  ex->started_at = clk_now ();
   ex->next = s->exchanges;
   ex->prev = &s->exchanges;
   if (ex->next)
--- a/serve/form-demand.c
+++ b/serve/form-demand.c
@@ -107,7 +107,7 @@
       const struct frm_demand *d
           = find_or_add_demand (f, out[i].service, out[i].name);
       out[i].requests = d->requests;
-      out[i].yielded = d->reassigned;
+      out[i].reassigned = d->reassigned;
     }
   return f->nrows;
 }
--- a/serve/form-group.c
+++ b/serve/form-group.c
@@ -233,7 +233,8 @@
         begin_close (f, r, false);
       return;
     }
-  if (!frm_reports (leader, r, BKS_OPEN) || leader->entry.part == BKS_BROKEN)
+  if (!frm_reports (leader, r, BKS_OPEN)
+      || leader->entry.member_state == BKS_BROKEN)
     {
       /*
        * The leader has closed, reported a broken replica or joined another
@@ -243,7 +244,7 @@
       frm_replica_end (f, r);
       return;
     }
-  if (leader->entry.part == BKS_CLOSING)
+  if (leader->entry.member_state == BKS_CLOSING)
     {
       begin_close (f, r, false);
       return;
@@ -454,7 +455,7 @@
     case FRM_LEAVE:
       leave_done (f, r, vm, result);
       break;
-    case FRM_STAGE: /* not related to a replica */
+    case FRM_PRELOAD: /* not related to a replica */
       break;
     }
 }
--- a/serve/form-int.h
+++ b/serve/form-int.h
@@ -119,9 +119,10 @@
   bool close_unanswered; /**< the order to close got no response */
   /** When its leader accepted the order to close; 0: not yet. */
   clk_ms close_accepted_at;
-  struct frm_vm *members[FRM_MEMBERS]; /**< by rank; NULL: unknown or gone */
+  struct frm_vm
+      *members[FRM_MAX_MEMBERS]; /**< by rank; NULL: unknown or gone */
   /** The member accepted the order to leave. */
-  bool leave_accepted[FRM_MEMBERS];
+  bool leave_accepted[FRM_MAX_MEMBERS];
   size_t nmembers;
   /** Members that its model needs; 0: unknown, for an adopted replica. */
   unsigned size;
@@ -181,8 +182,8 @@
   uint64_t tokens;
   struct frm_action *queue;
   size_t head, count, cap;
-  struct str ids[FRM_MEMBERS]; /**< unused */
-  struct frm_figures stats;
+  struct str ids[FRM_MAX_MEMBERS]; /**< unused */
+  struct frm_stats stats;
   struct frm_model *rows; /**< output array of frm_models() while it runs */
   size_t nrows;
 };
@@ -196,7 +197,7 @@
  * later stage.
  */
 bool frm_reports (const struct frm_vm *vm, const struct frm_replica *r,
-                  enum bks_part part);
+                  enum bks_member_state part);
 const struct tbl_service *frm_find_service (const struct frm *f,
                                             const char *name);
 struct frm_replica *frm_replica_add (struct frm *f, const char *service,
--- a/serve/form-order.c
+++ b/serve/form-order.c
@@ -35,7 +35,7 @@
 }
 
 bool
-frm_next (struct frm *f, struct frm_action *out)
+frm_next_action (struct frm *f, struct frm_action *out)
 {
   if (f->count == 0)
     return false;
@@ -74,13 +74,13 @@
   a->generation = r->generation;
   a->fence = f->fence;
   a->model = str_from (r->model);
-  a->cut = r->force;
+  a->force = r->force;
   if (kind == FRM_JOIN)
     {
       struct str *ids = xcalloc (r->nmembers + 1, sizeof *ids);
       for (size_t i = 0; i < r->nmembers; i++)
         ids[i] = str_from (r->members[i]->id);
-      a->members = ids; /* freed by the caller of frm_next() */
+      a->members = ids; /* freed by the caller of frm_next_action() */
       a->nmembers = r->nmembers;
     }
   vm->order_token = a->token;
@@ -95,11 +95,11 @@
 {
   struct frm_action *a = push_action (f, FRM_ORDER, vm);
 
-  a->order = FRM_STAGE;
+  a->order = FRM_PRELOAD;
   a->fence = f->fence;
   a->model = model;
   vm->order_token = a->token;
-  vm->order_kind = FRM_STAGE;
+  vm->order_kind = FRM_PRELOAD;
   f->stats.orders++;
 }
 
@@ -116,8 +116,8 @@
 {
   if (str_eq (frm_loaded_model (vm), model))
     return true;
-  for (size_t i = 0; i < vm->entry.nstaged; i++)
-    if (str_eq (vm->entry.staged[i], model))
+  for (size_t i = 0; i < vm->entry.npreloaded; i++)
+    if (str_eq (vm->entry.preloaded[i], model))
       return true;
   return false;
 }
--- a/serve/form-place.c
+++ b/serve/form-place.c
@@ -25,7 +25,7 @@
 
 struct choice
 {
-  struct frm_vm *members[FRM_MEMBERS];
+  struct frm_vm *members[FRM_MAX_MEMBERS];
   unsigned n;
   unsigned loads;
 };
@@ -83,7 +83,7 @@
 
   for (unsigned i = 0; f->traffic && i < c->n; i++)
     if (frm_cost_of (c->members[i], m->name) != FRM_COST_LOADED)
-      ms = m->warm_ms;
+      ms = m->warm_load_ms;
   return ms;
 }
 
@@ -145,7 +145,7 @@
     {
       const struct tbl_model *m = &d->s->models[k];
       struct choice c;
-      if (d->have[k] >= d->want[k] || m->size > FRM_MEMBERS
+      if (d->have[k] >= d->want[k] || m->size > FRM_MAX_MEMBERS
           || !choose_members (f, d, m, max_cost, &c))
         continue;
       form_replica (f, d->service, m, &c, false);
@@ -255,7 +255,7 @@
     {
       struct frm_vm *vm = f->vms[i];
       if (frm_in_domain (vm, d) && frm_is_free (f, vm)
-          && vm->entry.part != BKS_JOINING
+          && vm->entry.member_state != BKS_JOINING
           && (!vm->replica || frm_is_ready (vm)))
         load_spare (f, d, vm);
     }
--- a/serve/form-plan.c
+++ b/serve/form-plan.c
@@ -20,7 +20,8 @@
 frm_is_free (const struct frm *f, const struct frm_vm *vm)
 {
   return frm_is_usable (f, vm) && !vm->order_token && vm->entry.domain.len > 0
-         && vm->entry.part < BKS_OPEN && (!vm->replica || vm->replica->spare);
+         && vm->entry.member_state < BKS_OPEN
+         && (!vm->replica || vm->replica->spare);
 }
 
 enum frm_cost
@@ -29,7 +30,7 @@
   /*
    * A VM that is still loading takes as long to become ready as an empty one.
    */
-  bool loading = vm->entry.part == BKS_JOINING;
+  bool loading = vm->entry.member_state == BKS_JOINING;
 
   if (str_eq (frm_loaded_model (vm), model) && !loading)
     return FRM_COST_LOADED;
@@ -48,7 +49,7 @@
 static double
 vms_per_share (unsigned n, const struct tbl_model *m)
 {
-  return (double)n * m->size / (m->share > 0 ? m->share : 1e-3);
+  return (double)n * m->size / (m->work_share > 0 ? m->work_share : 1e-3);
 }
 
 /**
@@ -163,7 +164,7 @@
       size_t held = frm_loaded_model_index (vm, d->s);
       for (size_t k = 0; k < d->s->nmodels && k < FRM_MAX_MODELS; k++)
         d->warm[k] += k == held
-                      || (vm->entry.part != BKS_JOINING
+                      || (vm->entry.member_state != BKS_JOINING
                           && frm_is_warm (vm, d->s->models[k].name));
     }
 }
@@ -236,7 +237,7 @@
   for (size_t k = 0; k < s->nmodels && k < FRM_MAX_MODELS; k++)
     {
       const struct tbl_model *m = &s->models[k];
-      double x = t->vms[k] / (m->share > 0 ? m->share : 1e-3);
+      double x = t->vms[k] / (m->work_share > 0 ? m->work_share : 1e-3);
       if (m->size > room || m->size == 0)
         continue;
       if (best < s->nmodels
--- a/serve/form-stage.c
+++ b/serve/form-stage.c
@@ -39,7 +39,8 @@
 
   for (size_t k = 0; k < s->nmodels; k++)
     if (!str_eq (s->models[k].name, frm_loaded_model (vm))
-        && (best == s->nmodels || s->models[k].share > s->models[best].share))
+        && (best == s->nmodels
+            || s->models[k].work_share > s->models[best].work_share))
       best = k;
   return best;
 }
@@ -48,8 +49,8 @@
 static bool
 has_preloaded_other (const struct frm_vm *vm)
 {
-  for (size_t i = 0; i < vm->entry.nstaged; i++)
-    if (!str_eq (vm->entry.staged[i], frm_loaded_model (vm)))
+  for (size_t i = 0; i < vm->entry.npreloaded; i++)
+    if (!str_eq (vm->entry.preloaded[i], frm_loaded_model (vm)))
       return true;
   return false;
 }
@@ -66,7 +67,8 @@
   return frm_is_usable (f, vm) && !vm->order_token
          && f->now >= vm->preload_until && vm->entry.domain.len > 0
          && frm_loaded_model (vm).len > 0 && !has_preloaded_other (vm)
-         && (vm->replica ? frm_is_ready (vm) : vm->entry.part == BKS_ALONE);
+         && (vm->replica ? frm_is_ready (vm)
+                         : vm->entry.member_state == BKS_NO_REPLICA);
 }
 
 /**
@@ -130,7 +132,7 @@
 {
   bool include_members;
 
-  if (d->s->host_keeps == 0 || d->s->nmodels < 2)
+  if (d->s->host_cache_models == 0 || d->s->nmodels < 2)
     return;
   frm_plan_domain (f, d);
   include_members = !f->traffic && survives_restart (f, d);
@@ -146,7 +148,7 @@
       m = &d->s->models[model_to_preload (vm, d->s)];
       frm_send_preload (f, vm, m->name);
       frm_count_loads (f, 1);
-      vm->preload_until = f->now + 2 * m->load_ms;
+      vm->preload_until = f->now + 2 * m->cold_load_ms;
     }
 }
 
--- a/serve/form-yield.c
+++ b/serve/form-yield.c
@@ -66,7 +66,7 @@
     return false;
   if (!vm->replica)
     return true;
-  return vm->replica->spare ? vm->entry.part != BKS_JOINING
+  return vm->replica->spare ? vm->entry.member_state != BKS_JOINING
                             : vm->replica->phase > FRM_PH_OPEN;
 }
 
--- a/serve/form.c
+++ b/serve/form.c
@@ -79,7 +79,7 @@
 {
   struct frm_action a;
 
-  while (frm_next (f, &a))
+  while (frm_next_action (f, &a))
     free ((void *)a.members);
 }
 
@@ -119,7 +119,7 @@
   free (r->model);
   r->model = str_dup (model);
   r->size = m ? m->size : 0;
-  r->load_ms = m ? m->load_ms : 0;
+  r->load_ms = m ? m->cold_load_ms : 0;
 }
 
 struct frm_replica *
@@ -249,10 +249,11 @@
 
 bool
 frm_reports (const struct frm_vm *vm, const struct frm_replica *r,
-             enum bks_part part)
+             enum bks_member_state part)
 {
   return vm->listed && str_is (vm->entry.replica, r->name)
-         && vm->entry.generation == r->generation && vm->entry.part >= part;
+         && vm->entry.generation == r->generation
+         && vm->entry.member_state >= part;
 }
 
 bool
@@ -320,7 +321,7 @@
 static void
 update_loaded_model (struct frm_vm *vm)
 {
-  if (vm->entry.model.len == 0 || vm->entry.part < BKS_READY
+  if (vm->entry.model.len == 0 || vm->entry.member_state < BKS_READY
       || str_is (vm->entry.model, vm->loaded_model))
     return;
   free (vm->loaded_model);
@@ -339,7 +340,7 @@
       vm->service = str_dup (s->e.service);
       vm->domain = str_dup (s->e.domain);
       vm->domain_number = domain_number (f, vm);
-      vm->started_at = s->e.born;
+      vm->started_at = s->e.start_time;
       g_hash_table_insert (f->by_id, vm->id, vm);
       f->vms = xrealloc (f->vms, (f->nvms + 1) * sizeof (*f->vms));
       f->vms[f->nvms++] = vm;
@@ -348,9 +349,9 @@
       if (f->nvms == 1)
         f->first_arrival_at = f->now;
     }
-  if (vm->started_at != s->e.born)
+  if (vm->started_at != s->e.start_time)
     reset_restarted_vm (f, vm);
-  vm->started_at = s->e.born;
+  vm->started_at = s->e.start_time;
   vm->entry = s->e;
   vm->listed = vm->seen_in_list = true;
   update_loaded_model (vm);
@@ -428,7 +429,7 @@
 {
   if (!r->members[0])
     frm_enter_phase (f, r, FRM_PH_LEADER_MISSING);
-  else if (r->members[0]->entry.part >= BKS_OPEN)
+  else if (r->members[0]->entry.member_state >= BKS_OPEN)
     frm_enter_phase (f, r, FRM_PH_OPEN);
   else
     frm_enter_phase (f, r, FRM_PH_JOINING);
@@ -465,7 +466,7 @@
     {
       struct frm_vm *vm = f->vms[i];
       if (vm->replica || !frm_reports (vm, r, BKS_JOINING)
-          || vm->entry.rank >= FRM_MEMBERS
+          || vm->entry.rank >= FRM_MAX_MEMBERS
           || vm->entry.generation <= vm->released_generation)
         continue;
       r->members[vm->entry.rank] = vm;
@@ -492,7 +493,7 @@
 {
   drop_replicas (f);
   for (size_t i = 0; i < f->nvms; i++)
-    if (!f->vms[i]->replica && f->vms[i]->entry.part != BKS_ALONE)
+    if (!f->vms[i]->replica && f->vms[i]->entry.member_state != BKS_NO_REPLICA)
       adopt_replica (f, f->vms[i]);
   for (size_t i = 0; i < f->nreplicas; i++)
     f->traffic |= f->replicas[i]->phase == FRM_PH_OPEN;
@@ -514,7 +515,7 @@
 static void
 attach_member (struct frm *f, struct frm_replica *r, struct frm_vm *vm)
 {
-  if (vm->entry.rank >= FRM_MEMBERS || r->members[vm->entry.rank])
+  if (vm->entry.rank >= FRM_MAX_MEMBERS || r->members[vm->entry.rank])
     return;
   r->members[vm->entry.rank] = vm;
   if (r->nmembers <= vm->entry.rank)
@@ -536,7 +537,8 @@
   for (size_t i = 0; i < f->nvms; i++)
     {
       struct frm_vm *vm = f->vms[i];
-      if (!vm->replica && vm->entry.part != BKS_ALONE && vm->entry.rank > 0
+      if (!vm->replica && vm->entry.member_state != BKS_NO_REPLICA
+          && vm->entry.rank > 0
           && vm->entry.generation > vm->released_generation
           && generation_has_ended (f, vm->entry.generation))
         vm->released_generation = vm->entry.generation;
@@ -556,7 +558,7 @@
   for (size_t i = 0; i < f->nvms; i++)
     {
       struct frm_vm *vm = f->vms[i];
-      if (vm->replica || vm->entry.part == BKS_ALONE
+      if (vm->replica || vm->entry.member_state == BKS_NO_REPLICA
           || vm->entry.generation <= vm->released_generation
           || is_spare_name (vm->entry.replica))
         continue;
@@ -571,7 +573,7 @@
 /* --- events ------------------------------------------------------------ */
 
 void
-frm_owner (struct frm *f, clk_ms now, bool on, int64_t fence)
+frm_set_leading (struct frm *f, clk_ms now, bool on, int64_t fence)
 {
   f->now = now;
   f->leading = on;
@@ -592,14 +594,14 @@
 }
 
 void
-frm_servers (struct frm *f, clk_ms now, const struct bks *servers,
-             const struct tbl *config, bool list_complete)
+frm_set_servers (struct frm *f, clk_ms now, const struct bks *servers,
+                 const struct tbl *config, bool list_complete)
 {
   size_t n;
   const struct bks_server *const *list = bks_list (servers, &n);
 
   f->now = now;
-  f->list_requested_at = bks_asked_at (servers);
+  f->list_requested_at = bks_read_started_at (servers);
   if (f->config != config)
     {
       tbl_unref (f->config);
@@ -626,7 +628,7 @@
 }
 
 void
-frm_traffic (struct frm *f)
+frm_traffic_started (struct frm *f)
 {
   f->traffic = true;
 }
@@ -639,8 +641,8 @@
     {
       struct frm_replica *r = f->replicas[i];
       if (r->phase == FRM_PH_OPEN && r->members[0]
-          && dsp_place_hash (str_from (r->members[0]->id),
-                             r->members[0]->entry.born, r->generation)
+          && dsp_endpoint_hash (str_from (r->members[0]->id),
+                                r->members[0]->entry.start_time, r->generation)
                  == endpoint
           && !r->stall_reported)
         {
@@ -660,7 +662,7 @@
       {
         struct frm_vm *vm = f->vms[i];
         vm->order_token = 0;
-        if (result == FRM_UNANSWERED && vm->order_kind != FRM_STAGE)
+        if (result == FRM_UNANSWERED && vm->order_kind != FRM_PRELOAD)
           vm->next_order_at = now + UNANSWERED_RETRY_MS;
         if (result == FRM_ACCEPTED && vm->replica)
           {
@@ -669,7 +671,7 @@
             vm->accepted_at = now;
             vm->accepted_fence = f->fence;
           }
-        if (vm->order_kind == FRM_STAGE)
+        if (vm->order_kind == FRM_PRELOAD)
           frm_preload_done (f, vm, result);
         else if (vm->replica)
           frm_replica_order_done (f, vm, vm->order_kind, result);
@@ -686,7 +688,7 @@
 }
 
 void
-frm_asked (struct frm *f, clk_ms now, uint64_t token, bool answered)
+frm_probe_done (struct frm *f, clk_ms now, uint64_t token, bool answered)
 {
   f->now = now;
   for (size_t i = 0; i < f->nvms; i++)
@@ -743,7 +745,7 @@
 }
 
 bool
-frm_busy (const struct frm *f)
+frm_wants_fast_poll (const struct frm *f)
 {
   for (size_t i = 0; i < f->nreplicas; i++)
     if (is_step_due (f, f->replicas[i]))
@@ -751,10 +753,10 @@
   return false;
 }
 
-const struct frm_figures *
-frm_figures (struct frm *f)
+const struct frm_stats *
+frm_stats (struct frm *f)
 {
-  struct frm_figures *x = &f->stats;
+  struct frm_stats *x = &f->stats;
 
   x->forming = x->open = x->closing = x->spares = x->warm = 0;
   for (size_t i = 0; i < f->nreplicas; i++)
--- a/serve/form.h
+++ b/serve/form.h
@@ -28,7 +28,7 @@
 #include "serve/backends.h"
 #include "serve/table.h"
 
-#define FRM_MEMBERS 64 /**< members of one replica, at most */
+#define FRM_MAX_MEMBERS 64 /**< members of one replica, at most */
 
 enum frm_order_kind
 {
@@ -37,7 +37,7 @@
   FRM_CLOSE, /**< uses replica, generation and the close mode */
   FRM_LEAVE, /**< uses replica, generation */
   /** Uses model: the host of the VM loads the weights into host memory. */
-  FRM_STAGE
+  FRM_PRELOAD
 };
 
 /** Result of an order. */
@@ -73,7 +73,7 @@
   struct str model;
   const struct str *members; /**< ids, the replica leader first */
   size_t nmembers;
-  bool cut; /**< close without waiting for running requests */
+  bool force; /**< close without waiting for running requests */
 };
 
 struct frm_options
@@ -93,7 +93,7 @@
  * This node became the leader node, or stopped being it.
  * @param fence  fencing token of this leadership
  */
-void frm_owner (struct frm *f, clk_ms now, bool on, int64_t fence);
+void frm_set_leading (struct frm *f, clk_ms now, bool on, int64_t fence);
 
 /**
  * Passes the server list and the configuration in force.  The core borrows the
@@ -102,14 +102,14 @@
  *        it is not, a missing server may only have an expired entry, so the
  *        core neither gives up a replica nor loads weights because of it.
  */
-void frm_servers (struct frm *f, clk_ms now, const struct bks *servers,
-                  const struct tbl *config, bool list_complete);
+void frm_set_servers (struct frm *f, clk_ms now, const struct bks *servers,
+                      const struct tbl *config, bool list_complete);
 
 /**
  * Clients have sent requests: from now on loads take their full time and are
  * rate limited.
  */
-void frm_traffic (struct frm *f);
+void frm_traffic_started (struct frm *f);
 
 /**
  * Sets how many requests of a model have a slot or wait for one, over all
@@ -120,22 +120,22 @@
 
 /**
  * A node reports that requests at a replica leader make no progress.
- * @param endpoint  dsp_place_hash() of that leader
+ * @param endpoint  dsp_endpoint_hash() of that leader
  */
 void frm_stalled (struct frm *f, clk_ms now, uint64_t endpoint);
 
 void frm_order_done (struct frm *f, clk_ms now, uint64_t token,
                      enum frm_result result);
-void frm_asked (struct frm *f, clk_ms now, uint64_t token, bool answered);
+void frm_probe_done (struct frm *f, clk_ms now, uint64_t token, bool answered);
 
 /** Advances all replicas; call it every FRM_TICK_MS. */
 void frm_tick (struct frm *f, clk_ms now);
 #define FRM_TICK_MS ((clk_ms)50)
 
-bool frm_next (struct frm *f, struct frm_action *out);
+bool frm_next_action (struct frm *f, struct frm_action *out);
 
 /** Replicas by state and totals, for metrics and logs. */
-struct frm_figures
+struct frm_stats
 {
   unsigned forming, open, closing, spares, warm;
   uint64_t loads, orders, formed, lost;
@@ -144,10 +144,10 @@
 struct frm_model
 {
   struct str service, name;
-  unsigned wanted;  /**< replicas that the plans of all domains contain */
-  unsigned formed;  /**< replicas that are open or being formed */
-  double requests;  /**< running or waiting, moving average */
-  uint64_t yielded; /**< replicas closed to free VMs for another model */
+  unsigned wanted;     /**< replicas that the plans of all domains contain */
+  unsigned formed;     /**< replicas that are open or being formed */
+  double requests;     /**< running or waiting, moving average */
+  uint64_t reassigned; /**< replicas closed to free VMs for another model */
 };
 
 #define FRM_MODEL_ROWS 16
@@ -163,7 +163,7 @@
  * Whether a replica is about to change state, so that the server list should
  * be polled at the fast interval.
  */
-bool frm_busy (const struct frm *f);
-const struct frm_figures *frm_figures (struct frm *f);
+bool frm_wants_fast_poll (const struct frm *f);
+const struct frm_stats *frm_stats (struct frm *f);
 
 #endif
--- a/serve/relays.c
+++ b/serve/hubs.c
@@ -1,4 +1,4 @@
-#include "serve/relays.h"
+#include "serve/hubs.h"
 
 #include <stdlib.h>
 
@@ -14,7 +14,7 @@
 }
 
 int
-hub_cmp (const struct hub_node *a, const struct hub_node *b)
+rly_cmp (const struct rly_node *a, const struct rly_node *b)
 {
   int order = cmp_limit (a->link_bytes_per_s, b->link_bytes_per_s);
 
@@ -26,12 +26,12 @@
 }
 
 unsigned
-rly_rank (const struct hub_node *self, const struct hub_node *list, size_t n)
+rly_rank (const struct rly_node *self, const struct rly_node *list, size_t n)
 {
   unsigned rank = 0;
 
   for (size_t i = 0; i < n; i++)
-    rank += hub_cmp (&list[i], self) < 0;
+    rank += rly_cmp (&list[i], self) < 0;
   return rank;
 }
 
@@ -40,10 +40,10 @@
 {
   const struct rly_peer *const *x = a, *const *y = b;
 
-  return hub_cmp (&(*x)->node, &(*y)->node);
+  return rly_cmp (&(*x)->node, &(*y)->node);
 }
 
-/** The peers in the order of hub_cmp(); freed by the caller. */
+/** The peers in the order of rly_cmp(); freed by the caller. */
 static struct rly_peer **
 sort_peers (struct rly_peer *list, size_t n)
 {
@@ -58,24 +58,24 @@
 }
 
 void
-rly_choose_links (const struct hub_node *self, bool leads,
+rly_choose_links (const struct rly_node *self, bool leads,
                   struct rly_peer *list, size_t n)
 {
-  bool all = leads || n + 1 <= HUB_MESH_MOST;
+  bool all = leads || n + 1 <= RLY_MESH_MAX;
   struct rly_peer **sorted = sort_peers (list, n);
   unsigned relays = 0;
 
   for (size_t i = 0; i < n; i++)
     {
       struct rly_peer *p = sorted[i];
-      p->wanted = all || relays < HUB_LINKS || p->leads;
+      p->wanted = all || relays < RLY_LINKS || p->leads;
       relays += p->up || !p->connect_failed;
     }
   free (sorted);
 }
 
 const struct rly_peer *
-rly_aggregator (const struct hub_node *self, bool leads,
+rly_aggregator (const struct rly_node *self, bool leads,
                 const struct rly_peer *list, size_t n)
 {
   const struct rly_peer *first = NULL;
@@ -88,7 +88,7 @@
         continue;
       if (list[i].leads)
         return &list[i];
-      if (hub_cmp (&list[i].node, first ? &first->node : self) < 0)
+      if (rly_cmp (&list[i].node, first ? &first->node : self) < 0)
         first = &list[i];
     }
   return first;
--- a/serve/relays.h
+++ b/serve/hubs.h
@@ -2,7 +2,7 @@
  * @file
  * Which nodes are linked to which (decision core).
  *
- * Up to HUB_MESH_MOST nodes form a full mesh.  In a larger fleet a full mesh
+ * Up to RLY_MESH_MAX nodes form a full mesh.  In a larger fleet a full mesh
  * would cost each node as many links and frames as there are nodes, which
  * takes all processor time of the smallest VMs.  There all nodes are linked to
  * the first few nodes in an order that is the same at each of them, the
@@ -27,13 +27,13 @@
  * the store for the actions of all others, and the store calls would grow with
  * the square of the number of nodes.
  */
-#define HUB_MESH_MOST 15
+#define RLY_MESH_MAX 15
 /** Relays that each node is linked to.  If one is lost, others remain, and
     the next leader is a node that is linked already. */
-#define HUB_LINKS 4
+#define RLY_LINKS 4
 
 /** A node, as its entry in the store describes it. */
-struct hub_node
+struct rly_node
 {
   uint64_t hash;           /**< of its name; breaks ties */
   double link_bytes_per_s; /**< 0: unlimited */
@@ -41,16 +41,16 @@
 };
 
 /** Order in which nodes become relays and leader. @return as memcmp */
-int hub_cmp (const struct hub_node *a, const struct hub_node *b);
+int rly_cmp (const struct rly_node *a, const struct rly_node *b);
 
 /** Number of nodes in @p list that precede @p self in relay order. */
-unsigned rly_rank (const struct hub_node *self, const struct hub_node *list,
+unsigned rly_rank (const struct rly_node *self, const struct rly_node *list,
                    size_t n);
 
 /** Another node, as seen by the node that chooses its links. */
 struct rly_peer
 {
-  struct hub_node node;
+  struct rly_node node;
   bool up;             /**< linked */
   bool connect_failed; /**< the last connection attempt failed */
   bool leads;          /**< it is the leader, which forms replicas */
@@ -61,11 +61,11 @@
  * Choose the links of a node.
  *
  * A peer whose connection attempts fail is still wanted but does not count
- * towards HUB_LINKS.  A node whose first relays are all lost therefore links
+ * towards RLY_LINKS.  A node whose first relays are all lost therefore links
  * to the next nodes in the order, which are the same for all nodes.
  * @param leads  this node is the leader and needs a link to each node
  */
-void rly_choose_links (const struct hub_node *self, bool leads,
+void rly_choose_links (const struct rly_node *self, bool leads,
                        struct rly_peer *list, size_t n);
 
 /**
@@ -73,7 +73,7 @@
  * or, without a leader, the first linked node in relay order.
  * @return  NULL: this node is the aggregator
  */
-const struct rly_peer *rly_aggregator (const struct hub_node *self, bool leads,
+const struct rly_peer *rly_aggregator (const struct rly_node *self, bool leads,
                                        const struct rly_peer *list, size_t n);
 
 #endif
--- a/serve/ingress.c
+++ b/serve/ingress.c
@@ -37,7 +37,7 @@
 /** Running an action may add further actions; the outermost call runs these
     too. */
 void
-srv_act (struct srv *s)
+srv_run_actions (struct srv *s)
 {
   struct dsp_action a;
 
@@ -49,16 +49,16 @@
       struct srv_exchange *ex = srv_find_exchange (s, a.id);
       if (a.kind == DSP_ACT_STALLED)
         LOG (place_stalled, LOG_S ("server", a.server),
-             LOG_I ("silent_ms", a.left_ms));
-      else if (a.kind == DSP_ACT_CHECK)
+             LOG_I ("silent_ms", a.duration_ms));
+      else if (a.kind == DSP_ACT_CHECK_PROCESS)
         srv_check_server (s, &a);
       else if (ex)
-        srv_exchange_act (ex, &a);
+        srv_exchange_run_action (ex, &a);
     }
   s->running_actions = false;
-  srv_peers_notices (s);
-  srv_poison_act (s);
-  srv_peers_wants (s);
+  srv_peers_send_prompts (s);
+  srv_poison_process (s);
+  srv_peers_request_permits (s);
 }
 
 /* --- admission ---------------------------------------------------------- */
@@ -83,8 +83,8 @@
 {
   if (!ex->table->has_accounts)
     return (struct rejection){ 0 };
-  ex->account = tbl_find_account (ex->table, ex->call.key);
-  if (!ex->account && !ex->route->open)
+  ex->account = tbl_find_account (ex->table, ex->request.key);
+  if (!ex->account && !ex->route->allows_anonymous)
     return (struct rejection){ 401, "unknown-key", 0 };
   return (struct rejection){ 0 };
 }
@@ -126,8 +126,8 @@
 {
   clk_ms timeout = ex->route->timeout_ms;
 
-  return ex->call.deadline_ms > 0 && ex->call.deadline_ms < timeout
-             ? timeout - ex->call.deadline_ms
+  return ex->request.deadline_ms > 0 && ex->request.deadline_ms < timeout
+             ? timeout - ex->request.deadline_ms
              : 0;
 }
 
@@ -136,9 +136,9 @@
 {
   clk_ms left = ex->route->timeout_ms;
 
-  if (ex->call.deadline_ms && (!left || ex->call.deadline_ms < left))
-    left = ex->call.deadline_ms;
-  return ex->since + (left ? left : CLK_MINUTE);
+  if (ex->request.deadline_ms && (!left || ex->request.deadline_ms < left))
+    left = ex->request.deadline_ms;
+  return ex->started_at + (left ? left : CLK_MINUTE);
 }
 
 static void
@@ -153,20 +153,20 @@
   struct dsp_request q
       = { .id = ex->id,
           .route = ex->route,
-          .table = ex->table,
+          .config = ex->table,
           .service = tbl_pick_service (ex->route, rng_unit (&s->rng)),
           .priority = priority_of (ex),
           .deadline = deadline_of (ex),
-          .waited = earlier_wait (ex),
-          .prompt = ex->call.prompt,
-          .answer = ex->call.answer,
+          .waited_ms = earlier_wait (ex),
+          .prompt_tokens = ex->request.prompt_tokens,
+          .max_answer_tokens = ex->request.max_output_tokens,
           .digest = ex->digest };
 
   if (q.service->nmodels)
-    q.model = ex->call.model;
-  s->traffic = true;
-  dsp_arrive (s->dispatch, ex->since, &q);
-  srv_act (s);
+    q.model = ex->request.model;
+  s->had_traffic = true;
+  dsp_submit (s->dispatch, ex->started_at, &q);
+  srv_run_actions (s);
 }
 
 /** Callers do not retry after a 4xx, so a 4xx is sent only while the
@@ -176,7 +176,7 @@
 {
   static const struct rejection unconfirmed
       = { 503, "config-unconfirmed", CONFIRM_RETRY_MS };
-  bool confirmed = srv_config_state (s, clk_now ()) == FRESH_CONFIRMED;
+  bool confirmed = srv_config_state (s, clk_now ()) == CUR_CONFIRMED;
 
   return why.status && !confirmed ? unconfirmed : why;
 }
@@ -186,7 +186,7 @@
 {
   struct srv *s = ex->s;
 
-  LOG (request_denied, LOG_S ("id", ex->call.id), LOG_S ("host", ex->host),
+  LOG (request_denied, LOG_S ("id", ex->request.id), LOG_S ("host", ex->host),
        LOG_S ("path", httpd_get (ex->req)->path),
        LOG_I ("status", why->status), LOG_C ("code", why->code),
        LOG_I ("config", ex->table->version),
@@ -202,8 +202,8 @@
   size_t n;
   const struct http_header *h = httpd_headers (req, &n);
 
-  ex->since = since;
-  s->ad->call (h, n, &ex->call);
+  ex->started_at = since;
+  s->ad->parse_request (h, n, &ex->request);
   ex->host = httpd_get (req)->host;
   why = confirm_rejection (s, check_request (ex));
   if (why.status == 0)
@@ -214,7 +214,7 @@
   log_rejection (ex, &why);
   ex->req = NULL;
   srv_exchange_free (ex);
-  srv_refuse (s, req, why.status, why.code, why.retry_ms);
+  srv_send_error (s, req, why.status, why.code, why.retry_ms);
 }
 
 /* --- after a pause of this process -------------------------------------- */
@@ -230,7 +230,7 @@
 static bool
 awaits_store (const struct srv *s, clk_ms now)
 {
-  return srv_config_state (s, now) == FRESH_RESUMED
+  return srv_config_state (s, now) == CUR_RESUMED
          || srv_sync_is_resuming (s, now);
 }
 
@@ -286,7 +286,7 @@
   /* Without a configuration it is unknown which requests are allowed, and a
      404 or 401 would be final. */
   if (!s->table)
-    srv_refuse (s, req, 503, "starting", START_RETRY_MS);
+    srv_send_error (s, req, 503, "starting", START_RETRY_MS);
   else if (awaits_store (s, now))
     defer (s, req);
   else
--- a/serve/invalid-entries.c
+++ b/serve/invalid-entries.c
@@ -9,22 +9,22 @@
   bool seen;      /* named by the list that is being read */
 };
 
-struct unr
+struct inv
 {
   GHashTable *by_key;
 };
 
-struct unr *
-unr_new (void)
+struct inv *
+inv_new (void)
 {
-  struct unr *u = xcalloc (1, sizeof *u);
+  struct inv *u = xcalloc (1, sizeof *u);
 
   u->by_key = g_hash_table_new_full (g_str_hash, g_str_equal, free, free);
   return u;
 }
 
 void
-unr_free (struct unr *u)
+inv_free (struct inv *u)
 {
   if (!u)
     return;
@@ -33,7 +33,7 @@
 }
 
 void
-unr_begin (struct unr *u)
+inv_begin_list (struct inv *u)
 {
   GHashTableIter it;
   void *entry;
@@ -44,7 +44,7 @@
 }
 
 bool
-unr_note (struct unr *u, struct str key, struct str value)
+inv_record (struct inv *u, struct str key, struct str value)
 {
   char *name = str_dup (key);
   struct entry *e = g_hash_table_lookup (u->by_key, name);
@@ -70,13 +70,13 @@
 }
 
 void
-unr_end (struct unr *u)
+inv_end_list (struct inv *u)
 {
   g_hash_table_foreach_remove (u->by_key, not_seen, NULL);
 }
 
 size_t
-unr_count (const struct unr *u)
+inv_count (const struct inv *u)
 {
   return g_hash_table_size (u->by_key);
 }
--- a/serve/invalid-entries.h
+++ b/serve/invalid-entries.h
@@ -12,20 +12,20 @@
 
 #include "base/str.h"
 
-struct unr;
+struct inv;
 
-struct unr *unr_new (void);
-void unr_free (struct unr *u);
+struct inv *inv_new (void);
+void inv_free (struct inv *u);
 
 /** Starts a new pass over the list. */
-void unr_begin (struct unr *u);
+void inv_begin_list (struct inv *u);
 /** Records an entry that can't be parsed. @return whether it is new or has
     changed */
-bool unr_note (struct unr *u, struct str key, struct str value);
+bool inv_record (struct inv *u, struct str key, struct str value);
 /** Ends the pass and drops the entries that it didn't record. */
-void unr_end (struct unr *u);
+void inv_end_list (struct inv *u);
 
 /** Number of invalid entries in the last pass. */
-size_t unr_count (const struct unr *u);
+size_t inv_count (const struct inv *u);
 
 #endif
--- a/serve/limit-grant.c
+++ b/serve/limit-grant.c
@@ -77,8 +77,9 @@
 }
 
 void
-lim_followed (struct lim *l, clk_ms now, uint64_t node, bool periodic,
-              const struct lim_permits *wanted, size_t n)
+lim_on_follower_demand (struct lim *l, clk_ms now, uint64_t node,
+                        bool periodic, const struct lim_permits *wanted,
+                        size_t n)
 {
   struct lim_follower *f = find_follower (l, node);
   struct lim_demand demand
@@ -101,7 +102,7 @@
 }
 
 void
-lim_unfollowed (struct lim *l, uint64_t node)
+lim_remove_follower (struct lim *l, uint64_t node)
 {
   struct lim_follower *f = find_follower (l, node);
 
@@ -126,7 +127,7 @@
 }
 
 void
-lim_lead (struct lim *l, clk_ms now, bool grants, unsigned nodes)
+lim_set_role (struct lim *l, clk_ms now, bool grants, unsigned nodes)
 {
   struct lim_row *r;
   GHashTableIter at;
@@ -234,7 +235,7 @@
   l->granted += n;
   demand->n -= n;
   if (demand->node == LIM_SELF)
-    lim_granted (l, now, r->server, n);
+    lim_add_permits (l, now, r->server, n);
   else
     g_array_append_val (l->permits, p);
 }
--- a/serve/limit.c
+++ b/serve/limit.c
@@ -96,7 +96,7 @@
 double
 lim_effective_rate (const struct lim_row *r)
 {
-  return MAX (r->rate, LIM_RATE_LEAST);
+  return MAX (r->rate, LIM_MIN_RATE);
 }
 
 unsigned
@@ -135,12 +135,12 @@
 /** Find the row of the server.  Adds one only if the response has a limit,
     which may be malformed. @return  NULL if there is no row */
 static struct lim_row *
-find_or_add_row (struct lim *l, const struct lim_word *report)
+find_or_add_row (struct lim *l, const struct lim_report *report)
 {
   struct lim_row *r = lim_find (l, report->server);
 
-  return r || report->says == LIM_SAYS_NOTHING ? r
-                                               : add_row (l, report->server);
+  return r || report->kind == LIM_REPORT_NONE ? r
+                                              : add_row (l, report->server);
 }
 
 static bool
@@ -152,36 +152,36 @@
 /** Whether the response replaces the recorded limit: it is either stricter or
     known to be newer. */
 static bool
-supersedes (const struct lim_word *report, const struct lim_row *r)
+supersedes (const struct lim_report *report, const struct lim_row *r)
 {
-  bool stricter = report->says == LIM_SAYS_RATE
+  bool stricter = report->kind == LIM_REPORT_RATE
                   && (!r->limited || report->rate < r->rate);
 
   return stricter || report->sent_at >= r->reported_at;
 }
 
 enum lim_change
-lim_answered (struct lim *l, clk_ms now, const struct lim_word *report)
+lim_on_report (struct lim *l, clk_ms now, const struct lim_report *report)
 {
   struct lim_row *r = find_or_add_row (l, report);
-  bool limited = report->says == LIM_SAYS_RATE;
+  bool limited = report->kind == LIM_REPORT_RATE;
   bool reported;
 
   if (!r)
-    return LIM_SAME;
-  if (report->says == LIM_SAYS_UNREADABLE)
+    return LIM_UNCHANGED;
+  if (report->kind == LIM_REPORT_UNREADABLE)
     {
       reported = r->unreadable;
       r->unreadable = true;
-      return reported ? LIM_SAME : LIM_UNREADABLE;
+      return reported ? LIM_UNCHANGED : LIM_UNREADABLE;
     }
   if (is_same (r, limited, report->rate))
     {
       r->reported_at = now;
-      return LIM_SAME;
+      return LIM_UNCHANGED;
     }
   if (!supersedes (report, r))
-    return LIM_SAME;
+    return LIM_UNCHANGED;
   return set_limit (l, r, now, limited, report->rate);
 }
 
@@ -261,13 +261,13 @@
 }
 
 bool
-lim_any (const struct lim *l)
+lim_any_limited (const struct lim *l)
 {
   return l->limited > 0;
 }
 
 bool
-lim_rate (const struct lim *l, uint64_t server, double *rate)
+lim_get_rate (const struct lim *l, uint64_t server, double *rate)
 {
   const struct lim_row *r = lim_find (l, server);
 
@@ -301,7 +301,7 @@
 }
 
 void
-lim_want (struct lim *l, clk_ms now, uint64_t server)
+lim_request_permit (struct lim *l, clk_ms now, uint64_t server)
 {
   struct lim_row *r = lim_find (l, server);
 
@@ -317,7 +317,7 @@
 }
 
 bool
-lim_wants_more (struct lim *l)
+lim_poll_new_demand (struct lim *l)
 {
   bool more = l->has_new_demand;
 
@@ -326,7 +326,7 @@
 }
 
 bool
-lim_is_spent (const struct lim *l, clk_ms now, uint64_t server)
+lim_is_exhausted (const struct lim *l, clk_ms now, uint64_t server)
 {
   const struct lim_row *r = lim_find (l, server);
 
@@ -335,7 +335,7 @@
 }
 
 void
-lim_take (struct lim *l, clk_ms now, uint64_t server)
+lim_use_permit (struct lim *l, clk_ms now, uint64_t server)
 {
   struct lim_row *r = lim_find (l, server);
 
@@ -365,7 +365,7 @@
 }
 
 const struct lim_permits *
-lim_wanted (struct lim *l, clk_ms now, bool periodic, size_t *n)
+lim_get_demand (struct lim *l, clk_ms now, bool periodic, size_t *n)
 {
   struct lim_row *r;
   GHashTableIter at;
@@ -388,7 +388,7 @@
 /** Delayed grants can arrive at the same time.  The total is capped at one
     batch, so that they don't add up to a burst. */
 void
-lim_granted (struct lim *l, clk_ms now, uint64_t server, unsigned n)
+lim_add_permits (struct lim *l, clk_ms now, uint64_t server, unsigned n)
 {
   struct lim_row *r = lim_find (l, server);
 
@@ -400,11 +400,11 @@
   r->wanted_since = 0;
 }
 
-struct lim_figures
-lim_figures (const struct lim *l, clk_ms now)
+struct lim_stats
+lim_stats (const struct lim *l, clk_ms now)
 {
-  return (struct lim_figures){ .limited = l->limited,
-                               .followers = lim_count_followers (l, now),
-                               .sent = l->sent,
-                               .granted = l->granted };
+  return (struct lim_stats){ .limited = l->limited,
+                             .followers = lim_count_followers (l, now),
+                             .sent = l->sent,
+                             .granted = l->granted };
 }
--- a/serve/limit.h
+++ b/serve/limit.h
@@ -23,9 +23,9 @@
  * An unused permit expires after a short time, so that nodes can't accumulate
  * permits and spend them in one burst.
  *
- * A server is identified by dsp_place_hash() without a generation, because the
- * limit belongs to the process and not to the replica that it leads.  The core
- * does no I/O: its caller passes in events and the current time.
+ * A server is identified by dsp_endpoint_hash() without a generation, because
+ * the limit belongs to the process and not to the replica that it leads.  The
+ * core does no I/O: its caller passes in events and the current time.
  */
 #ifndef LAPISLINE_SERVE_LIMIT_H
 #define LAPISLINE_SERVE_LIMIT_H
@@ -41,31 +41,31 @@
 /** Minimum rate in requests per second at which permits are granted for a
     limited server.  It must not be 0, because the end of a limit is only
     reported in responses. */
-#define LIM_RATE_LEAST 0.25
+#define LIM_MIN_RATE 0.25
 
 /** Limit found in a response. */
-enum lim_says
+enum lim_report_kind
 {
-  LIM_SAYS_NOTHING, /**< none: the server accepts any rate */
-  LIM_SAYS_RATE,
-  LIM_SAYS_UNREADABLE /**< malformed: ignored, and logged once per server */
+  LIM_REPORT_NONE, /**< none: the server accepts any rate */
+  LIM_REPORT_RATE,
+  LIM_REPORT_UNREADABLE /**< malformed: ignored, and logged once per server */
 };
 
 /** Effect of a response on the limit of its server. */
 enum lim_change
 {
-  LIM_SAME,
+  LIM_UNCHANGED,
   LIM_SET, /**< the limit is new or has another rate */
   LIM_ENDED,
   LIM_UNREADABLE /**< limit unchanged; first malformed limit of this server */
 };
 
 /** Limit reported by a response. */
-struct lim_word
+struct lim_report
 {
   uint64_t server;
-  enum lim_says says;
-  double rate;    /**< requests per second, if LIM_SAYS_RATE */
+  enum lim_report_kind kind;
+  double rate;    /**< requests per second, if LIM_REPORT_RATE */
   clk_ms sent_at; /**< when the request of this response was sent */
 };
 
@@ -96,8 +96,8 @@
 /* --- limits of servers -------------------------------------------------- */
 
 /** Process the limit in a response that was received at @p now. */
-enum lim_change lim_answered (struct lim *l, clk_ms now,
-                              const struct lim_word *report);
+enum lim_change lim_on_report (struct lim *l, clk_ms now,
+                               const struct lim_report *report);
 
 /** Apply an update from another node.
     @return  whether it changed the limit recorded here */
@@ -112,10 +112,10 @@
 const struct lim_update *lim_snapshot (struct lim *l, clk_ms now, size_t *n);
 
 /** Whether any server is limited. */
-bool lim_any (const struct lim *l);
+bool lim_any_limited (const struct lim *l);
 
 /** Whether the server is limited. @param rate  receives the limit */
-bool lim_rate (const struct lim *l, uint64_t server, double *rate);
+bool lim_get_rate (const struct lim *l, uint64_t server, double *rate);
 
 /* --- requests of this node ---------------------------------------------- */
 
@@ -124,10 +124,10 @@
 
 /** Record demand: a new request would be sent to the server if this node had a
     permit. */
-void lim_want (struct lim *l, clk_ms now, uint64_t server);
+void lim_request_permit (struct lim *l, clk_ms now, uint64_t server);
 
 /** Use up one permit: a request is being sent to the server. */
-void lim_take (struct lim *l, clk_ms now, uint64_t server);
+void lim_use_permit (struct lim *l, clk_ms now, uint64_t server);
 
 /** Number of requests that this node has sent to the server since the limit
     was set. */
@@ -135,11 +135,11 @@
 
 /** Whether new demand was recorded since the last call.  If so, permits must
     be requested immediately. */
-bool lim_wants_more (struct lim *l);
+bool lim_poll_new_demand (struct lim *l);
 
 /** Whether the granting node had no permit left: this node requested one for
     the server and the response time has passed.  Requests need not wait. */
-bool lim_is_spent (const struct lim *l, clk_ms now, uint64_t server);
+bool lim_is_exhausted (const struct lim *l, clk_ms now, uint64_t server);
 
 /**
  * Permits to request from the granting node.  The list is valid until the next
@@ -147,17 +147,17 @@
  * @param periodic  only servers for which more than one request needed a
  *                  permit, for the periodic report; false: all demand
  */
-const struct lim_permits *lim_wanted (struct lim *l, clk_ms now, bool periodic,
-                                      size_t *n);
+const struct lim_permits *lim_get_demand (struct lim *l, clk_ms now,
+                                          bool periodic, size_t *n);
 
 /** Add permits that the granting node has sent to this node. */
-void lim_granted (struct lim *l, clk_ms now, uint64_t server, unsigned n);
+void lim_add_permits (struct lim *l, clk_ms now, uint64_t server, unsigned n);
 
 /* --- granting ----------------------------------------------------------- */
 
 /** Set whether this node grants permits or follows another node.
     @param nodes  number of nodes that this node has recorded */
-void lim_lead (struct lim *l, clk_ms now, bool grants, unsigned nodes);
+void lim_set_role (struct lim *l, clk_ms now, bool grants, unsigned nodes);
 
 /**
  * Process the demand of a follower, and record the node as a follower.  If the
@@ -165,11 +165,12 @@
  * @param periodic  sent every 100 ms; false: sent immediately for a request
  *                  that waits only briefly for a permit
  */
-void lim_followed (struct lim *l, clk_ms now, uint64_t node, bool periodic,
-                   const struct lim_permits *wanted, size_t n);
+void lim_on_follower_demand (struct lim *l, clk_ms now, uint64_t node,
+                             bool periodic, const struct lim_permits *wanted,
+                             size_t n);
 
 /** The node is no longer a follower of this one. */
-void lim_unfollowed (struct lim *l, uint64_t node);
+void lim_remove_follower (struct lim *l, uint64_t node);
 
 /**
  * Grant all permits that are available.
@@ -182,13 +183,13 @@
                                      size_t *n);
 
 /** Current gauges, and counters since the start of the process. */
-struct lim_figures
+struct lim_stats
 {
   size_t limited;   /**< limited servers */
   size_t followers; /**< nodes that follow this one */
   uint64_t sent;    /**< requests sent to limited servers */
   uint64_t granted; /**< permits granted by this node */
 };
-struct lim_figures lim_figures (const struct lim *l, clk_ms now);
+struct lim_stats lim_stats (const struct lim *l, clk_ms now);
 
 #endif
--- a/serve/metrics.c
+++ b/serve/metrics.c
@@ -32,7 +32,7 @@
 }
 
 void
-srv_metrics_first (struct srv *s, clk_ms ms)
+srv_metrics_first_event (struct srv *s, clk_ms ms)
 {
   met_observe (met_histogram (s->met, PREFIX "first_event_ms",
                               "Time from the whole request to the first event "
@@ -52,16 +52,16 @@
 static void
 set_dispatch (struct srv *s)
 {
-  const struct dsp_figures *f = dsp_figures (s->dispatch);
+  const struct dsp_stats *f = dsp_stats (s->dispatch);
 
   gauge (s, PREFIX "open", "Requests that have not ended.", NULL,
-         (double)dsp_open (s->dispatch));
+         (double)dsp_count_open (s->dispatch));
   gauge (s, PREFIX "attempts_sent", "Attempts whose bytes went out.", NULL,
          (double)f->sent);
   gauge (s, PREFIX "attempts_repeated", "Of these, beyond a request's first.",
-         NULL, (double)f->repeated);
+         NULL, (double)f->retried);
   gauge (s, PREFIX "repeats_denied", "Repeats that the budget did not allow.",
-         NULL, (double)f->repeat_denied);
+         NULL, (double)f->retries_denied);
   gauge (s, PREFIX "streams_resumed", "Streams that went on elsewhere.", NULL,
          (double)f->resumed);
   gauge (s, PREFIX "stalls", "Places at which nothing moved.", NULL,
@@ -80,7 +80,7 @@
 static void
 set_limits (struct srv *s)
 {
-  struct lim_figures f = lim_figures (s->limits, clk_now ());
+  struct lim_stats f = lim_stats (s->limits, clk_now ());
 
   gauge (s, PREFIX "servers_limited",
          "Backend servers that have named the request rate that they take.",
@@ -115,7 +115,7 @@
 static void
 set_state (struct srv *s)
 {
-  const struct frm_figures *f = srv_leader_figures (s);
+  const struct frm_stats *f = srv_leader_figures (s);
   size_t n;
 
   bks_list (s->backends, &n);
@@ -137,11 +137,11 @@
   gauge (s, PREFIX "servers_age_ms", "Age of that list; -1: none.", NULL,
          (double)srv_sync_list_age (s, clk_now ()));
   gauge (s, PREFIX "nodes", "Nodes that are linked, this one included.", NULL,
-         srv_peers_nodes (s));
+         srv_peers_count_sharing (s));
   gauge (s, PREFIX "ready", "Whether callers are sent here.", NULL,
          srv_is_ready (s));
   gauge (s, PREFIX "duty", "Whether this node forms replicas.", NULL,
-         srv_duty_holds (s));
+         srv_is_leader (s));
   gauge (s, PREFIX "replicas",
          "Replicas by state, where this node forms them.", "state=\"open\"",
          f->open);
@@ -181,7 +181,7 @@
              labels, list[i].requests);
       gauge (s, PREFIX "replicas_yielded",
              "Replicas that closed for one of another model.", labels,
-             (double)list[i].yielded);
+             (double)list[i].reassigned);
     }
 }
 
--- a/serve/node-int.h
+++ b/serve/node-int.h
@@ -13,7 +13,7 @@
 #include "net/link.h"
 #include "replica/owner.h"
 #include "serve/currency.h"
-#include "serve/relays.h"
+#include "serve/hubs.h"
 #include "serve/node.h"
 #include "serve/pause.h"
 
@@ -39,8 +39,8 @@
   uint64_t boot;
   struct httpc *http;
   struct store *store;
-  struct bof store_pause; /**< backoff of all store reads and of the calls for
-                               this node's entry */
+  struct pau store_backoff; /**< backoff of all store reads and of the calls
+                               for this node's entry */
   struct httpd *front, *ready, *address;
   struct met_reg *met;
   struct tbl *table; /**< routing table in force; NULL: no configuration was
@@ -62,11 +62,11 @@
   struct buf logged_endpoints;   /**< endpoints as last logged */
   uint64_t next_id;
   bool running_actions; /**< dispatch actions are being run */
-  bool traffic;         /**< at least one request was received */
+  bool had_traffic;     /**< at least one request was received */
   bool first_start; /**< first start of the system: no entry can have expired
                          before */
-  clk_ms last_tick_at;  /**< time of the last tick; 0: none */
-  clk_ms leaving_since; /**< start of the shutdown; 0: not shutting down */
+  clk_ms last_tick_at;   /**< time of the last tick; 0: none */
+  clk_ms stopping_since; /**< start of the shutdown; 0: not shutting down */
 };
 
 /* node.c */
@@ -77,7 +77,7 @@
 /** Whether callers may be sent to this node. */
 bool srv_is_ready (const struct srv *s);
 /** The routing table or the list of backend servers has changed. */
-void srv_places_changed (struct srv *s);
+void srv_endpoints_changed (struct srv *s);
 
 /* config.c: the configuration in force */
 void srv_config_start (struct srv *s);
@@ -86,18 +86,18 @@
 int64_t srv_config_version (const struct srv *s);
 /** Last point in time at which the version in force was the newest; 0: never
     confirmed. */
-clk_ms srv_config_known_at (const struct srv *s);
-/** Time since srv_config_known_at(); -1: never confirmed. */
+clk_ms srv_config_confirmed_at (const struct srv *s);
+/** Time since srv_config_confirmed_at(); -1: never confirmed. */
 clk_ms srv_config_age (const struct srv *s, clk_ms now);
 /** Whether the version in force is confirmed to be the newest. */
-enum fresh_state srv_config_state (const struct srv *s, clk_ms now);
+enum cur_state srv_config_state (const struct srv *s, clk_ms now);
 /**
  * Document of the version in force, to be pushed to other nodes.
  * @param nodes  number of nodes that it would be sent to
  * @retval false  it does not fit into a frame, or sending it to that many
  *                nodes would take too long
  */
-bool srv_config_text (const struct srv *s, size_t nodes, struct str *text);
+bool srv_config_document (const struct srv *s, size_t nodes, struct str *text);
 /** A document was pushed by another node. */
 void srv_config_pushed (struct srv *s, int64_t version, struct str text);
 /** Another node has announced its version and when that was confirmed. */
@@ -111,7 +111,7 @@
 void srv_sync_tick (struct srv *s, clk_ms now);
 /** Another node has reported that it read the list that this node has; the
     list was current at @p current_at. */
-void srv_sync_heard (struct srv *s, clk_ms current_at);
+void srv_sync_list_reported (struct srv *s, clk_ms current_at);
 /** Age of the list of backend servers, whether this or another node read it;
     -1: there is no list. */
 clk_ms srv_sync_list_age (const struct srv *s, clk_ms now);
@@ -123,7 +123,7 @@
 /** Restore counter of the store at the last read; see struct store_result. */
 int64_t srv_sync_era (const struct srv *s);
 /** Time since this node's last successful read. */
-clk_ms srv_sync_age (const struct srv *s, clk_ms now);
+clk_ms srv_sync_read_age (const struct srv *s, clk_ms now);
 /** Number of entries that could not be parsed in the last read. */
 size_t srv_sync_unparsed (const struct srv *s);
 /** Read the list of backend servers soon, as it has probably changed. */
@@ -137,14 +137,14 @@
 /** Whether this node is a leaf: there are more nodes than a full mesh allows,
     and it is not one of the relays.  A leaf receives from its relays what
     other nodes read from the store. */
-bool srv_register_follows (const struct srv *s);
+bool srv_is_leaf (const struct srv *s);
 /** This node as described by its entry. */
-struct hub_node srv_spec (const struct srv *s);
+struct rly_node srv_self_spec (const struct srv *s);
 /** Whether the store is known to have no leader key. */
 bool srv_register_leader_vacant (const struct srv *s);
 /** Rank of this node: how many of the known nodes precede it in the order
-    of hub_cmp(), which is the same at all nodes. */
-unsigned srv_register_rank (const struct srv *s);
+    of rly_cmp(), which is the same at all nodes. */
+unsigned srv_node_rank (const struct srv *s);
 
 /* duty-plan.c: log of the replica plan */
 void srv_plan_start (struct srv *s);
@@ -159,45 +159,46 @@
 void srv_leader_key_changed (struct srv *s, bool held, struct str holder);
 void srv_leader_servers_changed (struct srv *s);
 /** A node observes no progress at the endpoint with this hash. */
-void srv_duty_stalled (struct srv *s, uint64_t endpoint);
-bool srv_duty_holds (const struct srv *s);
-const struct frm_figures *srv_leader_figures (const struct srv *s);
+void srv_leader_endpoint_stalled (struct srv *s, uint64_t endpoint);
+bool srv_is_leader (const struct srv *s);
+const struct frm_stats *srv_leader_figures (const struct srv *s);
 /** As frm_models(); returns 0 unless this node is leader. */
 size_t srv_leader_models (const struct srv *s, struct frm_model *out);
 /** Whether this node is leader and is forming a replica. */
 bool srv_leader_is_forming (const struct srv *s);
 
 /* peers.c: links to the other nodes */
-struct srv_entry
+struct srv_node_entry
 {
   struct str node;
   struct net_addr front;
   struct net_addr peer;
-  struct hub_node spec;
+  struct rly_node spec;
 };
 
 bool srv_peers_start (struct srv *s, const struct link_secret *secret,
                       struct buf *err);
 /** Use this secret to authenticate the links opened from now on. */
-void srv_peers_secret (struct srv *s, const struct link_secret *secret);
+void srv_peers_set_secret (struct srv *s, const struct link_secret *secret);
 /** Set the entries of all nodes as read from the store. */
-void srv_peers_entries (struct srv *s, const struct srv_entry *list, size_t n);
+void srv_peers_set_entries (struct srv *s, const struct srv_node_entry *list,
+                            size_t n);
 /** If this node is leader, send the changes of the list of backend servers to
     the other nodes. */
-void srv_peers_servers (struct srv *s);
+void srv_peers_send_servers (struct srv *s);
 void srv_peers_tick (struct srv *s, clk_ms now);
 /** Send the other nodes a notice of each long prompt that was just sent to a
     backend server. */
-void srv_peers_notices (struct srv *s);
+void srv_peers_send_prompts (struct srv *s);
 /** Whether this node is leader, or is linked to the leader and receives its
     messages. */
-bool srv_peers_led (const struct srv *s, clk_ms now);
+bool srv_peers_has_leader (const struct srv *s, clk_ms now);
 /** Number of nodes that share the load, including this one: the linked ones,
     or the number that a relay reports. */
-unsigned srv_peers_nodes (const struct srv *s);
+unsigned srv_peers_count_sharing (const struct srv *s);
 /** List the front addresses of the nodes to which callers may be sent.
     @return how many */
-size_t srv_peers_ready (struct srv *s, struct net_addr *out, size_t most);
+size_t srv_peers_list_ready (struct srv *s, struct net_addr *out, size_t most);
 
 /* ingress.c */
 bool srv_ingress_start (struct srv *s, struct buf *err);
@@ -205,30 +206,31 @@
     it has timed out. */
 void srv_ingress_tick (struct srv *s, clk_ms now);
 /** Run the pending actions of the dispatch core. */
-void srv_act (struct srv *s);
+void srv_run_actions (struct srv *s);
 struct srv_exchange *srv_find_exchange (const struct srv *s, uint64_t id);
 
 /** Whether other nodes rely on this node's announcements of the
     configuration. */
-bool srv_peers_announces (const struct srv *s);
+bool srv_peers_is_announcer (const struct srv *s);
 /** This process has resumed after a pause of @p ms. */
 void srv_peers_resumed (struct srv *s, clk_ms now, clk_ms ms);
 /** Whether any other node is linked. */
-bool srv_peers_linked (const struct srv *s);
+bool srv_peers_any_linked (const struct srv *s);
 /** Send the other nodes updates of poison requests, which crash backend
     servers. */
-void srv_peers_poison (struct srv *s, const struct psn_update *list, size_t n);
+void srv_peers_send_poison (struct srv *s, const struct psn_update *list,
+                            size_t n);
 
 /** Send the other nodes changes of the request rates that backend servers
     allow. */
-void srv_peers_limits (struct srv *s);
+void srv_peers_send_limits (struct srv *s);
 /** Request the permits that are needed now, without waiting for the next
     tick. */
-void srv_peers_wants (struct srv *s);
+void srv_peers_request_permits (struct srv *s);
 
 /* poison-node.c: poison requests, which crash backend servers */
 /** Process new updates of poison requests. */
-void srv_poison_act (struct srv *s);
+void srv_poison_process (struct srv *s);
 void srv_poison_tick (struct srv *s, clk_ms now);
 
 /* poison-store.c: blocked poison requests in the store */
@@ -239,14 +241,14 @@
                          bool blocked);
 /** An item below the prefix of blocked requests was read from the store, or
     was deleted there. @param name  rest of the key after that prefix */
-void srv_poison_item (struct srv *s, bool deleted, struct str name,
-                      struct str value);
+void srv_poison_store_item (struct srv *s, bool deleted, struct str name,
+                            struct str value);
 /** All items are about to be read again; those that are not read again are
     deleted. */
-void srv_poison_reread (struct srv *s);
+void srv_poison_store_reread (struct srv *s);
 
 /* check.c */
-/** Probe the backend server of a DSP_ACT_CHECK to find out whether its
+/** Probe the backend server of a DSP_ACT_CHECK_PROCESS to find out whether its
     process is alive. */
 void srv_check_server (struct srv *s, const struct dsp_action *a);
 
@@ -261,7 +263,7 @@
 void srv_metrics_request (struct srv *s, const char *kind, int status,
                           const char *code, clk_ms ms);
 /** Record the time to the first event of a stream. */
-void srv_metrics_first (struct srv *s, clk_ms ms);
+void srv_metrics_first_event (struct srv *s, clk_ms ms);
 
 /* address.c */
 bool srv_address_start (struct srv *s, struct buf *err);
--- a/serve/node.c
+++ b/serve/node.c
@@ -27,13 +27,13 @@
 bool
 srv_is_ready (const struct srv *s)
 {
-  return s->table && bks_known (s->backends) && !s->leaving_since;
+  return s->table && bks_has_list (s->backends) && !s->stopping_since;
 }
 
 /** Log the number of accepting endpoints of each model or service if it has
     changed. */
 static void
-log_endpoints (struct srv *s, const struct dsp_place *list, size_t n)
+log_endpoints (struct srv *s, const struct dsp_endpoint *list, size_t n)
 {
   struct buf text = BUF_INIT;
 
@@ -64,16 +64,16 @@
 }
 
 void
-srv_places_changed (struct srv *s)
+srv_endpoints_changed (struct srv *s)
 {
   size_t n;
 
-  if (!s->table || !bks_known (s->backends))
+  if (!s->table || !bks_has_list (s->backends))
     return;
-  const struct dsp_place *list = bks_places (s->backends, s->table, &n);
+  const struct dsp_endpoint *list = bks_endpoints (s->backends, s->table, &n);
   log_endpoints (s, list, n);
-  dsp_places (s->dispatch, clk_now (), list, n);
-  srv_act (s);
+  dsp_set_endpoints (s->dispatch, clk_now (), list, n);
+  srv_run_actions (s);
 }
 
 /* --- shutdown ----------------------------------------------------------- */
@@ -81,10 +81,10 @@
 static void
 begin_shutdown (struct srv *s)
 {
-  if (s->leaving_since)
+  if (s->stopping_since)
     return;
-  s->leaving_since = clk_now ();
-  LOG (serve_leaving, LOG_I ("open", dsp_open (s->dispatch)));
+  s->stopping_since = clk_now ();
+  LOG (serve_leaving, LOG_I ("open", dsp_count_open (s->dispatch)));
   srv_register_revoke (s);
 }
 
@@ -93,11 +93,11 @@
 static void
 tick_shutdown (struct srv *s, clk_ms now)
 {
-  clk_ms elapsed = now - s->leaving_since;
+  clk_ms elapsed = now - s->stopping_since;
 
   if (elapsed < SHUTDOWN_ACCEPT_MS)
     return;
-  dsp_leave (s->dispatch);
+  dsp_stop_accepting (s->dispatch);
   if (elapsed > s->set.grace_ms - SHUTDOWN_MARGIN_MS)
     uv_stop (&s->loop);
 }
@@ -118,7 +118,7 @@
   struct buf text = BUF_INIT;
 
   (void)signum;
-  if (s->ad->settings (s->settings_path, &settings_read, &findings))
+  if (s->ad->read_settings (s->settings_path, &settings_read, &findings))
     LOG (serve_reloaded, LOG_S ("settings", str_from (s->settings_path)));
   else
     {
@@ -165,7 +165,7 @@
   if (now >= dsp_wake (s->dispatch))
     {
       dsp_tick (s->dispatch, now);
-      srv_act (s);
+      srv_run_actions (s);
     }
   srv_config_tick (s, now);
   srv_ingress_tick (s, now);
@@ -174,7 +174,7 @@
   srv_leader_tick (s, now);
   srv_peers_tick (s, now);
   srv_poison_tick (s, now);
-  if (s->leaving_since)
+  if (s->stopping_since)
     tick_shutdown (s, now);
 }
 
@@ -214,7 +214,7 @@
   if (!srv_ingress_start (s, err) || !srv_address_start (s, err))
     return false;
   s->http = httpc_new (&s->loop);
-  s->store = s->ad->store (&s->loop, s->http, &s->set);
+  s->store = s->ad->open_store (&s->loop, s->http, &s->set);
   srv_leader_start (s);
   srv_config_start (s);
   srv_sync_start (s);
@@ -231,7 +231,7 @@
 {
   struct fnd_list findings = { 0 };
   struct buf text = BUF_INIT;
-  bool ok = s->ad->settings (s->settings_path, &s->set, &findings);
+  bool ok = s->ad->read_settings (s->settings_path, &s->set, &findings);
 
   fnd_print (&findings, &text);
   fputs (buf_c (&text), stderr);
@@ -266,7 +266,7 @@
     }
   LOG (serve_started, LOG_S ("zone", s->set.zone), LOG_I ("boot", s->boot));
   uv_run (&s->loop, UV_RUN_DEFAULT);
-  LOG (serve_stopped, LOG_I ("open", dsp_open (s->dispatch)));
+  LOG (serve_stopped, LOG_I ("open", dsp_count_open (s->dispatch)));
   code = EXIT_DONE;
 done:
   /* After the start, sockets and timers are left to the kernel to release. */
--- a/serve/pause.c
+++ b/serve/pause.c
@@ -36,13 +36,13 @@
 #define BACKOFF_JITTER 0.25
 
 bool
-pau_may_call (const struct bof *b, clk_ms now)
+pau_may_call (const struct pau *b, clk_ms now)
 {
   return b->failures == 0 || (!b->probing && now >= b->next_call);
 }
 
 void
-pau_called (struct bof *b)
+pau_call_started (struct pau *b)
 {
   b->probing = true;
 }
@@ -60,7 +60,7 @@
 }
 
 void
-bof_set_pushed (struct bof *b, clk_ms now, bool pushed, struct rng *r)
+pau_set_pushed (struct pau *b, clk_ms now, bool pushed, struct rng *r)
 {
   clk_ms soon = now + backoff_ms (1, BACKOFF_MAX_MS, r);
 
@@ -70,7 +70,8 @@
 }
 
 void
-pau_ended (struct bof *b, clk_ms now, enum store_status status, struct rng *r)
+pau_call_ended (struct pau *b, clk_ms now, enum store_status status,
+                struct rng *r)
 {
   b->probing = false;
   if (status == STORE_OK || status == STORE_CONFLICT || status == STORE_GONE)
@@ -90,7 +91,7 @@
 }
 
 clk_ms
-bof_watch_delay_ms (size_t nodes, unsigned rank, bool urgent)
+pau_watch_delay_ms (size_t nodes, unsigned rank, bool urgent)
 {
   clk_ms delay = (clk_ms)nodes * WATCH_DELAY_PER_NODE_MS;
 
--- a/serve/pause.h
+++ b/serve/pause.h
@@ -17,7 +17,7 @@
 #include "base/rng.h"
 #include "store/store.h"
 
-struct bof
+struct pau
 {
   unsigned failures; /**< consecutive failures; 0: the store is available */
   clk_ms next_call;  /**< earliest time of the next probe after a failure */
@@ -30,15 +30,15 @@
 /** Set whether other nodes push what this node would read from the store.
     When they stop, the next probe is due no later than after a first
     failure. */
-void bof_set_pushed (struct bof *b, clk_ms now, bool pushed, struct rng *r);
+void pau_set_pushed (struct pau *b, clk_ms now, bool pushed, struct rng *r);
 /** Whether a call may be made. */
-bool pau_may_call (const struct bof *b, clk_ms now);
+bool pau_may_call (const struct pau *b, clk_ms now);
 /** A call is made. */
-void pau_called (struct bof *b);
+void pau_call_started (struct pau *b);
 /** A call has ended. @param r  jitter, so that the nodes' probes are
     spread */
-void pau_ended (struct bof *b, clk_ms now, enum store_status status,
-                struct rng *r);
+void pau_call_ended (struct pau *b, clk_ms now, enum store_status status,
+                     struct rng *r);
 
 /**
  * Delay between an event of the watch of node entries and the next watch.
@@ -47,6 +47,6 @@
  * @param urgent  changes must be seen without delay: this node is leader or
  *                has no link
  */
-clk_ms bof_watch_delay_ms (size_t nodes, unsigned rank, bool urgent);
+clk_ms pau_watch_delay_ms (size_t nodes, unsigned rank, bool urgent);
 
 #endif
--- a/serve/peers-config.c
+++ b/serve/peers-config.c
@@ -33,8 +33,8 @@
   if (c->stamped)
     x->load_sent_earliest = c->stamp + c->held_ms;
   a = (struct cur_announcement){ .version = c->version,
-                                 .stamped = c->stamped && c->known,
-                                 .stamp = c->stamp,
+                                 .has_echo = c->stamped && c->known,
+                                 .echoed_at = c->stamp,
                                  .age_ms = c->age_ms };
   srv_config_announced (x->p->s, now, &a);
 }
@@ -51,7 +51,7 @@
 prs_fill_config_state (const struct peer *x, clk_ms now, Lapis__ConfigState *c)
 {
   const struct srv *s = x->p->s;
-  clk_ms confirmed_at = srv_config_known_at (s);
+  clk_ms confirmed_at = srv_config_confirmed_at (s);
 
   lapis__config_state__init (c);
   c->version = srv_config_version (s);
@@ -108,8 +108,8 @@
      behind.  If a document is too long to be sent to all of them, each
      reads it from the store; otherwise peers that read it slowly would be
      sent it as well. */
-  if (!any_due || !srv_peers_announces (p->s)
-      || !srv_config_text (p->s, prs_count_up (p), &text))
+  if (!any_due || !srv_peers_is_announcer (p->s)
+      || !srv_config_document (p->s, prs_count_up (p), &text))
     return;
   config.version = version;
   config.text.data = (uint8_t *)text.ptr;
--- a/serve/peers-int.h
+++ b/serve/peers-int.h
@@ -12,7 +12,7 @@
 #ifndef LAPISLINE_SERVE_PEERS_INT_H
 #define LAPISLINE_SERVE_PEERS_INT_H
 
-#include "serve/relays.h"
+#include "serve/hubs.h"
 #include "serve/node-int.h"
 #include "serve/server-list.h"
 
@@ -35,13 +35,13 @@
   char *node;
   uint64_t hash;
   struct net_addr front, addr;
-  struct hub_node spec;
+  struct rly_node spec;
   bool listed; /* in the last entries or a NodeList; kept while the link is
                   up */
   bool in_entries;
   bool ready;
-  bool leads;               /* it is the leader node, which forms replicas */
-  struct dsp_count *counts; /* its load as last received */
+  bool leads; /* it is the leader node, which forms replicas */
+  struct dsp_endpoint_load *counts; /* its load as last received */
   size_t ncounts;
   clk_ms load_sent_at; /* when this node last sent its load to it */
   struct link *link;   /* NULL: no link */
@@ -78,7 +78,7 @@
 struct srv_peers
 {
   struct srv *s;
-  struct hub_node spec;    /* link and processor limits of this node */
+  struct rly_node spec;    /* link and processor limits of this node */
   size_t nlisted;          /* listed peers */
   struct peer *aggregator; /* node that adds up the loads of all nodes;
                               NULL: this node */
@@ -86,7 +86,7 @@
   struct link_server *server;
   struct peer *list;
   clk_ms next_send;
-  struct dsp_count *own_load; /* this node's load as last sent */
+  struct dsp_endpoint_load *own_load; /* this node's load as last sent */
   size_t nown_load;
   clk_ms sum_received_at;        /* when the last sum of all loads arrived */
   struct svl_budget list_budget; /* limits the rate at which the server list
@@ -116,7 +116,7 @@
 /** The listed peer that follows @p after in relay order; the first one if
     @p after is NULL. */
 struct peer *prs_next_relay (const struct srv_peers *p,
-                             const struct hub_node *after);
+                             const struct rly_node *after);
 
 /* peers-config.c */
 /** Record the send time of a load that has just arrived from the peer. */
--- a/serve/peers-limit.c
+++ b/serve/peers-limit.c
@@ -58,7 +58,7 @@
 }
 
 void
-srv_peers_limits (struct srv *s)
+srv_peers_send_limits (struct srv *s)
 {
   size_t n;
   const struct lim_update *list = lim_updates (s->limits, clk_now (), &n);
@@ -88,10 +88,10 @@
   if (changed == 0)
     return;
   LOG (limits_heard, LOG_C ("peer", x->node), LOG_I ("servers", changed),
-       LOG_I ("limited", lim_figures (s->limits, now).limited));
-  srv_peers_limits (s);
-  dsp_permitted (s->dispatch, now);
-  srv_act (s);
+       LOG_I ("limited", lim_stats (s->limits, now).limited));
+  srv_peers_send_limits (s);
+  dsp_permits_granted (s->dispatch, now);
+  srv_run_actions (s);
 }
 
 /* --- permits ----------------------------------------------------------- */
@@ -110,7 +110,7 @@
                   struct prs_permit_rows *w)
 {
   size_t n;
-  const struct lim_permits *list = lim_wanted (s->limits, now, repeat, &n);
+  const struct lim_permits *list = lim_get_demand (s->limits, now, repeat, &n);
 
   w->rows = xrealloc (w->rows, (n + 1) * sizeof *w->rows);
   w->list = xrealloc (w->list, (n + 1) * sizeof (*w->list));
@@ -130,7 +130,7 @@
 prs_fill_permits_wanted (const struct peer *x, clk_ms now,
                          struct prs_permit_rows *w, Lapis__NodeLoad *load)
 {
-  load->follows = lim_any (x->p->s->limits) && is_grantor (x, now);
+  load->follows = lim_any_limited (x->p->s->limits) && is_grantor (x, now);
   load->n_wanted = 0;
   if (!load->follows)
     return;
@@ -158,9 +158,10 @@
       list[i].rate = rows[i]->per_s;
       list[i].age_ms = rows[i]->age_ms;
     }
-  lim_followed (x->p->s->limits, clk_now (), x->hash, repeat, list, n);
+  lim_on_follower_demand (x->p->s->limits, clk_now (), x->hash, repeat, list,
+                          n);
   free (list);
-  srv_peers_limits (x->p->s);
+  srv_peers_send_limits (x->p->s);
   prs_grant_permits (x->p, clk_now (), false);
 }
 
@@ -170,7 +171,7 @@
   if (load->follows)
     apply_permits_wanted (x, true, load->wanted, load->n_wanted);
   else
-    lim_unfollowed (x->p->s->limits, x->hash);
+    lim_remove_follower (x->p->s->limits, x->hash);
 }
 
 void
@@ -180,7 +181,7 @@
 }
 
 void
-srv_peers_wants (struct srv *s)
+srv_peers_request_permits (struct srv *s)
 {
   struct srv_peers *p = s->peers;
   clk_ms now = clk_now ();
@@ -188,7 +189,7 @@
   Lapis__Frame f = LAPIS__FRAME__INIT;
   struct prs_permit_rows w = { 0 };
 
-  if (!p || !lim_wants_more (s->limits))
+  if (!p || !lim_poll_new_demand (s->limits))
     return;
   if (!p->aggregator || !is_grantor (p->aggregator, now))
     {
@@ -212,10 +213,10 @@
   if (!is_grantor (x, now))
     return;
   for (size_t i = 0; i < grants->n_permits; i++)
-    lim_granted (s->limits, now, grants->permits[i]->server,
-                 grants->permits[i]->n);
-  dsp_permitted (s->dispatch, now);
-  srv_act (s);
+    lim_add_permits (s->limits, now, grants->permits[i]->server,
+                     grants->permits[i]->n);
+  dsp_permits_granted (s->dispatch, now);
+  srv_run_actions (s);
 }
 
 static struct peer *
@@ -255,16 +256,18 @@
 prs_grant_permits (struct srv_peers *p, clk_ms now, bool all)
 {
   struct srv *s = p->s;
-  unsigned listed = (unsigned)p->nlisted + 1, announced = srv_peers_nodes (s);
+  unsigned listed = (unsigned)p->nlisted + 1,
+           announced = srv_peers_count_sharing (s);
   const struct lim_permits *list;
   size_t n;
 
-  if (!lim_any (s->limits))
+  if (!lim_any_limited (s->limits))
     return;
-  lim_lead (s->limits, now, !p->aggregator || !is_grantor (p->aggregator, now),
-            listed > announced ? listed : announced);
+  lim_set_role (s->limits, now,
+                !p->aggregator || !is_grantor (p->aggregator, now),
+                listed > announced ? listed : announced);
   list = lim_grant (s->limits, now, all, &n);
   send_permits (p, list, n);
-  dsp_permitted (s->dispatch, now);
-  srv_act (s);
+  dsp_permits_granted (s->dispatch, now);
+  srv_run_actions (s);
 }
--- a/serve/peers-load.c
+++ b/serve/peers-load.c
@@ -34,8 +34,8 @@
 {
   bool direct = x->up && !prs_is_sum_fresh (x->p, now);
 
-  dsp_peer_load (x->p->s->dispatch, now, x->hash, x->counts,
-                 direct ? x->ncounts : 0);
+  dsp_set_peer_load (x->p->s->dispatch, now, x->hash, x->counts,
+                     direct ? x->ncounts : 0);
 }
 
 static void
@@ -52,13 +52,13 @@
   if (p->sum_received_at == 0 || prs_is_sum_fresh (p, now))
     return;
   p->sum_received_at = 0;
-  dsp_peer_load (p->s->dispatch, now, SUM_OF_OTHERS, NULL, 0);
+  dsp_set_peer_load (p->s->dispatch, now, SUM_OF_OTHERS, NULL, 0);
   update_dispatch_all (p, now);
 }
 
 static size_t
 read_loads (struct srv *s, Lapis__PlaceLoad *const *rows, size_t n,
-            struct dsp_count **out)
+            struct dsp_endpoint_load **out)
 {
   clk_ms now = clk_now ();
 
@@ -66,15 +66,17 @@
   for (size_t i = 0; i < n; i++)
     {
       const Lapis__PlaceLoad *pl = rows[i];
-      (*out)[i] = (struct dsp_count){ .place = pl->place,
-                                      .in_flight = pl->in_flight,
-                                      .begun = pl->begun,
-                                      .unread = pl->unread_tokens,
-                                      .heard = now - pl->heard_age_ms,
-                                      .stalled = pl->stalled,
-                                      .ended = pl->ended };
+      (*out)[i]
+          = (struct dsp_endpoint_load){ .endpoint = pl->place,
+                                        .in_flight = pl->in_flight,
+                                        .streaming = pl->begun,
+                                        .pending_prefill = pl->unread_tokens,
+                                        .last_event_at
+                                        = now - pl->heard_age_ms,
+                                        .stalled = pl->stalled,
+                                        .process_ended = pl->ended };
       if (pl->stalled || pl->ended)
-        srv_duty_stalled (s, pl->place);
+        srv_leader_endpoint_stalled (s, pl->place);
     }
   return n;
 }
@@ -91,29 +93,34 @@
   x->ready = load->ready;
   x->leads = load->leads;
   if (load->leads && x->list_received)
-    srv_sync_heard (s, prs_sent_at (x, x->received_at) - load->list_age_ms);
-  s->traffic = s->traffic || load->traffic;
+    srv_sync_list_reported (s, prs_sent_at (x, x->received_at)
+                                   - load->list_age_ms);
+  s->had_traffic = s->had_traffic || load->traffic;
   prs_on_permits_wanted (x, load);
   prs_update_dispatch (x, x->received_at);
-  srv_act (s);
+  srv_run_actions (s);
 }
 
 /** Subtract this node's load, as last sent, from the sum; the remainder is
     the load of the other nodes. */
 static void
-subtract_own_load (const struct srv_peers *p, struct dsp_count *sum, size_t n)
+subtract_own_load (const struct srv_peers *p, struct dsp_endpoint_load *sum,
+                   size_t n)
 {
   for (size_t i = 0; i < n; i++)
     for (size_t k = 0; k < p->nown_load; k++)
       {
-        const struct dsp_count *own = &p->own_load[k];
-        struct dsp_count *c = &sum[i];
-        if (own->place != c->place)
+        const struct dsp_endpoint_load *own = &p->own_load[k];
+        struct dsp_endpoint_load *c = &sum[i];
+        if (own->endpoint != c->endpoint)
           continue;
         c->in_flight
             -= own->in_flight < c->in_flight ? own->in_flight : c->in_flight;
-        c->begun -= own->begun < c->begun ? own->begun : c->begun;
-        c->unread -= own->unread < c->unread ? own->unread : c->unread;
+        c->streaming
+            -= own->streaming < c->streaming ? own->streaming : c->streaming;
+        c->pending_prefill -= own->pending_prefill < c->pending_prefill
+                                  ? own->pending_prefill
+                                  : c->pending_prefill;
       }
 }
 
@@ -121,7 +128,7 @@
 prs_on_sum (struct peer *x, const Lapis__FleetLoad *load)
 {
   struct srv_peers *p = x->p;
-  struct dsp_count *sum = NULL;
+  struct dsp_endpoint_load *sum = NULL;
   clk_ms now = clk_now ();
   bool first = !prs_is_sum_fresh (p, now);
   size_t n = read_loads (p->s, load->places, load->n_places, &sum);
@@ -130,25 +137,26 @@
   prs_on_config_state (x, now, load->config);
   x->leads = load->leads;
   if (load->leads && x->list_received)
-    srv_sync_heard (p->s, prs_sent_at (x, now) - load->list_age_ms);
+    srv_sync_list_reported (p->s, prs_sent_at (x, now) - load->list_age_ms);
   p->sum_received_at = now;
   if (first)
     update_dispatch_all (p, now);
   subtract_own_load (p, sum, n);
-  dsp_peer_load (p->s->dispatch, now, SUM_OF_OTHERS, sum, n);
+  dsp_set_peer_load (p->s->dispatch, now, SUM_OF_OTHERS, sum, n);
   free (sum);
-  srv_act (p->s);
+  srv_run_actions (p->s);
 }
 
 void
 prs_on_prompt_notice (struct peer *x, const Lapis__PromptNotice *notice)
 {
-  struct dsp_notice *list = xcalloc (notice->n_prompts + 1, sizeof *list);
+  struct dsp_prompt_notice *list
+      = xcalloc (notice->n_prompts + 1, sizeof *list);
 
   for (size_t i = 0; i < notice->n_prompts; i++)
-    list[i] = (struct dsp_notice){ notice->prompts[i]->place,
-                                   notice->prompts[i]->tokens };
-  dsp_noticed (x->p->s->dispatch, clk_now (), list, notice->n_prompts);
+    list[i] = (struct dsp_prompt_notice){ notice->prompts[i]->place,
+                                          notice->prompts[i]->tokens };
+  dsp_receive_notices (x->p->s->dispatch, clk_now (), list, notice->n_prompts);
   free (list);
 }
 
@@ -162,7 +170,7 @@
 };
 
 static void
-make_rows (struct rows *r, const struct dsp_count *counts, size_t n,
+make_rows (struct rows *r, const struct dsp_endpoint_load *counts, size_t n,
            clk_ms now)
 {
   r->loads = xcalloc (n + 1, sizeof *r->loads);
@@ -171,14 +179,15 @@
     {
       Lapis__PlaceLoad *pl = &r->loads[i];
       lapis__place_load__init (pl);
-      pl->place = counts[i].place;
+      pl->place = counts[i].endpoint;
       pl->in_flight = counts[i].in_flight;
-      pl->begun = counts[i].begun;
-      pl->unread_tokens = counts[i].unread;
-      pl->heard_age_ms
-          = (uint32_t)(now > counts[i].heard ? now - counts[i].heard : 0);
+      pl->begun = counts[i].streaming;
+      pl->unread_tokens = counts[i].pending_prefill;
+      pl->heard_age_ms = (uint32_t)(now > counts[i].last_event_at
+                                        ? now - counts[i].last_event_at
+                                        : 0);
       pl->stalled = counts[i].stalled;
-      pl->ended = counts[i].ended;
+      pl->ended = counts[i].process_ended;
       r->list[i] = pl;
     }
 }
@@ -195,7 +204,7 @@
 {
   size_t up = prs_count_up (p);
 
-  return (p->nlisted > up ? p->nlisted : up) + 1 > HUB_MESH_MOST;
+  return (p->nlisted > up ? p->nlisted : up) + 1 > RLY_MESH_MAX;
 }
 
 /** Whether this node's load is due to be sent to the peer. */
@@ -214,11 +223,11 @@
 {
   struct srv *s = x->p->s;
 
-  if (!srv_duty_holds (s))
+  if (!srv_is_leader (s))
     return 0;
   return svl_list_age (&x->list_current_at, x->list_version,
-                       bks_version (s->backends), now - srv_sync_age (s, now),
-                       now);
+                       bks_version (s->backends),
+                       now - srv_sync_read_age (s, now), now);
 }
 
 static void
@@ -226,7 +235,8 @@
 {
   struct srv *s = p->s;
   bool full_mesh = !prs_exceeds_mesh (p);
-  const struct dsp_count *own = dsp_own_load (s->dispatch, &p->nown_load);
+  const struct dsp_endpoint_load *own
+      = dsp_own_load (s->dispatch, &p->nown_load);
   Lapis__NodeLoad load = LAPIS__NODE_LOAD__INIT;
   Lapis__ConfigState config = LAPIS__CONFIG_STATE__INIT;
   Lapis__Frame f = LAPIS__FRAME__INIT;
@@ -238,8 +248,8 @@
   memcpy (p->own_load, own, p->nown_load * sizeof *own);
   make_rows (&rows, own, p->nown_load, now);
   load.ready = srv_is_ready (s);
-  load.traffic = s->traffic;
-  load.leads = srv_duty_holds (s);
+  load.traffic = s->had_traffic;
+  load.leads = srv_is_leader (s);
   load.n_places = p->nown_load;
   load.places = rows.list;
   load.sent_ms = now;
@@ -257,17 +267,17 @@
         x->load_sent_at = now;
     }
   for (size_t i = 0; i < p->nown_load; i++)
-    if (own[i].stalled || own[i].ended)
-      srv_duty_stalled (s, own[i].place);
+    if (own[i].stalled || own[i].process_ended)
+      srv_leader_endpoint_stalled (s, own[i].endpoint);
   free_rows (&rows);
   prs_permit_rows_free (&wanted);
 }
 
 void
-srv_peers_notices (struct srv *s)
+srv_peers_send_prompts (struct srv *s)
 {
   size_t n;
-  const struct dsp_notice *list = dsp_notices (s->dispatch, &n);
+  const struct dsp_prompt_notice *list = dsp_take_notices (s->dispatch, &n);
   Lapis__PromptNotice notice = LAPIS__PROMPT_NOTICE__INIT;
   Lapis__Frame f = LAPIS__FRAME__INIT;
   Lapis__PlacePrompt *rows;
@@ -280,7 +290,7 @@
   for (size_t i = 0; i < n; i++)
     {
       lapis__place_prompt__init (&rows[i]);
-      rows[i].place = list[i].place;
+      rows[i].place = list[i].endpoint;
       rows[i].tokens = list[i].tokens;
       notice.prompts[i] = &rows[i];
     }
@@ -297,18 +307,18 @@
 
 struct sum
 {
-  struct dsp_count *list;
+  struct dsp_endpoint_load *list;
   size_t n;
 };
 
 static void
-add_counts (struct sum *sum, const struct dsp_count *counts, size_t n)
+add_counts (struct sum *sum, const struct dsp_endpoint_load *counts, size_t n)
 {
   sum->list = xrealloc (sum->list, (sum->n + n + 1) * sizeof *sum->list);
   for (size_t i = 0; i < n; i++)
     {
       size_t k = 0;
-      while (k < sum->n && sum->list[k].place != counts[i].place)
+      while (k < sum->n && sum->list[k].endpoint != counts[i].endpoint)
         k++;
       if (k == sum->n)
         {
@@ -316,12 +326,13 @@
           continue;
         }
       sum->list[k].in_flight += counts[i].in_flight;
-      sum->list[k].begun += counts[i].begun;
-      sum->list[k].unread += counts[i].unread;
+      sum->list[k].streaming += counts[i].streaming;
+      sum->list[k].pending_prefill += counts[i].pending_prefill;
       sum->list[k].stalled |= counts[i].stalled;
-      sum->list[k].ended |= counts[i].ended;
-      if (counts[i].begun && counts[i].heard > sum->list[k].heard)
-        sum->list[k].heard = counts[i].heard;
+      sum->list[k].process_ended |= counts[i].process_ended;
+      if (counts[i].streaming
+          && counts[i].last_event_at > sum->list[k].last_event_at)
+        sum->list[k].last_event_at = counts[i].last_event_at;
     }
 }
 
@@ -341,7 +352,7 @@
     if (x->up && now - x->received_at < PRS_STALE_MS)
       add_counts (&sum, x->counts, x->ncounts);
   make_rows (&rows, sum.list, sum.n, now);
-  load.leads = srv_duty_holds (p->s);
+  load.leads = srv_is_leader (p->s);
   load.n_places = sum.n;
   load.places = rows.list;
   load.config = &config;
@@ -369,6 +380,6 @@
   send_load (p, now);
   send_sum (p, now);
   prs_push_config (p, now);
-  if (!p->aggregator && p->nlisted + 1 > HUB_MESH_MOST)
+  if (!p->aggregator && p->nlisted + 1 > RLY_MESH_MAX)
     prs_send_node_lists (p, now);
 }
--- a/serve/peers-nodes.c
+++ b/serve/peers-nodes.c
@@ -34,13 +34,13 @@
 
 struct relay_rows
 {
-  Lapis__HubEntry rows[HUB_LINKS];
-  Lapis__HubEntry *list[HUB_LINKS];
+  Lapis__HubEntry rows[RLY_LINKS];
+  Lapis__HubEntry *list[RLY_LINKS];
 };
 
 static void
 fill_relay (Lapis__HubEntry *row, char *node, const struct net_addr *front,
-            const struct net_addr *peer, const struct hub_node *spec)
+            const struct net_addr *peer, const struct rly_node *spec)
 {
   lapis__hub_entry__init (row);
   row->node = node;
@@ -59,13 +59,13 @@
 }
 
 struct peer *
-prs_next_relay (const struct srv_peers *p, const struct hub_node *after)
+prs_next_relay (const struct srv_peers *p, const struct rly_node *after)
 {
   struct peer *best = NULL;
 
   for (struct peer *x = p->list; x; x = x->next)
-    if (x->listed && (!after || hub_cmp (&x->spec, after) > 0)
-        && (!best || hub_cmp (&x->spec, &best->spec) < 0))
+    if (x->listed && (!after || rly_cmp (&x->spec, after) > 0)
+        && (!best || rly_cmp (&x->spec, &best->spec) < 0))
       best = x;
   return best;
 }
@@ -80,7 +80,7 @@
 
   nodes->n_hubs = 0;
   nodes->hubs = r->list;
-  while (nodes->n_hubs < HUB_LINKS
+  while (nodes->n_hubs < RLY_LINKS
          && (x = prs_next_relay (p, x ? &x->spec : NULL)) != NULL)
     {
       Lapis__HubEntry *row = &r->rows[nodes->n_hubs];
@@ -104,7 +104,7 @@
   x->front = front;
   x->addr = addr;
   x->spec
-      = (struct hub_node){ x->hash, row->link_bytes_per_s, row->cpu_share };
+      = (struct rly_node){ x->hash, row->link_bytes_per_s, row->cpu_share };
   x->listed = true;
 }
 
@@ -117,16 +117,16 @@
   struct relay_rows relays = { 0 };
   struct net_addr list[PRS_FRONTS_MAX];
   char *fronts[PRS_FRONTS_MAX];
-  size_t n = srv_peers_ready (p->s, list, PRS_FRONTS_MAX);
+  size_t n = srv_peers_list_ready (p->s, list, PRS_FRONTS_MAX);
   Lapis__NodeList nodes = LAPIS__NODE_LIST__INIT;
   Lapis__Frame f = LAPIS__FRAME__INIT;
 
   for (size_t i = 0; i < n; i++)
     fronts[i] = addr_text (&list[i]);
-  nodes.nodes = srv_peers_nodes (p->s);
+  nodes.nodes = srv_peers_count_sharing (p->s);
   nodes.n_fronts = n;
   nodes.fronts = fronts;
-  nodes.leads = srv_duty_holds (p->s);
+  nodes.leads = srv_is_leader (p->s);
   nodes.config_age_ms = UINT32_MAX;
   if (nodes.leads)
     list_relays (p, &relays, &nodes);
--- a/serve/peers-poison.c
+++ b/serve/peers-poison.c
@@ -19,7 +19,7 @@
   lapis__poison_update__init (row);
   row->kind = update->kind;
   row->digest = update->digest;
-  row->place = update->place;
+  row->place = update->endpoint;
   row->ran_ms = update->ran_ms;
   row->hold_ms = (uint32_t)update->hold_ms;
   row->broadcast = update->broadcast;
@@ -61,7 +61,7 @@
 
   if (!prs_exceeds_mesh (x->p))
     return true;
-  while (relays < HUB_LINKS
+  while (relays < RLY_LINKS
          && (relay = prs_next_relay (x->p, relay ? &relay->spec : NULL))
                 != NULL)
     {
@@ -83,7 +83,7 @@
 }
 
 void
-srv_peers_poison (struct srv *s, const struct psn_update *list, size_t n)
+srv_peers_send_poison (struct srv *s, const struct psn_update *list, size_t n)
 {
   for (struct peer *x = s->peers ? s->peers->list : NULL; x; x = x->next)
     if (x->up)
@@ -113,10 +113,10 @@
       psn_apply (s->poison, now,
                  &(struct psn_update){ .kind = row->kind,
                                        .digest = row->digest,
-                                       .place = row->place,
+                                       .endpoint = row->place,
                                        .ran_ms = row->ran_ms,
                                        .hold_ms = row->hold_ms,
                                        .broadcast = row->broadcast });
     }
-  srv_poison_act (s);
+  srv_poison_process (s);
 }
--- a/serve/peers.c
+++ b/serve/peers.c
@@ -7,7 +7,7 @@
  * Links between nodes.  Each node announces how many requests it has in flight
  * at each endpoint.  Endpoints fill up and become free within a second, so
  * these counts must be at most some 0.1 s old, or two nodes take the same last
- * slot.  See relays.h for the choice of links.
+ * slot.  See hubs.h for the choice of links.
  */
 
 /** A link on which no frame arrives for this long is closed: the other end
@@ -74,7 +74,7 @@
 void
 prs_update_node_count (struct srv_peers *p)
 {
-  dsp_nodes (p->s->dispatch, srv_peers_nodes (p->s));
+  dsp_set_node_count (p->s->dispatch, srv_peers_count_sharing (p->s));
 }
 
 static void
@@ -93,10 +93,10 @@
   x->load_sent_earliest = 0;
   x->config_version = x->config_version_sent = 0;
   x->ncounts = 0;
-  lim_unfollowed (s->limits, x->hash);
+  lim_remove_follower (s->limits, x->hash);
   x->next_connect = clk_now () + RECONNECT_MS;
   prs_update_dispatch (x, clk_now ());
-  srv_act (s);
+  srv_run_actions (s);
   prs_update_node_count (x->p);
 }
 
@@ -153,11 +153,11 @@
      leader.  It is older than the list that this node reads from the store,
      and the core that forms replicas keeps pointers to the text of the
      current entries: replacing them caused a use after free. */
-  if (srv_duty_holds (s))
+  if (srv_is_leader (s))
     return;
-  srv_sync_heard (s, prs_sent_at (x, now) - list->age_ms);
+  srv_sync_list_reported (s, prs_sent_at (x, now) - list->age_ms);
   if (svl_apply (s->backends, now, prs_sent_at (x, now), list))
-    srv_places_changed (s);
+    srv_endpoints_changed (s);
 }
 
 static void
@@ -217,7 +217,7 @@
 }
 
 bool
-srv_peers_linked (const struct srv *s)
+srv_peers_any_linked (const struct srv *s)
 {
   return s->peers && prs_count_up (s->peers) > 0;
 }
@@ -232,7 +232,7 @@
   struct rly_peer *list;
   const struct rly_peer *aggregator;
   struct peer **peers;
-  bool leads = srv_duty_holds (p->s);
+  bool leads = srv_is_leader (p->s);
   size_t n = 0;
 
   for (const struct peer *x = p->list; x; x = x->next)
@@ -273,9 +273,9 @@
 {
   if (x->link || !x->listed || !x->wanted || now < x->next_connect)
     return false;
-  if (hub_cmp (&x->spec, &x->p->spec) < 0)
+  if (rly_cmp (&x->spec, &x->p->spec) < 0)
     return true;
-  return srv_duty_holds (x->p->s) && x->p->nlisted + 1 > HUB_MESH_MOST
+  return srv_is_leader (x->p->s) && x->p->nlisted + 1 > RLY_MESH_MAX
          && now - x->wanted_changed_at >= LEADER_CONNECT_DELAY_MS;
 }
 
@@ -318,19 +318,19 @@
     return;
   p->next_send = now + PRS_SEND_INTERVAL_MS;
   choose_links (p, now);
-  srv_peers_servers (s);
+  srv_peers_send_servers (s);
   prs_send_due (p, now);
   prs_grant_permits (p, now, true);
 }
 
 bool
-srv_peers_announces (const struct srv *s)
+srv_peers_is_announcer (const struct srv *s)
 {
   const struct srv_peers *p = s->peers;
 
   if (!p || prs_count_up (p) == 0)
     return false;
-  return srv_duty_holds (s) || (prs_exceeds_mesh (p) && !p->aggregator);
+  return srv_is_leader (s) || (prs_exceeds_mesh (p) && !p->aggregator);
 }
 
 /**
@@ -351,7 +351,7 @@
 static struct peer *
 next_list_receiver (const struct srv_peers *p, uint64_t version, clk_ms now)
 {
-  clk_ms interval = p->s->traffic ? 1 : IDLE_LIST_INTERVAL_MS;
+  clk_ms interval = p->s->had_traffic ? 1 : IDLE_LIST_INTERVAL_MS;
   struct peer *best = NULL;
 
   for (struct peer *x = p->list; x; x = x->next)
@@ -374,14 +374,14 @@
  * store.
  */
 void
-srv_peers_servers (struct srv *s)
+srv_peers_send_servers (struct srv *s)
 {
   struct srv_peers *p = s->peers;
   struct svl_frame *frame = NULL;
   clk_ms now = clk_now ();
   struct peer *x;
 
-  if (!p || !srv_duty_holds (s))
+  if (!p || !srv_is_leader (s))
     return;
   while (svl_may_send (&p->list_budget, now, s->set.link_bytes_per_s)
          && (x = next_list_receiver (p, bks_version (s->backends), now))
@@ -390,7 +390,7 @@
       if (!svl_frame_matches (frame, x->list_version))
         {
           svl_frame_free (frame);
-          frame = svl_frame_new (s->backends, srv_sync_age (s, now),
+          frame = svl_frame_new (s->backends, srv_sync_read_age (s, now),
                                  x->list_version);
         }
       p->list_budget.bytes
@@ -401,7 +401,8 @@
 }
 
 void
-srv_peers_entries (struct srv *s, const struct srv_entry *list, size_t n)
+srv_peers_set_entries (struct srv *s, const struct srv_node_entry *list,
+                       size_t n)
 {
   struct srv_peers *p = s->peers;
 
@@ -426,9 +427,9 @@
 }
 
 bool
-srv_peers_led (const struct srv *s, clk_ms now)
+srv_peers_has_leader (const struct srv *s, clk_ms now)
 {
-  if (srv_duty_holds (s))
+  if (srv_is_leader (s))
     return true;
   for (const struct peer *x = s->peers ? s->peers->list : NULL; x; x = x->next)
     if (x->up && x->leads && now - x->received_at < PRS_STALE_MS)
@@ -442,11 +443,11 @@
 {
   return p->node_list_received_at
          && now - p->node_list_received_at < NODE_LIST_VALID_MS
-         && p->nlisted + 1 > HUB_MESH_MOST && p->aggregator != NULL;
+         && p->nlisted + 1 > RLY_MESH_MAX && p->aggregator != NULL;
 }
 
 unsigned
-srv_peers_nodes (const struct srv *s)
+srv_peers_count_sharing (const struct srv *s)
 {
   const struct srv_peers *p = s->peers;
   unsigned up = p ? (unsigned)prs_count_up (p) + 1 : 1;
@@ -509,7 +510,7 @@
  * would overload these and leave the others idle.
  */
 size_t
-srv_peers_ready (struct srv *s, struct net_addr *out, size_t max)
+srv_peers_list_ready (struct srv *s, struct net_addr *out, size_t max)
 {
   struct srv_peers *p = s->peers;
   clk_ms now = clk_now ();
@@ -529,7 +530,7 @@
 }
 
 void
-srv_peers_secret (struct srv *s, const struct link_secret *secret)
+srv_peers_set_secret (struct srv *s, const struct link_secret *secret)
 {
   s->peers->secret = *secret;
   link_server_set_secret (s->peers->server, secret);
@@ -542,7 +543,7 @@
   struct srv_peers *p = xcalloc (1, sizeof *p);
 
   p->s = s;
-  p->spec = srv_spec (s);
+  p->spec = srv_self_spec (s);
   p->secret = *secret;
   p->server = link_listen (&s->loop, &s->set.peer, secret, &callbacks, p, err);
   if (!p->server)
--- a/serve/poison-node.c
+++ b/serve/poison-node.c
@@ -16,7 +16,7 @@
     case PSN_BLOCKED:
       LOG (request_blocked, LOG_C ("digest", digest),
            LOG_I ("hold_ms", update->hold_ms));
-      dsp_blocked (s->dispatch, now, update->digest);
+      dsp_request_blocked (s->dispatch, now, update->digest);
       srv_poison_changed (s, now, update->digest, true);
       break;
     case PSN_CLEARED:
@@ -31,7 +31,7 @@
 }
 
 void
-srv_poison_act (struct srv *s)
+srv_poison_process (struct srv *s)
 {
   clk_ms now = clk_now ();
   struct psn_update *copy;
@@ -43,22 +43,22 @@
   /* Refusing blocked requests below can add updates to the list. */
   copy = xmalloc (n * sizeof *copy);
   memcpy (copy, updates, n * sizeof *copy);
-  srv_peers_poison (s, copy, n);
+  srv_peers_send_poison (s, copy, n);
   for (size_t i = 0; i < n; i++)
     handle_update (s, now, &copy[i]);
   free (copy);
-  srv_act (s);
+  srv_run_actions (s);
 }
 
 void
 srv_poison_tick (struct srv *s, clk_ms now)
 {
   psn_set_aggregating (s->poison, now,
-                       !srv_register_follows (s) || !srv_peers_linked (s));
+                       !srv_is_leaf (s) || !srv_peers_any_linked (s));
   if (now >= psn_next_deadline (s->poison))
     {
       psn_tick (s->poison, now);
-      srv_poison_act (s);
+      srv_poison_process (s);
     }
   srv_poison_store_tick (s, now);
 }
--- a/serve/poison-store.c
+++ b/serve/poison-store.c
@@ -75,7 +75,7 @@
 static clk_ms
 stagger_ms (const struct srv *s)
 {
-  return (clk_ms)srv_register_rank (s) * STAGGER_MS;
+  return (clk_ms)srv_node_rank (s) * STAGGER_MS;
 }
 
 void
@@ -147,8 +147,8 @@
 }
 
 void
-srv_poison_item (struct srv *s, bool deleted, struct str name,
-                 struct str value)
+srv_poison_store_item (struct srv *s, bool deleted, struct str name,
+                       struct str value)
 {
   struct srv_poison *k = s->poison_keys;
   clk_ms now = clk_now ();
@@ -163,11 +163,11 @@
     apply_deleted (k, now, digest);
   else
     apply_value (k, now, digest, value);
-  srv_poison_act (s);
+  srv_poison_process (s);
 }
 
 void
-srv_poison_reread (struct srv *s)
+srv_poison_store_reread (struct srv *s)
 {
   struct srv_poison *k = s->poison_keys;
 
@@ -196,7 +196,7 @@
     }
   else if (b)
     b->not_before = now + RETRY_MS;
-  pau_ended (&k->s->store_pause, now, status, &k->s->rng);
+  pau_call_ended (&k->s->store_backoff, now, status, &k->s->rng);
 }
 
 static void
@@ -249,7 +249,7 @@
   buf_clear (&k->key);
   buf_addf (&k->key, "%sblocked/%016llx", k->s->ad->own_prefix,
             (unsigned long long)b->digest);
-  pau_called (&k->s->store_pause);
+  pau_call_started (&k->s->store_backoff);
   if (k->as_blocked && k->lease && now - k->granted_at < LEASE_REUSE_MS)
     write_key (k, k->lease);
   else
@@ -263,8 +263,8 @@
 {
   struct srv_poison *k = s->poison_keys;
 
-  if (k->n == 0 || k->call_pending || s->leaving_since
-      || srv_register_follows (s) || !pau_may_call (&s->store_pause, now))
+  if (k->n == 0 || k->call_pending || s->stopping_since || srv_is_leaf (s)
+      || !pau_may_call (&s->store_backoff, now))
     return;
   for (size_t i = 0; i < k->n; i++)
     {
--- a/serve/poison.c
+++ b/serve/poison.c
@@ -170,15 +170,15 @@
   struct psn_suspect *s = psn_find (p, update->digest);
   bool decided = s && psn_is_pending_or_blocked (s);
 
-  if (s && (s->state == PSN_S_CLEARED || psn_find_run (s, update->place)))
+  if (s && (s->state == PSN_S_CLEARED || psn_find_run (s, update->endpoint)))
     return;
   s = psn_find_or_add (p, now, update->digest);
   if (s->nruns < PSN_MAX_RUNS)
     {
       s->runs[s->nruns++]
-          = (struct psn_run){ update->place, update->ran_ms,
+          = (struct psn_run){ update->endpoint, update->ran_ms,
                               !decided
-                                  && psn_is_attributed (p, update->place) };
+                                  && psn_is_attributed (p, update->endpoint) };
       add_update (p, update);
     }
   if (decided)
@@ -262,7 +262,8 @@
 /* --- queries and timeouts ----------------------------------------------- */
 
 bool
-psn_refuses (struct psn *p, clk_ms now, uint64_t digest, clk_ms *again_ms)
+psn_should_refuse (struct psn *p, clk_ms now, uint64_t digest,
+                   clk_ms *again_ms)
 {
   struct psn_suspect *s = psn_find (p, digest);
 
@@ -279,7 +280,7 @@
 }
 
 bool
-psn_suspects (const struct psn *p, uint64_t digest)
+psn_is_suspect (const struct psn *p, uint64_t digest)
 {
   const struct psn_suspect *s = psn_find (p, digest);
 
@@ -354,7 +355,7 @@
           p->snapshot[(*n)++]
               = (struct psn_update){ .kind = PSN_CRASH,
                                      .digest = s->digest,
-                                     .place = s->runs[k].endpoint,
+                                     .endpoint = s->runs[k].endpoint,
                                      .ran_ms = s->runs[k].ran_ms };
     }
   return p->snapshot;
--- a/serve/poison.h
+++ b/serve/poison.h
@@ -57,7 +57,7 @@
   enum psn_kind kind;
   uint64_t digest; /**< of the request */
   uint64_t
-      place;     /**< endpoint that ran it; changes when the server restarts */
+      endpoint;  /**< endpoint that ran it; changes when the server restarts */
   clk_ms ran_ms; /**< time since its first event, or PSN_NO_EVENT */
   clk_ms hold_ms;
   bool broadcast; /**< to all nodes; false: to aggregating nodes only */
@@ -92,12 +92,12 @@
  *                  request is not blocked yet; 0: the request is blocked and a
  *                  retry is useless
  */
-bool psn_refuses (struct psn *p, clk_ms now, uint64_t digest,
-                  clk_ms *again_ms);
+bool psn_should_refuse (struct psn *p, clk_ms now, uint64_t digest,
+                        clk_ms *again_ms);
 
 /** Whether the request is pending or blocked, or would be blocked after one
     more crash.  A node doesn't retry it on another server. */
-bool psn_suspects (const struct psn *p, uint64_t digest);
+bool psn_is_suspect (const struct psn *p, uint64_t digest);
 
 /** Changes since the last call.  The list is valid until the next call that
     modifies @p p. */
--- a/serve/register.c
+++ b/serve/register.c
@@ -70,7 +70,7 @@
 struct node_record
 {
   char *key;
-  struct srv_entry e;
+  struct srv_node_entry e;
   char *name;
 };
 
@@ -121,11 +121,11 @@
 static void
 publish_nodes (struct srv_register *g)
 {
-  struct srv_entry *list = xcalloc (g->nnodes + 1, sizeof *list);
+  struct srv_node_entry *list = xcalloc (g->nnodes + 1, sizeof *list);
 
   for (size_t i = 0; i < g->nnodes; i++)
     list[i] = g->nodes[i].e;
-  srv_peers_entries (g->s, list, g->nnodes);
+  srv_peers_set_entries (g->s, list, g->nnodes);
   free (list);
 }
 
@@ -166,7 +166,7 @@
   buf_clear (&g->secret);
   buf_add (&g->secret, value);
   if (g->links_started && read_secret (g, &secret))
-    srv_peers_secret (g->s, &secret);
+    srv_peers_set_secret (g->s, &secret);
 }
 
 static void
@@ -182,38 +182,38 @@
   else if (str_eq (kv->key, buf_str (&g->leader_key)))
     apply_leader_key (g, !deleted, kv->value);
   else if (is_blocked_key (g, kv->key))
-    srv_poison_item (g->s, deleted,
-                     str_skip (kv->key, g->prefix.len + sizeof "blocked/" - 1),
-                     kv->value);
+    srv_poison_store_item (
+        g->s, deleted,
+        str_skip (kv->key, g->prefix.len + sizeof "blocked/" - 1), kv->value);
   else if (!deleted && str_eq (kv->key, buf_str (&g->secret_key)))
     apply_secret (g, kv->value);
 }
 
-struct hub_node
-srv_spec (const struct srv *s)
+struct rly_node
+srv_self_spec (const struct srv *s)
 {
-  return (struct hub_node){ str_hash (s->set.node, 0), s->set.link_bytes_per_s,
+  return (struct rly_node){ str_hash (s->set.node, 0), s->set.link_bytes_per_s,
                             s->set.cpu_share };
 }
 
 unsigned
-srv_register_rank (const struct srv *s)
+srv_node_rank (const struct srv *s)
 {
   const struct srv_register *g = s->reg;
-  struct hub_node self = srv_spec (s);
+  struct rly_node self = srv_self_spec (s);
   unsigned rank = 0;
 
   for (size_t i = 0; i < g->nnodes; i++)
-    rank += hub_cmp (&g->nodes[i].e.spec, &self) < 0;
+    rank += rly_cmp (&g->nodes[i].e.spec, &self) < 0;
   return rank;
 }
 
 bool
-srv_register_follows (const struct srv *s)
+srv_is_leaf (const struct srv *s)
 {
   /* During its start a node knows no other nodes. */
-  return s->reg && s->reg->nnodes > HUB_MESH_MOST
-         && srv_register_rank (s) >= HUB_LINKS;
+  return s->reg && s->reg->nnodes > RLY_MESH_MAX
+         && srv_node_rank (s) >= RLY_LINKS;
 }
 
 /**
@@ -224,12 +224,12 @@
 may_skip_reads (struct srv_register *g, clk_ms now)
 {
   /* The leader sends the entries to all others, so it has to read them. */
-  if (srv_duty_holds (g->s))
+  if (srv_is_leader (g->s))
     return false;
-  if (srv_peers_led (g->s, now))
+  if (srv_peers_has_leader (g->s, now))
     g->leader_seen_at = now;
   return g->leader_seen_at && now - g->leader_seen_at < NO_LEADER_GRACE_MS
-         && srv_register_follows (g->s);
+         && srv_is_leaf (g->s);
 }
 
 bool
@@ -272,8 +272,8 @@
   publish_nodes (g);
   g->next_watch
       = clk_now ()
-        + bof_watch_delay_ms (g->nnodes, srv_register_rank (g->s),
-                              !g->links_started || srv_duty_holds (g->s));
+        + pau_watch_delay_ms (g->nnodes, srv_node_rank (g->s),
+                              !g->links_started || srv_is_leader (g->s));
 }
 
 static void
@@ -293,7 +293,7 @@
 schedule_entry_rewrite (struct srv_register *g)
 {
   g->entry_written = false;
-  g->call_due_at = clk_now () + srv_register_rank (g->s) * ENTRY_STAGGER_MS;
+  g->call_due_at = clk_now () + srv_node_rank (g->s) * ENTRY_STAGGER_MS;
 }
 
 /** Apply a full read: keys that are not in it no longer exist. */
@@ -305,7 +305,7 @@
   while (g->nnodes > 0)
     remove_node (g, str_from (g->nodes[0].key));
   g->secret_stored = g->secret_written = false;
-  srv_poison_reread (g->s);
+  srv_poison_store_reread (g->s);
   for (size_t i = 0; i < r->nkvs; i++)
     {
       apply_item (g, false, &r->kvs[i]);
@@ -338,7 +338,7 @@
   struct srv_register *g = ctx;
 
   g->reading = false;
-  pau_ended (&g->s->store_pause, clk_now (), r->status, &g->s->rng);
+  pau_call_ended (&g->s->store_backoff, clk_now (), r->status, &g->s->rng);
   if (r->status != STORE_OK)
     {
       g->next_read = clk_now () + RETRY_MS;
@@ -354,7 +354,7 @@
       g->next_watch = clk_now () + SETTLE_MS;
       g->secret_due_at = g->next_watch + SECRET_STAGGER_MS;
     }
-  else if (g->nnodes > HUB_MESH_MOST)
+  else if (g->nnodes > RLY_MESH_MAX)
     g->next_watch = clk_now () + SETTLE_MS; /* the links are up by then */
   else
     begin_watch (g);
@@ -366,7 +366,7 @@
 begin_call (struct srv_register *g)
 {
   g->call_in_flight = true;
-  pau_called (&g->s->store_pause);
+  pau_call_started (&g->s->store_backoff);
 }
 
 static void
@@ -376,7 +376,7 @@
 
   g->call_in_flight = false;
   g->call_due_at = now + wait;
-  pau_ended (&g->s->store_pause, now, status, &g->s->rng);
+  pau_call_ended (&g->s->store_backoff, now, status, &g->s->rng);
 }
 
 static void
@@ -481,8 +481,7 @@
 {
   return g->next_read == CLK_NEVER && !g->secret_stored && !g->secret_written
          && (g->nnodes > 0 || !g->s->set.first_start)
-         && now >= g->secret_due_at
-                       + srv_register_rank (g->s) * SECRET_STAGGER_MS;
+         && now >= g->secret_due_at + srv_node_rank (g->s) * SECRET_STAGGER_MS;
 }
 
 static void
@@ -490,7 +489,7 @@
 {
   if (should_write_secret (g, now))
     write_secret (g);
-  else if (g->s->leaving_since)
+  else if (g->s->stopping_since)
     return;
   else if (g->lease == 0)
     {
@@ -512,9 +511,9 @@
 advance_watch (struct srv_register *g, clk_ms now)
 {
   clk_ms soonest
-      = now + bof_watch_delay_ms (g->nnodes, srv_register_rank (g->s), true);
+      = now + pau_watch_delay_ms (g->nnodes, srv_node_rank (g->s), true);
 
-  if (srv_duty_holds (g->s) && g->next_watch != CLK_NEVER
+  if (srv_is_leader (g->s) && g->next_watch != CLK_NEVER
       && g->next_watch > soonest)
     g->next_watch = soonest;
 }
@@ -525,15 +524,15 @@
   struct srv_register *g = s->reg;
 
   advance_watch (g, now);
-  bof_set_pushed (&s->store_pause, now,
-                  may_skip_reads (g, now) && srv_peers_led (s, now)
-                      && bks_known (s->backends),
+  pau_set_pushed (&s->store_backoff, now,
+                  may_skip_reads (g, now) && srv_peers_has_leader (s, now)
+                      && bks_has_list (s->backends),
                   &s->rng);
   if (!g->reading && now >= g->next_read
-      && pau_may_call (&s->store_pause, now))
+      && pau_may_call (&s->store_backoff, now))
     {
       g->reading = true;
-      pau_called (&s->store_pause);
+      pau_call_started (&s->store_backoff);
       store_range (s->store, STORE_ROSTER, buf_str (&g->prefix),
                    buf_str (&g->end), on_read, g);
     }
@@ -541,7 +540,7 @@
     begin_watch (g);
   if (!g->call_in_flight
       && (now >= g->call_due_at || should_write_secret (g, now))
-      && pau_may_call (&s->store_pause, now))
+      && pau_may_call (&s->store_backoff, now))
     make_due_call (g, now);
 }
 
--- a/serve/server-list.c
+++ b/serve/server-list.c
@@ -66,9 +66,9 @@
   out->replica = copy_string (t, e->replica);
   out->generation = e->generation;
   out->rank = e->rank;
-  out->part = e->part;
-  out->born = e->born;
-  out->beat = e->beat;
+  out->part = e->member_state;
+  out->born = e->start_time;
+  out->beat = e->heartbeat;
   out->verdict = s->accepting ? BKS_ACCEPTING : BKS_NOT_ACCEPTING;
   buf_free (&addr);
 }
@@ -234,9 +234,10 @@
                              .replica = str_from (in->replica),
                              .generation = in->generation,
                              .rank = in->rank,
-                             .born = in->born,
-                             .beat = in->beat };
-  out->part = in->part <= BKS_BROKEN ? (enum bks_part)in->part : BKS_ALONE;
+                             .start_time = in->born,
+                             .heartbeat = in->beat };
+  out->member_state = in->part <= BKS_BROKEN ? (enum bks_member_state)in->part
+                                             : BKS_NO_REPLICA;
   if (in->verdict <= BKS_NOT_ACCEPTING)
     out->acceptance = (enum bks_acceptance)in->verdict;
   return out->id.len > 0
--- a/serve/split.c
+++ b/serve/split.c
@@ -38,7 +38,7 @@
 }
 
 size_t
-spl_take (struct spl *s, struct str bytes, struct buf *out)
+spl_feed (struct spl *s, struct str bytes, struct buf *out)
 {
   size_t from = s->rest.len > 2 ? s->rest.len - 2 : 0, used = 0, n = 0, len;
   struct str all;
--- a/serve/split.h
+++ b/serve/split.h
@@ -24,7 +24,7 @@
  * not greater than the last id is a duplicate and is dropped.
  * @return  number of events appended
  */
-size_t spl_take (struct spl *s, struct str bytes, struct buf *out);
+size_t spl_feed (struct spl *s, struct str bytes, struct buf *out);
 
 void spl_free (struct spl *s);
 
