--- a/serve/sync.c
+++ b/serve/sync.c
@@ -11,8 +11,9 @@
 #define POLL_LEADER_MS ((clk_ms)300)
 #define POLL_FORMING_MS ((clk_ms)100)
 /** When an order has ended, the list is read at once, as the next step of a
-    repair depends on it.  bks_pace() stretches an interval in proportion to
-    the length of the list; the read is delayed by what it adds to this one. */
+    repair depends on it.  bks_poll_interval() stretches an interval in
+   proportion to the length of the list; the read is delayed by what it adds to
+   this one. */
 #define POLL_SOON_MS ((clk_ms)50)
 
 /** At the start of the whole system there is nothing to serve, and the leader
@@ -30,7 +31,7 @@
 struct srv_sync
 {
   struct srv *s;
-  struct unr *unparsed; /* entries of the list that could not be parsed */
+  struct inv *unparsed; /* entries of the list that could not be parsed */
   struct buf range_end;
   bool reading;
   clk_ms read_sent_at;
@@ -64,22 +65,22 @@
   struct arena text = { 0 };
   size_t n = 0;
 
-  unr_begin (y->unparsed);
+  inv_begin_list (y->unparsed);
   for (size_t i = 0; i < r->nkvs; i++)
     {
       const struct store_kv *kv = &r->kvs[i];
       const char *wrong;
-      if (s->ad->server (kv->key, kv->value, &text, &list[n], &wrong))
+      if (s->ad->parse_server (kv->key, kv->value, &text, &list[n], &wrong))
         n++;
-      else if (unr_note (y->unparsed, kv->key, kv->value))
+      else if (inv_record (y->unparsed, kv->key, kv->value))
         LOG (entry_not_taken, LOG_S ("key", kv->key), LOG_C ("field", wrong),
              LOG_I ("revision", kv->mod_rev));
     }
-  unr_end (y->unparsed);
+  inv_end_list (y->unparsed);
   if (bks_update (s->backends, clk_now (), y->read_sent_at, list, n))
-    srv_places_changed (s);
+    srv_endpoints_changed (s);
   srv_leader_servers_changed (s);
-  srv_peers_servers (s);
+  srv_peers_send_servers (s);
   arena_free (&text);
   free (list);
 }
@@ -87,36 +88,36 @@
 static clk_ms
 poll_ms (const struct srv *s)
 {
-  clk_ms ms = bks_untold_ms (s->set.drain_ms, srv_register_follows (s));
+  clk_ms ms = bks_fallback_poll_ms (s->set.drain_ms, srv_is_leaf (s));
 
-  if (srv_duty_holds (s))
-    return bks_duty_pace (s->backends,
-                          srv_leader_is_forming (s) ? POLL_FORMING_MS
-                                                    : POLL_LEADER_MS,
-                          s->set.drain_ms);
-  if (s->set.first_start && !s->traffic)
-    ms = bks_untold_ms (s->set.drain_ms, false) * START_POLL_FACTOR;
+  if (srv_is_leader (s))
+    return bks_leader_poll_interval (
+        s->backends,
+        srv_leader_is_forming (s) ? POLL_FORMING_MS : POLL_LEADER_MS,
+        s->set.drain_ms);
+  if (s->set.first_start && !s->had_traffic)
+    ms = bks_fallback_poll_ms (s->set.drain_ms, false) * START_POLL_FACTOR;
   return ms > POLL_RETRY_MS ? ms : POLL_RETRY_MS;
 }
 
 void
-srv_sync_heard (struct srv *s, clk_ms current_at)
+srv_sync_list_reported (struct srv *s, clk_ms current_at)
 {
   struct srv_sync *y = s->sync;
   clk_ms next = current_at + poll_ms (s);
 
   if (current_at > y->current_at)
     y->current_at = current_at;
-  if (!srv_duty_holds (s) && next > y->next_read_at)
+  if (!srv_is_leader (s) && next > y->next_read_at)
     y->next_read_at = next;
 }
 
 clk_ms
 srv_sync_list_age (const struct srv *s, clk_ms now)
 {
-  clk_ms read_at = bks_asked_at (s->backends);
+  clk_ms read_at = bks_read_started_at (s->backends);
 
-  if (!bks_known (s->backends))
+  if (!bks_has_list (s->backends))
     return -1;
   return now - (s->sync->current_at > read_at ? s->sync->current_at : read_at);
 }
@@ -124,7 +125,7 @@
 size_t
 srv_sync_unparsed (const struct srv *s)
 {
-  return unr_count (s->sync->unparsed);
+  return inv_count (s->sync->unparsed);
 }
 
 /** Whether the list is so old that it may contain servers that have since
@@ -159,7 +160,7 @@
 }
 
 clk_ms
-srv_sync_age (const struct srv *s, clk_ms now)
+srv_sync_read_age (const struct srv *s, clk_ms now)
 {
   return now - s->sync->last_read_at;
 }
@@ -172,17 +173,17 @@
   clk_ms now = clk_now ();
 
   y->reading = false;
-  pau_ended (&s->store_pause, now, r->status, &s->rng);
+  pau_call_ended (&s->store_backoff, now, r->status, &s->rng);
   log_store_state (y, r->status == STORE_OK);
   if (r->status != STORE_OK)
     {
-      bks_unreadable (s->backends, now);
+      bks_read_failed (s->backends, now);
       y->next_read_at = now + POLL_RETRY_MS;
       return;
     }
   y->last_read_at = y->read_sent_at;
   if (y->era && r->era > y->era)
-    bks_restored (s->backends, now);
+    bks_store_restored (s->backends, now);
   y->era = r->era;
   apply_servers (y, r);
   y->next_read_at = y->read_sent_at + poll_ms (s);
@@ -194,7 +195,7 @@
   struct srv *s = y->s;
 
   y->reading = true;
-  pau_called (&s->store_pause);
+  pau_call_started (&s->store_backoff);
   y->read_sent_at = now;
   store_range (s->store, STORE_ASSIGNMENT, str_from (s->ad->servers_prefix),
                buf_str (&y->range_end), on_servers, y);
@@ -204,7 +205,8 @@
 srv_sync_read_soon (struct srv *s, clk_ms now)
 {
   struct srv_sync *y = s->sync;
-  clk_ms stretch = bks_pace (s->backends, POLL_SOON_MS) - POLL_SOON_MS;
+  clk_ms stretch
+      = bks_poll_interval (s->backends, POLL_SOON_MS) - POLL_SOON_MS;
   clk_ms next = y->read_sent_at + stretch;
 
   if (next < now)
@@ -219,7 +221,7 @@
   struct srv_sync *y = s->sync;
 
   if (!y->reading && now >= y->next_read_at
-      && pau_may_call (&s->store_pause, now))
+      && pau_may_call (&s->store_backoff, now))
     read_servers (y, now);
 }
 
@@ -232,7 +234,7 @@
   y->store_ok = true;
   if (s->set.first_start)
     y->next_read_at = clk_now () + poll_ms (s);
-  y->unparsed = unr_new ();
+  y->unparsed = inv_new ();
   s->sync = y;
   store_prefix_end (str_from (s->ad->servers_prefix), &y->range_end);
   srv_sync_tick (s, clk_now ());
--- a/serve/table.c
+++ b/serve/table.c
@@ -35,7 +35,7 @@
 }
 
 void
-tbl_seal (struct tbl *t)
+tbl_sort (struct tbl *t)
 {
   if (t->nroutes)
     qsort (t->routes, t->nroutes, sizeof *t->routes, compare_routes);
@@ -141,14 +141,14 @@
 tbl_kind_name (enum tbl_kind k)
 {
   static const char *const names[] = { [TBL_IDEMPOTENT] = "idempotent",
-                                       [TBL_ONCE] = "once",
+                                       [TBL_AT_MOST_ONCE] = "once",
                                        [TBL_STREAM] = "stream" };
 
   return names[k];
 }
 
 bool
-tbl_repeatable (const struct tbl_route *r)
+tbl_is_retryable (const struct tbl_route *r)
 {
   return r->kind == TBL_IDEMPOTENT || (r->kind == TBL_STREAM && r->resumable);
 }
--- a/serve/table.h
+++ b/serve/table.h
@@ -16,20 +16,20 @@
 /** Which requests of a route may be run again. */
 enum tbl_kind
 {
-  TBL_IDEMPOTENT, /**< may run any number of times */
-  TBL_ONCE,       /**< runs at most once per attempt of the caller */
-  TBL_STREAM      /**< a stream of events; as TBL_ONCE unless resumable */
+  TBL_IDEMPOTENT,   /**< may run any number of times */
+  TBL_AT_MOST_ONCE, /**< runs at most once per attempt of the caller */
+  TBL_STREAM /**< a stream of events; as TBL_AT_MOST_ONCE unless resumable */
 };
 
 /** A model of a service; each of its replicas consists of several VMs. */
 struct tbl_model
 {
   struct str name;
-  unsigned size;  /**< number of VMs per replica */
-  double share;   /**< expected share of the service's work, 0 to 1 */
-  double pace;    /**< factor on processing times; below 1 is faster */
-  clk_ms load_ms; /**< load time from the weight store */
-  clk_ms warm_ms; /**< load time from the memory of the VM's host */
+  unsigned size;       /**< number of VMs per replica */
+  double work_share;   /**< expected share of the service's work, 0 to 1 */
+  double time_factor;  /**< factor on processing times; below 1 is faster */
+  clk_ms cold_load_ms; /**< load time from the weight store */
+  clk_ms warm_load_ms; /**< load time from the memory of the VM's host */
 };
 
 struct tbl_service
@@ -45,11 +45,12 @@
   double loads_per_s; /**< load starts allowed at the weight store */
   unsigned loads_at_once; /**< above this number, concurrent loads share the
                                bandwidth of the weight store */
-  unsigned host_keeps;    /**< models that a VM's host keeps in memory */
-  clk_ms pass_ms;     /**< interval between two events of a stream on an idle
-                           replica */
-  double read_per_ms; /**< prefill rate, in prompt tokens per ms, of a replica
-                           whose model's time factor is 1; 0: unknown */
+  unsigned host_cache_models; /**< models that a VM's host keeps in memory */
+  clk_ms event_interval_ms; /**< interval between two events of a stream on an
+                       idle replica */
+  double
+      prefill_per_ms; /**< prefill rate, in prompt tokens per ms, of a replica
+                        whose model's time factor is 1; 0: unknown */
 };
 
 /** A service of a route and its weight in the route's traffic. */
@@ -65,15 +66,15 @@
   struct str host;
   struct str prefix; /**< path prefix; begins and ends with a slash */
   enum tbl_kind kind;
-  clk_ms timeout_ms;     /**< longest time that a caller waits */
-  clk_ms goal_ms;        /**< goal for the time to the complete answer, or to
-                              the first event of a stream */
-  clk_ms gap_ms;         /**< longest gap between two events of a stream that
-                              counts as on time; 0: no limit declared */
-  unsigned priority;     /**< 0 is the highest */
+  clk_ms timeout_ms;       /**< longest time that a caller waits */
+  clk_ms latency_goal_ms;  /**< goal for the time to the complete answer, or to
+                        the first event of a stream */
+  clk_ms max_event_gap_ms; /**< longest gap between two events of a stream that
+                      counts as on time; 0: no limit declared */
+  unsigned priority;       /**< 0 is the highest */
   unsigned max_attempts; /**< limit on the backend servers that one request is
                               sent to */
-  bool open;             /**< requests need no key */
+  bool allows_anonymous; /**< requests need no key */
   bool resumable;        /**< an interrupted stream may continue on another
                               replica */
   const struct tbl_target *targets;
@@ -122,11 +123,11 @@
 };
 
 /** Create an empty table with one reference.  Fill it, then call
-    tbl_seal(). */
+    tbl_sort(). */
 struct tbl *tbl_new (void);
 
 /** Sort routes and keys; the lookup functions require it. */
-void tbl_seal (struct tbl *t);
+void tbl_sort (struct tbl *t);
 
 struct tbl *tbl_ref (struct tbl *t);
 void tbl_unref (struct tbl *t);
@@ -155,6 +156,6 @@
 
 /** Whether a request of this route may be sent to a second backend server
     after the first one may have run it. */
-bool tbl_repeatable (const struct tbl_route *r);
+bool tbl_is_retryable (const struct tbl_route *r);
 
 #endif
--- a/t/lib-dispatch.c
+++ b/t/lib-dispatch.c
@@ -16,7 +16,7 @@
   struct lim *limits;
   struct tbl *config;
   clk_ms now;
-  struct dsp_place endpoints[MAX_ENDPOINTS];
+  struct dsp_endpoint endpoints[MAX_ENDPOINTS];
   char names[MAX_ENDPOINTS][16];
   size_t n;
   unsigned attempt[100];
@@ -39,21 +39,21 @@
                              .prefix = STR ("/a/"),
                              .kind = TBL_STREAM,
                              .resumable = true,
-                             .goal_ms = 400,
+                             .latency_goal_ms = 400,
                              .max_attempts = 2,
                              .targets = &to[0],
                              .ntargets = 1 };
   r[1] = (struct tbl_route){ .name = STR ("once"),
                              .prefix = STR ("/b/"),
-                             .kind = TBL_ONCE,
-                             .goal_ms = 200,
+                             .kind = TBL_AT_MOST_ONCE,
+                             .latency_goal_ms = 200,
                              .max_attempts = 2,
                              .targets = &to[1],
                              .ntargets = 1 };
   r[2] = (struct tbl_route){ .name = STR ("safe"),
                              .prefix = STR ("/c/"),
                              .kind = TBL_IDEMPOTENT,
-                             .goal_ms = 200,
+                             .latency_goal_ms = 200,
                              .max_attempts = 2,
                              .targets = &to[1],
                              .ntargets = 1 };
@@ -101,26 +101,26 @@
       case DSP_ACT_CANCEL:
         buf_addf (&b->log, "cancel %d\n", (int)a.id);
         break;
-      case DSP_ACT_PASS:
+      case DSP_ACT_FORWARD:
         buf_addf (&b->log, "pass %d\n", (int)a.id);
         break;
-      case DSP_ACT_END:
+      case DSP_ACT_COMPLETE:
         buf_addf (&b->log, "end %d\n", (int)a.id);
         break;
-      case DSP_ACT_ANSWER:
+      case DSP_ACT_RESPOND_ERROR:
         buf_addf (&b->log, "answer %d %s %d%s\n", (int)a.id,
                   dsp_code_name (a.code), dsp_code_status (a.code),
-                  a.retry_ms ? " retry" : "");
+                  a.retry_after_ms ? " retry" : "");
         break;
-      case DSP_ACT_CUT:
+      case DSP_ACT_TRUNCATE:
         buf_addf (&b->log, "cut %d %s\n", (int)a.id, dsp_code_name (a.code));
         break;
-      case DSP_ACT_FORGET:
+      case DSP_ACT_RELEASE:
         break;
       case DSP_ACT_STALLED:
         buf_addf (&b->log, "stalled %.*s\n", STR_ARG (a.server));
         break;
-      case DSP_ACT_CHECK:
+      case DSP_ACT_CHECK_PROCESS:
         buf_addf (&b->log, "check %.*s\n", STR_ARG (a.server));
         break;
       }
@@ -136,15 +136,15 @@
     {
       snprintf (b->names[b->n], sizeof b->names[0], "%s%d", service, i + 1);
       b->endpoints[b->n]
-          = (struct dsp_place){ .server = str_from (b->names[b->n]),
-                                .service = model ? STR ("lm") : STR ("app"),
-                                .model = model ? STR ("m") : STR_EMPTY,
-                                .zone = STR ("z"),
-                                .capacity = capacity,
-                                .accepting = true };
+          = (struct dsp_endpoint){ .server = str_from (b->names[b->n]),
+                                   .service = model ? STR ("lm") : STR ("app"),
+                                   .model = model ? STR ("m") : STR_EMPTY,
+                                   .zone = STR ("z"),
+                                   .capacity = capacity,
+                                   .accepting = true };
       b->n++;
     }
-  dsp_places (b->d, b->now, b->endpoints, b->n);
+  dsp_set_endpoints (b->d, b->now, b->endpoints, b->n);
 }
 
 static void
@@ -154,45 +154,47 @@
   const struct tbl_route *r = find_route (b, route);
   struct dsp_request q = { .id = id,
                            .route = r,
-                           .table = b->config,
+                           .config = b->config,
                            .service = r->targets[0].service,
                            .deadline = b->now + 2000,
-                           .waited = late ? r->goal_ms : 0,
+                           .waited_ms = late ? r->latency_goal_ms : 0,
                            .digest = digest ? digest : 1000 + id,
                            .priority = priority };
 
   if (r->kind == TBL_STREAM)
     q.model = STR ("m");
-  dsp_arrive (b->d, b->now, &q);
+  dsp_submit (b->d, b->now, &q);
 }
 
 static void
 report_load (struct fixture *b, const char *server, unsigned n, unsigned begun)
 {
-  struct dsp_count c = { .place = dsp_place_hash (str_from (server), 0, 0),
-                         .in_flight = n,
-                         .begun = begun,
-                         .heard = b->now };
+  struct dsp_endpoint_load c
+      = { .endpoint = dsp_endpoint_hash (str_from (server), 0, 0),
+          .in_flight = n,
+          .streaming = begun,
+          .last_event_at = b->now };
 
-  dsp_peer_load (b->d, b->now, 7, &c, 1);
+  dsp_set_peer_load (b->d, b->now, 7, &c, 1);
 }
 
 static void
 report_ended (struct fixture *b, const char *server)
 {
-  struct dsp_count c = { .place = dsp_place_hash (str_from (server), 0, 0),
-                         .heard = b->now,
-                         .ended = true };
+  struct dsp_endpoint_load c
+      = { .endpoint = dsp_endpoint_hash (str_from (server), 0, 0),
+          .last_event_at = b->now,
+          .process_ended = true };
 
-  dsp_peer_load (b->d, b->now, 8, &c, 1);
+  dsp_set_peer_load (b->d, b->now, 8, &c, 1);
 }
 
 static void
 finish_check (struct fixture *b, const char *server,
               enum dsp_liveness liveness)
 {
-  dsp_checked (b->d, b->now, dsp_place_hash (str_from (server), 0, 0),
-               liveness);
+  dsp_process_checked (b->d, b->now,
+                       dsp_endpoint_hash (str_from (server), 0, 0), liveness);
 }
 
 static void
@@ -202,7 +204,7 @@
              &(struct psn_update){ .kind = PSN_BLOCKED,
                                    .digest = digest,
                                    .hold_ms = PSN_HOLD_MS });
-  dsp_blocked (b->d, b->now, digest);
+  dsp_request_blocked (b->d, b->now, digest);
 }
 
 static void
@@ -210,17 +212,18 @@
 {
   struct lim_update update = { .limited = strcmp (rate, "none") != 0 };
 
-  update.server = dsp_place_hash (str_from (server), 0, 0);
+  update.server = dsp_endpoint_hash (str_from (server), 0, 0);
   update.rate = atof (rate);
   lim_apply (b->limits, b->now, &update);
-  dsp_permitted (b->d, b->now);
+  dsp_permits_granted (b->d, b->now);
 }
 
 static void
 grant_permit (struct fixture *b, const char *server)
 {
-  lim_granted (b->limits, b->now, dsp_place_hash (str_from (server), 0, 0), 1);
-  dsp_permitted (b->d, b->now);
+  lim_add_permits (b->limits, b->now,
+                   dsp_endpoint_hash (str_from (server), 0, 0), 1);
+  dsp_permits_granted (b->d, b->now);
 }
 
 static void
@@ -229,25 +232,25 @@
   unsigned at = b->attempt[id];
 
   if (strcmp (command, "sent") == 0)
-    dsp_sent (b->d, b->now, id, at);
+    dsp_request_sent (b->d, b->now, id, at);
   else if (strcmp (command, "failed") == 0)
     dsp_connect_failed (b->d, b->now, id, at);
   else if (strcmp (command, "good") == 0)
-    dsp_head (b->d, b->now, id, at, DSP_HEAD_GOOD);
+    dsp_response_head (b->d, b->now, id, at, DSP_RESPONSE_OK);
   else if (strcmp (command, "error") == 0)
-    dsp_head (b->d, b->now, id, at, DSP_HEAD_ERROR);
+    dsp_response_head (b->d, b->now, id, at, DSP_RESPONSE_ERROR);
   else if (strcmp (command, "final") == 0)
-    dsp_head (b->d, b->now, id, at, DSP_HEAD_FINAL);
+    dsp_response_head (b->d, b->now, id, at, DSP_RESPONSE_FINAL);
   else if (strcmp (command, "unrun") == 0)
-    dsp_head (b->d, b->now, id, at, DSP_HEAD_UNRUN);
+    dsp_response_head (b->d, b->now, id, at, DSP_RESPONSE_NOT_EXECUTED);
   else if (strcmp (command, "event") == 0)
-    dsp_heard (b->d, b->now, id, at, true);
+    dsp_data_received (b->d, b->now, id, at, true);
   else if (strcmp (command, "whole") == 0)
-    dsp_whole (b->d, b->now, id, at);
+    dsp_response_complete (b->d, b->now, id, at);
   else if (strcmp (command, "broken") == 0)
-    dsp_broken (b->d, b->now, id, at);
+    dsp_response_interrupted (b->d, b->now, id, at);
   else if (strcmp (command, "gone") == 0)
-    dsp_gone (b->d, b->now, id);
+    dsp_client_disconnected (b->d, b->now, id);
   else
     cr_assert (false, "unknown command: %s", command);
 }
@@ -280,7 +283,7 @@
   for (int t = 0; t < ms; t += 10)
     {
       b->now += 10;
-      dsp_heard (b->d, b->now, id, b->attempt[id], true);
+      dsp_data_received (b->d, b->now, id, b->attempt[id], true);
       if (b->now >= dsp_wake (b->d))
         dsp_tick (b->d, b->now);
       take_actions (b);
@@ -293,7 +296,7 @@
   for (size_t i = 0; i < b->n; i++)
     if (strcmp (b->names[i], name) == 0)
       b->endpoints[i].accepting = false;
-  dsp_places (b->d, b->now, b->endpoints, b->n);
+  dsp_set_endpoints (b->d, b->now, b->endpoints, b->n);
 }
 
 static void
@@ -305,7 +308,7 @@
   else if (strcmp (command, "closed") == 0)
     close_endpoint (b, x);
   else if (strcmp (command, "nodes") == 0)
-    dsp_nodes (b->d, (unsigned)atoi (x));
+    dsp_set_node_count (b->d, (unsigned)atoi (x));
   else if (strcmp (command, "others") == 0)
     report_load (b, x, (unsigned)atoi (y), (unsigned)atoi (z));
   else if (strcmp (command, "ask") == 0 || strcmp (command, "late") == 0)
@@ -334,7 +337,7 @@
   else if (strcmp (command, "busy") == 0)
     run_with_events (b, atoi (x), (uint64_t)atoi (y));
   else if (strcmp (command, "leave") == 0)
-    dsp_leave (b->d);
+    dsp_stop_accepting (b->d);
   else
     response_event (b, command, (uint64_t)atoi (x));
   take_actions (b);
@@ -353,7 +356,7 @@
 
   b.poison = opt.poison = psn_new ();
   b.limits = opt.limits = lim_new (1);
-  lim_lead (b.limits, b.now, false, 1);
+  lim_set_role (b.limits, b.now, false, 1);
   b.d = dsp_new (&opt, 1);
   while ((text = strsep (&next, "\n")) != NULL)
     {
--- a/t/lib-domain.c
+++ b/t/lib-domain.c
@@ -76,7 +76,7 @@
                                           .unloaded = true };
   snprintf (d->store_mode, sizeof d->store_mode, "up");
   ev.cfg = d->cfg;
-  for (d->nreps = 0; d->nreps < (opt->two ? 2 : 1); d->nreps++)
+  for (d->nreps = 0; d->nreps < (opt->two_cores ? 2 : 1); d->nreps++)
     {
       d->reps[d->nreps] = rep_new (&ro, seed + d->nreps);
       rep_event (d->reps[d->nreps], 0, &ev);
@@ -325,7 +325,7 @@
 }
 
 void
-dom_until (struct dom *d, clk_ms to)
+dom_run_until (struct dom *d, clk_ms to)
 {
   struct rep_event tick = { .kind = REP_TICK };
 
@@ -396,7 +396,7 @@
 apply_next_config (struct dom *d)
 {
   struct rep_event ev
-      = { .kind = REP_CONFIG, .cfg = parse_config (d->opt.later, 2) };
+      = { .kind = REP_CONFIG, .cfg = parse_config (d->opt.next_config, 2) };
 
   for (size_t i = 0; i < d->nreps; i++)
     rep_event (d->reps[i], d->now, &ev);
@@ -404,7 +404,7 @@
 }
 
 void
-dom_do (struct dom *d, const char *line)
+dom_run_line (struct dom *d, const char *line)
 {
   char text[128], *save, *verb, *args[4] = { "", "", "", "" };
   struct rep_event ev;
@@ -449,8 +449,8 @@
       cr_assert_lt (len, sizeof line);
       memcpy (line, p, len);
       line[len] = 0;
-      dom_until (d, strtoll (line, &rest, 10));
-      dom_do (d, rest + 1);
+      dom_run_until (d, strtoll (line, &rest, 10));
+      dom_run_line (d, rest + 1);
     }
   return buf_c (&d->log);
 }
--- a/t/lib-domain.h
+++ b/t/lib-domain.h
@@ -32,11 +32,12 @@
 struct dom_options
 {
   const char *config; /**< JSON; the domain is "d" */
-  const char *later;  /**< later configuration with the same VMs, or NULL */
+  const char
+      *next_config; /**< later configuration with the same VMs, or NULL */
   bool checks_fence;
   bool no_budget;
   clk_ms load_ms; /**< time that one VM takes to load */
-  bool two;       /**< run a second core over the same VMs and store */
+  bool two_cores; /**< run a second core over the same VMs and store */
 };
 
 struct dom;
@@ -45,10 +46,10 @@
 void dom_free (struct dom *d);
 
 /** Runs one script line, given without its time. */
-void dom_do (struct dom *d, const char *line);
+void dom_run_line (struct dom *d, const char *line);
 
 /** Ticks the cores until @p to. */
-void dom_until (struct dom *d, clk_ms to);
+void dom_run_until (struct dom *d, clk_ms to);
 
 clk_ms dom_now (const struct dom *d);
 unsigned dom_orders (const struct dom *d);
--- a/t/lib-form.c
+++ b/t/lib-form.c
@@ -22,7 +22,7 @@
   clk_ms preloaded_at;
   int64_t generation;
   unsigned rank;
-  enum bks_part part;
+  enum bks_member_state part;
   clk_ms ready_at;
   bool killed, hung, disconnected, expired, draining;
 };
@@ -74,7 +74,7 @@
   s->loads_per_s = 10;
   t->services = s;
   t->nservices = 1;
-  tbl_seal (t);
+  tbl_sort (t);
   return t;
 }
 
@@ -166,7 +166,7 @@
 
   if (o->a.order == FRM_JOIN)
     return execute_join (w, vm, o);
-  if (o->a.order == FRM_STAGE)
+  if (o->a.order == FRM_PRELOAD)
     {
       snprintf (vm->preloading, sizeof vm->preloading, "%s", o->model);
       vm->preloaded_at = w->now + LOAD_MS;
@@ -186,7 +186,7 @@
   else if (o->a.order == FRM_LEAVE)
     {
       vm->replica[0] = '\0';
-      vm->part = BKS_ALONE;
+      vm->part = BKS_NO_REPLICA;
     }
   return FRM_ACCEPTED;
 }
@@ -220,13 +220,13 @@
 
   if (w->quiet)
     return;
-  if (o->a.order == FRM_STAGE)
+  if (o->a.order == FRM_PRELOAD)
     buf_addf (&w->log, "preload %s %s\n", o->model, o->vm);
   else if (o->a.order != FRM_JOIN)
     {
       snprintf (text, sizeof text, "%s%s %s %s\n", order_names[o->a.order],
-                o->a.order == FRM_CLOSE && o->a.cut ? " cut" : "", o->replica,
-                o->vm);
+                o->a.order == FRM_CLOSE && o->a.force ? " cut" : "",
+                o->replica, o->vm);
       log_once (w, text);
     }
   else if (!is_join_logged (w, o->replica))
@@ -286,14 +286,14 @@
 {
   struct frm_action a;
 
-  while (frm_next (w->cores[core], &a))
+  while (frm_next_action (w->cores[core], &a))
     {
       const struct vm *vm = find (w, a.vm);
       if (a.kind == FRM_ORDER)
         handle_order (w, core, &a);
       else
-        frm_asked (w->cores[core], w->now, a.token,
-                   vm && !vm->killed && !vm->hung && !vm->disconnected);
+        frm_probe_done (w->cores[core], w->now, a.token,
+                        vm && !vm->killed && !vm->hung && !vm->disconnected);
       free ((void *)a.members);
     }
 }
@@ -307,7 +307,7 @@
 static struct str
 reported_model (const struct vm *vm)
 {
-  if (vm->part == BKS_ALONE)
+  if (vm->part == BKS_NO_REPLICA)
     return STR_EMPTY;
   return str_from (vm->part == BKS_JOINING ? vm->previous_model : vm->model);
 }
@@ -323,24 +323,25 @@
       const struct vm *vm = &w->vms[i];
       if (vm->killed || vm->disconnected || vm->expired)
         continue;
-      list[n++] = (struct bks_entry){ .id = str_from (vm->id),
-                                      .born = vm->started_at,
-                                      .service = STR ("lm"),
-                                      .zone = STR ("z"),
-                                      .domain = str_from (vm->domain),
-                                      .capacity = 8,
-                                      .draining = vm->draining,
-                                      .model = reported_model (vm),
-                                      .staged = { str_from (vm->preloaded) },
-                                      .nstaged = vm->preloaded[0] != '\0',
-                                      .replica = str_from (vm->replica),
-                                      .generation = vm->generation,
-                                      .rank = vm->rank,
-                                      .part = vm->part };
+      list[n++]
+          = (struct bks_entry){ .id = str_from (vm->id),
+                                .start_time = vm->started_at,
+                                .service = STR ("lm"),
+                                .zone = STR ("z"),
+                                .domain = str_from (vm->domain),
+                                .capacity = 8,
+                                .draining = vm->draining,
+                                .model = reported_model (vm),
+                                .preloaded = { str_from (vm->preloaded) },
+                                .npreloaded = vm->preloaded[0] != '\0',
+                                .replica = str_from (vm->replica),
+                                .generation = vm->generation,
+                                .rank = vm->rank,
+                                .member_state = vm->part };
     }
   bks_update (w->lists[core], w->now, w->now, list, n);
-  frm_servers (w->cores[core], w->now, w->lists[core], w->table,
-               !w->list_incomplete);
+  frm_set_servers (w->cores[core], w->now, w->lists[core], w->table,
+                   !w->list_incomplete);
 }
 
 static void
@@ -384,8 +385,8 @@
 set_leader_node (struct world *w, size_t core, int64_t fence)
 {
   if (w->leading[!core])
-    frm_owner (w->cores[!core], w->now, false, 0);
-  frm_owner (w->cores[core], w->now, true, fence);
+    frm_set_leading (w->cores[!core], w->now, false, 0);
+  frm_set_leading (w->cores[core], w->now, true, fence);
   w->leading[core] = true;
   w->leading[!core] = false;
 }
@@ -453,7 +454,7 @@
     buf_addf (&w->log,
               "%.*s: wanted %u, formed %u, requests %.0f, reassigned %u\n",
               STR_ARG (list[i].name), list[i].wanted, list[i].formed,
-              list[i].requests, (unsigned)list[i].yielded);
+              list[i].requests, (unsigned)list[i].reassigned);
 }
 
 static void
@@ -469,9 +470,9 @@
       if (strcmp (word, "size") == 0)
         m->size = (unsigned)n;
       else if (strcmp (word, "share") == 0)
-        m->share = n / 100.0;
+        m->work_share = n / 100.0;
       else if (strcmp (word, "pace") == 0)
-        m->pace = n / 100.0;
+        m->time_factor = n / 100.0;
       else
         w->requested[k] = n;
     }
@@ -553,14 +554,14 @@
   else if (strcmp (word, "apply-on-join") == 0)
     w->apply_on_join = true;
   else if (strcmp (word, "traffic") == 0)
-    frm_traffic (w->cores[0]);
+    frm_traffic_started (w->cores[0]);
   else if (strcmp (word, "host-memory") == 0)
-    w->table->services[0].host_keeps = 1;
+    w->table->services[0].host_cache_models = 1;
   else if (strcmp (word, "stalled") == 0)
     for (size_t c = 0; c < 2; c++)
-      frm_stalled (
-          w->cores[c], w->now,
-          dsp_place_hash (str_from (vm->id), vm->started_at, vm->generation));
+      frm_stalled (w->cores[c], w->now,
+                   dsp_endpoint_hash (str_from (vm->id), vm->started_at,
+                                      vm->generation));
   else if (strcmp (word, "show") == 0)
     show (w);
   else if (strcmp (word, "count") == 0)
@@ -569,7 +570,7 @@
     w->list_ms = atoi (a);
   else if (strcmp (word, "orders") == 0)
     buf_addf (&w->log, "%u orders\n",
-              (unsigned)frm_figures (w->cores[0])->orders);
+              (unsigned)frm_stats (w->cores[0])->orders);
   else if (strcmp (word, "plan") == 0)
     show_plan (w);
   else if (strcmp (word, "no-order-log") == 0)
--- a/t/lib-limit.c
+++ b/t/lib-limit.c
@@ -139,7 +139,7 @@
       = { .from = node, .periodic = periodic, .is_follower = true };
   size_t n;
   const struct lim_permits *list
-      = lim_wanted (f->node[node].l, f->now, periodic, &n);
+      = lim_get_demand (f->node[node].l, f->now, periodic, &n);
 
   message.npermits = n < MAX_LIST ? n : MAX_LIST;
   if (n)
@@ -153,7 +153,7 @@
   struct lim *l = f->node[node].l;
   size_t n;
 
-  lim_lead (l, f->now, granting_node (f, node) < 0, (unsigned)f->n);
+  lim_set_role (l, f->now, granting_node (f, node) < 0, (unsigned)f->n);
   const struct lim_permits *due = lim_grant (l, f->now, true, &n);
   for (size_t i = 0; i < n; i++)
     {
@@ -190,12 +190,12 @@
     lim_apply (l, f->now, &in->updates[i]);
   for (size_t i = 0; in->grants && i < in->npermits; i++)
     if (granting_node (f, node) == in->from)
-      lim_granted (l, f->now, in->permits[i].server, in->permits[i].n);
+      lim_add_permits (l, f->now, in->permits[i].server, in->permits[i].n);
   if (in->is_follower)
-    lim_followed (l, f->now, (uint64_t)in->from + 1, in->periodic, in->permits,
-                  in->npermits);
+    lim_on_follower_demand (l, f->now, (uint64_t)in->from + 1, in->periodic,
+                            in->permits, in->npermits);
   else if (in->periodic)
-    lim_unfollowed (l, (uint64_t)in->from + 1);
+    lim_remove_follower (l, (uint64_t)in->from + 1);
   if (in->is_follower)
     grant (f, node);
 }
@@ -218,7 +218,7 @@
 {
   struct limit_response *a = xmalloc (sizeof *a);
 
-  lim_take (f->node[node].l, f->now, (uint64_t)s->name);
+  lim_use_permit (f->node[node].l, f->now, (uint64_t)s->name);
   if (f->now - f->node[node].started_at >= LEARN_MS)
     add_arrival (s, f->now);
   *a = (struct limit_response){ .next = f->responses,
@@ -236,7 +236,7 @@
 {
   int granting = granting_node (f, node);
 
-  if (!lim_wants_more (f->node[node].l))
+  if (!lim_poll_new_demand (f->node[node].l))
     return;
   if (granting < 0)
     grant (f, node);
@@ -259,9 +259,9 @@
       send_request (f, node, s);
       return;
     }
-  lim_want (x->l, f->now, (uint64_t)s->name);
+  lim_request_permit (x->l, f->now, (uint64_t)s->name);
   request_permits (f, node);
-  if (!lim_is_spent (x->l, f->now, (uint64_t)s->name))
+  if (!lim_is_exhausted (x->l, f->now, (uint64_t)s->name))
     x->waiting[s - f->server] = f->now + WAIT_MS;
 }
 
@@ -364,12 +364,13 @@
           at = &a->next;
           continue;
         }
-      lim_answered (a->sender, f->now,
-                    &(struct lim_word){ .server = (uint64_t)s->name,
-                                        .says = s->limited ? LIM_SAYS_RATE
-                                                           : LIM_SAYS_NOTHING,
-                                        .rate = s->rate,
-                                        .sent_at = a->sent });
+      lim_on_report (a->sender, f->now,
+                     &(struct lim_report){ .server = (uint64_t)s->name,
+                                           .kind = s->limited
+                                                       ? LIM_REPORT_RATE
+                                                       : LIM_REPORT_NONE,
+                                           .rate = s->rate,
+                                           .sent_at = a->sent });
       *at = a->next;
       free (a);
     }
@@ -450,7 +451,7 @@
   buf_addf (log, "%c ", s->name);
   for (int i = 0; i < f->n; i++)
     buf_add_char (log, !f->node[i].l ? '.'
-                       : lim_rate (f->node[i].l, (uint64_t)s->name, &rate)
+                       : lim_get_rate (f->node[i].l, (uint64_t)s->name, &rate)
                            ? 'L'
                            : '-');
   buf_add_char (log, '\n');
--- a/t/lib-poison.c
+++ b/t/lib-poison.c
@@ -66,7 +66,7 @@
   psn_apply (f->node[node], f->now,
              &(struct psn_update){ .kind = PSN_CRASH,
                                    .digest = digest,
-                                   .place = place,
+                                   .endpoint = place,
                                    .ran_ms = ran_ms });
 }
 
@@ -140,8 +140,8 @@
   buf_addf (log, "%s ", request);
   for (int i = 0; i < f->n; i++)
     {
-      bool refused
-          = psn_refuses (f->node[i], f->now, (uint64_t)request[0], &again_ms);
+      bool refused = psn_should_refuse (f->node[i], f->now,
+                                        (uint64_t)request[0], &again_ms);
       buf_add_char (log, !refused ? '-' : again_ms ? 'w' : 'B');
     }
   buf_add_char (log, '\n');
--- a/t/t6002-replica.c
+++ b/t/t6002-replica.c
@@ -69,7 +69,7 @@
 
 static const struct dom_options shrinking
     = { .config = CONFIG (REPLICA ("r1", "manage", "")),
-        .later = CONFIG_OF ("", ""),
+        .next_config = CONFIG_OF ("", ""),
         .checks_fence = true,
         .load_ms = 2000 };
 
--- a/t/t6003-replica-walk.c
+++ b/t/t6003-replica-walk.c
@@ -58,10 +58,10 @@
 {
   char line[32];
 
-  dom_do (d, "unowner");
-  dom_do (d, rng_below (rng, 2) ? "as 1" : "as 2");
+  dom_run_line (d, "unowner");
+  dom_run_line (d, rng_below (rng, 2) ? "as 1" : "as 2");
   snprintf (line, sizeof line, "owner %d", ++*fence);
-  dom_do (d, line);
+  dom_run_line (d, line);
 }
 
 static void
@@ -93,25 +93,26 @@
                              : random_replica (rng),
                 (int)rng_below (rng, 30), (int)rng_below (rng, 40));
     }
-  dom_do (d, line);
+  dom_run_line (d, line);
 }
 
 static void
 walk (uint64_t seed, bool two, struct sums *s)
 {
-  struct dom_options opt = {
-    .config = config, .checks_fence = seed % 2, .two = two, .load_ms = 1500
-  };
+  struct dom_options opt = { .config = config,
+                             .checks_fence = seed % 2,
+                             .two_cores = two,
+                             .load_ms = 1500 };
   struct dom *d = dom_new (&opt, seed);
   struct rng rng;
   int fence = 100;
 
   rng_seed (&rng, seed);
-  dom_do (d, "owner 100");
+  dom_run_line (d, "owner 100");
   for (int i = 0; i < EVENTS; i++)
     {
       random_event (d, &rng, &fence);
-      dom_until (d, dom_now (d) + 100 + (clk_ms)rng_below (&rng, 4000));
+      dom_run_until (d, dom_now (d) + 100 + (clk_ms)rng_below (&rng, 4000));
       s->false_whole += dom_false_whole (d);
     }
   s->events += EVENTS;
--- a/t/t9202-views.c
+++ b/t/t9202-views.c
@@ -24,7 +24,7 @@
       struct buf out = BUF_INIT;
       struct str left = STR (text);
       for (; left.len > 0; left = str_skip (left, size))
-        spl_take (&s, str_head (left, size), &out);
+        spl_feed (&s, str_head (left, size), &out);
       cr_expect_str_eq (buf_c (&out), expected, "chunks of %zu: %s", size,
                         buf_c (&out));
       cr_expect_eq (s.last_id, 3);
@@ -73,15 +73,15 @@
   cr_expect_not (bks_update (b, 2000, 2000, e, 3));
   cr_expect (bks_update (b, 3000, 3000, e, 2));
   expect_ids (b, "a b ");
-  bks_unreadable (b, 4000);
+  bks_read_failed (b, 4000);
   bks_update (b, 9000, 9000, e, 1);
   expect_ids (b, "a b ");
-  cr_expect_not (bks_settled (b, 9500));
+  cr_expect_not (bks_is_stable (b, 9500));
   bks_update (b, 11100, 11100, e, 1);
   expect_ids (b, "a b ");
   cr_expect (bks_update (b, 11300, 11300, e, 1));
   expect_ids (b, "a ");
-  cr_expect (bks_settled (b, 11300));
+  cr_expect (bks_is_stable (b, 11300));
   bks_free (b);
 }
 
@@ -149,20 +149,20 @@
       entry_json (json, sizeof json, "h", "\"rank\":0,\"state\":\"open\""),
       &text, &e[0], NULL));
   bks_update (b, 1000, 1000, e, 1);
-  cr_expect_not (bks_places (b, t, &n)[0].accepting);
+  cr_expect_not (bks_endpoints (b, t, &n)[0].accepting);
   cr_expect_eq (n, 1);
   cr_assert (plt_server (
       STR ("servers/k"),
       entry_json (json, sizeof json, "k", "\"rank\":1,\"state\":\"ready\""),
       &text, &e[1], NULL));
   bks_update (b, 2000, 2000, e, 2);
-  cr_expect (bks_places (b, t, &n)[0].accepting);
+  cr_expect (bks_endpoints (b, t, &n)[0].accepting);
   cr_assert (plt_server (
       STR ("servers/k"),
       entry_json (json, sizeof json, "d", "\"rank\":1,\"state\":\"ready\""),
       &text, &e[1], NULL));
   bks_update (b, 3000, 3000, e, 2);
-  cr_expect_not (bks_places (b, t, &n)[0].accepting);
+  cr_expect_not (bks_endpoints (b, t, &n)[0].accepting);
   arena_free (&text);
   bks_free (b);
   tbl_unref (t);
@@ -194,20 +194,20 @@
                          entry_json (json, sizeof json, "k", MEMBER), &text,
                          &e[1], NULL));
   bks_update (b, 1000, 1000, e, 2);
-  cr_expect (bks_places (b, t, &n)[0].accepting);
+  cr_expect (bks_endpoints (b, t, &n)[0].accepting);
   bks_update (b, 2000, 2000, e, 1);
-  cr_expect (bks_places (b, t, &n)[0].accepting);
+  cr_expect (bks_endpoints (b, t, &n)[0].accepting);
 
   draining_member = e[1];
   draining_member.draining = true;
   bks_apply_changes (b, 3000, 3000, &draining_member, 1, NULL, 0);
-  cr_expect_not (bks_places (b, t, &n)[0].accepting);
+  cr_expect_not (bks_endpoints (b, t, &n)[0].accepting);
 
   moved_member = e[1];
   moved_member.replica = STR ("other");
   moved_member.generation++;
   bks_apply_changes (b, 4000, 4000, &moved_member, 1, NULL, 0);
-  cr_expect_not (bks_places (b, t, &n)[0].accepting);
+  cr_expect_not (bks_endpoints (b, t, &n)[0].accepting);
   arena_free (&text);
   bks_free (b);
   tbl_unref (t);
@@ -238,9 +238,9 @@
                          entry_json (json, sizeof json, "k", MEMBER), &text,
                          &e[1], NULL));
   bks_update (b, 1000, 1000, e, 1);
-  cr_expect_not (bks_places (b, t, &n)[0].accepting, "one of three");
+  cr_expect_not (bks_endpoints (b, t, &n)[0].accepting, "one of three");
   bks_update (b, 2000, 2000, e, 2);
-  cr_expect (bks_places (b, t, &n)[0].accepting, "two of three");
+  cr_expect (bks_endpoints (b, t, &n)[0].accepting, "two of three");
   arena_free (&text);
   bks_free (b);
   tbl_unref (t);
@@ -259,15 +259,15 @@
       snprintf (ids[i], sizeof ids[i], "s%zu", i);
       make_entry (&e[i], ids[i], false);
     }
-  cr_expect_eq (bks_pace (b, 100), 100, "no list read yet");
+  cr_expect_eq (bks_poll_interval (b, 100), 100, "no list read yet");
   bks_update (b, 1000, 1000, e, 200);
-  cr_expect_eq (bks_pace (b, 100), 100);
+  cr_expect_eq (bks_poll_interval (b, 100), 100);
   bks_update (b, 2000, 2000, e, 1000);
-  cr_expect_eq (bks_pace (b, 100), 400);
-  cr_expect_eq (bks_pace (b, 300), 1200);
-  cr_expect_eq (bks_duty_pace (b, 300, 3000), 1000,
+  cr_expect_eq (bks_poll_interval (b, 100), 400);
+  cr_expect_eq (bks_poll_interval (b, 300), 1200);
+  cr_expect_eq (bks_leader_poll_interval (b, 300, 3000), 1000,
                 "draining is read in time despite a long list");
-  cr_expect_eq (bks_duty_pace (b, 100, 3000), 400);
+  cr_expect_eq (bks_leader_poll_interval (b, 100, 3000), 400);
   bks_free (b);
 }
 
@@ -277,13 +277,13 @@
  */
 Test (backends, draining_server_is_read_in_time)
 {
-  cr_expect_leq (3 * bks_untold_ms (2000, false), 2000);
-  cr_expect_leq (3 * bks_untold_ms (3000, false), 3000);
-  cr_expect_leq (bks_untold_ms (3000, true) + 1000, 3000,
+  cr_expect_leq (3 * bks_fallback_poll_ms (2000, false), 2000);
+  cr_expect_leq (3 * bks_fallback_poll_ms (3000, false), 3000);
+  cr_expect_leq (bks_fallback_poll_ms (3000, true) + 1000, 3000,
                  "in a large fleet, a read that takes 1 s is in time");
-  cr_expect_geq (bks_untold_ms (3000, true), 1500,
+  cr_expect_geq (bks_fallback_poll_ms (3000, true), 1500,
                  "the next leader has had time to send the list");
-  cr_expect_gt (bks_untold_ms (2000, false), 300,
+  cr_expect_gt (bks_fallback_poll_ms (2000, false), 300,
                 "each read is a billed call");
 }
 
@@ -334,12 +334,12 @@
                          const struct tbl *t, struct buf *log)
 {
   struct svl_frame *f = svl_frame_new (from, 0, since);
-  const struct dsp_place *list;
+  const struct dsp_endpoint *list;
   size_t n;
 
   svl_apply (to, 5000, 5000, svl_frame_list (f));
   svl_frame_free (f);
-  list = bks_places (to, t, &n);
+  list = bks_endpoints (to, t, &n);
   for (size_t i = 0; i < n; i++)
     buf_addf (log, "%.*s%s ", STR_ARG (list[i].server),
               list[i].accepting ? "+" : "");
@@ -373,19 +373,19 @@
   make_entry (&e[2], "p", false);
   cr_assert (net_addr_parse (STR ("10.0.0.9:80"), false, &e[2].addr));
   bks_update (from, 1000, 1000, e, 3);
-  bks_places (from, t, &n);
+  bks_endpoints (from, t, &n);
   apply_and_log_endpoints (from, to, 0, t, &log);
   expect_ids (to, "h p ");
   version = bks_version (from);
   e[1].draining = true;
   bks_update (from, 2000, 2000, e, 3);
-  bks_places (from, t, &n);
+  bks_endpoints (from, t, &n);
   apply_and_log_endpoints (from, to, version, t, &log);
   version = bks_version (from);
-  e[0].part = BKS_READY;
+  e[0].member_state = BKS_READY;
   e[2].draining = true;
   bks_update (from, 3000, 3000, e, 3);
-  bks_places (from, t, &n);
+  bks_endpoints (from, t, &n);
   apply_and_log_endpoints (from, to, version, t, &log);
   cr_expect_str_eq (buf_c (&log), "h+ p+ \nh p+ \np \n", "%s", buf_c (&log));
   buf_free (&log);
@@ -421,7 +421,7 @@
                           .model = STR ("m"),
                           .members = members,
                           .nmembers = 2,
-                          .cut = true };
+                          .force = true };
   static const char *const expected[]
       = { "{\"op\":\"join\",\"fence\":7,\"group\":\"r5\",\"epoch\":5,"
           "\"model\":\"m\",\"members\":[\"a\",\"b\"]}",
@@ -431,7 +431,7 @@
           "{\"op\":\"leave\",\"fence\":7,\"group\":\"r5\",\"epoch\":5}",
           "{\"op\":\"stage\",\"fence\":7,\"model\":\"m\"}" };
 
-  for (int k = FRM_JOIN; k <= FRM_STAGE; k++)
+  for (int k = FRM_JOIN; k <= FRM_PRELOAD; k++)
     {
       struct buf body = BUF_INIT;
       a.order = (enum frm_order_kind)k;
@@ -504,12 +504,12 @@
           { { "x-drop", 6 }, { "1", 1 } },
           { { "last-event-id", 13 }, { "3", 1 } },
           { { "x-keep", 6 }, { "2", 1 } } };
-  struct srv_forward f = { .host = STR ("h"),
-                           .server = STR ("i-1"),
-                           .account = STR ("acc"),
-                           .left_ms = 900,
-                           .priority = 2,
-                           .last_event = STR ("7") };
+  struct srv_forward_params f = { .host = STR ("h"),
+                                  .server = STR ("i-1"),
+                                  .account = STR ("acc"),
+                                  .left_ms = 900,
+                                  .priority = 2,
+                                  .last_event = STR ("7") };
   struct srv_headers out = { 0 };
   struct buf text = BUF_INIT;
 
@@ -539,7 +539,7 @@
   bks_update (from, 1000, 1000, &e, 1);
   f = svl_frame_new (from, 300, 0);
   svl_apply (to, 5000, 2000, svl_frame_list (f));
-  cr_expect_eq (bks_asked_at (to), 1700);
+  cr_expect_eq (bks_read_started_at (to), 1700);
   svl_frame_free (f);
   bks_free (from);
   bks_free (to);
@@ -550,7 +550,7 @@
                            int64_t beat)
 {
   make_entry (e, id, draining);
-  e->beat = beat;
+  e->heartbeat = beat;
 }
 
 /* Guards against sending requests to servers that have left or drain when
@@ -565,7 +565,7 @@
   make_entry_with_heartbeat (&list[2], "p3", false, 7);
   bks_update (b, 10000, 10000, list, 3);
   bks_update (b, 11000, 11000, list, 2); /* p3 has left */
-  bks_restored (b, 12000);
+  bks_store_restored (b, 12000);
   make_entry_with_heartbeat (&list[1], "p2", false, 5);
   make_entry_with_heartbeat (&list[2], "p3", false, 5);
   bks_update (b, 12100, 12100, list, 3);
@@ -590,7 +590,7 @@
   make_entry_with_heartbeat (&list[0], "p1", false, 7);
   make_entry_with_heartbeat (&list[1], "p2", false, 7);
   bks_update (b, 10000, 10000, list, 2);
-  bks_restored (b, 12000);
+  bks_store_restored (b, 12000);
   bks_update (b, 12100, 12100, list, 1);
   expect_ids (b, "p1 p2 ");
   bks_update (b, 14500, 14500, list, 1);
--- a/t/t9203-pause.c
+++ b/t/t9203-pause.c
@@ -13,7 +13,7 @@
 
 struct node
 {
-  struct bof backoff;
+  struct pau backoff;
   struct rng rng;
   clk_ms call_ends_at[CALLERS]; /* end of the call in flight; 0: none */
   unsigned calls;
@@ -29,11 +29,11 @@
         if (n->call_ends_at[i] && now >= n->call_ends_at[i])
           {
             n->call_ends_at[i] = 0;
-            pau_ended (&n->backoff, now, status, &n->rng);
+            pau_call_ended (&n->backoff, now, status, &n->rng);
           }
         if (!n->call_ends_at[i] && pau_may_call (&n->backoff, now))
           {
-            pau_called (&n->backoff);
+            pau_call_started (&n->backoff);
             n->call_ends_at[i] = now + ANSWER_MS;
             n->calls++;
           }
@@ -98,9 +98,9 @@
 
   rng_seed (&n.rng, 3);
   for (int i = 0; i < CALLERS; i++)
-    pau_called (&n.backoff);
+    pau_call_started (&n.backoff);
   for (int i = 0; i < CALLERS; i++)
-    pau_ended (&n.backoff, 1000 + i, STORE_UNAVAILABLE, &n.rng);
+    pau_call_ended (&n.backoff, 1000 + i, STORE_UNAVAILABLE, &n.rng);
   cr_expect_eq (n.backoff.failures, 1);
   cr_expect_not (pau_may_call (&n.backoff, 1100));
   cr_expect (pau_may_call (&n.backoff, 1250));
@@ -120,8 +120,8 @@
   rng_seed (&n.rng, 4);
   for (size_t i = 0; i < sizeof other / sizeof other[0]; i++)
     {
-      pau_called (&n.backoff);
-      pau_ended (&n.backoff, 1000, other[i], &n.rng);
+      pau_call_started (&n.backoff);
+      pau_call_ended (&n.backoff, 1000, other[i], &n.rng);
       cr_expect (pau_may_call (&n.backoff, 1000), "status %d", other[i]);
     }
 }
@@ -139,14 +139,14 @@
 
   for (unsigned rank = 0; rank < 60; rank++)
     {
-      clk_ms delay = bof_watch_delay_ms (60, rank, false);
+      clk_ms delay = pau_watch_delay_ms (60, rank, false);
       cr_expect (rank < 4 ? delay <= 800 : delay >= 3000, "rank %u: %lld",
                  rank, (long long)delay);
       calls += (unsigned)(30000 / delay);
     }
   cr_expect_lt (calls, 60 * 13, "%u calls in 30 s", calls);
-  cr_expect_leq (bof_watch_delay_ms (60, 30, true), 800);
-  cr_expect_leq (bof_watch_delay_ms (9, 8, false), 200);
+  cr_expect_leq (pau_watch_delay_ms (60, 30, true), 800);
+  cr_expect_leq (pau_watch_delay_ms (9, 8, false), 200);
 }
 
 /* Guards against a node that stays in a long backoff after it has lost the
@@ -157,9 +157,9 @@
   struct node n = { 0 };
 
   rng_seed (&n.rng, 1);
-  bof_set_pushed (&n.backoff, 1000, true, &n.rng);
+  pau_set_pushed (&n.backoff, 1000, true, &n.rng);
   run (&n, 1000, 10000, STORE_UNAVAILABLE);
   cr_assert_gt (n.backoff.next_call, 10000 + 300);
-  bof_set_pushed (&n.backoff, 10000, false, &n.rng);
+  pau_set_pushed (&n.backoff, 10000, false, &n.rng);
   cr_expect_leq (n.backoff.next_call, 10000 + 200);
 }
--- a/t/t9204-prompts.c
+++ b/t/t9204-prompts.c
@@ -71,7 +71,7 @@
                            .prefix = STR ("/"),
                            .kind = TBL_STREAM,
                            .resumable = true,
-                           .goal_ms = 400,
+                           .latency_goal_ms = 400,
                            .max_attempts = 2,
                            .targets = to,
                            .ntargets = 1 };
@@ -90,7 +90,7 @@
                              .retry_slack = 10,
                              .retry_window_ms = 10000,
                              .stall_ms = 4000 };
-  struct dsp_place endpoints[REPLICAS];
+  struct dsp_endpoint endpoints[REPLICAS];
 
   f->now = 100000;
   f->config = make_config ();
@@ -99,19 +99,19 @@
     {
       snprintf (f->replicas[i].name, sizeof f->replicas[i].name, "r%d", i);
       endpoints[i]
-          = (struct dsp_place){ .server = str_from (f->replicas[i].name),
-                                .service = STR ("lm"),
-                                .model = STR ("m"),
-                                .zone = STR ("z"),
-                                .capacity = SLOTS,
-                                .read_per_ms = PREFILL_PER_MS,
-                                .accepting = true };
+          = (struct dsp_endpoint){ .server = str_from (f->replicas[i].name),
+                                   .service = STR ("lm"),
+                                   .model = STR ("m"),
+                                   .zone = STR ("z"),
+                                   .capacity = SLOTS,
+                                   .prefill_per_ms = PREFILL_PER_MS,
+                                   .accepting = true };
     }
   for (unsigned i = 0; i < NODES; i++)
     {
       f->nodes[i] = dsp_new (&opt, i + 1);
-      dsp_nodes (f->nodes[i], NODES);
-      dsp_places (f->nodes[i], f->now, endpoints, REPLICAS);
+      dsp_set_node_count (f->nodes[i], NODES);
+      dsp_set_endpoints (f->nodes[i], f->now, endpoints, REPLICAS);
     }
 }
 
@@ -129,7 +129,7 @@
         for (int i = 0; i < REPLICAS; i++)
           if (str_is (a.server, f->replicas[i].name))
             s->replica = i;
-        dsp_sent (f->nodes[node], f->now, a.id, a.attempt);
+        dsp_request_sent (f->nodes[node], f->now, a.id, a.attempt);
       }
 }
 
@@ -137,22 +137,22 @@
 send_notices (struct fleet *f, unsigned from)
 {
   size_t n;
-  const struct dsp_notice *list = dsp_notices (f->nodes[from], &n);
+  const struct dsp_prompt_notice *list = dsp_take_notices (f->nodes[from], &n);
 
   for (unsigned i = 0; f->notices && n > 0 && i < NODES; i++)
     if (i != from)
-      dsp_noticed (f->nodes[i], f->now, list, n);
+      dsp_receive_notices (f->nodes[i], f->now, list, n);
 }
 
 static void
 send_loads (struct fleet *f, unsigned from)
 {
   size_t n;
-  const struct dsp_count *own = dsp_own_load (f->nodes[from], &n);
+  const struct dsp_endpoint_load *own = dsp_own_load (f->nodes[from], &n);
 
   for (unsigned i = 0; i < NODES; i++)
     if (i != from)
-      dsp_peer_load (f->nodes[i], f->now, from + 1, own, n);
+      dsp_set_peer_load (f->nodes[i], f->now, from + 1, own, n);
 }
 
 /** Mostly a few hundred tokens; about one in ten is several thousand. */
@@ -175,16 +175,16 @@
   struct stream *s = &f->streams[id];
   struct dsp_request q = { .id = id,
                            .route = &f->config->routes[0],
-                           .table = f->config,
+                           .config = f->config,
                            .service = &f->config->services[0],
                            .model = STR ("m"),
                            .deadline = f->now + 8000 };
 
   s->node = (unsigned)rng_below (&f->rng, NODES);
   s->replica = -1;
-  s->prompt = q.prompt = draw_prompt (f);
+  s->prompt = q.prompt_tokens = draw_prompt (f);
   s->events_left = 3 + (unsigned)rng_below (&f->rng, 30);
-  dsp_arrive (f->nodes[s->node], f->now, &q);
+  dsp_submit (f->nodes[s->node], f->now, &q);
   execute_actions (f, s->node);
   send_notices (f, s->node);
 }
@@ -203,11 +203,11 @@
       if (s->replica != r)
         continue;
       if (s->prefilled)
-        dsp_heard (f->nodes[s->node], f->now, id, s->attempt, true);
+        dsp_data_received (f->nodes[s->node], f->now, id, s->attempt, true);
       if (s->prefilled && --s->events_left == 0)
         {
           s->replica = -1;
-          dsp_whole (f->nodes[s->node], f->now, id, s->attempt);
+          dsp_response_complete (f->nodes[s->node], f->now, id, s->attempt);
         }
       execute_actions (f, s->node);
       running += s->replica == r && s->prefilled;
--- a/t/t9205-entries.c
+++ b/t/t9205-entries.c
@@ -73,8 +73,8 @@
   cr_expect (str_is (e.model, "m") && str_is (e.replica, "r1"));
   cr_expect_eq (e.capacity, 26);
   cr_expect_eq (e.generation, 5);
-  cr_expect_eq (e.part, BKS_OPEN);
-  cr_expect_eq (e.born, 1788525883000);
+  cr_expect_eq (e.member_state, BKS_OPEN);
+  cr_expect_eq (e.start_time, 1788525883000);
   arena_free (&text);
   buf_free (&json);
 }
@@ -93,7 +93,7 @@
     }
   build_json (&json, 13, "\"group\":null");
   cr_expect (parses (buf_str (&json), &e, NULL));
-  cr_expect_eq (e.part, BKS_ALONE);
+  cr_expect_eq (e.member_state, BKS_NO_REPLICA);
   buf_free (&json);
 }
 
@@ -195,8 +195,9 @@
       if (!parses (buf_str (&json), &e, NULL))
         continue;
       cr_assert (e.capacity >= 1 && e.capacity <= 100000);
-      cr_assert (e.rank < FRM_MEMBERS && e.generation >= 0 && e.born >= 0);
-      cr_assert_leq (e.part, BKS_BROKEN);
+      cr_assert (e.rank < FRM_MAX_MEMBERS && e.generation >= 0
+                 && e.start_time >= 0);
+      cr_assert_leq (e.member_state, BKS_BROKEN);
     }
   buf_free (&json);
 }
@@ -205,21 +206,21 @@
    is logged when it appears and when it changes. */
 Test (entries, each_change_is_logged_once)
 {
-  struct unr *u = unr_new ();
+  struct inv *u = inv_new ();
 
-  unr_begin (u);
-  cr_expect (unr_note (u, STR ("servers/x"), STR ("{")));
-  unr_end (u);
-  unr_begin (u);
-  cr_expect_not (unr_note (u, STR ("servers/x"), STR ("{")));
-  cr_expect (unr_note (u, STR ("servers/y"), STR ("{")));
-  unr_end (u);
-  cr_expect_eq (unr_count (u), 2);
-  unr_begin (u);
-  cr_expect (unr_note (u, STR ("servers/x"), STR ("}")));
-  unr_end (u);
-  cr_expect_eq (unr_count (u), 1);
-  unr_free (u);
+  inv_begin_list (u);
+  cr_expect (inv_record (u, STR ("servers/x"), STR ("{")));
+  inv_end_list (u);
+  inv_begin_list (u);
+  cr_expect_not (inv_record (u, STR ("servers/x"), STR ("{")));
+  cr_expect (inv_record (u, STR ("servers/y"), STR ("{")));
+  inv_end_list (u);
+  cr_expect_eq (inv_count (u), 2);
+  inv_begin_list (u);
+  cr_expect (inv_record (u, STR ("servers/x"), STR ("}")));
+  inv_end_list (u);
+  cr_expect_eq (inv_count (u), 1);
+  inv_free (u);
 }
 
 /* --- incarnations ------------------------------------------------------ */
@@ -246,19 +247,21 @@
                            .capacity = 4,
                            .replica = STR ("r1"),
                            .generation = 5,
-                           .part = BKS_OPEN,
-                           .born = 1000 };
+                           .member_state = BKS_OPEN,
+                           .start_time = 1000 };
   struct bks_entry restarted = {
-    .id = STR ("a"), .service = STR ("lm"), .capacity = 4, .born = 2000
+    .id = STR ("a"), .service = STR ("lm"), .capacity = 4, .start_time = 2000
   };
   struct bks_entry no_start_time = old;
 
-  no_start_time.born = 0;
-  cr_expect_eq (update_list (b, 1000, &old)->part, BKS_OPEN);
-  cr_expect_eq (update_list (b, 2000, &restarted)->part, BKS_ALONE);
-  cr_expect_eq (update_list (b, 3000, &old)->part, BKS_ALONE);
-  cr_expect_eq (update_list (b, 4000, &no_start_time)->part, BKS_ALONE);
-  cr_expect_eq (update_list (b, 5000, &restarted)->born, 2000);
+  no_start_time.start_time = 0;
+  cr_expect_eq (update_list (b, 1000, &old)->member_state, BKS_OPEN);
+  cr_expect_eq (update_list (b, 2000, &restarted)->member_state,
+                BKS_NO_REPLICA);
+  cr_expect_eq (update_list (b, 3000, &old)->member_state, BKS_NO_REPLICA);
+  cr_expect_eq (update_list (b, 4000, &no_start_time)->member_state,
+                BKS_NO_REPLICA);
+  cr_expect_eq (update_list (b, 5000, &restarted)->start_time, 2000);
   bks_free (b);
 }
 
@@ -266,10 +269,10 @@
    incarnation. */
 Test (incarnations, each_is_a_separate_endpoint)
 {
-  cr_expect_neq (dsp_place_hash (STR ("a"), 1000, 5),
-                 dsp_place_hash (STR ("a"), 2000, 5));
-  cr_expect_neq (dsp_place_hash (STR ("a"), 1000, 5),
-                 dsp_place_hash (STR ("a"), 1000, 6));
+  cr_expect_neq (dsp_endpoint_hash (STR ("a"), 1000, 5),
+                 dsp_endpoint_hash (STR ("a"), 2000, 5));
+  cr_expect_neq (dsp_endpoint_hash (STR ("a"), 1000, 5),
+                 dsp_endpoint_hash (STR ("a"), 1000, 6));
 }
 
 /* --- with running processes -------------------------------------------- */
--- a/t/t9206-hubs.c
+++ b/t/t9206-hubs.c
@@ -9,7 +9,7 @@
 #include <string.h>
 
 #include "base/rng.h"
-#include "serve/relays.h"
+#include "serve/hubs.h"
 
 #define NODES_MAX 400
 #define MBIT 125000.0
@@ -17,7 +17,7 @@
 struct fleet
 {
   size_t n;
-  struct hub_node node[NODES_MAX];
+  struct rly_node node[NODES_MAX];
   bool failed[NODES_MAX];
 };
 
@@ -35,7 +35,7 @@
     {
       bool is_large = i % nth == 0;
       f->node[i]
-          = (struct hub_node){ rng_next (&r), (is_large ? 200 : 20) * MBIT,
+          = (struct rly_node){ rng_next (&r), (is_large ? 200 : 20) * MBIT,
                                is_large ? 0.5 : 0.12 };
     }
 }
@@ -78,7 +78,7 @@
 }
 
 /*
- * In a fleet of 300 nodes each node has HUB_LINKS links instead of 299, and
+ * In a fleet of 300 nodes each node has RLY_LINKS links instead of 299, and
  * all of them lead to the same few large nodes, which alone have the capacity
  * for all loads.
  */
@@ -90,14 +90,14 @@
 
   fleet_init (&f, 300, 20);
   for (size_t i = 0; i < f.n; i++)
-    cr_expect_eq (count_links (&f, i, wanted), HUB_LINKS, "node %zu", i);
+    cr_expect_eq (count_links (&f, i, wanted), RLY_LINKS, "node %zu", i);
   for (size_t i = 0; i < f.n; i++)
     {
       used += wanted[i] > 0;
       cr_expect (wanted[i] == 0 || i % 20 == 0, "small node %zu is a relay",
                  i);
     }
-  cr_expect_leq (used, HUB_LINKS + 1, "%zu relays", used);
+  cr_expect_leq (used, RLY_LINKS + 1, "%zu relays", used);
 }
 
 /*
@@ -118,10 +118,10 @@
     f.failed[i] = before[i] > 0;
   for (size_t i = 0; i < f.n; i++)
     if (!f.failed[i])
-      cr_expect_eq (count_links (&f, i, wanted), HUB_LINKS, "node %zu", i);
+      cr_expect_eq (count_links (&f, i, wanted), RLY_LINKS, "node %zu", i);
   for (size_t i = 0; i < f.n; i++)
     used += wanted[i] > 0;
-  cr_expect_leq (used, HUB_LINKS + 1, "%zu relays", used);
+  cr_expect_leq (used, RLY_LINKS + 1, "%zu relays", used);
 }
 
 /* All large nodes have failed, and small nodes become relays. */
@@ -135,7 +135,7 @@
     f.failed[i] = true;
   for (size_t i = 0; i < f.n; i++)
     if (!f.failed[i])
-      cr_expect_eq (count_links (&f, i, wanted), HUB_LINKS, "node %zu", i);
+      cr_expect_eq (count_links (&f, i, wanted), RLY_LINKS, "node %zu", i);
 }
 
 /*
@@ -152,7 +152,7 @@
 
   fleet_init (&f, 300, 20);
   for (size_t i = 0; i < f.n; i++)
-    if (hub_cmp (&f.node[i], &f.node[last]) > 0)
+    if (rly_cmp (&f.node[i], &f.node[last]) > 0)
       last = i;
   n = list_peers (&f, last, list, indices);
   rly_choose_links (&f.node[last], true, list, n);
@@ -202,11 +202,11 @@
 {
   static struct fleet f;
   unsigned wanted[NODES_MAX] = { 0 };
-  struct hub_node limited = { 1, MBIT, 1 }, unlimited = { 2, 0, 0 };
+  struct rly_node limited = { 1, MBIT, 1 }, unlimited = { 2, 0, 0 };
 
-  fleet_init (&f, HUB_MESH_MOST, 9);
+  fleet_init (&f, RLY_MESH_MAX, 9);
   for (size_t i = 0; i < f.n; i++)
     cr_expect_eq (count_links (&f, i, wanted), f.n - 1, "node %zu", i);
-  cr_expect_lt (hub_cmp (&unlimited, &limited), 0);
-  cr_expect_gt (hub_cmp (&limited, &unlimited), 0);
+  cr_expect_lt (rly_cmp (&unlimited, &limited), 0);
+  cr_expect_gt (rly_cmp (&limited, &unlimited), 0);
 }
--- a/t/t9207-poison.c
+++ b/t/t9207-poison.c
@@ -228,8 +228,8 @@
     }
   for (int i = 0; i < 2; i++)
     {
-      cr_expect (psn_refuses (f.node[i], f.now, 'p', &again_ms));
-      cr_expect (psn_refuses (f.node[i], f.now, 's', &again_ms));
+      cr_expect (psn_should_refuse (f.node[i], f.now, 'p', &again_ms));
+      cr_expect (psn_should_refuse (f.node[i], f.now, 's', &again_ms));
       psn_snapshot (f.node[i], f.now, &n);
       cr_expect_leq (n, PSN_MAX_REQUESTS * 9);
     }
@@ -326,8 +326,8 @@
 
   if (!retry)
     d->attempts = 0;
-  if (retry ? psn_suspects (d->f.node[node], POISON) || ++d->attempts > 1
-            : psn_refuses (d->f.node[node], d->f.now, POISON, &again_ms))
+  if (retry ? psn_is_suspect (d->f.node[node], POISON) || ++d->attempts > 1
+            : psn_should_refuse (d->f.node[node], d->f.now, POISON, &again_ms))
     {
       d->next_send_at = d->f.now + draw (d, 50, 500);
       return;
@@ -380,7 +380,7 @@
 {
   clk_ms again_ms;
   bool refused
-      = psn_refuses (d->f.node[r->node], d->f.now, r->digest, &again_ms);
+      = psn_should_refuse (d->f.node[r->node], d->f.now, r->digest, &again_ms);
 
   cr_expect (!refused || again_ms || r->crashes > 3,
              "seed %d: a request is blocked after %u crashes", (int)seed,
--- a/t/t9208-limit.c
+++ b/t/t9208-limit.c
@@ -18,15 +18,15 @@
 {
   static char text[64];
   struct http_header h[2] = { { STR (PLT_H_RATE), str_from (first) } };
-  struct srv_answer a;
+  struct srv_response a;
 
   if (second)
     h[1] = (struct http_header){ STR (PLT_H_RATE), str_from (second) };
   plt_answer (STR ("id"), 200, h, second ? 2 : 1, &a);
-  if (a.limit == LIM_SAYS_UNREADABLE)
+  if (a.limit == LIM_REPORT_UNREADABLE)
     return "unreadable";
   snprintf (text, sizeof text, "%g", a.rate);
-  return a.limit == LIM_SAYS_RATE ? text : "nothing";
+  return a.limit == LIM_REPORT_RATE ? text : "nothing";
 }
 
 /* A malformed header must not be taken for a limit. */
@@ -61,10 +61,10 @@
 /* A response without the header must not set a limit. */
 Test (limit, no_header)
 {
-  struct srv_answer a;
+  struct srv_response a;
 
   plt_answer (STR ("id"), 200, NULL, 0, &a);
-  cr_expect_eq (a.limit, LIM_SAYS_NOTHING);
+  cr_expect_eq (a.limit, LIM_REPORT_NONE);
 }
 
 /* The limit is the total of all nodes.  Nodes that each applied it to their
@@ -225,8 +225,7 @@
   limit_run_line (f, "reset", &log);
   limit_run_line (f, "run 10000", &log);
   cr_expect_geq (f->server[0].n, 950);
-  cr_expect_leq (lim_figures (f->node[0].l, f->now).granted,
-                 200u * UINT16_MAX);
+  cr_expect_leq (lim_stats (f->node[0].l, f->now).granted, 200u * UINT16_MAX);
   limit_fleet_free (f);
   free (f);
   buf_free (&log);
@@ -258,10 +257,10 @@
 static enum lim_change
 respond (struct lim *l, clk_ms now, double rate, clk_ms sent_at)
 {
-  struct lim_word report = { .server = 7, .rate = rate, .sent_at = sent_at };
+  struct lim_report report = { .server = 7, .rate = rate, .sent_at = sent_at };
 
-  report.says = rate < 0 ? LIM_SAYS_NOTHING : LIM_SAYS_RATE;
-  return lim_answered (l, now, &report);
+  report.kind = rate < 0 ? LIM_REPORT_NONE : LIM_REPORT_RATE;
+  return lim_on_report (l, now, &report);
 }
 
 /* An older response that arrives late must neither end a limit nor raise it.
@@ -272,14 +271,14 @@
   double rate;
 
   cr_expect_eq (respond (l, 1000, 4, 900), LIM_SET);
-  cr_expect_eq (respond (l, 1010, -1, 950), LIM_SAME);
-  cr_expect_eq (respond (l, 1020, 9, 990), LIM_SAME);
+  cr_expect_eq (respond (l, 1010, -1, 950), LIM_UNCHANGED);
+  cr_expect_eq (respond (l, 1020, 9, 990), LIM_UNCHANGED);
   cr_expect_eq (respond (l, 1030, 2, 960), LIM_SET);
-  cr_expect (lim_rate (l, 7, &rate) && rate == 2);
+  cr_expect (lim_get_rate (l, 7, &rate) && rate == 2);
   cr_expect_eq (respond (l, 1200, 5, 1040), LIM_SET);
-  cr_expect_eq (respond (l, 1300, -1, 1199), LIM_SAME);
+  cr_expect_eq (respond (l, 1300, -1, 1199), LIM_UNCHANGED);
   cr_expect_eq (respond (l, 1400, -1, 1350), LIM_ENDED);
-  cr_expect_not (lim_any (l));
+  cr_expect_not (lim_any_limited (l));
   lim_free (l);
 }
 
@@ -289,13 +288,13 @@
   struct lim *l = lim_new (1);
 
   respond (l, 1000, 2, 900);
-  lim_granted (l, 1100, 7, 1);
-  lim_granted (l, 1110, 7, 1);
-  lim_granted (l, 1120, 7, 5);
+  lim_add_permits (l, 1100, 7, 1);
+  lim_add_permits (l, 1110, 7, 1);
+  lim_add_permits (l, 1120, 7, 5);
   cr_expect (lim_allows (l, 1130, 7));
-  lim_take (l, 1130, 7);
+  lim_use_permit (l, 1130, 7);
   cr_expect_not (lim_allows (l, 1130, 7));
-  lim_granted (l, 1200, 7, 1);
+  lim_add_permits (l, 1200, 7, 1);
   cr_expect (lim_allows (l, 2100, 7));
   cr_expect_not (lim_allows (l, 2300, 7));
   lim_free (l);
@@ -313,7 +312,7 @@
   ended.age_ms = 50;
   cr_expect (lim_apply (l, 1100, &ended));
   cr_expect_not (lim_apply (l, 1100, &ended));
-  cr_expect_not (lim_any (l));
+  cr_expect_not (lim_any_limited (l));
   lim_free (l);
 }
 
@@ -321,13 +320,13 @@
 Test (limit, malformed_limit_is_reported_once)
 {
   struct lim *l = lim_new (1);
-  struct lim_word report = { .server = 7, .says = LIM_SAYS_UNREADABLE };
+  struct lim_report report = { .server = 7, .kind = LIM_REPORT_UNREADABLE };
   double rate;
 
   respond (l, 1000, 4, 900);
-  cr_expect_eq (lim_answered (l, 1100, &report), LIM_UNREADABLE);
-  cr_expect_eq (lim_answered (l, 1200, &report), LIM_SAME);
-  cr_expect (lim_rate (l, 7, &rate) && rate == 4);
+  cr_expect_eq (lim_on_report (l, 1100, &report), LIM_UNREADABLE);
+  cr_expect_eq (lim_on_report (l, 1200, &report), LIM_UNCHANGED);
+  cr_expect (lim_get_rate (l, 7, &rate) && rate == 4);
   lim_free (l);
 }
 
@@ -335,14 +334,14 @@
 Test (limit, memory_is_bounded)
 {
   struct lim *l = lim_new (1);
-  struct lim_word report = { .says = LIM_SAYS_RATE, .rate = 1 };
+  struct lim_report report = { .kind = LIM_REPORT_RATE, .rate = 1 };
 
   for (uint64_t i = 1; i <= 5 * LIM_MAX_SERVERS; i++)
     {
       report.server = i;
-      lim_answered (l, (clk_ms)i, &report);
+      lim_on_report (l, (clk_ms)i, &report);
     }
-  cr_expect_eq (lim_figures (l, 0).limited, LIM_MAX_SERVERS);
+  cr_expect_eq (lim_stats (l, 0).limited, LIM_MAX_SERVERS);
   lim_free (l);
 }
 
--- a/t/t9209-currency.c
+++ b/t/t9209-currency.c
@@ -35,7 +35,7 @@
 
 static struct script
 {
-  struct fresh fresh;
+  struct cur fresh;
   clk_ms now;
   int64_t store;
   int64_t readable; /* last version that can be parsed */
@@ -50,17 +50,17 @@
 read_store (void)
 {
   buf_addf (&log_text, "%lld read\n", (long long)(s.now - START_MS));
-  fresh_read_sent (&s.fresh, s.now);
+  cur_read_sent (&s.fresh, s.now);
   s.answer = s.no_answer ? 0 : s.store;
   s.answer_at = s.now + (s.no_answer ? NO_ANSWER_MS : s.answer_ms);
 }
 
-static enum fresh_read_result
+static enum cur_read_result
 result (void)
 {
   if (s.answer == 0)
-    return FRESH_READ_FAILED;
-  return s.answer > s.readable ? FRESH_READ_UNPARSABLE : FRESH_READ_OK;
+    return CUR_READ_FAILED;
+  return s.answer > s.readable ? CUR_READ_UNPARSABLE : CUR_READ_OK;
 }
 
 static void
@@ -69,10 +69,10 @@
   if (s.fresh.reading && s.now >= s.answer_at)
     {
       if (s.answer > s.fresh.version && s.answer <= s.readable)
-        fresh_set_version (&s.fresh, s.answer);
-      fresh_read_done (&s.fresh, s.now, result ());
+        cur_set_version (&s.fresh, s.answer);
+      cur_read_done (&s.fresh, s.now, result ());
     }
-  if (fresh_should_read (&s.fresh, s.now, s.announces))
+  if (cur_should_read (&s.fresh, s.now, s.announces))
     read_store ();
 }
 
@@ -88,20 +88,20 @@
 {
   struct cur_announcement a = { version, stamped, s.now, age };
 
-  fresh_on_announcement (&s.fresh, s.now, &a);
+  cur_on_announcement (&s.fresh, s.now, &a);
 }
 
 static void
 show (void)
 {
-  static const char *const names[] = { [FRESH_CONFIRMED] = "confirmed",
-                                       [FRESH_UNCONFIRMED] = "unconfirmed",
-                                       [FRESH_RESUMED] = "resumed" };
+  static const char *const names[] = { [CUR_CONFIRMED] = "confirmed",
+                                       [CUR_UNCONFIRMED] = "unconfirmed",
+                                       [CUR_RESUMED] = "resumed" };
 
   buf_addf (&log_text, "version %lld %s%s%s\n", (long long)s.fresh.version,
-            names[fresh_state (&s.fresh, s.now)],
-            fresh_is_announced (&s.fresh, s.now) ? " announced" : "",
-            fresh_may_watch (&s.fresh, s.now) ? " may-watch" : "");
+            names[cur_state (&s.fresh, s.now)],
+            cur_is_announced (&s.fresh, s.now) ? " announced" : "",
+            cur_may_watch (&s.fresh, s.now) ? " may-watch" : "");
 }
 
 static void
@@ -120,7 +120,7 @@
       s.answer_ms = n;
     }
   else if (!strcmp (word, "in-force"))
-    fresh_set_version (&s.fresh, n);
+    cur_set_version (&s.fresh, n);
   else if (!strcmp (word, "announce"))
     receive_announcement (n, true, atoll (strtok (NULL, " ")));
   else if (!strcmp (word, "announce-unstamped"))
@@ -132,10 +132,10 @@
   else if (!strcmp (word, "pause"))
     {
       s.now += n;
-      fresh_on_resume (&s.fresh, s.now);
+      cur_on_resume (&s.fresh, s.now);
     }
   else if (!strcmp (word, "watch-ends"))
-    fresh_watch_failed (&s.fresh, s.now);
+    cur_watch_failed (&s.fresh, s.now);
   else if (!strcmp (word, "show"))
     show ();
   else
@@ -148,7 +148,7 @@
   s = (struct script){
     .now = START_MS, .store = 1, .readable = INT64_MAX, .answer_ms = 10
   };
-  fresh_init (&s.fresh, APPLY_MS);
+  cur_init (&s.fresh, APPLY_MS);
   transcript_check (&log_text, run_command, text);
 }
 
@@ -320,7 +320,7 @@
 
 struct node
 {
-  struct fresh fresh;
+  struct cur fresh;
   bool alive;
   clk_ms offset; /* offset of the node's clock */
   clk_ms frozen_until, ticked_at, next_announce;
@@ -362,7 +362,7 @@
   *n = (struct node){ .alive = true,
                       .offset = START_MS + (clk_ms)rng_below (&f.rng, 99999),
                       .ticked_at = f.now };
-  fresh_init (&n->fresh, APPLY_MS);
+  cur_init (&n->fresh, APPLY_MS);
 }
 
 static void
@@ -380,8 +380,8 @@
           .to = to,
           .sent = clock_of (n),
           .a = { .version = n->fresh.version,
-                 .stamped = n->stamp[to] && n->fresh.confirmed_at,
-                 .stamp = n->stamp[to],
+                 .has_echo = n->stamp[to] && n->fresh.confirmed_at,
+                 .echoed_at = n->stamp[to],
                  .age_ms = n->stamp_at[to] - n->fresh.confirmed_at }
         };
         return;
@@ -397,7 +397,7 @@
     return;
   n->stamp[x->from] = x->sent;
   n->stamp_at[x->from] = clock_of (n);
-  fresh_on_announcement (&n->fresh, clock_of (n), &x->a);
+  cur_on_announcement (&n->fresh, clock_of (n), &x->a);
 }
 
 static void
@@ -407,18 +407,18 @@
   clk_ms now = clock_of (n);
 
   if (f.now - n->ticked_at > 500)
-    fresh_on_resume (&n->fresh, now);
+    cur_on_resume (&n->fresh, now);
   n->ticked_at = f.now;
   if (n->fresh.reading && f.now >= n->answer_at)
     {
       if (n->answer > n->fresh.version)
-        fresh_set_version (&n->fresh, n->answer);
-      fresh_read_done (&n->fresh, now,
-                       n->answer > 0 ? FRESH_READ_OK : FRESH_READ_FAILED);
+        cur_set_version (&n->fresh, n->answer);
+      cur_read_done (&n->fresh, now,
+                     n->answer > 0 ? CUR_READ_OK : CUR_READ_FAILED);
     }
-  if (fresh_should_read (&n->fresh, now, i < RELAYS))
+  if (cur_should_read (&n->fresh, now, i < RELAYS))
     {
-      fresh_read_sent (&n->fresh, now);
+      cur_read_sent (&n->fresh, now);
       n->answer = rng_below (&f.rng, 20) ? f.newest : 0;
       n->answer_at = f.now + 1 + (clk_ms)rng_below (&f.rng, 300);
     }
@@ -435,7 +435,7 @@
 static void
 check_node (const struct node *n)
 {
-  if (fresh_state (&n->fresh, clock_of (n)) != FRESH_CONFIRMED)
+  if (cur_state (&n->fresh, clock_of (n)) != CUR_CONFIRMED)
     return;
   f.checked++;
   for (int64_t v = n->fresh.version + 1; v <= f.newest; v++)
