--- a/t/t9202-views.c
+++ b/t/t9202-views.c
@@ -136,7 +136,8 @@
 Test (backends, replica_accepts_only_when_complete)
 {
   struct fnd_list findings = { 0 };
-  struct tbl *t = plt_table (STR ("{\"version\": 1, " SERVICE "}"), &findings);
+  struct tbl *t
+      = plt_parse_config (STR ("{\"version\": 1, " SERVICE "}"), &findings);
   struct bks *b = bks_new ();
   struct arena text = { 0 };
   struct bks_entry e[2];
@@ -144,20 +145,20 @@
   size_t n;
 
   cr_assert_not_null (t);
-  cr_assert (plt_server (
+  cr_assert (plt_parse_server (
       STR ("servers/h"),
       entry_json (json, sizeof json, "h", "\"rank\":0,\"state\":\"open\""),
       &text, &e[0], NULL));
   bks_update (b, 1000, 1000, e, 1);
   cr_expect_not (bks_endpoints (b, t, &n)[0].accepting);
   cr_expect_eq (n, 1);
-  cr_assert (plt_server (
+  cr_assert (plt_parse_server (
       STR ("servers/k"),
       entry_json (json, sizeof json, "k", "\"rank\":1,\"state\":\"ready\""),
       &text, &e[1], NULL));
   bks_update (b, 2000, 2000, e, 2);
   cr_expect (bks_endpoints (b, t, &n)[0].accepting);
-  cr_assert (plt_server (
+  cr_assert (plt_parse_server (
       STR ("servers/k"),
       entry_json (json, sizeof json, "d", "\"rank\":1,\"state\":\"ready\""),
       &text, &e[1], NULL));
@@ -179,7 +180,8 @@
 Test (backends, complete_replica_survives_an_expired_entry)
 {
   struct fnd_list findings = { 0 };
-  struct tbl *t = plt_table (STR ("{\"version\": 1, " SERVICE "}"), &findings);
+  struct tbl *t
+      = plt_parse_config (STR ("{\"version\": 1, " SERVICE "}"), &findings);
   struct bks *b = bks_new ();
   struct arena text = { 0 };
   struct bks_entry e[2], draining_member, moved_member;
@@ -187,12 +189,12 @@
   size_t n;
 
   cr_assert_not_null (t);
-  cr_assert (plt_server (STR ("servers/h"),
-                         entry_json (json, sizeof json, "h", LEADER), &text,
-                         &e[0], NULL));
-  cr_assert (plt_server (STR ("servers/k"),
-                         entry_json (json, sizeof json, "k", MEMBER), &text,
-                         &e[1], NULL));
+  cr_assert (plt_parse_server (STR ("servers/h"),
+                               entry_json (json, sizeof json, "h", LEADER),
+                               &text, &e[0], NULL));
+  cr_assert (plt_parse_server (STR ("servers/k"),
+                               entry_json (json, sizeof json, "k", MEMBER),
+                               &text, &e[1], NULL));
   bks_update (b, 1000, 1000, e, 2);
   cr_expect (bks_endpoints (b, t, &n)[0].accepting);
   bks_update (b, 2000, 2000, e, 1);
@@ -222,7 +224,7 @@
 Test (backends, new_node_accepts_a_leader_with_a_majority)
 {
   struct fnd_list findings = { 0 };
-  struct tbl *t = plt_table (
+  struct tbl *t = plt_parse_config (
       STR ("{\"version\": 1, " SERVICE_WITH_SIZE ("3") "}"), &findings);
   struct bks *b = bks_new ();
   struct arena text = { 0 };
@@ -231,12 +233,12 @@
   size_t n;
 
   cr_assert_not_null (t);
-  cr_assert (plt_server (STR ("servers/h"),
-                         entry_json (json, sizeof json, "h", LEADER), &text,
-                         &e[0], NULL));
-  cr_assert (plt_server (STR ("servers/k"),
-                         entry_json (json, sizeof json, "k", MEMBER), &text,
-                         &e[1], NULL));
+  cr_assert (plt_parse_server (STR ("servers/h"),
+                               entry_json (json, sizeof json, "h", LEADER),
+                               &text, &e[0], NULL));
+  cr_assert (plt_parse_server (STR ("servers/k"),
+                               entry_json (json, sizeof json, "k", MEMBER),
+                               &text, &e[1], NULL));
   bks_update (b, 1000, 1000, e, 1);
   cr_expect_not (bks_endpoints (b, t, &n)[0].accepting, "one of three");
   bks_update (b, 2000, 2000, e, 2);
@@ -354,7 +356,8 @@
 Test (server_list, receiver_has_the_same_endpoints)
 {
   struct fnd_list findings = { 0 };
-  struct tbl *t = plt_table (STR ("{\"version\": 1, " SERVICE "}"), &findings);
+  struct tbl *t
+      = plt_parse_config (STR ("{\"version\": 1, " SERVICE "}"), &findings);
   struct bks *from = bks_new (), *to = bks_new ();
   struct arena text = { 0 };
   struct buf log = BUF_INIT;
@@ -364,12 +367,12 @@
   size_t n;
 
   cr_assert_not_null (t);
-  cr_assert (plt_server (STR ("servers/h"),
-                         entry_json (json, sizeof json, "h", LEADER), &text,
-                         &e[0], NULL));
-  cr_assert (plt_server (STR ("servers/k"),
-                         entry_json (json, sizeof json, "k", MEMBER), &text,
-                         &e[1], NULL));
+  cr_assert (plt_parse_server (STR ("servers/h"),
+                               entry_json (json, sizeof json, "h", LEADER),
+                               &text, &e[0], NULL));
+  cr_assert (plt_parse_server (STR ("servers/k"),
+                               entry_json (json, sizeof json, "k", MEMBER),
+                               &text, &e[1], NULL));
   make_entry (&e[2], "p", false);
   cr_assert (net_addr_parse (STR ("10.0.0.9:80"), false, &e[2].addr));
   bks_update (from, 1000, 1000, e, 3);
@@ -435,7 +438,7 @@
     {
       struct buf body = BUF_INIT;
       a.order = (enum frm_order_kind)k;
-      plt_order (&a, &body);
+      plt_format_order (&a, &body);
       cr_expect_str_eq (buf_c (&body), expected[k]);
       buf_free (&body);
     }
@@ -446,7 +449,7 @@
 Test (table, lookups)
 {
   struct fnd_list findings = { 0 };
-  struct tbl *t = plt_table (
+  struct tbl *t = plt_parse_config (
       STR (
           "{\"version\": 3, \"new_field\": 1, " SERVICE ", \"routes\": ["
           "{\"name\": \"a\", \"host\": \"h\", \"prefix\": \"/x/\","
@@ -478,17 +481,17 @@
   struct fnd_list findings = { 0 };
   struct buf text = BUF_INIT;
 
-  cr_expect_null (
-      plt_table (STR ("{\"version\": 3, \"services\": [{}], \"routes\": ["
-                      "{\"kind\": \"odd\", \"service\": \"none\"}]}"),
-                 &findings));
+  cr_expect_null (plt_parse_config (
+      STR ("{\"version\": 3, \"services\": [{}], \"routes\": ["
+           "{\"kind\": \"odd\", \"service\": \"none\"}]}"),
+      &findings));
   fnd_print (&findings, &text);
   cr_expect_str_eq (buf_c (&text),
                     "/services/0: error: has no name\n"
                     "/routes/0: error: has no kind that is known\n"
                     "/routes/0: error: goes to no service that is known\n",
                     "%s", buf_c (&text));
-  cr_expect_null (plt_table (STR ("[1"), &findings));
+  cr_expect_null (plt_parse_config (STR ("[1"), &findings));
   fnd_free (&findings);
   buf_free (&text);
 }
@@ -513,7 +516,7 @@
   struct srv_headers out = { 0 };
   struct buf text = BUF_INIT;
 
-  cr_assert (plt_forward (in, sizeof in / sizeof in[0], &f, &out));
+  cr_assert (plt_build_headers (in, sizeof in / sizeof in[0], &f, &out));
   for (size_t i = 0; i < out.n; i++)
     buf_addf (&text, "%.*s: %.*s\n", STR_ARG (out.list[i].name),
               STR_ARG (out.list[i].value));
--- a/t/t9205-entries.c
+++ b/t/t9205-entries.c
@@ -54,7 +54,7 @@
 parses (struct str value, struct bks_entry *e, const char **invalid)
 {
   struct arena text = { 0 };
-  bool ok = plt_server (STR ("servers/i-1"), value, &text, e, invalid);
+  bool ok = plt_parse_server (STR ("servers/i-1"), value, &text, e, invalid);
 
   arena_free (&text);
   return ok;
@@ -67,8 +67,8 @@
   struct bks_entry e;
 
   build_json (&json, FIELDS, "");
-  cr_assert (
-      plt_server (STR ("servers/i-1"), buf_str (&json), &text, &e, NULL));
+  cr_assert (plt_parse_server (STR ("servers/i-1"), buf_str (&json), &text, &e,
+                               NULL));
   cr_expect (str_is (e.id, "i-1") && str_is (e.service, "lm"));
   cr_expect (str_is (e.model, "m") && str_is (e.replica, "r1"));
   cr_expect_eq (e.capacity, 26);
@@ -172,9 +172,10 @@
 
   for (size_t i = 0; i < sizeof texts / sizeof texts[0]; i++)
     cr_expect_not (parses (str_from (texts[i]), &e, NULL), "%s", texts[i]);
-  cr_expect_not (plt_server (STR ("servers/"), STR ("{}"), &text, &e, NULL));
   cr_expect_not (
-      plt_server (STR ("servers/a/b"), STR ("{}"), &text, &e, NULL));
+      plt_parse_server (STR ("servers/"), STR ("{}"), &text, &e, NULL));
+  cr_expect_not (
+      plt_parse_server (STR ("servers/a/b"), STR ("{}"), &text, &e, NULL));
   arena_free (&text);
 }
 
--- a/t/t9208-limit.c
+++ b/t/t9208-limit.c
@@ -22,7 +22,7 @@
 
   if (second)
     h[1] = (struct http_header){ STR (PLT_H_RATE), str_from (second) };
-  plt_answer (STR ("id"), 200, h, second ? 2 : 1, &a);
+  plt_parse_response (STR ("id"), 200, h, second ? 2 : 1, &a);
   if (a.limit == LIM_REPORT_UNREADABLE)
     return "unreadable";
   snprintf (text, sizeof text, "%g", a.rate);
@@ -63,7 +63,7 @@
 {
   struct srv_response a;
 
-  plt_answer (STR ("id"), 200, NULL, 0, &a);
+  plt_parse_response (STR ("id"), 200, NULL, 0, &a);
   cr_expect_eq (a.limit, LIM_REPORT_NONE);
 }
 
