--- a/route/admit.c
+++ b/route/admit.c
@@ -1,9 +1,9 @@
 #include "route/core.h"
 
-#define MEASURED_MS 5000 /* how long a measured pace counts */
+#define MEASURED_MS 5000 /* validity of a measured processing time */
 #define RETRY_LEAST_MS 100
 #define RETRY_MOST_MS 10000
-#define SMOOTH 0.05 /* of averages over requests */
+#define SMOOTH 0.05 /* weight of the newest sample in moving averages */
 
 clk_ms
 rt_clamp_retry (double ms)
@@ -26,8 +26,8 @@
   return a && a->weight > 0 ? a->weight : 1;
 }
 
-/** How long the queue will take when requests end at the pace of those that
-    ended lately; 0: not known. */
+/** Expected wait in the queue at the recent processing rate; 0: not
+    known. */
 static double
 queue_wait_ms (const struct rt_req *q)
 {
@@ -48,7 +48,7 @@
   return false;
 }
 
-/** The longest wait in the queue ends at @p at. */
+/** Latest time until which @p q may wait in the queue. */
 clk_ms
 rt_queue_until (const struct rt_req *q)
 {
@@ -67,9 +67,9 @@
 }
 
 /**
- * Room for @p q in a full queue: the least important waiting request goes,
- * unless the arriving one is no better.  Refusing at the queue costs nothing
- * that a backend server has done.
+ * Make room for @p q in a full queue by dropping the least important waiting
+ * request, unless @p q is no better. A request refused in the queue has cost
+ * no backend server any work.
  */
 static bool
 make_room (struct rt *r, struct rt_req *q, clk_ms retry_ms)
@@ -85,14 +85,16 @@
                 && victim->account != q->account
                 && victim->flow->tokens / victim->flow->weight
                        > 2 * (q->cost / weight_of (q));
-  /* What may have run has cost work already and goes on. */
+  /* A request that may have run is kept, since it has used server time
+     already. */
   if ((!better && !fairer) || rt_may_have_run (victim))
     return false;
   rt_refuse (r, victim, RT_CODE_QUEUE_FULL, retry_ms);
   return true;
 }
 
-/** Why the request can't come in, or RT_CODE_NONE. */
+/** Check name, permission and mode of the target; RT_CODE_NONE if
+    admitted. */
 static enum rt_code
 check_target (struct rt *r, struct rt_req *q, const struct rt_request *in)
 {
@@ -115,9 +117,9 @@
   return r->leaving ? RT_CODE_LEAVING : RT_CODE_NONE;
 }
 
-/** Whether it would end after its deadline, by what was measured lately.  An
-    old measurement does not count: refusing all by it, nothing would ever be
-    measured again. */
+/** Whether the request would miss its deadline, estimated from recent
+    measurements. Older measurements are ignored: if they caused every
+    request to be refused, no new measurement would ever be made. */
 static bool
 too_late (const struct rt *r, const struct rt_req *q, double wait_ms)
 {
--- a/route/attempt.c
+++ b/route/attempt.c
@@ -1,6 +1,6 @@
 #include "route/core.h"
 
-#define SMOOTH 0.05 /* of averages over requests */
+#define SMOOTH 0.05 /* weight of the newest sample in moving averages */
 
 static void
 avoid (struct rt_req *q)
@@ -10,7 +10,8 @@
     q->ntried++;
 }
 
-/** Back to the head of the queue for another server. */
+/** Queue the request again at the front, for another server, after a
+    delay. */
 static void
 again (struct rt *r, struct rt_req *q, clk_ms after)
 {
@@ -49,7 +50,7 @@
   rt_outlier_bad (r, q->target, q->server);
   q->lost = true;
   avoid (q);
-  /* Nothing was sent, so even a non-idempotent request may go elsewhere. */
+  /* Nothing was sent, so a non-idempotent request may be retried too. */
   bool more = may_retry (r, q);
   bool ran = q->state == RT_S_RECONNECTING;
   rt_step (q, RT_X_CONNECT_FAILED);
@@ -67,8 +68,9 @@
 {
   if (q->has_key && !q->sent && !rt_grant_fresh (r, q))
     {
-      /* The connection took so long that the claim may have lapsed and been
-         given to a repeat; sending now could run it twice. */
+      /* The claim may have expired while the connection was set up, and
+         may have been granted to a repeated request. Sending now could
+         run the request twice. */
       rt_act (r, RT_ACT_CANCEL, q);
       rt_start_claim (r, q);
       return;
@@ -82,7 +84,7 @@
   rt_act (r, RT_ACT_SEND, q);
 }
 
-/** A refusal that says the request was not run. */
+/** The server refused the request without executing it. */
 static void
 on_refused (struct rt *r, struct rt_req *q)
 {
@@ -90,7 +92,8 @@
   avoid (q);
   bool first = q->state == RT_S_SENDING;
   if (first)
-    q->sent = false; /* so that a claim is released: it surely did not run */
+    q->sent
+        = false; /* so that the claim is released: the request did not run */
   bool more = q->idempotent && may_retry (r, q);
   clk_ms after = rt_retry_backoff (r, q->attempt);
   rt_leave_server (r, q);
@@ -122,7 +125,7 @@
   return false;
 }
 
-/** The attempt ended without a whole answer: broken or silent. */
+/** The attempt ended without a complete response: broken or silent. */
 static void
 on_lost (struct rt *r, struct rt_req *q, enum rt_code code)
 {
@@ -155,7 +158,8 @@
       on_refused (r, q);
       return;
     }
-  /* An error in place of the rest of a stream must not be passed as text. */
+  /* An error response to a resumed stream must not be forwarded as part
+     of the stream. */
   if (q->passing && status >= 300)
     {
       on_lost (r, q, RT_CODE_BROKEN);
@@ -213,8 +217,7 @@
 void
 rt_attempt_event (struct rt *r, struct rt_req *q, const struct rt_event *ev)
 {
-  /* Events of an attempt that is over come late; what they carry belongs to
-     nobody any more. */
+  /* Ignore late events of attempts that have ended. */
   if (!rt_in_attempt (q) || ev->attempt != q->attempt
       || q->state < RT_S_CONNECTING)
     return;
--- a/route/choose.c
+++ b/route/choose.c
@@ -3,17 +3,22 @@
 
 #include "route/core.h"
 
-/* The figures below were found with `lapisline bench route`; docs/DESIGN.md
-   tells what else was tried. */
-#define GATE 1.15       /* of all capacity: more than that waits here */
-#define FULL_PART 0.05  /* of all requests: ours, to heed a full server */
-#define GATE_TAKEN 0.98 /* of all slots */
-/* Of a server's slots, what is ours above our mean for a warm one. */
-#define WARM_FACTOR 2.5 /* of the part of slots that is free */
-#define WARM_OFFSET 0.5 /* less so much */
+/* The constants below were tuned with `lapisline bench route`;
+   docs/DESIGN.md lists the alternatives. */
+#define GATE                                                                  \
+  1.15 /* of the total capacity; more requests wait at the gateway */
+#define FULL_PART                                                             \
+  0.05 /* share of all requests above which full servers are skipped */
+#define GATE_TAKEN                                                            \
+  0.98 /* occupied part of all slots above which requests wait */
+/* Bonus of a server that has the prefix cached, as part of its slots on
+   top of the mean number of this gateway's requests. */
+#define WARM_FACTOR 2.5 /* times the part of slots that is free */
+#define WARM_OFFSET 0.5 /* subtracted from it */
 #define WARM_MOST 0.225
-/* With less, a gateway has hardly a request on any server, and its own count
-   can't keep all gateways from one prefix's server. */
+/* Below this bound the gateway has hardly any request per server, so its
+   own count can't prevent all gateways from choosing one prefix's
+   server. */
 #define WARM_LEAST 0.5
 
 bool
@@ -39,12 +44,13 @@
 }
 
 /**
- * With every slot taken, requests wait here, where classes and accounts have
- * their turn, and not in the servers, which know neither.  Both must be: more
- * requests than slots, as work that waits at one server while another is free
- * is no reason to hold more back; and hardly a slot free.  A gateway may
- * always use its even part: those that hold the slots would otherwise hold
- * them for good, as they learn first of each one that is free.
+ * When all slots are taken, requests wait at the gateway, whose queue honors
+ * priority classes and fair shares; the servers know neither. Both conditions
+ * must hold. There must be more requests than slots, since requests that wait
+ * at one server while another is free are no reason to hold back more. And
+ * hardly any slot may be free. A gateway may always use its even part:
+ * otherwise the gateways that hold the slots would keep them for good, as they
+ * learn first of each freed slot.
  */
 static bool
 gate_open (const struct rt *r, const struct rt_target *t, double others,
@@ -58,11 +64,11 @@
 }
 
 /**
- * How many requests of ours a server may have and still get one more only
- * because it holds the prefix.  With many free slots that is a little above
- * our mean; it falls with them, until at the end only the servers with the
- * least count: all gateways agree on the servers of a prefix, and these have
- * no slots to spare for it.
+ * Limit of this gateway's requests on a server up to which a prefix match
+ * decides. With many free slots it is slightly above the mean. It falls with
+ * the number of free slots until only the servers with the lowest count
+ * qualify: all gateways choose the same servers for a prefix, and at high load
+ * these have no spare slots.
  */
 static double
 warm_bound (const struct rt_target *t, double others)
@@ -85,7 +91,8 @@
   return x;
 }
 
-/** Whether the candidate is out, for this request or as it is full. */
+/** Whether the candidate is excluded because it is full or was tried
+    before. */
 static bool
 skipped (const struct rt_req *q, const struct rt_candidate *c, bool skip_full)
 {
@@ -94,9 +101,9 @@
 }
 
 /**
- * Rendezvous hashing: all gateways have the same order of servers for a
- * prefix without telling each other.  The first in it that has not more of
- * ours than the bound.
+ * Rendezvous hashing: all gateways derive the same order of servers for a
+ * prefix without communication. Returns the first server in this order whose
+ * score is below the bound.
  */
 static struct rt_server *
 warm_server (const struct rt_view *v, const struct rt_req *q, double bound)
@@ -118,7 +125,7 @@
   return best;
 }
 
-/** How many candidates have the least score; 0: there is none. */
+/** Number of candidates with the lowest score; 0: there is no candidate. */
 static size_t
 count_least (const struct rt_view *v, const struct rt_req *q, bool skip_full,
              uint32_t *least)
@@ -135,7 +142,7 @@
   return n;
 }
 
-/** One of those with the least of ours, at random by weight. */
+/** Weighted random choice among the candidates with the lowest score. */
 static struct rt_server *
 one_of_least (struct rt *r, const struct rt_target *t, const struct rt_req *q,
               bool skip_full)
@@ -173,7 +180,8 @@
   return s ? s : one_of_least (r, t, q, skip_full);
 }
 
-/** An ejected server whose time is over and that is due for a look. */
+/** An ejected server whose ejection time is over and that has no probe
+    yet. */
 static struct rt_server *
 due_for_probe (struct rt *r, struct rt_target *t, const struct rt_req *q)
 {
@@ -184,7 +192,8 @@
   return NULL;
 }
 
-/** When all that is left is ejected, a slow answer is better than none. */
+/** Least loaded server including ejected ones: a slow response is better
+    than none. */
 static struct rt_server *
 last_resort (struct rt *r, struct rt_target *t, const struct rt_req *q)
 {
@@ -216,11 +225,11 @@
   double taken, others = rt_others_by_now (t, &taken);
   if (!gate_open (r, t, others, taken))
     return NULL;
-  /* The fraction decides by chance, so that parts of a request count too. */
+  /* Round the bound up with the probability of its fraction. */
   double bound = warm_bound (t, others);
   bound = bound < WARM_LEAST ? 0 : floor (bound + rng_unit (&r->rng));
-  /* Where this gateway is one of many, all would leave a server that was
-     reported full and all come back at the next report. */
+  /* With many gateways, all of them would leave a server that was
+     reported full and all return at the next report. */
   bool skip_full = !t->is_model || own >= FULL_PART * (own + others);
   struct rt_server *s = pick (r, t, q, bound, skip_full);
   if (!s && t->is_model)
--- a/route/core.h
+++ b/route/core.h
@@ -1,17 +1,18 @@
 /**
  * @file
- * Inner structures of the request core; only route/ and its benches use them.
+ * Internal structures of the request core, used only by route/ and its
+ * benchmarks.
  *
- *   route.c    events in, actions out, views of targets and servers
- *   admit.c    whether a request comes in
- *   request.c  life cycle of one request by charts/attempt.json
- *   attempt.c  what becomes of one attempt; retries
- *   queue.c    what waits: priority classes, fair shares of accounts
- *   slot.c     asks for slots at a model's home
+ *   route.c    event dispatch, action queue, targets and servers
+ *   admit.c    admission of new requests
+ *   request.c  request life cycle by charts/attempt.json
+ *   attempt.c  events of one attempt; retries
+ *   queue.c    request queue: priority classes, fair queuing by account
+ *   slot.c     slot requests to a model's home
  *   slots.c    slots of a model's replicas at its home
  *   limit.c    rate and concurrency of an account at this node
- *   load.c     what is known of the servers' load
- *   choose.c   which server gets the next request
+ *   load.c     load estimates of the servers
+ *   choose.c   choice of the server
  *   retry.c    retry budget and backoff
  *   outlier.c  ejection of servers that do worse than their peers
  *   code.c     names and statuses of outcomes and codes
@@ -23,17 +24,17 @@
 #include "route/route.h"
 
 #define RT_CLASSES 4
-#define RT_TRIED 4        /**< servers that a request avoids */
+#define RT_TRIED 4        /**< servers that a request avoids after failures */
 #define RT_MAX_ATTEMPTS 4 /**< of one request */
-#define RT_HISTORY 32     /**< samples of own load per server */
-#define RT_HISTORY_MS 250 /**< apart */
+#define RT_HISTORY 32     /**< samples of this gateway's load per server */
+#define RT_HISTORY_MS 250 /**< interval of the samples */
 
 /** States of charts/attempt.json, in the order of rt_state_names. */
 enum rt_state
 {
   RT_S_RECEIVED,
   RT_S_ADMITTED,
-  RT_S_ASKING, /**< the model's home for a slot */
+  RT_S_ASKING, /**< waiting for a slot of the model's home */
   RT_S_QUEUED,
   RT_S_CLAIMING,
   RT_S_CONNECTING,
@@ -80,36 +81,36 @@
 {
   char *name;
   uint64_t hash;
-  double rate_limit; /**< tokens per second over all nodes; 0: none */
-  double conc_limit; /**< requests over all nodes; 0: none */
+  double rate_limit; /**< tokens per second of all nodes; 0: unlimited */
+  double conc_limit; /**< concurrent requests of all nodes; 0: unlimited */
   bool has_share;
   double share_rate;
   double share_conc;
-  clk_ms share_until; /**< then the share decays to limit / N */
-  double level;       /**< of the token bucket; below 0: in debt */
+  clk_ms share_until; /**< the share decays to limit / N afterwards */
+  double level;       /**< fill of the token bucket, may be negative */
   clk_ms level_at;
   size_t open;
-  double asked; /**< tokens since demand_at, refused ones too */
+  double asked; /**< tokens since demand_at, including refused requests */
   size_t asked_peak;
   clk_ms demand_at;
 };
 
-/** Load of our own on a server, sampled so that a report can be corrected
-    by what it already holds. */
+/** Samples of this gateway's load on a server, used to subtract it from a
+    reported load. */
 struct rt_history
 {
   float tokens[RT_HISTORY];
-  clk_ms slot; /**< number of the newest sample */
+  clk_ms slot; /**< index of the newest sample */
 };
 
-#define RT_WARM 32   /**< prefixes */
-#define RT_RECENT 16 /**< grants */
+#define RT_WARM 32   /**< prefixes remembered per server */
+#define RT_RECENT 16 /**< grants remembered per server */
 
-/** What a model's home knows of its own grants on a server. */
+/** Recent grants of a model's home on a server. */
 struct rt_warm
 {
-  uint64_t prefixes[RT_WARM]; /**< the last used first */
-  clk_ms recent[RT_RECENT];   /**< times of the last grants, a ring */
+  uint64_t prefixes[RT_WARM]; /**< most recently used first */
+  clk_ms recent[RT_RECENT];   /**< ring buffer of grant times */
   unsigned next;
 };
 
@@ -117,44 +118,45 @@
 struct rt_server
 {
   char *name;
-  struct str key; /**< its name */
+  struct str key; /**< `name`, as key of rt_target.by_name */
   char *zone;
   uint64_t hash;
   struct net_addr addr;
   int64_t generation;
   bool same_zone;
-  bool listed; /**< in the last list; else kept for work in flight only */
-  bool fresh;  /**< named by the list that is being read */
+  bool listed; /**< in the last list; otherwise kept for requests in flight */
+  bool fresh;  /**< in the list that is being processed */
   bool whole;
   bool draining;
   bool down;
   bool observe;
   clk_ms valid_until;
-  double capacity; /**< requests at once */
-  /* What is known of its load. */
+  double capacity; /**< concurrent requests */
+  /* Load estimate. */
   uint32_t in_flight;
-  uint32_t pending; /**< of these, sent and without a first byte */
+  uint32_t pending; /**< of these, sent without a first byte yet */
   double own_tokens;
   double others; /**< requests of other gateways at load_at */
   clk_ms load_at;
   struct rt_history history;
-  struct rt_candidate *candidate; /**< its place in the target's view */
+  struct rt_candidate *candidate; /**< its entry in the target's view */
   /* Outlier detection. */
   uint64_t done, failed;
-  unsigned bad_run; /**< failures in a row */
+  unsigned bad_run; /**< consecutive failures */
   double first_ms;  /**< moving average of the time to the first byte */
   unsigned first_n;
-  clk_ms ejected_until; /**< 0: in */
-  unsigned ejections;   /**< in a row, for the backoff */
-  bool probing;         /**< ejected, with one request out */
-  struct rt_warm *warm; /**< at a model's home only, else NULL */
+  clk_ms ejected_until; /**< 0: not ejected */
+  unsigned ejections;   /**< consecutive ejections, for the backoff */
+  bool probing;         /**< ejected, with a probe request in flight */
+  struct rt_warm *warm; /**< NULL except at a model's home */
 };
 
-#define RT_RETRY_MS 1000 /* to come back when nothing better is known */
+#define RT_RETRY_MS 1000 /* default for retry_ms */
 
 struct rt_req;
 
-/** Waiting requests of one account in one class. */
+/** Waiting requests of one account in one priority class (flow of the
+    deficit round-robin). */
 struct rt_flow
 {
   struct rt_account *account;
@@ -162,7 +164,7 @@
   double deficit;
   double tokens;
   struct rt_req *head, *tail;
-  struct rt_flow *next; /**< in the ring of flows that wait */
+  struct rt_flow *next; /**< in the list of active flows */
   bool active;
 };
 
@@ -170,7 +172,7 @@
 {
   struct rt_flow **flows;
   size_t nflows;
-  struct rt_flow *first, *last; /**< ring of flows that wait */
+  struct rt_flow *first, *last; /**< list of active flows */
   struct rt_req *oldest, *newest;
 };
 
@@ -179,36 +181,37 @@
   struct rt_class classes[RT_CLASSES];
   size_t n;
   double tokens;
-  unsigned since_aged; /**< turns since an aged request had one */
+  unsigned since_aged; /**< requests taken since the last aged one */
 };
 
-/** What the choice needs of a server, close together: at 600 of them reading
-    the servers themselves would cost more than deciding. */
+/** Compact copy of the fields that the choice reads: with 600 servers,
+    reading the servers themselves would cost more than the choice. */
 struct rt_candidate
 {
   struct rt_server *server;
   uint64_t hash;
   uint32_t in_flight;
-  uint32_t score; /**< in flight, those without a first byte twice */
-  float room;     /**< how many of ours it may have */
-  float weight;   /**< among those with the same score */
+  uint32_t score; /**< in flight, plus those without a first byte again */
+  float room;     /**< limit of this gateway's requests on it */
+  float weight;   /**< random weight among equal scores */
 };
 
-/** Servers that may get work, computed now and then and after changes. */
+/** Servers that accept requests, recomputed periodically and after
+    changes. */
 struct rt_view
 {
   struct rt_candidate *list;
   size_t n;
   size_t ejected;
-  uint32_t outside; /**< own requests on servers that may get no more */
+  uint32_t outside; /**< requests of this gateway on servers not in `list` */
   bool current;
   clk_ms at;
-  clk_ms valid_until; /**< of the first evidence that runs out */
+  clk_ms valid_until; /**< earliest valid_until of the servers in `list` */
   double capacity;    /**< requests */
   double others;      /**< requests of other gateways, as reported */
-  double taken;       /**< of these, in slots rather than waiting there */
-  double tokens_then; /**< of this gateway when the reports were made */
-  double age;         /**< of the reports, summed, ms */
+  double taken; /**< of these, in slots rather than waiting at the server */
+  double tokens_then; /**< tokens of this gateway when the reports were made */
+  double age;         /**< sum of the reports' ages, ms */
 };
 
 /** Model or plain service with its servers and its queue. */
@@ -219,20 +222,20 @@
   bool is_model;
   struct rt_server **servers;
   size_t nservers;
-  struct _GHashTable *by_name; /**< the same; key: rt_server.key */
+  struct _GHashTable *by_name; /**< index of `servers`; key: rt_server.key */
   struct rt_queue queue;
   double mean_cost;    /**< moving average of the requests' cost */
-  double mean_others;  /**< of servers' others, for stale reports */
-  double ms_per_token; /**< moving average over whole answers */
-  uint32_t in_flight;  /**< own requests on all its servers */
-  double own_tokens;   /**< and their tokens */
+  double mean_others;  /**< mean of the servers' `others`, for stale reports */
+  double ms_per_token; /**< moving average over complete responses */
+  uint32_t in_flight;  /**< requests of this gateway on all servers */
+  double own_tokens;   /**< tokens of these */
   struct rt_view view;
   clk_ms measured_at; /**< when ms_per_token last changed */
-  double median_ms;   /**< over servers, of the time to the first byte */
+  double median_ms;   /**< median time to the first byte over the servers */
   clk_ms median_at;
-  bool has_home;     /**< its home can be asked for slots */
-  unsigned mute;     /**< asks without a word in time, in a row */
-  clk_ms mute_until; /**< the home is not asked */
+  bool has_home;     /**< the model's home is reachable */
+  unsigned mute;     /**< consecutive slot requests that timed out */
+  clk_ms mute_until; /**< no slot requests are sent until then */
   double retry_budget;
   clk_ms retry_at;
 };
@@ -240,14 +243,14 @@
 struct rt_req
 {
   uint64_t id;
-  struct rt_req *chain;         /**< in the table */
+  struct rt_req *chain;         /**< next in the bucket of rt.table */
   struct rt_req *prev, *next;   /**< within its flow */
   struct rt_req *older, *newer; /**< within its class */
   struct rt_flow *flow;
   struct rt_target *target;
   struct rt_account *account;
   struct rt_server *server; /**< of the current attempt */
-  struct cfg *cfg;          /**< under which it began */
+  struct cfg *cfg;          /**< configuration at arrival */
   const struct cfg_model *model;
   const struct cfg_service *service;
   double cost;
@@ -256,11 +259,11 @@
   clk_ms queued_at;
   clk_ms deadline; /**< 0: none */
   clk_ms started;  /**< RT_ACT_SEND of the current attempt */
-  clk_ms granted;  /**< the claim */
+  clk_ms granted;  /**< time of the claim's grant */
   clk_ms first_ms; /**< to the first byte of the current attempt */
   clk_ms timer;
-  size_t timer_at; /**< place in the heap */
-  size_t passed;   /**< bytes handed to the caller */
+  size_t timer_at; /**< index in the heap */
+  size_t passed;   /**< bytes forwarded to the client */
   uint64_t tried[RT_TRIED];
   unsigned attempt;
   enum rt_state state;
@@ -268,24 +271,24 @@
   uint8_t ntried;
   bool idempotent;
   bool has_key;
-  bool claimed; /**< asked for, perhaps granted */
+  bool claimed; /**< the claim was requested, perhaps granted */
   bool sent;    /**< some attempt got RT_ACT_SEND */
   bool passing;
-  bool charged; /**< to the rate of its account */
-  bool waiting; /**< in the queue */
-  bool pending; /**< counted in its server's pending */
-  bool probe;   /**< of an ejected server */
-  bool slot;    /**< the home knows of it */
-  bool heard;   /**< it waits at the home */
-  bool whole;   /**< the answer is */
-  bool lost;    /**< the attempt was, or its connection */
+  bool charged; /**< counted against the account's rate limit */
+  bool waiting; /**< in the target's queue */
+  bool pending; /**< counted in rt_server.pending */
+  bool probe;   /**< it is the probe of an ejected server */
+  bool slot;    /**< reported to the model's home */
+  bool heard;   /**< queued at the model's home */
+  bool whole;   /**< the response is complete */
+  bool lost;    /**< the attempt or its connection failed */
   int status;
 };
 
 struct rt;
 
-/** Which of the target's servers gets the request; NULL: none has room.
-    Replaceable, so that the bench can measure others with the same core. */
+/** Choose a server of @p t for @p q; NULL if none has capacity.
+    Replaceable so that benchmarks can compare policies. */
 typedef struct rt_server *(*rt_choose_fn) (void *ctx, struct rt *r,
                                            struct rt_target *t,
                                            const struct rt_req *q);
@@ -333,9 +336,9 @@
                  clk_ms retry_ms);
 void rt_caller_gone (struct rt *r, struct rt_req *q);
 void rt_req_timer (struct rt *r, struct rt_req *q);
-/** Send @p q, which waits nowhere, to @p s. */
+/** Assign @p q, which must not be queued, to @p s. */
 void rt_dispatch (struct rt *r, struct rt_req *q, struct rt_server *s);
-/** Hand waiting requests to servers that have room. */
+/** Assign queued requests to servers with free capacity. */
 void rt_pump (struct rt *r, struct rt_target *t);
 
 /* Between admit.c, request.c and attempt.c. */
@@ -360,29 +363,31 @@
 
 /* slot.c */
 
-/** Ask the home for a slot. @retval false  there is none to ask */
+/** Request a slot from the model's home.
+    @retval false  no slot was requested */
 bool rt_slot_ask (struct rt *r, struct rt_req *q);
 void rt_slot_event (struct rt *r, struct rt_req *q, const struct rt_event *ev);
 void rt_slot_home (struct rt *r, struct str model, bool on);
-/** The time of a request that asks is over. */
+/** The timer of a request in RT_S_ASKING expired. */
 void rt_slot_timer (struct rt *r, struct rt_req *q);
-/** The request got a server without the home's doing. */
+/** Report a server that was chosen without the home. */
 void rt_slot_taken (struct rt *r, struct rt_req *q);
-/** The request no longer needs a slot. */
+/** Report that the request no longer needs its slot. */
 void rt_slot_done (struct rt *r, struct rt_req *q);
 
 /* queue.c */
 void rt_queue_push (struct rt_queue *w, struct rt_req *q, double weight,
                     bool front);
 void rt_queue_remove (struct rt_queue *w, struct rt_req *q);
-/** The request whose turn it is; it stays in the queue. */
+/** The next request; it stays in the queue. */
 struct rt_req *rt_queue_turn (struct rt_queue *w, clk_ms now);
-/** Count the turn of @p q and take it out. */
+/** Remove @p q, the result of rt_queue_turn(), and charge its flow. */
 void rt_queue_take (struct rt_queue *w, struct rt_req *q);
-/** The least important waiting request. */
+/** The request to drop first: lowest class, newest of the flow with the
+    most tokens for its weight. */
 struct rt_req *rt_queue_victim (const struct rt_queue *w);
-/** Tokens that go before a request of that account and class, as far as
-    fair shares let others go first. */
+/** Tokens that fair queuing serves before a new request of this account
+    and class. */
 double rt_queue_ahead (const struct rt_queue *w, unsigned priority,
                        const struct rt_account *a, double weight, double cost);
 void rt_queue_clear (struct rt_queue *w);
@@ -393,10 +398,11 @@
 void rt_limit_share (struct rt *r, const struct rt_event *ev);
 double rt_limit_rate (const struct rt *r, const struct rt_account *a);
 double rt_limit_conc (const struct rt *r, const struct rt_account *a);
-/** RT_CODE_NONE when the request may come in; else @p retry_ms is set. */
+/** RT_CODE_NONE if admitted; otherwise @p retry_ms is set. */
 enum rt_code rt_limit_admit (struct rt *r, struct rt_account *a, double cost,
                              clk_ms *retry_ms);
-/** The request turned out to cost @p actual instead of @p cost. */
+/** Correct the bucket for a request that cost @p actual instead of @p
+    cost. */
 void rt_limit_settle (struct rt_account *a, double cost, double actual);
 
 /* load.c */
@@ -406,15 +412,15 @@
                      double cost);
 void rt_server_drop (struct rt *r, struct rt_target *t, struct rt_server *s,
                      double cost);
-/** The server's in_flight or pending changed. */
+/** Update the view after a change of in_flight or pending. */
 void rt_server_changed (struct rt_server *s);
 const struct rt_view *rt_view (struct rt *r, struct rt_target *t);
-/** Own requests on all servers of the view. */
+/** Requests of this gateway on the servers of the view. */
 double rt_own_in_view (const struct rt_target *t);
-/** Requests of other gateways on all servers of the view, estimated; @p taken
-    receives how many of them have slots. */
+/** Estimated requests of other gateways on the servers of the view; @p
+    taken receives how many of them have slots. */
 double rt_others_by_now (const struct rt_target *t, double *taken);
-/** Mean time of a request on a server. */
+/** Mean service time of a request, ms. */
 double rt_service_ms (const struct rt_target *t);
 
 /* choose.c */
@@ -433,7 +439,7 @@
                        clk_ms ms);
 void rt_outlier_good (struct rt *r, struct rt_target *t, struct rt_server *s);
 void rt_outlier_bad (struct rt *r, struct rt_target *t, struct rt_server *s);
-/** Whether a request may go to the ejected server to see how it does now. */
+/** Whether a probe request may be sent to the ejected server. */
 bool rt_outlier_probe_due (const struct rt *r, const struct rt_server *s);
 
 #endif
--- a/route/limit.c
+++ b/route/limit.c
@@ -4,11 +4,11 @@
 #include "route/core.h"
 #include "route/share.h"
 
-#define BURST_S 1.0 /* the bucket holds the rate of so many seconds */
+#define BURST_S 1.0 /* burst size, in seconds of the rate */
 #define RETRY_LEAST_MS 50
 #define RETRY_MOST_MS 10000
 #define RETRY_CONC_MS 500
-#define ROUND 0.01 /* a share that nears a whole number reaches it */
+#define ROUND 0.01 /* tolerance when a share is rounded down */
 
 struct rt_account *
 rt_account (struct rt *r, struct str name)
@@ -27,8 +27,8 @@
   return a;
 }
 
-/** limit / N before any news; a share while it is valid; then from the share
-    towards limit / N. */
+/** Share of the limit: limit / N before the first grant, the granted
+    share while it is valid, then decaying towards limit / N. */
 static double
 share_now (const struct rt *r, const struct rt_account *a, double limit,
            double share)
@@ -39,9 +39,9 @@
   if (r->now <= a->share_until)
     return share;
   /*
-   * The account's home can't be heard.  Keeping the share for good would
-   * leave a node with nothing for as long as the partition lasts; taking the
-   * whole limit would multiply it by the number of parts.
+   * No grant arrives from the account's home. Keeping a small share would
+   * starve this node for as long as the partition lasts; using the whole limit
+   * would multiply the limit by the number of partitions.
    */
   return shr_decayed (share, even, r->now - a->share_until);
 }
@@ -111,8 +111,9 @@
   a->asked += cost;
   if (a->open > a->asked_peak)
     a->asked_peak = a->open;
-  /* A share below one must still let one request through at a time, or a
-     limit smaller than the number of nodes would shut the account out. */
+  /* A share below one still admits one request at a time; otherwise a
+     limit below the number of nodes would reject all requests of the
+     account. */
   if (a->conc_limit > 0
       && (double)a->open > fmax (1, floor (rt_limit_conc (r, a) + ROUND)))
     {
@@ -123,9 +124,10 @@
     return RT_CODE_NONE;
   refill (r, a);
   double rate = rt_limit_rate (r, a);
-  /* A request larger than the bucket goes through when the bucket is full
-     and leaves a debt, which keeps the account out until it is paid: it could
-     never come in otherwise, and the rate holds over time. */
+  /* A request larger than the bucket is admitted when the bucket is full
+     and leaves a negative level, which blocks the account until it is
+     refilled. Otherwise such a request could never be admitted; the
+     average rate still holds. */
   double need = fmin (cost, BURST_S * rate);
   if (a->level < need || rate <= 0)
     {
--- a/route/load.c
+++ b/route/load.c
@@ -3,17 +3,21 @@
 
 #include "route/core.h"
 
-#define REFRESH_MS 200    /* how often aged estimates are computed anew */
-#define SERVICE_MS 3000.0 /* time of a request until one was measured */
-#define COST_FIRST 1000.0 /* tokens of a request until one was seen */
-#define FADE 0.3          /* of a service time: pace at which reports fade */
-#define AGE_LEAST_MS 250  /* no report is younger in effect */
-#define WEIGHT_LEAST 0.02 /* of a server with far more than the mean */
-#define AWAY 0.1          /* weight in another zone, nothing being reported */
-#define FEW_REQUESTS 60   /* that tell little of the load elsewhere */
-#define FULL_FACTOR 1.1   /* of its capacity: a server that gets nothing */
+#define REFRESH_MS 200 /* refresh interval of the load estimates */
+#define SERVICE_MS                                                            \
+  3000.0 /* assumed service time before the first measurement */
+#define COST_FIRST 1000.0 /* assumed cost before the first request */
+#define FADE 0.3 /* time constant of the reports' decay, in service times */
+#define AGE_LEAST_MS 250  /* minimum age of a report in the weights */
+#define WEIGHT_LEAST 0.02 /* weight of a server loaded far above the mean */
+#define AWAY 0.1 /* weight of a server in another zone without a load report  \
+                  */
+#define FEW_REQUESTS                                                          \
+  60 /* requests below which the local trend counts less than half */
+#define FULL_FACTOR                                                           \
+  1.1 /* part of its capacity from which a server gets no requests */
 
-/** Carry the present load on to the sample slots that passed since. */
+/** Fill the samples since the last update with the current load. */
 static void
 history_advance (struct rt_server *s, clk_ms now)
 {
@@ -28,7 +32,7 @@
     h->slot = slot;
 }
 
-/** Own load at the time @p at, to the precision of the samples. */
+/** This gateway's load at time @p at, to the precision of the samples. */
 static double
 history_at (const struct rt_server *s, clk_ms at)
 {
@@ -67,7 +71,8 @@
   rt_server_changed (s);
 }
 
-/** The report holds our own work of that moment; the rest is of others. */
+/** The reported load includes this gateway's load at that time; the rest
+    belongs to other gateways. */
 void
 rt_server_load (struct rt *r, struct rt_target *t, struct rt_server *s,
                 uint32_t load, clk_ms at)
@@ -89,7 +94,7 @@
   return ms > 0 ? ms : SERVICE_MS;
 }
 
-/** Requests of others, averaged over the reports. */
+/** Mean number of other gateways' requests over the reports. */
 static double
 mean_others (const struct rt *r, const struct rt_target *t)
 {
@@ -104,7 +109,8 @@
   return n ? sum / (double)n : 0;
 }
 
-/** How much of a report still holds; most of a list are of one time. */
+/** Remaining weight of a report, cached by load_at: most reports of a
+    list have the same time. */
 struct fading
 {
   double pace;
@@ -125,7 +131,8 @@
   return f->weight;
 }
 
-/** How many of ours the server may have, by what is known of others'. */
+/** Limit of this gateway's requests on the server, given the load of the
+    others. */
 static float
 room_of (const struct rt_target *t, const struct rt_server *s, double others)
 {
@@ -135,10 +142,10 @@
 }
 
 /**
- * How much likelier a server is chosen for having less than the mean.  Turning
- * to the least reported would send all gateways there until the next report;
- * in proportion to what is missing, together they send about what it lacks.
- * The older a report, the less it counts.
+ * Factor by which a server below the mean load is preferred. Choosing the
+ * least loaded server would send the requests of all gateways there until the
+ * next report; with a probability proportional to its free capacity, all
+ * gateways together send about what it lacks. Older reports count less.
  */
 static double
 pull_of (const struct rt_target *t, double age)
@@ -158,7 +165,7 @@
   return w > WEIGHT_LEAST ? w : WEIGHT_LEAST;
 }
 
-/** Slots of the server that others have, by its report. */
+/** Slots of the server that other gateways hold, by its report. */
 static double
 slots_taken (const struct rt_server *s)
 {
@@ -190,10 +197,10 @@
 }
 
 /**
- * What a report says of one server fades as the requests that it counted end
- * and as the other gateways even out what it shows, while the mean over all
- * servers stays right much longer.  So each estimate moves from the report to
- * the mean with the age of the report.
+ * A report of one server becomes outdated as the counted requests end and as
+ * other gateways react to it, while the mean over all servers stays accurate
+ * much longer. So each estimate moves from the report to the mean with the age
+ * of the report.
  */
 static void
 refresh (struct rt *r, struct rt_target *t)
@@ -244,10 +251,10 @@
 }
 
 /**
- * Requests of the other gateways now.  All gateways carry parts of the same
- * load, so what changed here since the reports changed there too, about as
- * much; the older the reports, the more this counts, and the less the fewer
- * requests it is seen by.
+ * Estimated current requests of the other gateways. All gateways carry parts
+ * of the same load, so the load of the others is assumed to have changed since
+ * the reports by the same factor as the local load. The factor counts more
+ * with older reports and less with few local requests.
  */
 double
 rt_others_by_now (const struct rt_target *t, double *taken)
--- a/route/outlier.c
+++ b/route/outlier.c
@@ -2,9 +2,10 @@
 
 #include "route/core.h"
 
-#define BAD_RUN 3         /* failures in a row that eject */
-#define SLOW_FACTOR 3.0   /* times the peers' median that ejects */
-#define SLOW_LEAST_MS 100 /* beyond the median, so that noise does not */
+#define BAD_RUN 3         /* consecutive failures before ejection */
+#define SLOW_FACTOR 3.0   /* multiple of the peers' median before ejection */
+#define SLOW_LEAST_MS 100 /* minimum distance from the median, against noise  \
+                           */
 #define SLOW_SAMPLES 8
 #define SMOOTH 0.1 /* weight of the newest sample */
 #define MEDIAN_OFTEN_MS 250
@@ -26,9 +27,9 @@
 }
 
 /**
- * At most a third of the servers is out.  Were all of them slow at once, as
- * when the load is too high, ejecting would put the load of the slow on the
- * few that are left and take these down too.
+ * At most a third of the servers is ejected. When all servers slow down at
+ * once, as under overload, ejecting more would move their load to the
+ * remaining ones and overload these too.
  */
 static void
 eject (struct rt *r, struct rt_target *t, struct rt_server *s)
@@ -52,8 +53,8 @@
   return (x > y) - (x < y);
 }
 
-/** Median over the servers' times to the first byte, computed now and then;
-    0: too few to tell. */
+/** Median over the servers' times to the first byte, cached for
+    MEDIAN_OFTEN_MS; 0: too few samples. */
 static double
 median_first (const struct rt *r, struct rt_target *t)
 {
@@ -91,8 +92,8 @@
 {
   if (s->ejected_until)
     {
-      /* Answers that were under way when it went out don't bring it back;
-         only the probe's does. */
+      /* Responses to requests sent before the ejection don't end it;
+         only the probe's response does. */
       if (!s->probing)
         return;
       s->probing = false;
--- a/route/queue.c
+++ b/route/queue.c
@@ -4,8 +4,8 @@
 
 #define QUANTUM 512.0 /* tokens per round for weight 1 */
 #define LEAST_WEIGHT 0.01
-#define AGE_MS 2000  /* waiting that outweighs one class */
-#define AGED_EVERY 3 /* turns of better classes between aged ones */
+#define AGE_MS 2000  /* waiting time that makes up for one class */
+#define AGED_EVERY 3 /* requests of better classes between two aged ones */
 
 static struct rt_flow *
 flow_of (struct rt_class *c, struct rt_account *a)
@@ -103,10 +103,11 @@
 }
 
 /**
- * The better class goes first.  A lower one whose oldest request has waited
- * AGE_MS for each class between them gets one turn in AGED_EVERY + 1: a
- * steady stream of urgent work would else starve it for good, while a long
- * backlog of old unimportant work must not push urgent work aside either.
+ * Strict priority with aging: a lower class whose oldest request has waited
+ * AGE_MS for each class in between gets one of AGED_EVERY + 1 requests.
+ * Without aging, a steady stream of urgent requests would starve the lower
+ * class; without the limit, a long backlog of old requests would delay urgent
+ * ones.
  */
 static struct rt_class *
 class_turn (struct rt_queue *w, clk_ms now)
@@ -133,7 +134,7 @@
   return aged && w->since_aged >= AGED_EVERY ? aged : best;
 }
 
-/** End the visit of the flow in front. */
+/** Move the first active flow to the end of the list. */
 static void
 rotate (struct rt_class *c)
 {
@@ -152,9 +153,9 @@
   struct rt_class *c = class_turn (w, now);
   if (!c)
     return NULL;
-  /* Deficit round-robin: a flow gains its quantum when its visit begins and
-     stays in front while its deficit covers its next request (see
-     rt_queue_take()). */
+  /* Deficit round-robin: a flow is credited its quantum when it reaches
+     the front and stays there while its deficit covers its next request
+     (see rt_queue_take()). */
   while (c->first->deficit < c->first->head->cost)
     {
       struct rt_flow *f = c->first;
@@ -176,8 +177,8 @@
   struct rt_flow *f = q->flow;
   f->deficit -= q->cost;
   rt_queue_remove (w, q);
-  /* Without the end of the visit a flow that has spent its quantum would be
-     given the next one at once, ahead of all that wait behind it. */
+  /* Without the rotation, a flow that has used its quantum would be
+     credited the next one at once, ahead of all flows behind it. */
   if (c->first == f && f->deficit < f->head->cost)
     rotate (c);
 }
--- a/route/record-names.h
+++ b/route/record-names.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * Words of a trace, indexed by the enumerations of route/route.h.
+ * Names in a trace, indexed by the enumerations of route/route.h.
  */
 #ifndef LAPISLINE_ROUTE_RECORD_NAMES_H
 #define LAPISLINE_ROUTE_RECORD_NAMES_H
--- a/route/record-read.c
+++ b/route/record-read.c
@@ -49,7 +49,7 @@
   [RT_SLOT_REFUSED] = "refused",
 };
 
-/* What the event handed out last points to. */
+/* Owner of the data that the last returned event points to. */
 struct scratch
 {
   struct json_object *doc;
--- a/route/record.c
+++ b/route/record.c
@@ -109,9 +109,9 @@
   return list;
 }
 
-/* Key digests would let a reader of a trace test guesses of a weak key, and
-   the core does not look at them.  Each is replaced by a digest-shaped text
-   that is unique in the document, so the rest still checks. */
+/* Key digests would allow offline guessing of weak keys, and the core
+   does not use them. Each is replaced by a unique placeholder of the
+   same form, so that the configuration still validates. */
 static void
 redact (struct json_object *o, unsigned *counter)
 {
--- a/route/record.h
+++ b/route/record.h
@@ -1,11 +1,11 @@
 /**
  * @file
- * What a request core consumed and decided, as text: one JSON object a line
+ * Text format of a request core's events and actions: one JSON object per line
  * for events, one line of words for actions.
  *
- * A gateway started with --record writes its core's events to standard
+ * A gateway started with --record writes the events of its core to standard
  * output; `lapisline replay` feeds them to a new core and prints its actions.
- * Bodies, keys and tokens never reach the core, so they are in no trace; the
+ * Bodies, keys and tokens never reach the core, so a trace contains none; the
  * key digests of a configuration are replaced before it is written.
  */
 #ifndef LAPISLINE_ROUTE_RECORD_H
@@ -14,38 +14,37 @@
 #include "base/findings.h"
 #include "route/route.h"
 
-/** First line of a trace: what the core was made with. */
+/** First line of a trace: parameters of rt_new(). */
 struct rec_head
 {
   struct rt_options options;
   uint64_t seed;
 };
 
-/** Append the first line. */
 void rec_write_head (const struct rec_head *head, struct buf *out);
 
 /** Append the line of one event. */
 void rec_write_event (clk_ms now, const struct rt_event *ev, struct buf *out);
 
-/** Append one action as a line of words. */
+/** Append the line of one action. */
 void rec_write_action (clk_ms now, const struct rt_action *act,
                        struct buf *out);
 
-/** A trace being read; all zero is valid. */
+/** Reader of a trace; zero-initialized. */
 struct rec_reader
 {
   const char *file; /**< for findings */
   int line;
-  void *scratch; /**< owns what the last event points to */
+  void *scratch; /**< owns the data that the last event points to */
 };
 
-/** Read the first line; false with a finding when it is wrong. */
+/** Read the first line. On errors, adds a finding and returns false. */
 bool rec_read_head (struct rec_reader *r, struct str line,
                     struct rec_head *head, struct fnd_list *findings);
 
 /**
- * Read the line of one event; empty lines, // comments and the line by which a
- * process says where it listens give false without a finding.
+ * Read the line of one event. Empty lines, // comments and the "ready" line of
+ * a process return false without a finding.
  * @param ev  valid until the next call or rec_reader_free()
  */
 bool rec_read_event (struct rec_reader *r, struct str line, clk_ms *now,
--- a/route/request.c
+++ b/route/request.c
@@ -2,8 +2,8 @@
 
 #include "route/core.h"
 
-#define CONNECT_MS 1000    /* of a model's backend server */
-#define CLAIM_WAIT_MS 5000 /* for a verdict */
+#define CONNECT_MS 1000    /* connect timeout of a model's server */
+#define CLAIM_WAIT_MS 5000 /* timeout of a claim request */
 
 static const char *const state_names[RT_STATES]
     = { "received",  "admitted",   "asking",       "queued",
@@ -31,7 +31,8 @@
                                                   "body",
                                                   "end" };
 
-/** The chart as a table of our own numbers, read once. */
+/** Transition table of the chart, indexed by enum rt_state and enum
+    rt_step; -1: not allowed. Loaded once. */
 static signed char table[RT_STATES][RT_STEPS];
 static bool table_read;
 
@@ -52,8 +53,8 @@
   table_read = true;
 }
 
-/** A step that the chart refuses is a fault of ours; going on would give an
-    outcome that nobody can trust. */
+/** Aborts on a transition that the chart does not allow: it is a bug in
+    the core, and any outcome reported after it would be unreliable. */
 void
 rt_step (struct rt_req *q, enum rt_step x)
 {
@@ -82,7 +83,7 @@
   q->pending = false;
 }
 
-/** The attempt is over; its server no longer carries it. */
+/** Detach the request from its server at the end of an attempt. */
 void
 rt_leave_server (struct rt *r, struct rt_req *q)
 {
@@ -125,11 +126,11 @@
 }
 
 /**
- * What becomes of the claim of a request that is given up.  Not sent: it is
- * released, also while the verdict is awaited, as it may be granted after we
- * stopped caring and would block the caller's next try.  Sent: nobody will
- * ever know the end; without word of that the home would tell repeats for
- * minutes that the request still runs, and the caller would wait for nothing.
+ * End the claim of a request that is given up. If the request was not sent,
+ * the claim is released, also while the verdict is pending: a later grant
+ * would block the client's next try. If it was sent, the outcome will never be
+ * known, and the claim's home must be told: otherwise it would report for
+ * minutes to repeated requests that the request is still running.
  */
 static void
 give_back_claim (struct rt *r, struct rt_req *q)
@@ -139,7 +140,7 @@
   q->claimed = false;
 }
 
-/** Give up what is under way: queue place, attempt, claim. */
+/** Leave the queue, cancel the attempt and end the claim. */
 void
 rt_abandon (struct rt *r, struct rt_req *q)
 {
@@ -151,7 +152,7 @@
   give_back_claim (r, q);
 }
 
-/** The final answer of our own, at once. */
+/** Send the final error response, or abort a forwarded one. */
 void
 rt_answer (struct rt *r, struct rt_req *q, enum rt_code code, clk_ms retry_ms)
 {
@@ -172,7 +173,7 @@
   rt_forget (r, q);
 }
 
-/** End a request that no backend server ran. */
+/** End a request that was not executed. */
 void
 rt_refuse (struct rt *r, struct rt_req *q, enum rt_code code, clk_ms retry_ms)
 {
@@ -184,9 +185,8 @@
 }
 
 /**
- * End a request that may have run.  An idempotent one `failed`: it may be
- * repeated whatever became of it.  Otherwise the caller must know that
- * nobody can tell.
+ * End a request that may have run. An idempotent one gets `failed`, as it may
+ * be repeated in any case. Otherwise the outcome is `unknown`.
  */
 void
 rt_give_up (struct rt *r, struct rt_req *q, enum rt_code code)
@@ -218,8 +218,8 @@
   struct rt_action *a = rt_act (r, RT_ACT_CONNECT, q);
   a->addr = q->server->addr;
   a->name = str_from (q->server->name);
-  /* An idle connection may have gone silent unseen; what can't be sent twice
-     must not be the one to find out. */
+  /* A pooled connection may be dead without notice, and a request that
+     can't be sent twice must not be lost on it. */
   a->fresh = !q->idempotent;
   a->resume = q->passing;
   a->offset = q->passed;
@@ -302,8 +302,8 @@
       return;
     case CLM_RUNNING:
     case CLM_UNKNOWN:
-      /* This request was not sent, but the caller asks about its key, and
-         under that key something runs or ran. */
+      /* This request was not sent, but its outcome is that of the key,
+         under which another request is running or has run. */
       q->claimed = false;
       rt_abandon (r, q);
       rt_step (q, RT_X_CLAIMED_ELSEWHERE);
@@ -326,10 +326,11 @@
 rt_caller_gone (struct rt *r, struct rt_req *q)
 {
   /*
-   * Who gave a key and lost the connection will ask again with it.  Cut off
-   * now, the run could be neither repeated nor answered, and the caller would
-   * hear for as long as the key is remembered that its end is not known; left
-   * to end, its answer is kept and the repeat gets it.
+   * A client that sent a key and lost the connection will repeat the request
+   * with the key. If the request were canceled now, it could be neither
+   * repeated nor answered, and the client would get `key-unknown` for as long
+   * as the key is remembered. If it completes, its response is stored and
+   * replayed to the repeated request.
    */
   if (q->claimed && q->sent)
     return;
--- a/route/retry.c
+++ b/route/retry.c
@@ -1,16 +1,17 @@
 #include "route/core.h"
 
 #define EARNED_PER_SUCCESS 0.1
-#define EARNED_PER_MS 0.0005 /* so that a quiet target may retry at all */
+#define EARNED_PER_MS 0.0005 /* allows retries on a target with few requests  \
+                              */
 #define BUDGET_START 5.0
 #define BUDGET_MOST 20.0
 #define BACKOFF_FIRST_MS 25
 #define BACKOFF_MOST_MS 1000
 
 /*
- * When a target fails as a whole, every request fails, and retries of all
- * would multiply its load just then; it could not come back.  With at most
- * one retry for ten successes the extra load stays near a tenth.
+ * Retry budget. When a whole target fails, retries of every request would
+ * multiply its load and prevent its recovery. With one retry per ten successes
+ * the extra load stays near a tenth.
  */
 bool
 rt_retry_spend (struct rt *r, struct rt_target *t)
--- a/route/route.c
+++ b/route/route.c
@@ -5,7 +5,7 @@
 #include "route/core.h"
 
 #define TABLE_FIRST 1024
-#define POLL_MS 20 /* looks for room while requests wait */
+#define POLL_MS 20 /* poll interval for free capacity while requests wait */
 
 /* --- actions ----------------------------------------------------------- */
 
@@ -209,7 +209,7 @@
   free (s);
 }
 
-/** Servers that left the list go once no request is on them. */
+/** Free servers that are no longer listed and have no requests in flight. */
 static void
 sweep_servers (struct rt_target *t)
 {
@@ -258,7 +258,7 @@
     }
 }
 
-/** What of a replica the configuration decides. */
+/** Set the fields of a replica that come from the configuration. */
 static void
 config_replica (struct rt *r, struct rt_target *t, struct rt_server *s)
 {
@@ -300,7 +300,7 @@
   s->fresh = true;
   if (!known || s->generation != v->generation)
     {
-      /* Other VMs stand behind the name: what was learnt is of the old. */
+      /* The replica has new VMs: reset the statistics of the old ones. */
       s->generation = v->generation;
       s->ejected_until = 0;
       s->ejections = s->bad_run = s->first_n = 0;
@@ -490,8 +490,8 @@
 rt_wake (const struct rt *r)
 {
   clk_ms at = r->heap_n ? r->heap[0]->timer : CLK_NEVER;
-  /* Estimates of other gateways' load fall by time alone, so room may
-     appear without an event. */
+  /* The estimated load of other gateways decreases with time alone, so
+     capacity may become free without an event. */
   for (size_t i = 0; i < r->ntargets; i++)
     if (r->targets[i]->queue.n && r->now + POLL_MS < at)
       at = r->now + POLL_MS;
--- a/route/route.h
+++ b/route/route.h
@@ -1,15 +1,16 @@
 /**
  * @file
- * The request core of a gateway: admission, queues, limits, choice of
- * replica, attempts, retries, outcomes (decision core, chart "attempt").
+ * Request core of a gateway: admission, queues, limits, choice of server,
+ * attempts, retries and outcomes (chart "attempt").
  *
- * Events and time go in, actions come out; the shell in front/ does the I/O.
- * A request is known by the number that the shell gave it, an attempt by
- * (request, attempt number); an event of an attempt that is over is ignored,
- * so a late answer never reaches a caller.
+ * The core does no I/O: the caller in front/ passes events with the current
+ * time and executes the returned actions. A request is identified by the
+ * number that the caller assigned, an attempt by (request, attempt number).
+ * Events of an attempt that has ended are ignored, so a late response never
+ * reaches a client.
  *
- * Outcomes: `not-run` is only ever given before RT_ACT_SEND of any attempt,
- * or when every attempt that was sent ended with a refusal that the
+ * Outcomes: `not-run` is reported only if no attempt got RT_ACT_SEND, or if
+ * every attempt that was sent ended with a refusal status that the
  * configuration lists as "did not run".
  */
 #ifndef LAPISLINE_ROUTE_ROUTE_H
@@ -27,32 +28,32 @@
   RT_UNKNOWN
 };
 
-/** Stable codes of error answers, see rt_code_name(). */
+/** Stable codes of error responses, see rt_code_name(). */
 enum rt_code
 {
   RT_CODE_NONE,
   RT_CODE_NO_TARGET,       /**< 404: no such model or service */
   RT_CODE_FORBIDDEN,       /**< 403 */
   RT_CODE_NOT_ROUTED,      /**< 503: mode observe */
-  RT_CODE_RATE,            /**< 429: the account's rate */
-  RT_CODE_CONCURRENCY,     /**< 429: the account's concurrency */
+  RT_CODE_RATE,            /**< 429: rate limit of the account */
+  RT_CODE_CONCURRENCY,     /**< 429: concurrency limit of the account */
   RT_CODE_QUEUE_FULL,      /**< 503 */
-  RT_CODE_DEADLINE,        /**< 504: would finish too late, or did */
-  RT_CODE_NO_REPLICA,      /**< 503: none is whole */
-  RT_CODE_LEAVING,         /**< 503: this node is going away */
+  RT_CODE_DEADLINE,        /**< 504: deadline exceeded or not achievable */
+  RT_CODE_NO_REPLICA,      /**< 503: no replica is complete */
+  RT_CODE_LEAVING,         /**< 503: this node is shutting down */
   RT_CODE_CONNECT,         /**< 503: no backend server could be reached */
-  RT_CODE_BROKEN,          /**< 502: the answer was cut */
-  RT_CODE_SILENT,          /**< 504: no progress */
-  RT_CODE_STORE,           /**< 503: claims can't be recorded now */
-  RT_CODE_CLAIM_RUNNING,   /**< 409: the same key is running */
-  RT_CODE_CLAIM_UNKNOWN,   /**< 409: the same key was used; its end is not
-                                known */
-  RT_CODE_CLAIM_MISMATCH,  /**< 422: same key, another request */
-  RT_CODE_BACKEND_REFUSED, /**< 503: refused without running */
-  RT_CODE_GONE             /**< the caller left */
+  RT_CODE_BROKEN,          /**< 502: the response was truncated */
+  RT_CODE_SILENT,          /**< 504: the attempt timed out without progress */
+  RT_CODE_STORE,           /**< 503: claims can't be recorded */
+  RT_CODE_CLAIM_RUNNING,   /**< 409: a request with the same key is running */
+  RT_CODE_CLAIM_UNKNOWN,   /**< 409: the same key was used; the outcome is not
+                              known */
+  RT_CODE_CLAIM_MISMATCH,  /**< 422: the same key with a different request */
+  RT_CODE_BACKEND_REFUSED, /**< 503: refused without execution */
+  RT_CODE_GONE             /**< the client disconnected */
 };
 
-/** One request as it arrives. */
+/** A request on arrival. */
 struct rt_request
 {
   uint64_t id;
@@ -63,29 +64,29 @@
   bool has_key; /**< claim_key and fingerprint are set */
   uint8_t claim_key[16];
   uint8_t fingerprint[16];
-  uint8_t attempt_id[16]; /**< random, of this request at this node */
-  unsigned priority;      /**< not better than the account's */
+  uint8_t attempt_id[16]; /**< random; identifies this request at this node */
+  unsigned priority;      /**< 0 is the highest; limited by the account's */
   clk_ms deadline;        /**< absolute, or 0 */
   double cost;            /**< estimated tokens */
-  uint64_t prefix;        /**< hash of the prompt's head, 0: none */
+  uint64_t prefix;        /**< hash of the prompt's prefix, 0: none */
 };
 
-/** Candidate replica of a model, as the view tells. */
+/** Candidate replica of a model, from the replica list. */
 struct rt_replica
 {
   struct str name;
   struct str model;
   struct str zone;
-  struct net_addr addr; /**< of its leader */
+  struct net_addr addr; /**< address of the replica's leader */
   int64_t generation;
   bool whole;
   bool draining;
-  clk_ms valid_until; /**< of the evidence that it is whole */
+  clk_ms valid_until; /**< end of validity of `whole` */
   uint32_t load;      /**< tokens in flight as last reported */
   clk_ms load_at;
 };
 
-/** What the home of a model's slots says, see route/slots.h. */
+/** Reply of a model's home gateway to a slot request, see route/slots.h. */
 enum rt_slot_word
 {
   RT_SLOT_GRANTED, /**< name: the replica */
@@ -97,24 +98,24 @@
 enum rt_event_kind
 {
   RT_EV_TICK,
-  RT_EV_CONFIG,         /**< cfg; work in flight keeps the one it has */
-  RT_EV_REPLICAS,       /**< replicas, n: the whole list */
-  RT_EV_BACKEND_DOWN,   /**< name: a probe or the platform says so; on */
-  RT_EV_SHARE,          /**< account, tokens_per_s, concurrency, valid_ms */
-  RT_EV_LEAVING,        /**< on */
-  RT_EV_ARRIVE,         /**< request */
-  RT_EV_CLAIM,          /**< id, verdict, retry_ms */
-  RT_EV_CONNECTED,      /**< id, attempt */
+  RT_EV_CONFIG,       /**< cfg; requests in flight keep their configuration */
+  RT_EV_REPLICAS,     /**< replicas, n: the complete list */
+  RT_EV_BACKEND_DOWN, /**< name, on: reported by a probe or by the platform */
+  RT_EV_SHARE,        /**< account, tokens_per_s, concurrency, valid_ms */
+  RT_EV_LEAVING,      /**< on */
+  RT_EV_ARRIVE,       /**< request */
+  RT_EV_CLAIM,        /**< id, verdict, retry_ms */
+  RT_EV_CONNECTED,    /**< id, attempt */
   RT_EV_CONNECT_FAILED, /**< id, attempt */
   RT_EV_HEAD,           /**< id, attempt, status */
-  RT_EV_BODY,           /**< id, attempt, size: first and further bytes */
+  RT_EV_BODY,           /**< id, attempt, size: more bytes of the body */
   RT_EV_WHOLE,          /**< id, attempt, tokens */
   RT_EV_BROKEN,         /**< id, attempt */
   RT_EV_SILENT,         /**< id, attempt */
   RT_EV_CALLER_GONE,    /**< id */
   RT_EV_NODES,          /**< size: gateways of the region, for limit / N */
-  RT_EV_SLOT,     /**< id, slot, name, code, retry_ms: word of the home */
-  RT_EV_SLOT_HOME /**< name: the model's home can be asked; on */
+  RT_EV_SLOT,     /**< id, slot, name, code, retry_ms: reply of the home */
+  RT_EV_SLOT_HOME /**< name, on: whether the model's home is reachable */
 };
 
 struct rt_event
@@ -142,28 +143,31 @@
 
 enum rt_action_kind
 {
-  RT_ACT_CLAIM,    /**< id: ask for the claim */
-  RT_ACT_RELEASE,  /**< id: the claim was not used */
-  RT_ACT_FINISH,   /**< id, http_status: keep the whole answer with the claim;
-                        status 0: there is none, the end is not known */
-  RT_ACT_CONNECT,  /**< id, attempt, addr, name, fresh, timeouts */
-  RT_ACT_SEND,     /**< id, attempt: answer to RT_EV_CONNECTED: go on */
-  RT_ACT_CANCEL,   /**< id, attempt: close its connection */
-  RT_ACT_PASS,     /**< id, attempt: hand head and bytes to the caller from
-                        now on (until then they are held by the shell) */
-  RT_ACT_ANSWER,   /**< id, http_status, code, outcome, retry_ms: an error
-                        answer of our own, final */
-  RT_ACT_REPLAY,   /**< id: answer with the kept answer of the claim, whose
-                        outcome is that of its status */
-  RT_ACT_END,      /**< id, outcome: the passed answer is whole */
-  RT_ACT_CUT,      /**< id, code, outcome: end the passed answer visibly cut */
-  RT_ACT_FORGET,   /**< id: nothing more will come */
-  RT_ACT_SLOT_ASK, /**< id, slot: ask the model's home */
-  RT_ACT_SLOT_TAKEN, /**< id, slot, name: tell it of a choice of our own */
-  RT_ACT_SLOT_DONE   /**< id, slot, first_ms: no longer needed */
+  RT_ACT_CLAIM,   /**< id: request the claim */
+  RT_ACT_RELEASE, /**< id: the claim was not used */
+  RT_ACT_FINISH,  /**< id, http_status: store the complete response with the
+                     claim; status 0: there is none and the outcome is not known
+                   */
+  RT_ACT_CONNECT, /**< id, attempt, addr, name, fresh, timeouts */
+  RT_ACT_SEND, /**< id, attempt: reply to RT_EV_CONNECTED: send the request */
+  RT_ACT_CANCEL, /**< id, attempt: close the attempt's connection */
+  RT_ACT_PASS,   /**< id, attempt: forward head and body to the client from now
+                    on; the caller buffers them until then */
+  RT_ACT_ANSWER, /**< id, http_status, code, outcome, retry_ms: final error
+                    response generated by the gateway */
+  RT_ACT_REPLAY, /**< id: replay the response stored with the claim; its
+                    outcome follows from its status */
+  RT_ACT_END,    /**< id, outcome: the forwarded response is complete */
+  RT_ACT_CUT, /**< id, code, outcome: abort the forwarded response so that the
+                 client can detect the truncation */
+  RT_ACT_FORGET,     /**< id: no further action follows */
+  RT_ACT_SLOT_ASK,   /**< id, slot: request a slot from the model's home */
+  RT_ACT_SLOT_TAKEN, /**< id, slot, name: report a server chosen without the
+                        home */
+  RT_ACT_SLOT_DONE   /**< id, slot, first_ms: the slot is no longer needed */
 };
 
-/** What a home needs to know of a request. */
+/** Properties of a request that its home needs. */
 struct rt_slot_ask
 {
   struct str model;
@@ -173,8 +177,9 @@
   double cost;
   uint64_t prefix;
   bool idempotent;
-  clk_ms first_ms; /**< of a whole answer; 0: not known */
-  bool failed;     /**< no connection, broken or silent */
+  clk_ms first_ms; /**< time to the first byte of a complete response; 0: not
+                      known */
+  bool failed;     /**< the attempt failed to connect, broke or timed out */
 };
 
 struct rt_action
@@ -185,7 +190,7 @@
   struct net_addr addr;
   struct str name; /**< replica or backend server */
   bool fresh;
-  bool resume; /**< continue a stream from `offset` bytes */
+  bool resume; /**< continue a stream at `offset` bytes */
   size_t offset;
   clk_ms connect_ms;
   clk_ms first_byte_ms;
@@ -201,7 +206,7 @@
 
 struct rt_options
 {
-  struct str zone; /**< own zone */
+  struct str zone; /**< availability zone of this gateway */
   struct str node;
   unsigned nodes; /**< gateways of the region, for limit / N */
 };
@@ -211,13 +216,13 @@
 void rt_event (struct rt *r, clk_ms now, const struct rt_event *ev);
 bool rt_next (struct rt *r, struct rt_action *out);
 
-/** Requests that have not ended. */
+/** Number of requests that have not ended. */
 size_t rt_open (const struct rt *r);
 
-/** Earliest time at which a tick may change something. */
+/** Time of the next RT_EV_TICK that the core needs. */
 clk_ms rt_wake (const struct rt *r);
 
-/** Demand of an account in the last second, for the shares. */
+/** Demand of an account since the last call, used to divide its limits. */
 struct rt_demand
 {
   struct str account;
@@ -234,17 +239,17 @@
   double cost; /**< tokens */
 };
 
-/** Requests of a model that have a replica. */
+/** Slots of a model's replicas that this gateway holds. */
 const struct rt_slot *rt_slots (struct rt *r, struct str model, size_t *n);
 
 const char *rt_outcome_name (enum rt_outcome o); /**< "not-run" and so on */
 const char *rt_code_name (enum rt_code c);       /**< "queue-full" and so on */
 int rt_code_status (enum rt_code c);
 
-/** Outcome of a whole answer with this HTTP status. */
+/** Outcome of a complete response with this HTTP status. */
 enum rt_outcome rt_status_outcome (int http_status);
 
-/** Own knowledge per replica or backend server, for reports. */
+/** Local statistics of a replica or backend server. */
 struct rt_target_view
 {
   struct str name;
--- a/route/share.c
+++ b/route/share.c
@@ -3,19 +3,19 @@
 #include <math.h>
 #include <stdlib.h>
 
-/* A node asks for what its callers asked lately; room above it lets the next
-   second's growth in without a refusal. */
+/* Factor on a node's recent demand, so that it can grow within the next
+   second without refusals. */
 #define HEADROOM 1.25
-/* Part of an even share that a node keeps without any demand, so that its
-   first callers are not refused before the next division. */
+/* Part of an even share that a node gets without any demand, so that its
+   first requests are not refused before the next division. */
 #define IDLE_PART 0.1
 /*
- * A node that is heard so long after its highest grant has got a smaller one:
- * that went a second later over the same link, and a link that is silent in
- * one direction is given up by its heartbeat after three.
+ * A node that reports this long after its highest grant has received a smaller
+ * one, which was sent a second later over the same link. The heartbeat closes
+ * a link that is silent in one direction after three seconds.
  */
 #define CONFIRM_MS ((clk_ms)4500)
-/* Half-lives after which nothing to speak of is left of an expired share. */
+/* Half-lives after which an expired share has decayed to an even part. */
 #define QUIET_DECAYS 11
 
 enum
@@ -25,22 +25,22 @@
   KINDS
 };
 
-/** One node's part of one limit. */
+/** A node's part of one limit. */
 struct part
 {
   double demand;
   double granted;
   clk_ms granted_until;
-  clk_ms peak_at;    /**< when the highest grant was last given... */
-  double peak;       /**< that may still be valid... */
-  clk_ms peak_until; /**< ...until then */
+  clk_ms peak_at;    /**< time of the highest grant that may still be valid */
+  double peak;       /**< the highest grant that may still be valid */
+  clk_ms peak_until; /**< end of validity of `peak` */
   double target;
 };
 
 struct member
 {
   char *node;
-  bool known; /**< in the list of nodes */
+  bool known; /**< listed by shr_nodes() */
   clk_ms heard_at;
   struct part part[KINDS];
 };
@@ -216,7 +216,8 @@
   return now - m->heard_at < SHR_HEARD_MS;
 }
 
-/** What is left of a grant: once expired it falls towards an even part. */
+/** Remaining value of a grant; after expiry it decays towards an even
+    part. */
 static double
 left_of (double share, clk_ms until, double even, clk_ms now)
 {
@@ -226,9 +227,9 @@
 }
 
 /**
- * What a node may be using at most at this moment.  A share does not end with
- * its grant: a gateway that hears nothing goes from it to an even part, and
- * giving out at once what it still has would exceed the limit.
+ * Upper bound of what a node may use now. A share does not end with its grant:
+ * a gateway without a new grant decays from it to an even part, so granting
+ * the rest at once would exceed the limit.
  */
 static double
 outstanding (const struct member *m, int kind, double even, clk_ms now)
@@ -242,9 +243,9 @@
 }
 
 /**
- * Even levels: nobody gets more than it wants, and what some leave goes to
- * the others in equal parts.
- * @return  the level that uses up @p budget, or infinity when all fit
+ * Max-min fair level: no node gets more than its target, and the rest is
+ * divided evenly among the others.
+ * @return  the level that uses up @p budget, or infinity if all targets fit
  */
 static double
 fill_level (const struct account *a, int kind, clk_ms now, double budget)
@@ -285,7 +286,8 @@
     }
 }
 
-/** What is left of the region's part after nodes that are not heard. */
+/** Region's part of the limit minus what nodes without a recent demand
+    may use. */
 static double
 budget_of (const struct account *a, int kind, clk_ms now, double even,
            double limit)
@@ -301,9 +303,9 @@
 }
 
 /**
- * A grant that shrinks may be lost on its way, and the old one stays valid
- * until it expires.  Growth of others before that would exceed the limit, so
- * they grow only into what is surely free.
+ * A smaller grant may be lost on its way, and the old one stays valid until it
+ * expires. If other nodes grew before that, the limit would be exceeded, so
+ * they grow only into what is certainly free.
  */
 static void
 give (struct account *a, int kind, clk_ms now, double even, double budget,
@@ -379,10 +381,10 @@
   for (size_t i = 0; i < s->n; i++)
     {
       struct account *a = s->accounts[i];
-      /* What the last home granted is not known here, perhaps nearly all of
-         it to a node that can't be heard.  Shares that nobody renews fall or
-         rise to even parts by themselves, and their sum stays within the
-         limit all the way; a grant now would come on top. */
+      /* The grants of the previous home are not known here; nearly all
+         of the limit may be granted to an unreachable node. Shares that
+         are not renewed decay to even parts, and their sum stays within
+         the limit; a grant now would be added on top. */
       if (!a->home || now < a->quiet_until
           || (a->limit[RATE] <= 0 && a->limit[CONCURRENCY] <= 0))
         continue;
--- a/route/share.h
+++ b/route/share.h
@@ -1,16 +1,16 @@
 /**
  * @file
- * Division of an account's limits among the nodes of a region (decision
- * core of the account's home node).
+ * Division of an account's limits among the nodes of a region, by the
+ * account's home node (no I/O).
  *
- * Every second each node tells the account's home what its callers asked for,
- * and gets a share with a lifetime.  The home adds up what may still be valid
- * anywhere: unexpired grants, and for nodes that it does not hear what they
- * fall back to (an even part of the limit).  It grants growth only out of
- * what is left, so the shares of one home never exceed the limit.  Two homes
- * on both sides of a partition each leave an even part to every node that
- * they do not hear, which bounds their sum by the limit as well, once grants
- * from before the partition have expired.
+ * Every second each node reports the demand of its clients to the account's
+ * home and gets a share with a lifetime. The home adds up what may still be
+ * valid: unexpired grants, and for unreachable nodes the even part of the
+ * limit to which they decay. It increases grants only by what is left, so the
+ * shares of one home never exceed the limit. Two homes on both sides of a
+ * partition each reserve an even part for every node that they can't reach,
+ * which keeps their sum within the limit once the grants from before the
+ * partition have expired.
  */
 #ifndef LAPISLINE_ROUTE_SHARE_H
 #define LAPISLINE_ROUTE_SHARE_H
@@ -20,11 +20,11 @@
 
 /** Lifetime of a share. */
 #define SHR_VALID_MS ((clk_ms)3000)
-/** Half-life of what an expired share has above or below an even part. */
+/** Half-life of an expired share's difference from an even part. */
 #define SHR_DECAY_MS ((clk_ms)1000)
-/** Longest way of a grant to its gateway; counted as valid meanwhile. */
+/** Maximum transit time of a grant to its gateway, added to its lifetime. */
 #define SHR_FLIGHT_MS ((clk_ms)500)
-/** A node is heard while its last demand is younger. */
+/** A node counts as reachable while its last demand is younger. */
 #define SHR_HEARD_MS ((clk_ms)2500)
 
 /** The two limits of an account; also a demand or a share of them. */
@@ -42,8 +42,8 @@
   clk_ms valid_ms;
 };
 
-/** What a share has become @p age ms after its grant expired; the rule of
-    every gateway (route/limit.c), by which homes count with it. */
+/** Value of a share @p age ms after its grant expired. Gateways apply it
+    (route/limit.c) and homes account for it. */
 double shr_decayed (double share, double even, clk_ms age);
 
 struct shr;
@@ -52,20 +52,20 @@
 void shr_free (struct shr *s);
 
 /**
- * Set an account's limits; zero amounts mean no limit and no grants.
- * @param home  whether this node is the account's home.  A new home grants
- *              nothing until the grants of its predecessor, which it does
- *              not know, have expired and gone.
+ * Set an account's limits; zero means no limit and no grants.
+ * @param home  whether this node is the account's home. A new home grants
+ * nothing until the grants of its predecessor, which it does not know, have
+ * expired and decayed.
  */
 void shr_account (struct shr *s, clk_ms now, struct str account,
                   const struct shr_amount *limit, bool home);
 
-/** Accounts that were not set since the last call are dropped. */
+/** Drop the accounts that were not set since the last call. */
 void shr_sweep (struct shr *s);
 
 /**
- * The nodes of this region that are known, gone ones included as long as
- * they are remembered: a node that can't be heard may still serve.
+ * Set the known nodes of this region, including those that left as long as
+ * they are remembered: an unreachable node may still serve requests.
  * @param all  nodes of all regions; the region divides its part of the limit
  */
 void shr_nodes (struct shr *s, const struct str *names, size_t n, size_t all);
@@ -73,7 +73,7 @@
 void shr_demand (struct shr *s, clk_ms now, struct str account,
                  struct str node, const struct shr_amount *demand);
 
-/** Divide; then read the grants with shr_next(). Once a second. */
+/** Compute the grants, to be read with shr_next(). Call once a second. */
 void shr_tick (struct shr *s, clk_ms now);
 bool shr_next (struct shr *s, struct shr_grant *out);
 
--- a/route/slot.c
+++ b/route/slot.c
@@ -2,8 +2,9 @@
 
 #include "route/core.h"
 
-#define MUTE_ASKS 3  /* without a word in time: the home is left alone */
-#define MUTE_MS 2000 /* for so long */
+#define MUTE_ASKS                                                             \
+  3 /* consecutive timeouts after which the home is not asked */
+#define MUTE_MS 2000 /* for this time */
 
 static struct rt_action *
 act (struct rt *r, enum rt_action_kind kind, const struct rt_req *q)
@@ -40,7 +41,8 @@
   return true;
 }
 
-/** As without a home.  What the home says later is still welcome. */
+/** Queue the request here, as without a home. A later grant of the home
+    is still accepted. */
 static void
 decide_here (struct rt *r, struct rt_req *q)
 {
@@ -48,7 +50,7 @@
   rt_enqueue (r, q, false);
 }
 
-/** All that wait at the home of @p t are decided here. */
+/** Queue here all requests of @p t that wait at the home. */
 static void
 leave_home (struct rt *r, struct rt_target *t)
 {
@@ -72,8 +74,9 @@
 }
 
 /**
- * A home that answers nothing is stopped or cut off: each request would wait
- * for its word in vain, and those that are queued there for ever.
+ * The home did not reply in time. After MUTE_ASKS timeouts it counts as
+ * stopped or unreachable: further requests would wait for a reply in vain, and
+ * those queued there would never be granted.
  */
 static void
 unanswered (struct rt *r, struct rt_req *q)
@@ -101,8 +104,7 @@
     unanswered (r, q);
 }
 
-/** The server that was granted, if this gateway may use it by what it knows
-    itself. */
+/** The granted server, or NULL if this gateway considers it unusable. */
 static struct rt_server *
 granted_server (struct rt *r, const struct rt_req *q, struct str name)
 {
@@ -141,7 +143,7 @@
 rt_slot_event (struct rt *r, struct rt_req *q, const struct rt_event *ev)
 {
   bool asking = q->state == RT_S_ASKING;
-  /* Decided here meanwhile, or a second word: what is under way stays. */
+  /* Ignore a reply after a local decision and a second reply. */
   if (!q->slot || (!asking && (q->state != RT_S_QUEUED || !q->waiting)))
     return;
   q->target->mute = 0;
--- a/route/slots.c
+++ b/route/slots.c
@@ -5,26 +5,27 @@
 
 #include "route/core.h"
 
-#define TABLE_SIZE 4096 /* chains of entries */
-#define SWEEP_MS 500    /* between looks for slots that nobody tells of */
-#define SMOOTH 0.05     /* of averages over requests */
-#define FIRST_MS 150.0  /* to the first byte until one was measured */
-#define OTHERS_LEAST 4  /* reported requests of others that may be an error */
-#define BUSY_COST 0.2   /* a server without a free slot against an idle one */
+#define TABLE_SIZE 4096 /* hash buckets */
+#define SWEEP_MS 500    /* interval of the search for stale slots */
+#define SMOOTH 0.05     /* weight of the newest sample in moving averages */
+#define FIRST_MS                                                              \
+  150.0 /* assumed time to the first byte before the first sample */
+#define OTHERS_LEAST 4 /* reported requests within the error of the report */
+#define BUSY_COST 0.2  /* score of a full server relative to an idle one */
 #define RETRY_MS 1000
 
-/** A request that waits here or holds a slot. */
+/** A request that is queued here or holds a slot. */
 struct entry
 {
-  struct rt_req q; /* first: the queue hands it back */
+  struct rt_req q; /* first member: cast from the queue's result */
   struct entry *chain;
   uint32_t gateway;
-  clk_ms told; /* of the slot, by its gateway */
+  clk_ms told; /* last report of the slot by its gateway */
 };
 
 struct slt
 {
-  /* Servers, configuration and accounts are kept as in any gateway. */
+  /* A request core holds servers, configuration and accounts. */
   struct rt *core;
   struct rt_target *target;
   struct rt_queue queue;
@@ -36,7 +37,7 @@
   clk_ms swept;
   double first_ms;
   uint64_t turn;
-  size_t nodes; /* gateways that ask */
+  size_t nodes; /* gateways that request slots */
 };
 
 /* --- entries ------------------------------------------------------------ */
@@ -72,7 +73,7 @@
   rt_server_take (s->core, s->target, server, e->q.cost);
 }
 
-/** Forget the entry, its place in the queue and its slot. */
+/** Remove the entry from the queue and free its slot. */
 static void
 drop (struct slt *s, struct entry **at)
 {
@@ -134,7 +135,7 @@
   return false;
 }
 
-/** The prefix was used: to the front; the last one falls out. */
+/** Move the prefix to the front of the LRU list; the last one is evicted. */
 static void
 touch (struct rt_warm *w, uint64_t prefix)
 {
@@ -145,7 +146,7 @@
   w->prefixes[0] = prefix;
 }
 
-/** Grants that probably wait for their first byte. */
+/** Grants that are probably still without a first byte. */
 static unsigned
 pending (const struct slt *s, const struct rt_warm *w)
 {
@@ -156,11 +157,11 @@
 }
 
 /**
- * Requests on the server that no gateway told of, by the engine's report.
- * Costs are estimates and reports late, so little of it is noise; heeding that
- * would leave slots empty for good.  A report from before a new home had
- * learned what gateways hold shows all of that as unknown: with it the home
- * would grant nothing for as long as reports are late.
+ * Requests on the server that no gateway reported, from the engine's load
+ * report. Costs are estimates and reports are delayed, so small differences
+ * are noise; counting them would leave slots empty permanently. In a report
+ * from before a new home received the gateways' slots, all load appears as
+ * unknown: counting it would block grants until the next reports.
  */
 static double
 unknown_load (const struct slt *s, const struct rt_server *server)
@@ -171,10 +172,10 @@
 }
 
 /**
- * A replica that breaks what it gets is always the one with the most free
- * slots, so that it would get all there is.  Ejection is that of gateways
- * (outlier.c), by what all of them tell; one idempotent request looks whether
- * it is back.
+ * A replica that fails every request always has the most free slots and would
+ * attract all requests. It is ejected by the rules of outlier.c, from the
+ * results of all gateways; one idempotent request probes whether it has
+ * recovered.
  */
 static bool
 is_in (const struct slt *s, const struct rt_server *server,
@@ -185,9 +186,10 @@
 }
 
 /**
- * The free server with the first token soonest: prefills run one after
- * another, so a request that waits for its first byte and a prefix that must
- * be computed count alike; how many it serves counts little beside these.
+ * The free server with the earliest expected first token: prefills run one
+ * after another, so a request without a first byte and a prefix that must be
+ * computed have the same cost; the number of running requests matters little
+ * in comparison.
  */
 static struct rt_server *
 choose (struct slt *s, const struct rt_req *q)
@@ -197,7 +199,8 @@
   double least = 0;
   for (size_t i = 0; i < t->nservers; i++)
     {
-      /* Start elsewhere each time, or the first of equals wears out. */
+      /* Rotate the start, or the first of equal servers would get all
+         requests. */
       struct rt_server *server = t->servers[(i + s->turn) % t->nservers];
       double load = server->in_flight + unknown_load (s, server);
       if (!rt_usable (s->core, server) || load > server->capacity - 1
@@ -253,7 +256,8 @@
   return s->core->cfg ? cfg_account (s->core->cfg, name) : NULL;
 }
 
-/** Whether it would end after its deadline at the pace of late. */
+/** Whether the request would miss its deadline at the recent processing
+    rate. */
 static bool
 too_late (const struct slt *s, const struct entry *e, double weight)
 {
@@ -276,7 +280,7 @@
          && s->queue.n > s->nodes * s->core->cfg->limits.max_queue;
 }
 
-/** The fair victim goes; it may be the newcomer itself. */
+/** Refuse the queue's victim, which may be the new request itself. */
 static void
 shed (struct slt *s)
 {
@@ -289,7 +293,7 @@
 on_ask (struct slt *s, const struct slt_event *ev)
 {
   if (*place_of (s, ev->gateway, ev->id))
-    return; /* the gateway's list was here first */
+    return; /* already added by the gateway's list */
   const struct cfg_account *a = account_config (s, ev->account);
   double weight = a && a->weight > 0 ? a->weight : 1;
   struct entry *e = entry_new (s, ev, ev->id, ev->cost);
@@ -323,7 +327,7 @@
   return NULL;
 }
 
-/** The gateway uses that replica, whatever was thought here. */
+/** The gateway uses that replica, whatever this home assigned. */
 static void
 on_held (struct slt *s, const struct slt_event *ev, const struct rt_slot *o)
 {
@@ -354,8 +358,9 @@
 }
 
 /**
- * Slow ones are left to their slots, which come free as slowly: ejected, they
- * would be missing (p99 317 against 301 in nairobi with a straggler).
+ * Slow replicas are not ejected: their slots become free more slowly, which
+ * limits their load, and ejected they would be missing (p99 317 against 301 in
+ * nairobi with a straggler).
  */
 static void
 judge (struct slt *s, struct rt_server *server, const struct slt_event *ev)
@@ -396,9 +401,9 @@
 }
 
 /**
- * Free slots that their gateway no longer tells of.  The word of their end
- * was lost, or the gateway was; kept, each would be out of use for ever and
- * the model would dry up slot by slot.
+ * Free slots that their gateway no longer reports: the release message was
+ * lost, or the gateway stopped. If they were kept, the model would lose one
+ * slot after another permanently.
  */
 static void
 sweep (struct slt *s)
@@ -412,7 +417,8 @@
         at = &(*at)->chain;
 }
 
-/** Nobody would hear of their grants, and each would hold a slot in vain. */
+/** Drop the queued requests of an unreachable gateway: their grants could
+    not be delivered, and each would hold an unused slot. */
 static void
 drop_waiting (struct slt *s, uint32_t gateway)
 {
--- a/route/slots.h
+++ b/route/slots.h
@@ -1,29 +1,29 @@
 /**
  * @file
- * Slots of one model's replicas, granted by the model's home gateway
- * (decision core, no I/O).
+ * Slots of one model's replicas, granted by the model's home gateway (no I/O).
  *
- * Many gateways share replicas with one or two free slots each; none of them
- * sees in time what the others take.  One of them, the model's home, is asked
- * before the connection is opened and knows every slot.
+ * Many gateways share replicas with one or two free slots each, and none of
+ * them sees in time what the others use. One of them, the model's home, gets a
+ * request for a slot before a connection is opened and tracks every slot.
  *
- * A grant is advice for speed.  Nothing that must hold relies on it: a gateway
- * that hears nothing decides by itself, and the rules of attempts stay in the
- * request core.  Lost messages heal, as each gateway tells once a second what
- * it holds.
+ * A grant is only an optimization; correctness does not depend on it. A
+ * gateway without a reply decides by itself, and the rules of attempts are
+ * enforced by the request core. Lost messages are corrected by the list of
+ * held slots that each gateway sends once a second.
  */
 #ifndef LAPISLINE_ROUTE_SLOTS_H
 #define LAPISLINE_ROUTE_SLOTS_H
 
 #include "route/route.h"
 
-/** How often a gateway tells which slots it holds. */
+/** Interval at which a gateway reports the slots it holds. */
 #define SLT_OPEN_MS ((clk_ms)1000)
-/** A slot that its gateway has not told of for so long is free. */
+/** A slot that its gateway has not reported for this long is freed. */
 #define SLT_HELD_MS ((clk_ms)3500)
-/** A new home grants nothing for so long: it learns what is held. */
+/** A new home grants nothing for this long, while it receives the held
+    slots. */
 #define SLT_LEARN_MS ((clk_ms)200)
-/** How long a gateway waits for the first word about its ask. */
+/** Timeout of a gateway's slot request. */
 #define SLT_ANSWER_MS ((clk_ms)50)
 
 enum slt_event_kind
@@ -32,19 +32,19 @@
   SLT_EV_CONFIG,   /**< cfg */
   SLT_EV_REPLICAS, /**< replicas, n */
   SLT_EV_ASK,   /**< gateway, id, account, priority, cost, deadline, prefix */
-  SLT_EV_TAKEN, /**< gateway, id, replica, cost: decided without a grant */
-  SLT_EV_DONE,  /**< gateway, id, first_ms, failed: ended, or no longer wanted
-                 */
-  SLT_EV_OPEN,  /**< gateway, open, n: all that it holds */
-  SLT_EV_GONE,  /**< gateway: its link is; what waits is dropped, and its
-                     slots are held as long as they would be anyhow */
-  SLT_EV_NODES  /**< n: gateways, each may have limits.max_queue waiting */
+  SLT_EV_TAKEN, /**< gateway, id, replica, cost: assigned without a grant */
+  SLT_EV_DONE,  /**< gateway, id, first_ms, failed: ended or canceled */
+  SLT_EV_OPEN,  /**< gateway, open, n: all slots that it holds */
+  SLT_EV_GONE,  /**< gateway: its link was lost; its queued requests are
+                   dropped, its slots stay until SLT_HELD_MS */
+  SLT_EV_NODES  /**< n: gateways, each of which may queue limits.max_queue
+                   requests */
 };
 
 struct slt_event
 {
   enum slt_event_kind kind;
-  uint32_t gateway; /**< number of the shell's own */
+  uint32_t gateway; /**< number assigned by the caller */
   uint64_t id;      /**< of the request at its gateway */
   struct str account;
   unsigned priority;
@@ -53,8 +53,9 @@
   uint64_t prefix;
   struct str replica;
   bool idempotent;
-  double first_ms; /**< to the first byte of a whole answer, 0: not known */
-  bool failed;     /**< the replica: no connection, broken or silent */
+  double first_ms; /**< time to the first byte of a complete response, 0: not
+                      known */
+  bool failed;     /**< the replica failed to connect, broke or timed out */
   struct cfg *cfg;
   const struct rt_replica *replicas;
   const struct rt_slot *open;
@@ -77,9 +78,9 @@
 void slt_free (struct slt *s);
 void slt_event (struct slt *s, clk_ms now, const struct slt_event *ev);
 bool slt_next (struct slt *s, struct slt_action *out);
-/** Earliest time at which a tick may change something. */
+/** Time of the next SLT_EV_TICK that is needed. */
 clk_ms slt_wake (const struct slt *s);
-/** Slots that count as taken. */
+/** Number of occupied slots. */
 size_t slt_held (const struct slt *s);
 
 #endif
