--- a/route/record-read.c
+++ b/route/record-read.c
@@ -150,7 +150,7 @@
   if (err == json_tokener_success)
     text = "not a JSON object";
   else if (err == json_tokener_continue)
-    text = "the line ends within a value";
+    text = "unexpected end of line inside a value";
   else
     text = json_tokener_error_desc (err);
   fnd_addf (findings, FND_ERROR, r->file, r->line, NULL, "%s", text);
@@ -188,8 +188,7 @@
     return false;
   if (!str_is (jsn_str (s->doc, "core"), "route"))
     return bad (r, findings, "/core",
-                "the only core that is replayed is "
-                "\"route\"");
+                "unsupported core; only \"route\" can be replayed");
   head->seed = (uint64_t)jsn_int (s->doc, "seed");
   head->options.zone = jsn_str (s->doc, "zone");
   head->options.node = jsn_str (s->doc, "node");
@@ -220,7 +219,7 @@
       = find_name (rec_slot_names, RT_SLOT_WORDS, jsn_str (s->doc, "slot"));
 
   if (word < 0)
-    return bad (r, findings, "/slot", "not a word of a home");
+    return bad (r, findings, "/slot", "unknown slot reply");
   ev->slot = (enum rt_slot_word)word;
   ev->code = (enum rt_code)jsn_int (s->doc, "code");
   return true;
@@ -244,7 +243,7 @@
       return true;
     case RT_EV_REPLICAS:
       if (!read_replicas (s, ev))
-        return bad (r, findings, "/replicas", "missing or a wrong address");
+        return bad (r, findings, "/replicas", "missing or invalid address");
       return true;
     case RT_EV_CONFIG:
       return read_config (r, s, ev, findings);
@@ -252,7 +251,7 @@
       verdict = find_name (rec_verdict_names, REC_VERDICTS,
                            jsn_str (s->doc, "verdict"));
       if (verdict < 0)
-        return bad (r, findings, "/verdict", "not a verdict");
+        return bad (r, findings, "/verdict", "unknown verdict");
       ev->verdict = (enum clm_verdict)verdict;
       return true;
     case RT_EV_SLOT:
@@ -280,7 +279,7 @@
     return false;
   kind = find_name (rec_event_names, REC_EVENTS, jsn_str (s->doc, "ev"));
   if (kind < 0)
-    return bad (r, findings, "/ev", "not an event");
+    return bad (r, findings, "/ev", "unknown event");
   memset (ev, 0, sizeof *ev);
   ev->kind = (enum rt_event_kind)kind;
   *now = jsn_int (s->doc, "t");
--- a/route/route.h
+++ b/route/route.h
@@ -77,7 +77,7 @@
   struct str name;
   struct str model;
   struct str zone;
-  struct net_addr addr; /**< address of the replica's leader */
+  struct net_addr addr; /**< of the replica's leader */
   int64_t generation;
   bool whole;
   bool draining;
