--- a/route/admit.c
+++ b/route/admit.c
@@ -34,13 +34,13 @@
   const struct rt_target *t = q->target;
   if (t->queue.n == 0 || t->in_flight == 0)
     return 0;
-  double ahead = rt_queue_ahead (&t->queue, q->priority, q->account,
-                                 weight_of (q), q->cost);
+  double ahead = rt_queue_tokens_ahead (&t->queue, q->priority, q->account,
+                                        weight_of (q), q->cost);
   return ahead * t->ms_per_token / t->in_flight;
 }
 
 bool
-rt_any_usable (const struct rt *r, const struct rt_target *t)
+rt_has_usable_server (const struct rt *r, const struct rt_target *t)
 {
   for (size_t i = 0; i < t->nservers; i++)
     if (rt_usable (r, t->servers[i]))
@@ -50,7 +50,7 @@
 
 /** Latest time until which @p q may wait in the queue. */
 clk_ms
-rt_queue_until (const struct rt_req *q)
+rt_queue_deadline (const struct rt_req *q)
 {
   clk_ms at = q->queued_at + q->cfg->limits.queue_ms;
   if (q->deadline && q->deadline < at)
@@ -63,7 +63,7 @@
 {
   q->queued_at = r->now;
   rt_queue_push (&q->target->queue, q, weight_of (q), front);
-  rt_timer (r, q, rt_queue_until (q));
+  rt_set_timer (r, q, rt_queue_deadline (q));
 }
 
 /**
@@ -141,9 +141,9 @@
   *retry_ms = rt_clamp_retry (wait);
   if (too_late (r, q, wait))
     return RT_CODE_DEADLINE;
-  if (!rt_any_usable (r, q->target))
+  if (!rt_has_usable_server (r, q->target))
     {
-      *retry_ms = RT_RETRY_MS;
+      *retry_ms = RT_DEFAULT_RETRY_MS;
       return RT_CODE_NO_REPLICA;
     }
   enum rt_code code = rt_limit_admit (r, q->account, q->cost, retry_ms);
@@ -162,30 +162,31 @@
   q->cfg = r->cfg ? cfg_ref (r->cfg) : NULL;
   q->cost = in->cost > 1 ? in->cost : 1;
   q->prefix = in->prefix;
-  q->arrived = r->now;
+  q->arrived_at = r->now;
   q->deadline = in->deadline;
-  q->timer_at = SIZE_MAX;
+  q->heap_index = SIZE_MAX;
   q->priority
       = (uint8_t)(in->priority < RT_CLASSES ? in->priority : RT_CLASSES - 1);
   q->idempotent = in->idempotent;
   q->has_key = in->has_key;
   q->state = RT_S_RECEIVED;
   size_t at = in->id & (r->table_size - 1);
-  q->chain = r->table[at];
+  q->hash_next = r->table[at];
   r->table[at] = q;
   r->open++;
   return q;
 }
 
 void
-rt_arrive (struct rt *r, const struct rt_request *in)
+rt_on_arrive (struct rt *r, const struct rt_request *in)
 {
   struct rt_req *q = new_request (r, in);
   clk_ms retry_ms = 0;
   enum rt_code code = check_target (r, q, in);
   if (code != RT_CODE_NONE)
     {
-      rt_refuse (r, q, code, rt_code_status (code) == 503 ? RT_RETRY_MS : 0);
+      rt_refuse (r, q, code,
+                 rt_code_status (code) == 503 ? RT_DEFAULT_RETRY_MS : 0);
       return;
     }
   q->target = rt_target (r, in->target, in->is_model);
@@ -205,5 +206,5 @@
     return;
   rt_step (q, RT_X_ENQUEUE);
   rt_enqueue (r, q, false);
-  rt_pump (r, t);
+  rt_dispatch_queued (r, t);
 }
--- a/route/attempt.c
+++ b/route/attempt.c
@@ -5,8 +5,8 @@
 static void
 avoid (struct rt_req *q)
 {
-  q->tried[q->ntried % RT_TRIED] = q->server->hash;
-  if (q->ntried < RT_TRIED)
+  q->tried[q->ntried % RT_MAX_TRIED] = q->server->hash;
+  if (q->ntried < RT_MAX_TRIED)
     q->ntried++;
 }
 
@@ -16,15 +16,15 @@
 again (struct rt *r, struct rt_req *q, clk_ms after)
 {
   struct rt_target *t = q->target;
-  rt_leave_server (r, q);
+  rt_detach_server (r, q);
   if (after > 0)
     {
-      rt_timer (r, q, r->now + after);
-      rt_pump (r, t);
+      rt_set_timer (r, q, r->now + after);
+      rt_dispatch_queued (r, t);
       return;
     }
   rt_enqueue (r, q, true);
-  rt_pump (r, t);
+  rt_dispatch_queued (r, t);
 }
 
 static bool
@@ -47,48 +47,48 @@
 static void
 on_connect_failed (struct rt *r, struct rt_req *q)
 {
-  rt_outlier_bad (r, q->target, q->server);
-  q->lost = true;
+  rt_outlier_failure (r, q->target, q->server);
+  q->attempt_failed = true;
   avoid (q);
   /* Nothing was sent, so a non-idempotent request may be retried too. */
   bool more = may_retry (r, q);
   bool ran = q->state == RT_S_RECONNECTING;
   rt_step (q, RT_X_CONNECT_FAILED);
-  rt_leave_server (r, q);
+  rt_detach_server (r, q);
   if (more)
     again (r, q, 0);
   else if (ran)
     rt_give_up (r, q, RT_CODE_CONNECT);
   else
-    rt_refuse (r, q, RT_CODE_CONNECT, RT_RETRY_MS);
+    rt_refuse (r, q, RT_CODE_CONNECT, RT_DEFAULT_RETRY_MS);
 }
 
 static void
 on_connected (struct rt *r, struct rt_req *q)
 {
-  if (q->has_key && !q->sent && !rt_grant_fresh (r, q))
+  if (q->has_key && !q->sent && !rt_grant_is_valid (r, q))
     {
       /* The claim may have expired while the connection was set up, and
          may have been granted to a repeated request. Sending now could
          run the request twice. */
-      rt_act (r, RT_ACT_CANCEL, q);
+      rt_push_action (r, RT_ACT_CANCEL, q);
       rt_start_claim (r, q);
       return;
     }
   rt_step (q, RT_X_SEND);
   q->sent = true;
-  q->started = r->now;
+  q->started_at = r->now;
   q->pending = true;
   q->server->pending++;
   rt_server_changed (q->server);
-  rt_act (r, RT_ACT_SEND, q);
+  rt_push_action (r, RT_ACT_SEND, q);
 }
 
 /** The server refused the request without executing it. */
 static void
 on_refused (struct rt *r, struct rt_req *q)
 {
-  rt_act (r, RT_ACT_CANCEL, q);
+  rt_push_action (r, RT_ACT_CANCEL, q);
   avoid (q);
   bool first = q->state == RT_S_SENDING;
   if (first)
@@ -96,7 +96,7 @@
         = false; /* so that the claim is released: the request did not run */
   bool more = q->idempotent && may_retry (r, q);
   clk_ms after = rt_retry_backoff (r, q->attempt);
-  rt_leave_server (r, q);
+  rt_detach_server (r, q);
   if (more)
     {
       rt_step (q, first ? RT_X_REFUSED_UNRUN : RT_X_RETRY);
@@ -108,9 +108,9 @@
       rt_give_up (r, q, RT_CODE_BACKEND_REFUSED);
       return;
     }
-  rt_abandon (r, q);
+  rt_cancel_work (r, q);
   rt_step (q, RT_X_REFUSED_FINAL);
-  rt_answer (r, q, RT_CODE_BACKEND_REFUSED, RT_RETRY_MS);
+  rt_answer (r, q, RT_CODE_BACKEND_REFUSED, RT_DEFAULT_RETRY_MS);
 }
 
 static bool
@@ -129,15 +129,15 @@
 static void
 on_lost (struct rt *r, struct rt_req *q, enum rt_code code)
 {
-  rt_act (r, RT_ACT_CANCEL, q);
-  rt_outlier_bad (r, q->target, q->server);
-  q->lost = true;
+  rt_push_action (r, RT_ACT_CANCEL, q);
+  rt_outlier_failure (r, q->target, q->server);
+  q->attempt_failed = true;
   avoid (q);
-  bool can = q->passing ? q->idempotent && q->model && q->model->can_resume
-                        : q->idempotent;
+  bool can = q->forwarding ? q->idempotent && q->model && q->model->can_resume
+                           : q->idempotent;
   bool more = can && may_retry (r, q);
   clk_ms after = rt_retry_backoff (r, q->attempt);
-  rt_leave_server (r, q);
+  rt_detach_server (r, q);
   if (!more)
     {
       rt_give_up (r, q, code);
@@ -160,7 +160,7 @@
     }
   /* An error response to a resumed stream must not be forwarded as part
      of the stream. */
-  if (q->passing && status >= 300)
+  if (q->forwarding && status >= 300)
     {
       on_lost (r, q, RT_CODE_BROKEN);
       return;
@@ -172,11 +172,11 @@
 first_bytes (struct rt *r, struct rt_req *q)
 {
   rt_step (q, RT_X_BODY);
-  q->passing = true;
-  rt_act (r, RT_ACT_PASS, q);
-  rt_settle_pending (q);
-  q->first_ms = r->now - q->started;
-  rt_outlier_first (r, q->target, q->server, q->first_ms);
+  q->forwarding = true;
+  rt_push_action (r, RT_ACT_PASS, q);
+  rt_clear_pending (q);
+  q->first_ms = r->now - q->started_at;
+  rt_outlier_first_byte (r, q->target, q->server, q->first_ms);
   q->probe = false;
 }
 
@@ -186,7 +186,7 @@
   if (q->state == RT_S_SENT)
     first_bytes (r, q);
   if (q->state == RT_S_STREAMING)
-    q->passed += size;
+    q->forwarded_bytes += size;
 }
 
 static void
@@ -197,28 +197,28 @@
   if (q->state != RT_S_STREAMING)
     return;
   struct rt_target *t = q->target;
-  rt_outlier_good (r, t, q->server);
-  rt_retry_earn (t);
+  rt_outlier_success (r, t, q->server);
+  rt_retry_credit (t);
   if (tokens > 0)
-    rt_limit_settle (q->account, q->cost, tokens);
-  double ms = (double)(r->now - q->started) / q->cost;
+    rt_limit_correct (q->account, q->cost, tokens);
+  double ms = (double)(r->now - q->started_at) / q->cost;
   t->ms_per_token
       += (t->ms_per_token > 0 ? SMOOTH : 1) * (ms - t->ms_per_token);
   t->measured_at = r->now;
-  q->whole = true;
-  rt_leave_server (r, q);
+  q->complete = true;
+  rt_detach_server (r, q);
   rt_step (q, RT_X_END);
   if (q->claimed)
-    rt_act (r, RT_ACT_FINISH, q)->http_status = q->status;
-  rt_act (r, RT_ACT_END, q)->outcome = rt_status_outcome (q->status);
-  rt_forget (r, q);
+    rt_push_action (r, RT_ACT_FINISH, q)->http_status = q->status;
+  rt_push_action (r, RT_ACT_END, q)->outcome = rt_status_outcome (q->status);
+  rt_end_request (r, q);
 }
 
 void
-rt_attempt_event (struct rt *r, struct rt_req *q, const struct rt_event *ev)
+rt_on_attempt_event (struct rt *r, struct rt_req *q, const struct rt_event *ev)
 {
   /* Ignore late events of attempts that have ended. */
-  if (!rt_in_attempt (q) || ev->attempt != q->attempt
+  if (!rt_has_server (q) || ev->attempt != q->attempt
       || q->state < RT_S_CONNECTING)
     return;
   bool connecting
--- a/route/choose.c
+++ b/route/choose.c
@@ -57,7 +57,7 @@
            double taken)
 {
   const struct rt_view *v = &t->view;
-  double own = rt_own_in_view (t);
+  double own = rt_own_requests (t);
   return own + others < GATE * v->capacity
          || own + taken < GATE_TAKEN * v->capacity
          || own < v->capacity / (r->nodes ? r->nodes : 1);
@@ -74,7 +74,7 @@
 warm_bound (const struct rt_target *t, double others)
 {
   const struct rt_view *v = &t->view;
-  double n = (double)v->n, own = rt_own_in_view (t);
+  double n = (double)v->n, own = rt_own_requests (t);
   double all = own + others;
   double part = all > 0 ? own / all : 1;
   double free_part = 1 - all / v->capacity;
@@ -96,7 +96,7 @@
 static bool
 skipped (const struct rt_req *q, const struct rt_candidate *c, bool skip_full)
 {
-  return (skip_full && (float)c->in_flight >= c->room)
+  return (skip_full && (float)c->in_flight >= c->max_in_flight)
          || (q->ntried && tried (q, c->hash));
 }
 
@@ -221,8 +221,8 @@
     }
   if (v->n == 0)
     return last_resort (r, t, q);
-  double own = rt_own_in_view (t);
-  double taken, others = rt_others_by_now (t, &taken);
+  double own = rt_own_requests (t);
+  double taken, others = rt_estimate_others (t, &taken);
   if (!gate_open (r, t, others, taken))
     return NULL;
   /* Round the bound up with the probability of its fraction. */
--- a/route/core.h
+++ b/route/core.h
@@ -24,7 +24,7 @@
 #include "route/route.h"
 
 #define RT_CLASSES 4
-#define RT_TRIED 4        /**< servers that a request avoids after failures */
+#define RT_MAX_TRIED 4    /**< servers that a request avoids after failures */
 #define RT_MAX_ATTEMPTS 4 /**< of one request */
 #define RT_HISTORY 32     /**< samples of this gateway's load per server */
 #define RT_HISTORY_MS 250 /**< interval of the samples */
@@ -86,12 +86,13 @@
   bool has_share;
   double share_rate;
   double share_conc;
-  clk_ms share_until; /**< the share decays to limit / N afterwards */
-  double level;       /**< fill of the token bucket, may be negative */
-  clk_ms level_at;
+  clk_ms share_until;  /**< the share decays to limit / N afterwards */
+  double bucket_level; /**< fill of the token bucket, may be negative */
+  clk_ms bucket_at;
   size_t open;
-  double asked; /**< tokens since demand_at, including refused requests */
-  size_t asked_peak;
+  double requested_tokens; /**< tokens since demand_at, including refused
+                              requests */
+  size_t peak_open;
   clk_ms demand_at;
 };
 
@@ -100,17 +101,17 @@
 struct rt_history
 {
   float tokens[RT_HISTORY];
-  clk_ms slot; /**< index of the newest sample */
+  clk_ms newest; /**< index of the newest sample */
 };
 
-#define RT_WARM 32   /**< prefixes remembered per server */
-#define RT_RECENT 16 /**< grants remembered per server */
+#define RT_MAX_PREFIXES 32    /**< prefixes remembered per server */
+#define RT_MAX_GRANT_TIMES 16 /**< grants remembered per server */
 
 /** Recent grants of a model's home on a server. */
-struct rt_warm
+struct rt_grant_history
 {
-  uint64_t prefixes[RT_WARM]; /**< most recently used first */
-  clk_ms recent[RT_RECENT];   /**< ring buffer of grant times */
+  uint64_t prefixes[RT_MAX_PREFIXES]; /**< most recently used first */
+  clk_ms times[RT_MAX_GRANT_TIMES];   /**< ring buffer of grant times */
   unsigned next;
 };
 
@@ -125,7 +126,7 @@
   int64_t generation;
   bool same_zone;
   bool listed; /**< in the last list; otherwise kept for requests in flight */
-  bool fresh;  /**< in the list that is being processed */
+  bool in_update; /**< in the list that is being processed */
   bool whole;
   bool draining;
   bool down;
@@ -136,22 +137,22 @@
   uint32_t in_flight;
   uint32_t pending; /**< of these, sent without a first byte yet */
   double own_tokens;
-  double others; /**< requests of other gateways at load_at */
+  double others_requests; /**< requests of other gateways at load_at */
   clk_ms load_at;
   struct rt_history history;
   struct rt_candidate *candidate; /**< its entry in the target's view */
   /* Outlier detection. */
   uint64_t done, failed;
-  unsigned bad_run; /**< consecutive failures */
-  double first_ms;  /**< moving average of the time to the first byte */
-  unsigned first_n;
+  unsigned consecutive_failures; /**< consecutive failures */
+  double first_byte_ms; /**< moving average of the time to the first byte */
+  unsigned first_byte_samples;
   clk_ms ejected_until; /**< 0: not ejected */
   unsigned ejections;   /**< consecutive ejections, for the backoff */
   bool probing;         /**< ejected, with a probe request in flight */
-  struct rt_warm *warm; /**< NULL except at a model's home */
+  struct rt_grant_history *grants; /**< NULL except at a model's home */
 };
 
-#define RT_RETRY_MS 1000 /* default for retry_ms */
+#define RT_DEFAULT_RETRY_MS 1000 /* default for retry_ms */
 
 struct rt_req;
 
@@ -191,9 +192,9 @@
   struct rt_server *server;
   uint64_t hash;
   uint32_t in_flight;
-  uint32_t score; /**< in flight, plus those without a first byte again */
-  float room;     /**< limit of this gateway's requests on it */
-  float weight;   /**< random weight among equal scores */
+  uint32_t score;      /**< in flight, plus those without a first byte again */
+  float max_in_flight; /**< limit of this gateway's requests on it */
+  float weight;        /**< random weight among equal scores */
 };
 
 /** Servers that accept requests, recomputed periodically and after
@@ -203,15 +204,18 @@
   struct rt_candidate *list;
   size_t n;
   size_t ejected;
-  uint32_t outside; /**< requests of this gateway on servers not in `list` */
+  uint32_t outside_requests; /**< requests of this gateway on servers not in
+                                `list` */
   bool current;
   clk_ms at;
-  clk_ms valid_until; /**< earliest valid_until of the servers in `list` */
-  double capacity;    /**< requests */
-  double others;      /**< requests of other gateways, as reported */
-  double taken; /**< of these, in slots rather than waiting at the server */
-  double tokens_then; /**< tokens of this gateway when the reports were made */
-  double age;         /**< sum of the reports' ages, ms */
+  clk_ms valid_until;     /**< earliest valid_until of the servers in `list` */
+  double capacity;        /**< requests */
+  double others;          /**< requests of other gateways, as reported */
+  double others_in_slots; /**< of these, in slots rather than waiting at the
+                             server */
+  double tokens_at_reports; /**< tokens of this gateway when the reports were
+                               made */
+  double total_age;         /**< sum of the reports' ages, ms */
 };
 
 /** Model or plain service with its servers and its queue. */
@@ -233,9 +237,9 @@
   clk_ms measured_at; /**< when ms_per_token last changed */
   double median_ms;   /**< median time to the first byte over the servers */
   clk_ms median_at;
-  bool has_home;     /**< the model's home is reachable */
-  unsigned mute;     /**< consecutive slot requests that timed out */
-  clk_ms mute_until; /**< no slot requests are sent until then */
+  bool has_home;          /**< the model's home is reachable */
+  unsigned slot_timeouts; /**< consecutive slot requests that timed out */
+  clk_ms slot_asks_paused_until; /**< no slot requests are sent until then */
   double retry_budget;
   clk_ms retry_at;
 };
@@ -243,7 +247,7 @@
 struct rt_req
 {
   uint64_t id;
-  struct rt_req *chain;         /**< next in the bucket of rt.table */
+  struct rt_req *hash_next;     /**< next in the bucket of rt.table */
   struct rt_req *prev, *next;   /**< within its flow */
   struct rt_req *older, *newer; /**< within its class */
   struct rt_flow *flow;
@@ -255,16 +259,16 @@
   const struct cfg_service *service;
   double cost;
   uint64_t prefix;
-  clk_ms arrived;
+  clk_ms arrived_at;
   clk_ms queued_at;
-  clk_ms deadline; /**< 0: none */
-  clk_ms started;  /**< RT_ACT_SEND of the current attempt */
-  clk_ms granted;  /**< time of the claim's grant */
-  clk_ms first_ms; /**< to the first byte of the current attempt */
-  clk_ms timer;
-  size_t timer_at; /**< index in the heap */
-  size_t passed;   /**< bytes forwarded to the client */
-  uint64_t tried[RT_TRIED];
+  clk_ms deadline;   /**< 0: none */
+  clk_ms started_at; /**< RT_ACT_SEND of the current attempt */
+  clk_ms granted_at; /**< time of the claim's grant */
+  clk_ms first_ms;   /**< to the first byte of the current attempt */
+  clk_ms timer_due;
+  size_t heap_index;      /**< index in the heap */
+  size_t forwarded_bytes; /**< bytes forwarded to the client */
+  uint64_t tried[RT_MAX_TRIED];
   unsigned attempt;
   enum rt_state state;
   uint8_t priority;
@@ -273,15 +277,15 @@
   bool has_key;
   bool claimed; /**< the claim was requested, perhaps granted */
   bool sent;    /**< some attempt got RT_ACT_SEND */
-  bool passing;
-  bool charged; /**< counted against the account's rate limit */
-  bool waiting; /**< in the target's queue */
-  bool pending; /**< counted in rt_server.pending */
-  bool probe;   /**< it is the probe of an ejected server */
-  bool slot;    /**< reported to the model's home */
-  bool heard;   /**< queued at the model's home */
-  bool whole;   /**< the response is complete */
-  bool lost;    /**< the attempt or its connection failed */
+  bool forwarding;
+  bool charged;        /**< counted against the account's rate limit */
+  bool waiting;        /**< in the target's queue */
+  bool pending;        /**< counted in rt_server.pending */
+  bool probe;          /**< it is the probe of an ejected server */
+  bool has_slot;       /**< reported to the model's home */
+  bool queued_at_home; /**< queued at the model's home */
+  bool complete;       /**< the response is complete */
+  bool attempt_failed; /**< the attempt or its connection failed */
   int status;
 };
 
@@ -321,75 +325,77 @@
 };
 
 /* route.c */
-struct rt_action *rt_act (struct rt *r, enum rt_action_kind kind,
-                          const struct rt_req *q);
+struct rt_action *rt_push_action (struct rt *r, enum rt_action_kind kind,
+                                  const struct rt_req *q);
 struct rt_target *rt_target (struct rt *r, struct str name, bool is_model);
 void rt_req_free (struct rt *r, struct rt_req *q);
-void rt_timer (struct rt *r, struct rt_req *q, clk_ms at);
-void rt_untimer (struct rt *r, struct rt_req *q);
+void rt_set_timer (struct rt *r, struct rt_req *q, clk_ms at);
+void rt_cancel_timer (struct rt *r, struct rt_req *q);
 
 /* request.c */
-void rt_arrive (struct rt *r, const struct rt_request *in);
-void rt_attempt_event (struct rt *r, struct rt_req *q,
-                       const struct rt_event *ev);
-void rt_claimed (struct rt *r, struct rt_req *q, enum clm_verdict verdict,
-                 clk_ms retry_ms);
-void rt_caller_gone (struct rt *r, struct rt_req *q);
-void rt_req_timer (struct rt *r, struct rt_req *q);
+void rt_on_arrive (struct rt *r, const struct rt_request *in);
+void rt_on_attempt_event (struct rt *r, struct rt_req *q,
+                          const struct rt_event *ev);
+void rt_on_claim (struct rt *r, struct rt_req *q, enum clm_verdict verdict,
+                  clk_ms retry_ms);
+void rt_on_caller_gone (struct rt *r, struct rt_req *q);
+void rt_on_timer (struct rt *r, struct rt_req *q);
 /** Assign @p q, which must not be queued, to @p s. */
 void rt_dispatch (struct rt *r, struct rt_req *q, struct rt_server *s);
 /** Assign queued requests to servers with free capacity. */
-void rt_pump (struct rt *r, struct rt_target *t);
+void rt_dispatch_queued (struct rt *r, struct rt_target *t);
 
 /* Between admit.c, request.c and attempt.c. */
 void rt_step (struct rt_req *q, enum rt_step x);
-void rt_leave_server (struct rt *r, struct rt_req *q);
+void rt_detach_server (struct rt *r, struct rt_req *q);
 void rt_refuse (struct rt *r, struct rt_req *q, enum rt_code code,
                 clk_ms retry_ms);
 void rt_give_up (struct rt *r, struct rt_req *q, enum rt_code code);
-void rt_forget (struct rt *r, struct rt_req *q);
+void rt_end_request (struct rt *r, struct rt_req *q);
 bool rt_may_have_run (const struct rt_req *q);
 clk_ms rt_clamp_retry (double ms);
 void rt_enqueue (struct rt *r, struct rt_req *q, bool front);
-clk_ms rt_queue_until (const struct rt_req *q);
-bool rt_any_usable (const struct rt *r, const struct rt_target *t);
+clk_ms rt_queue_deadline (const struct rt_req *q);
+bool rt_has_usable_server (const struct rt *r, const struct rt_target *t);
 void rt_start_claim (struct rt *r, struct rt_req *q);
-bool rt_grant_fresh (const struct rt *r, const struct rt_req *q);
-void rt_settle_pending (struct rt_req *q);
+bool rt_grant_is_valid (const struct rt *r, const struct rt_req *q);
+void rt_clear_pending (struct rt_req *q);
 void rt_answer (struct rt *r, struct rt_req *q, enum rt_code code,
                 clk_ms retry_ms);
-bool rt_in_attempt (const struct rt_req *q);
-void rt_abandon (struct rt *r, struct rt_req *q);
+bool rt_has_server (const struct rt_req *q);
+void rt_cancel_work (struct rt *r, struct rt_req *q);
 
 /* slot.c */
 
 /** Request a slot from the model's home.
     @retval false  no slot was requested */
 bool rt_slot_ask (struct rt *r, struct rt_req *q);
-void rt_slot_event (struct rt *r, struct rt_req *q, const struct rt_event *ev);
-void rt_slot_home (struct rt *r, struct str model, bool on);
+void rt_on_slot_reply (struct rt *r, struct rt_req *q,
+                       const struct rt_event *ev);
+void rt_on_slot_home (struct rt *r, struct str model, bool on);
 /** The timer of a request in RT_S_ASKING expired. */
-void rt_slot_timer (struct rt *r, struct rt_req *q);
+void rt_on_slot_timeout (struct rt *r, struct rt_req *q);
 /** Report a server that was chosen without the home. */
-void rt_slot_taken (struct rt *r, struct rt_req *q);
+void rt_slot_report_taken (struct rt *r, struct rt_req *q);
 /** Report that the request no longer needs its slot. */
-void rt_slot_done (struct rt *r, struct rt_req *q);
+void rt_slot_release (struct rt *r, struct rt_req *q);
 
 /* queue.c */
 void rt_queue_push (struct rt_queue *w, struct rt_req *q, double weight,
                     bool front);
 void rt_queue_remove (struct rt_queue *w, struct rt_req *q);
 /** The next request; it stays in the queue. */
-struct rt_req *rt_queue_turn (struct rt_queue *w, clk_ms now);
-/** Remove @p q, the result of rt_queue_turn(), and charge its flow. */
-void rt_queue_take (struct rt_queue *w, struct rt_req *q);
+struct rt_req *rt_queue_next (struct rt_queue *w, clk_ms now);
+/** Remove @p q, the result of rt_queue_next(), and charge its flow. */
+void rt_queue_pop (struct rt_queue *w, struct rt_req *q);
 /** The request to drop first: lowest class, newest of the flow with the
     most tokens for its weight. */
 struct rt_req *rt_queue_victim (const struct rt_queue *w);
 /** Tokens that fair queuing serves before a new request of this account
     and class. */
-double rt_queue_ahead (const struct rt_queue *w, unsigned priority,
-                       const struct rt_account *a, double weight, double cost);
+double rt_queue_tokens_ahead (const struct rt_queue *w, unsigned priority,
+                              const struct rt_account *a, double weight,
+                              double cost);
 void rt_queue_clear (struct rt_queue *w);
 
 /* limit.c */
@@ -403,23 +409,24 @@
                              clk_ms *retry_ms);
 /** Correct the bucket for a request that cost @p actual instead of @p
     cost. */
-void rt_limit_settle (struct rt_account *a, double cost, double actual);
+void rt_limit_correct (struct rt_account *a, double cost, double actual);
 
 /* load.c */
-void rt_server_load (struct rt *r, struct rt_target *t, struct rt_server *s,
-                     uint32_t load, clk_ms at);
-void rt_server_take (struct rt *r, struct rt_target *t, struct rt_server *s,
-                     double cost);
-void rt_server_drop (struct rt *r, struct rt_target *t, struct rt_server *s,
-                     double cost);
+void rt_server_set_reported_load (struct rt *r, struct rt_target *t,
+                                  struct rt_server *s, uint32_t load,
+                                  clk_ms at);
+void rt_server_add_request (struct rt *r, struct rt_target *t,
+                            struct rt_server *s, double cost);
+void rt_server_remove_request (struct rt *r, struct rt_target *t,
+                               struct rt_server *s, double cost);
 /** Update the view after a change of in_flight or pending. */
 void rt_server_changed (struct rt_server *s);
 const struct rt_view *rt_view (struct rt *r, struct rt_target *t);
 /** Requests of this gateway on the servers of the view. */
-double rt_own_in_view (const struct rt_target *t);
+double rt_own_requests (const struct rt_target *t);
 /** Estimated requests of other gateways on the servers of the view; @p
     taken receives how many of them have slots. */
-double rt_others_by_now (const struct rt_target *t, double *taken);
+double rt_estimate_others (const struct rt_target *t, double *taken);
 /** Mean service time of a request, ms. */
 double rt_service_ms (const struct rt_target *t);
 
@@ -431,14 +438,16 @@
 
 /* retry.c */
 bool rt_retry_spend (struct rt *r, struct rt_target *t);
-void rt_retry_earn (struct rt_target *t);
+void rt_retry_credit (struct rt_target *t);
 clk_ms rt_retry_backoff (struct rt *r, unsigned attempt);
 
 /* outlier.c */
-void rt_outlier_first (struct rt *r, struct rt_target *t, struct rt_server *s,
-                       clk_ms ms);
-void rt_outlier_good (struct rt *r, struct rt_target *t, struct rt_server *s);
-void rt_outlier_bad (struct rt *r, struct rt_target *t, struct rt_server *s);
+void rt_outlier_first_byte (struct rt *r, struct rt_target *t,
+                            struct rt_server *s, clk_ms ms);
+void rt_outlier_success (struct rt *r, struct rt_target *t,
+                         struct rt_server *s);
+void rt_outlier_failure (struct rt *r, struct rt_target *t,
+                         struct rt_server *s);
 /** Whether a probe request may be sent to the ejected server. */
 bool rt_outlier_probe_due (const struct rt *r, const struct rt_server *s);
 
--- a/route/limit.c
+++ b/route/limit.c
@@ -43,7 +43,7 @@
    * starve this node for as long as the partition lasts; using the whole limit
    * would multiply the limit by the number of partitions.
    */
-  return shr_decayed (share, even, r->now - a->share_until);
+  return shr_decayed_share (share, even, r->now - a->share_until);
 }
 
 double
@@ -70,8 +70,8 @@
       a->conc_limit = c->concurrency;
       if (fresh)
         {
-          a->level = BURST_S * rt_limit_rate (r, a);
-          a->level_at = r->now;
+          a->bucket_level = BURST_S * rt_limit_rate (r, a);
+          a->bucket_at = r->now;
         }
     }
 }
@@ -90,10 +90,10 @@
 refill (struct rt *r, struct rt_account *a)
 {
   double rate = rt_limit_rate (r, a);
-  a->level += rate * (double)(r->now - a->level_at) / 1000;
-  a->level_at = r->now;
-  if (a->level > BURST_S * rate)
-    a->level = BURST_S * rate;
+  a->bucket_level += rate * (double)(r->now - a->bucket_at) / 1000;
+  a->bucket_at = r->now;
+  if (a->bucket_level > BURST_S * rate)
+    a->bucket_level = BURST_S * rate;
 }
 
 static clk_ms
@@ -108,9 +108,9 @@
 rt_limit_admit (struct rt *r, struct rt_account *a, double cost,
                 clk_ms *retry_ms)
 {
-  a->asked += cost;
-  if (a->open > a->asked_peak)
-    a->asked_peak = a->open;
+  a->requested_tokens += cost;
+  if (a->open > a->peak_open)
+    a->peak_open = a->open;
   /* A share below one still admits one request at a time; otherwise a
      limit below the number of nodes would reject all requests of the
      account. */
@@ -129,19 +129,19 @@
      refilled. Otherwise such a request could never be admitted; the
      average rate still holds. */
   double need = fmin (cost, BURST_S * rate);
-  if (a->level < need || rate <= 0)
+  if (a->bucket_level < need || rate <= 0)
     {
-      *retry_ms = clamp_retry (rate > 0 ? (need - a->level) / rate * 1000
-                                        : RETRY_MOST_MS);
+      *retry_ms = clamp_retry (
+          rate > 0 ? (need - a->bucket_level) / rate * 1000 : RETRY_MOST_MS);
       return RT_CODE_RATE;
     }
-  a->level -= cost;
+  a->bucket_level -= cost;
   return RT_CODE_NONE;
 }
 
 void
-rt_limit_settle (struct rt_account *a, double cost, double actual)
+rt_limit_correct (struct rt_account *a, double cost, double actual)
 {
   if (a->rate_limit > 0)
-    a->level += cost - actual;
+    a->bucket_level += cost - actual;
 }
--- a/route/load.c
+++ b/route/load.c
@@ -10,8 +10,9 @@
 #define FADE 0.3 /* time constant of the reports' decay, in service times */
 #define AGE_LEAST_MS 250  /* minimum age of a report in the weights */
 #define WEIGHT_LEAST 0.02 /* weight of a server loaded far above the mean */
-#define AWAY 0.1 /* weight of a server in another zone without a load report  \
-                  */
+#define AWAY                                                                  \
+  0.1 /* weight of a server in another zone without a load report             \
+       */
 #define FEW_REQUESTS                                                          \
   60 /* requests below which the local trend counts less than half */
 #define FULL_FACTOR                                                           \
@@ -23,13 +24,13 @@
 {
   struct rt_history *h = &s->history;
   clk_ms slot = now / RT_HISTORY_MS;
-  clk_ms behind = slot - h->slot;
+  clk_ms behind = slot - h->newest;
   if (behind > RT_HISTORY)
     behind = RT_HISTORY;
   for (clk_ms i = 0; i < behind; i++)
     h->tokens[(slot - i) % RT_HISTORY] = (float)s->own_tokens;
-  if (slot > h->slot)
-    h->slot = slot;
+  if (slot > h->newest)
+    h->newest = slot;
 }
 
 /** This gateway's load at time @p at, to the precision of the samples. */
@@ -38,51 +39,51 @@
 {
   const struct rt_history *h = &s->history;
   clk_ms slot = at / RT_HISTORY_MS;
-  if (slot >= h->slot)
+  if (slot >= h->newest)
     return s->own_tokens;
-  if (slot <= h->slot - RT_HISTORY)
-    slot = h->slot - RT_HISTORY + 1;
+  if (slot <= h->newest - RT_HISTORY)
+    slot = h->newest - RT_HISTORY + 1;
   return slot < 0 ? 0 : h->tokens[slot % RT_HISTORY];
 }
 
 void
-rt_server_take (struct rt *r, struct rt_target *t, struct rt_server *s,
-                double cost)
+rt_server_add_request (struct rt *r, struct rt_target *t, struct rt_server *s,
+                       double cost)
 {
   history_advance (s, r->now);
   s->in_flight++;
   t->in_flight++;
   t->own_tokens += cost;
   s->own_tokens += cost;
-  s->history.tokens[s->history.slot % RT_HISTORY] = (float)s->own_tokens;
+  s->history.tokens[s->history.newest % RT_HISTORY] = (float)s->own_tokens;
   rt_server_changed (s);
 }
 
 void
-rt_server_drop (struct rt *r, struct rt_target *t, struct rt_server *s,
-                double cost)
+rt_server_remove_request (struct rt *r, struct rt_target *t,
+                          struct rt_server *s, double cost)
 {
   history_advance (s, r->now);
   s->in_flight--;
   t->in_flight--;
   t->own_tokens = t->in_flight ? t->own_tokens - cost : 0;
   s->own_tokens = s->in_flight ? s->own_tokens - cost : 0;
-  s->history.tokens[s->history.slot % RT_HISTORY] = (float)s->own_tokens;
+  s->history.tokens[s->history.newest % RT_HISTORY] = (float)s->own_tokens;
   rt_server_changed (s);
 }
 
 /** The reported load includes this gateway's load at that time; the rest
     belongs to other gateways. */
 void
-rt_server_load (struct rt *r, struct rt_target *t, struct rt_server *s,
-                uint32_t load, clk_ms at)
+rt_server_set_reported_load (struct rt *r, struct rt_target *t,
+                             struct rt_server *s, uint32_t load, clk_ms at)
 {
   if (at <= s->load_at && s->load_at != 0)
     return;
   history_advance (s, r->now);
   double mean = t->mean_cost > 0 ? t->mean_cost : COST_FIRST;
   double others = (double)load - history_at (s, at);
-  s->others = others > 0 ? others / mean : 0;
+  s->others_requests = others > 0 ? others / mean : 0;
   s->load_at = at;
   t->view.current = false;
 }
@@ -103,7 +104,7 @@
   for (size_t i = 0; i < t->nservers; i++)
     if (t->servers[i]->load_at != 0 && rt_usable (r, t->servers[i]))
       {
-        sum += t->servers[i]->others;
+        sum += t->servers[i]->others_requests;
         n++;
       }
   return n ? sum / (double)n : 0;
@@ -161,7 +162,7 @@
   if (s->load_at == 0 || t->mean_others <= 0)
     return s->same_zone ? 1 : AWAY;
   double pull = pull_of (t, (double)(r->now - s->load_at));
-  double w = 1 + pull * (1 - s->others / t->mean_others);
+  double w = 1 + pull * (1 - s->others_requests / t->mean_others);
   return w > WEIGHT_LEAST ? w : WEIGHT_LEAST;
 }
 
@@ -170,7 +171,7 @@
 slots_taken (const struct rt_server *s)
 {
   double left = s->capacity - s->in_flight;
-  return s->others < left ? s->others : left > 0 ? left : 0;
+  return s->others_requests < left ? s->others_requests : left > 0 ? left : 0;
 }
 
 static void
@@ -181,7 +182,7 @@
   struct rt_candidate *c = &v->list[v->n++];
   *c = (struct rt_candidate){ .server = s,
                               .hash = s->hash,
-                              .room = room_of (t, s, others),
+                              .max_in_flight = room_of (t, s, others),
                               .weight = (float)weight_of (r, t, s) };
   s->candidate = c;
   rt_server_changed (s);
@@ -191,9 +192,9 @@
   if (s->load_at == 0)
     return;
   v->others += t->mean_others;
-  v->taken += slots_taken (s);
-  v->tokens_then += history_at (s, s->load_at);
-  v->age += (double)(r->now - s->load_at);
+  v->others_in_slots += slots_taken (s);
+  v->tokens_at_reports += history_at (s, s->load_at);
+  v->total_age += (double)(r->now - s->load_at);
 }
 
 /**
@@ -218,9 +219,10 @@
       double w = fade (&fading, r->now, s->load_at);
       s->candidate = NULL;
       if (rt_usable (r, s) && !s->ejected_until)
-        add_candidate (r, t, s, w * s->others + (1 - w) * t->mean_others);
+        add_candidate (r, t, s,
+                       w * s->others_requests + (1 - w) * t->mean_others);
       else
-        t->view.outside += s->in_flight;
+        t->view.outside_requests += s->in_flight;
       t->view.ejected += s->ejected_until != 0;
     }
   t->view.current = true;
@@ -245,9 +247,11 @@
 }
 
 double
-rt_own_in_view (const struct rt_target *t)
+rt_own_requests (const struct rt_target *t)
 {
-  return t->in_flight > t->view.outside ? t->in_flight - t->view.outside : 0;
+  return t->in_flight > t->view.outside_requests
+             ? t->in_flight - t->view.outside_requests
+             : 0;
 }
 
 /**
@@ -257,17 +261,17 @@
  * with older reports and less with few local requests.
  */
 double
-rt_others_by_now (const struct rt_target *t, double *taken)
+rt_estimate_others (const struct rt_target *t, double *taken)
 {
   const struct rt_view *v = &t->view;
-  double own = rt_own_in_view (t), factor = 1;
-  if (v->tokens_then > 0 && v->n > 0)
+  double own = rt_own_requests (t), factor = 1;
+  if (v->tokens_at_reports > 0 && v->n > 0)
     {
-      double age = v->age / (double)v->n;
+      double age = v->total_age / (double)v->n;
       double w = 1 - exp (-age / rt_service_ms (t));
       w *= own / (own + FEW_REQUESTS);
-      factor = pow ((t->own_tokens + 1) / (v->tokens_then + 1), w);
+      factor = pow ((t->own_tokens + 1) / (v->tokens_at_reports + 1), w);
     }
-  *taken = factor * v->taken;
+  *taken = factor * v->others_in_slots;
   return factor * v->others;
 }
--- a/route/outlier.c
+++ b/route/outlier.c
@@ -2,10 +2,11 @@
 
 #include "route/core.h"
 
-#define BAD_RUN 3         /* consecutive failures before ejection */
-#define SLOW_FACTOR 3.0   /* multiple of the peers' median before ejection */
-#define SLOW_LEAST_MS 100 /* minimum distance from the median, against noise  \
-                           */
+#define BAD_RUN 3       /* consecutive failures before ejection */
+#define SLOW_FACTOR 3.0 /* multiple of the peers' median before ejection */
+#define SLOW_LEAST_MS                                                         \
+  100 /* minimum distance from the median, against noise                      \
+       */
 #define SLOW_SAMPLES 8
 #define SMOOTH 0.1 /* weight of the newest sample */
 #define MEDIAN_OFTEN_MS 250
@@ -64,8 +65,9 @@
   double *ms = xmalloc ((t->nservers + 1) * sizeof *ms);
   size_t n = 0;
   for (size_t i = 0; i < t->nservers; i++)
-    if (t->servers[i]->listed && t->servers[i]->first_n >= SLOW_SAMPLES)
-      ms[n++] = t->servers[i]->first_ms;
+    if (t->servers[i]->listed
+        && t->servers[i]->first_byte_samples >= SLOW_SAMPLES)
+      ms[n++] = t->servers[i]->first_byte_ms;
   qsort (ms, n, sizeof *ms, compare_ms);
   t->median_ms = n >= 3 ? ms[n / 2] : 0;
   free (ms);
@@ -87,8 +89,8 @@
 }
 
 void
-rt_outlier_first (struct rt *r, struct rt_target *t, struct rt_server *s,
-                  clk_ms ms)
+rt_outlier_first_byte (struct rt *r, struct rt_target *t, struct rt_server *s,
+                       clk_ms ms)
 {
   if (s->ejected_until)
     {
@@ -104,30 +106,32 @@
         }
       s->ejected_until = 0;
       t->view.current = false;
-      s->first_n = 0;
+      s->first_byte_samples = 0;
     }
-  s->first_ms = s->first_n == 0
-                    ? (double)ms
-                    : (1 - SMOOTH) * s->first_ms + SMOOTH * (double)ms;
-  s->first_n++;
-  if (s->first_n >= SLOW_SAMPLES && too_slow (r, t, s->first_ms))
+  s->first_byte_ms
+      = s->first_byte_samples == 0
+            ? (double)ms
+            : (1 - SMOOTH) * s->first_byte_ms + SMOOTH * (double)ms;
+  s->first_byte_samples++;
+  if (s->first_byte_samples >= SLOW_SAMPLES
+      && too_slow (r, t, s->first_byte_ms))
     eject (r, t, s);
 }
 
 void
-rt_outlier_good (struct rt *r, struct rt_target *t, struct rt_server *s)
+rt_outlier_success (struct rt *r, struct rt_target *t, struct rt_server *s)
 {
   s->done++;
-  s->bad_run = 0;
+  s->consecutive_failures = 0;
   if (!s->ejected_until)
     s->ejections = 0;
 }
 
 void
-rt_outlier_bad (struct rt *r, struct rt_target *t, struct rt_server *s)
+rt_outlier_failure (struct rt *r, struct rt_target *t, struct rt_server *s)
 {
   s->failed++;
-  s->bad_run++;
-  if (s->probing || (s->bad_run >= BAD_RUN && !s->ejected_until))
+  s->consecutive_failures++;
+  if (s->probing || (s->consecutive_failures >= BAD_RUN && !s->ejected_until))
     eject (r, t, s);
 }
--- a/route/queue.c
+++ b/route/queue.c
@@ -124,7 +124,7 @@
           best = c;
           continue;
         }
-      clk_ms over = now - c->oldest->arrived - AGE_MS * (c - best);
+      clk_ms over = now - c->oldest->arrived_at - AGE_MS * (c - best);
       if (over > longest)
         {
           longest = over;
@@ -148,14 +148,14 @@
 }
 
 struct rt_req *
-rt_queue_turn (struct rt_queue *w, clk_ms now)
+rt_queue_next (struct rt_queue *w, clk_ms now)
 {
   struct rt_class *c = class_turn (w, now);
   if (!c)
     return NULL;
   /* Deficit round-robin: a flow is credited its quantum when it reaches
      the front and stays there while its deficit covers its next request
-     (see rt_queue_take()). */
+     (see rt_queue_pop()). */
   while (c->first->deficit < c->first->head->cost)
     {
       struct rt_flow *f = c->first;
@@ -167,7 +167,7 @@
 }
 
 void
-rt_queue_take (struct rt_queue *w, struct rt_req *q)
+rt_queue_pop (struct rt_queue *w, struct rt_req *q)
 {
   unsigned better = 0;
   while (!w->classes[better].first)
@@ -200,8 +200,8 @@
 }
 
 double
-rt_queue_ahead (const struct rt_queue *w, unsigned priority,
-                const struct rt_account *a, double weight, double cost)
+rt_queue_tokens_ahead (const struct rt_queue *w, unsigned priority,
+                       const struct rt_account *a, double weight, double cost)
 {
   double better = 0, same = 0, own = 0, weights = 0;
   for (unsigned i = 0; i < priority; i++)
--- a/route/request.c
+++ b/route/request.c
@@ -67,13 +67,13 @@
 }
 
 bool
-rt_in_attempt (const struct rt_req *q)
+rt_has_server (const struct rt_req *q)
 {
   return q->server != NULL;
 }
 
 void
-rt_settle_pending (struct rt_req *q)
+rt_clear_pending (struct rt_req *q)
 {
   if (q->pending)
     {
@@ -85,13 +85,13 @@
 
 /** Detach the request from its server at the end of an attempt. */
 void
-rt_leave_server (struct rt *r, struct rt_req *q)
+rt_detach_server (struct rt *r, struct rt_req *q)
 {
   if (!q->server)
     return;
-  rt_slot_done (r, q);
-  rt_settle_pending (q);
-  rt_server_drop (r, q->target, q->server, q->cost);
+  rt_slot_release (r, q);
+  rt_clear_pending (q);
+  rt_server_remove_request (r, q->target, q->server, q->cost);
   if (q->probe)
     q->server->probing = false;
   q->probe = false;
@@ -99,14 +99,14 @@
 }
 
 void
-rt_forget (struct rt *r, struct rt_req *q)
+rt_end_request (struct rt *r, struct rt_req *q)
 {
   struct rt_target *t = q->target;
-  rt_slot_done (r, q);
-  rt_act (r, RT_ACT_FORGET, q);
+  rt_slot_release (r, q);
+  rt_push_action (r, RT_ACT_FORGET, q);
   rt_req_free (r, q);
   if (t)
-    rt_pump (r, t);
+    rt_dispatch_queued (r, t);
 }
 
 static enum rt_outcome
@@ -136,19 +136,19 @@
 give_back_claim (struct rt *r, struct rt_req *q)
 {
   if (q->claimed)
-    rt_act (r, q->sent ? RT_ACT_FINISH : RT_ACT_RELEASE, q);
+    rt_push_action (r, q->sent ? RT_ACT_FINISH : RT_ACT_RELEASE, q);
   q->claimed = false;
 }
 
 /** Leave the queue, cancel the attempt and end the claim. */
 void
-rt_abandon (struct rt *r, struct rt_req *q)
+rt_cancel_work (struct rt *r, struct rt_req *q)
 {
   if (q->waiting)
     rt_queue_remove (&q->target->queue, q);
-  if (rt_in_attempt (q) && q->state >= RT_S_CONNECTING)
-    rt_act (r, RT_ACT_CANCEL, q);
-  rt_leave_server (r, q);
+  if (rt_has_server (q) && q->state >= RT_S_CONNECTING)
+    rt_push_action (r, RT_ACT_CANCEL, q);
+  rt_detach_server (r, q);
   give_back_claim (r, q);
 }
 
@@ -156,30 +156,30 @@
 void
 rt_answer (struct rt *r, struct rt_req *q, enum rt_code code, clk_ms retry_ms)
 {
-  if (q->passing)
+  if (q->forwarding)
     {
-      struct rt_action *a = rt_act (r, RT_ACT_CUT, q);
+      struct rt_action *a = rt_push_action (r, RT_ACT_CUT, q);
       a->code = code;
       a->outcome = outcome_of (q);
     }
   else
     {
-      struct rt_action *a = rt_act (r, RT_ACT_ANSWER, q);
+      struct rt_action *a = rt_push_action (r, RT_ACT_ANSWER, q);
       a->code = code;
       a->http_status = rt_code_status (code);
       a->outcome = outcome_of (q);
       a->retry_ms = retry_ms;
     }
-  rt_forget (r, q);
+  rt_end_request (r, q);
 }
 
 /** End a request that was not executed. */
 void
 rt_refuse (struct rt *r, struct rt_req *q, enum rt_code code, clk_ms retry_ms)
 {
-  rt_abandon (r, q);
+  rt_cancel_work (r, q);
   if (q->charged)
-    rt_limit_settle (q->account, q->cost, 0);
+    rt_limit_correct (q->account, q->cost, 0);
   rt_step (q, RT_X_REFUSE);
   rt_answer (r, q, code, retry_ms);
 }
@@ -191,9 +191,9 @@
 void
 rt_give_up (struct rt *r, struct rt_req *q, enum rt_code code)
 {
-  rt_abandon (r, q);
+  rt_cancel_work (r, q);
   rt_step (q, q->idempotent ? RT_X_FAIL : RT_X_LOSE);
-  rt_answer (r, q, code, q->idempotent ? RT_RETRY_MS : 0);
+  rt_answer (r, q, code, q->idempotent ? RT_DEFAULT_RETRY_MS : 0);
 }
 
 bool
@@ -215,22 +215,22 @@
 start_connect (struct rt *r, struct rt_req *q)
 {
   q->attempt++;
-  struct rt_action *a = rt_act (r, RT_ACT_CONNECT, q);
+  struct rt_action *a = rt_push_action (r, RT_ACT_CONNECT, q);
   a->addr = q->server->addr;
   a->name = str_from (q->server->name);
   /* A pooled connection may be dead without notice, and a request that
      can't be sent twice must not be lost on it. */
   a->fresh = !q->idempotent;
-  a->resume = q->passing;
-  a->offset = q->passed;
+  a->resume = q->forwarding;
+  a->offset = q->forwarded_bytes;
   a->connect_ms = q->model ? CONNECT_MS : q->service->connect_ms;
   a->first_byte_ms
       = q->model ? q->model->first_byte_ms : q->service->first_byte_ms;
   a->progress_ms = q->model ? q->model->progress_ms : q->service->progress_ms;
   if (q->deadline)
-    rt_timer (r, q, q->deadline);
+    rt_set_timer (r, q, q->deadline);
   else
-    rt_untimer (r, q);
+    rt_cancel_timer (r, q);
 }
 
 void
@@ -238,25 +238,25 @@
 {
   rt_step (q, RT_X_CLAIM);
   q->claimed = true;
-  rt_act (r, RT_ACT_CLAIM, q);
+  rt_push_action (r, RT_ACT_CLAIM, q);
   clk_ms at = r->now + CLAIM_WAIT_MS;
-  rt_timer (r, q, q->deadline && q->deadline < at ? q->deadline : at);
+  rt_set_timer (r, q, q->deadline && q->deadline < at ? q->deadline : at);
 }
 
 bool
-rt_grant_fresh (const struct rt *r, const struct rt_req *q)
+rt_grant_is_valid (const struct rt *r, const struct rt_req *q)
 {
-  return q->granted != 0 && r->now - q->granted < CLM_GRANT_MS;
+  return q->granted_at != 0 && r->now - q->granted_at < CLM_GRANT_MS;
 }
 
 void
 rt_dispatch (struct rt *r, struct rt_req *q, struct rt_server *s)
 {
   q->server = s;
-  rt_server_take (r, q->target, s, q->cost);
+  rt_server_add_request (r, q->target, s, q->cost);
   if (s->ejected_until && rt_outlier_probe_due (r, s))
     s->probing = q->probe = true;
-  if (q->has_key && !q->sent && !rt_grant_fresh (r, q))
+  if (q->has_key && !q->sent && !rt_grant_is_valid (r, q))
     {
       rt_start_claim (r, q);
       return;
@@ -266,46 +266,46 @@
 }
 
 void
-rt_pump (struct rt *r, struct rt_target *t)
+rt_dispatch_queued (struct rt *r, struct rt_target *t)
 {
   struct rt_req *q;
-  while ((q = rt_queue_turn (&t->queue, r->now)) != NULL)
+  while ((q = rt_queue_next (&t->queue, r->now)) != NULL)
     {
       struct rt_server *s = r->choose (r->choose_ctx, r, t, q);
       if (!s)
         return;
-      rt_queue_take (&t->queue, q);
+      rt_queue_pop (&t->queue, q);
       rt_dispatch (r, q, s);
-      rt_slot_taken (r, q);
+      rt_slot_report_taken (r, q);
     }
 }
 
 void
-rt_claimed (struct rt *r, struct rt_req *q, enum clm_verdict verdict,
-            clk_ms retry_ms)
+rt_on_claim (struct rt *r, struct rt_req *q, enum clm_verdict verdict,
+             clk_ms retry_ms)
 {
   if (q->state != RT_S_CLAIMING)
     return;
   switch (verdict)
     {
     case CLM_GRANTED:
-      q->granted = r->now;
+      q->granted_at = r->now;
       rt_step (q, RT_X_GRANTED);
       start_connect (r, q);
       return;
     case CLM_ANSWERED:
       q->claimed = false;
-      rt_abandon (r, q);
+      rt_cancel_work (r, q);
       rt_step (q, RT_X_REPLAY);
-      rt_act (r, RT_ACT_REPLAY, q);
-      rt_forget (r, q);
+      rt_push_action (r, RT_ACT_REPLAY, q);
+      rt_end_request (r, q);
       return;
     case CLM_RUNNING:
     case CLM_UNKNOWN:
       /* This request was not sent, but its outcome is that of the key,
          under which another request is running or has run. */
       q->claimed = false;
-      rt_abandon (r, q);
+      rt_cancel_work (r, q);
       rt_step (q, RT_X_CLAIMED_ELSEWHERE);
       rt_answer (r, q,
                  verdict == CLM_RUNNING ? RT_CODE_CLAIM_RUNNING
@@ -323,7 +323,7 @@
 }
 
 void
-rt_caller_gone (struct rt *r, struct rt_req *q)
+rt_on_caller_gone (struct rt *r, struct rt_req *q)
 {
   /*
    * A client that sent a key and lost the connection will repeat the request
@@ -334,28 +334,28 @@
    */
   if (q->claimed && q->sent)
     return;
-  rt_abandon (r, q);
-  rt_forget (r, q);
+  rt_cancel_work (r, q);
+  rt_end_request (r, q);
 }
 
 void
-rt_req_timer (struct rt *r, struct rt_req *q)
+rt_on_timer (struct rt *r, struct rt_req *q)
 {
   if (q->deadline && r->now >= q->deadline)
-    end_with (r, q, RT_CODE_DEADLINE, RT_RETRY_MS);
+    end_with (r, q, RT_CODE_DEADLINE, RT_DEFAULT_RETRY_MS);
   else if (q->state == RT_S_ASKING)
-    rt_slot_timer (r, q);
-  else if (q->waiting && r->now >= rt_queue_until (q))
+    rt_on_slot_timeout (r, q);
+  else if (q->waiting && r->now >= rt_queue_deadline (q))
     end_with (r, q,
-              rt_any_usable (r, q->target) ? RT_CODE_QUEUE_FULL
-                                           : RT_CODE_NO_REPLICA,
-              RT_RETRY_MS);
+              rt_has_usable_server (r, q->target) ? RT_CODE_QUEUE_FULL
+                                                  : RT_CODE_NO_REPLICA,
+              RT_DEFAULT_RETRY_MS);
   else if (q->state == RT_S_CLAIMING)
-    rt_refuse (r, q, RT_CODE_STORE, RT_RETRY_MS);
-  else if (!q->waiting && !rt_in_attempt (q))
+    rt_refuse (r, q, RT_CODE_STORE, RT_DEFAULT_RETRY_MS);
+  else if (!q->waiting && !rt_has_server (q))
     {
       struct rt_target *t = q->target;
       rt_enqueue (r, q, true);
-      rt_pump (r, t);
+      rt_dispatch_queued (r, t);
     }
 }
--- a/route/retry.c
+++ b/route/retry.c
@@ -1,8 +1,9 @@
 #include "route/core.h"
 
 #define EARNED_PER_SUCCESS 0.1
-#define EARNED_PER_MS 0.0005 /* allows retries on a target with few requests  \
-                              */
+#define EARNED_PER_MS                                                         \
+  0.0005 /* allows retries on a target with few requests                      \
+          */
 #define BUDGET_START 5.0
 #define BUDGET_MOST 20.0
 #define BACKOFF_FIRST_MS 25
@@ -30,7 +31,7 @@
 }
 
 void
-rt_retry_earn (struct rt_target *t)
+rt_retry_credit (struct rt_target *t)
 {
   if (t->retry_budget < BUDGET_MOST)
     t->retry_budget += EARNED_PER_SUCCESS;
--- a/route/route.c
+++ b/route/route.c
@@ -10,7 +10,7 @@
 /* --- actions ----------------------------------------------------------- */
 
 struct rt_action *
-rt_act (struct rt *r, enum rt_action_kind kind, const struct rt_req *q)
+rt_push_action (struct rt *r, enum rt_action_kind kind, const struct rt_req *q)
 {
   if (r->act_n == r->act_cap)
     {
@@ -49,13 +49,13 @@
 heap_put (struct rt *r, size_t at, struct rt_req *q)
 {
   r->heap[at] = q;
-  q->timer_at = at;
+  q->heap_index = at;
 }
 
 static void
 heap_up (struct rt *r, size_t at, struct rt_req *q)
 {
-  while (at > 0 && r->heap[(at - 1) / 2]->timer > q->timer)
+  while (at > 0 && r->heap[(at - 1) / 2]->timer_due > q->timer_due)
     {
       heap_put (r, at, r->heap[(at - 1) / 2]);
       at = (at - 1) / 2;
@@ -69,9 +69,10 @@
   for (;;)
     {
       size_t kid = 2 * at + 1;
-      if (kid + 1 < r->heap_n && r->heap[kid + 1]->timer < r->heap[kid]->timer)
+      if (kid + 1 < r->heap_n
+          && r->heap[kid + 1]->timer_due < r->heap[kid]->timer_due)
         kid++;
-      if (kid >= r->heap_n || r->heap[kid]->timer >= q->timer)
+      if (kid >= r->heap_n || r->heap[kid]->timer_due >= q->timer_due)
         break;
       heap_put (r, at, r->heap[kid]);
       at = kid;
@@ -80,31 +81,31 @@
 }
 
 void
-rt_untimer (struct rt *r, struct rt_req *q)
+rt_cancel_timer (struct rt *r, struct rt_req *q)
 {
-  size_t at = q->timer_at;
+  size_t at = q->heap_index;
   if (at == SIZE_MAX)
     return;
-  q->timer_at = SIZE_MAX;
+  q->heap_index = SIZE_MAX;
   struct rt_req *last = r->heap[--r->heap_n];
   if (last == q)
     return;
-  if (at > 0 && r->heap[(at - 1) / 2]->timer > last->timer)
+  if (at > 0 && r->heap[(at - 1) / 2]->timer_due > last->timer_due)
     heap_up (r, at, last);
   else
     heap_down (r, at, last);
 }
 
 void
-rt_timer (struct rt *r, struct rt_req *q, clk_ms at)
+rt_set_timer (struct rt *r, struct rt_req *q, clk_ms at)
 {
-  rt_untimer (r, q);
+  rt_cancel_timer (r, q);
   if (r->heap_n == r->heap_cap)
     {
       r->heap_cap = r->heap_cap ? 2 * r->heap_cap : 256;
       r->heap = xrealloc (r->heap, r->heap_cap * sizeof *r->heap);
     }
-  q->timer = at;
+  q->timer_due = at;
   heap_up (r, r->heap_n++, q);
 }
 
@@ -115,7 +116,7 @@
 {
   struct rt_req *q = r->table[id & (r->table_size - 1)];
   while (q && q->id != id)
-    q = q->chain;
+    q = q->hash_next;
   return q;
 }
 
@@ -127,8 +128,8 @@
   for (size_t i = 0; i < r->table_size; i++)
     for (struct rt_req *q = r->table[i], *next; q; q = next)
       {
-        next = q->chain;
-        q->chain = table[q->id & (size - 1)];
+        next = q->hash_next;
+        q->hash_next = table[q->id & (size - 1)];
         table[q->id & (size - 1)] = q;
       }
   free (r->table);
@@ -141,9 +142,9 @@
 {
   struct rt_req **at = &r->table[q->id & (r->table_size - 1)];
   while (*at != q)
-    at = &(*at)->chain;
-  *at = q->chain;
-  rt_untimer (r, q);
+    at = &(*at)->hash_next;
+  *at = q->hash_next;
+  rt_cancel_timer (r, q);
   if (q->account)
     q->account->open--;
   if (q->cfg)
@@ -205,7 +206,7 @@
 {
   free (s->name);
   free (s->zone);
-  free (s->warm);
+  free (s->grants);
   free (s);
 }
 
@@ -297,20 +298,20 @@
   struct rt_server *s = server_of (t, v->name);
   bool known = s->listed;
   server_place (r, s, v->zone, &v->addr);
-  s->fresh = true;
+  s->in_update = true;
   if (!known || s->generation != v->generation)
     {
       /* The replica has new VMs: reset the statistics of the old ones. */
       s->generation = v->generation;
       s->ejected_until = 0;
-      s->ejections = s->bad_run = s->first_n = 0;
+      s->ejections = s->consecutive_failures = s->first_byte_samples = 0;
       s->probing = false;
     }
   s->whole = v->whole;
   s->draining = v->draining;
   s->valid_until = v->valid_until;
   config_replica (r, t, s);
-  rt_server_load (r, t, s, v->load, v->load_at);
+  rt_server_set_reported_load (r, t, s, v->load, v->load_at);
 }
 
 static void
@@ -319,14 +320,15 @@
   for (size_t i = 0; i < r->ntargets; i++)
     for (size_t k = 0; k < r->targets[i]->nservers; k++)
       if (r->targets[i]->is_model)
-        r->targets[i]->servers[k]->fresh = false;
+        r->targets[i]->servers[k]->in_update = false;
   for (size_t i = 0; i < n; i++)
     on_replica (r, &list[i]);
   for (size_t i = 0; i < r->ntargets; i++)
     if (r->targets[i]->is_model)
       {
         for (size_t k = 0; k < r->targets[i]->nservers; k++)
-          r->targets[i]->servers[k]->listed = r->targets[i]->servers[k]->fresh;
+          r->targets[i]->servers[k]->listed
+              = r->targets[i]->servers[k]->in_update;
         sweep_servers (r->targets[i]);
       }
 }
@@ -350,17 +352,17 @@
 pump_all (struct rt *r)
 {
   for (size_t i = 0; i < r->ntargets; i++)
-    rt_pump (r, r->targets[i]);
+    rt_dispatch_queued (r, r->targets[i]);
 }
 
 static void
 on_tick (struct rt *r)
 {
-  while (r->heap_n && r->heap[0]->timer <= r->now)
+  while (r->heap_n && r->heap[0]->timer_due <= r->now)
     {
       struct rt_req *q = r->heap[0];
-      rt_untimer (r, q);
-      rt_req_timer (r, q);
+      rt_cancel_timer (r, q);
+      rt_on_timer (r, q);
     }
 }
 
@@ -371,13 +373,13 @@
   if (!q)
     return;
   if (ev->kind == RT_EV_SLOT)
-    rt_slot_event (r, q, ev);
+    rt_on_slot_reply (r, q, ev);
   else if (ev->kind == RT_EV_CLAIM)
-    rt_claimed (r, q, ev->verdict, ev->retry_ms);
+    rt_on_claim (r, q, ev->verdict, ev->retry_ms);
   else if (ev->kind == RT_EV_CALLER_GONE)
-    rt_caller_gone (r, q);
+    rt_on_caller_gone (r, q);
   else
-    rt_attempt_event (r, q, ev);
+    rt_on_attempt_event (r, q, ev);
 }
 
 void
@@ -406,7 +408,7 @@
       r->leaving = ev->on;
       return;
     case RT_EV_SLOT_HOME:
-      rt_slot_home (r, ev->name, ev->on);
+      rt_on_slot_home (r, ev->name, ev->on);
       return;
     case RT_EV_NODES:
       r->nodes = (unsigned)ev->size;
@@ -416,7 +418,7 @@
         return;
       if (r->open >= r->table_size)
         table_grow (r);
-      rt_arrive (r, ev->request);
+      rt_on_arrive (r, ev->request);
       return;
     default:
       on_request_event (r, ev);
@@ -489,7 +491,7 @@
 clk_ms
 rt_wake (const struct rt *r)
 {
-  clk_ms at = r->heap_n ? r->heap[0]->timer : CLK_NEVER;
+  clk_ms at = r->heap_n ? r->heap[0]->timer_due : CLK_NEVER;
   /* The estimated load of other gateways decreases with time alone, so
      capacity may become free without an event. */
   for (size_t i = 0; i < r->ntargets; i++)
@@ -507,10 +509,10 @@
       struct rt_account *a = r->accounts[i];
       double span = now > a->demand_at ? (double)(now - a->demand_at) : 1;
       r->demands[i].account = str_from (a->name);
-      r->demands[i].tokens_per_s = a->asked * 1000 / span;
-      r->demands[i].concurrency = (double)a->asked_peak;
-      a->asked = 0;
-      a->asked_peak = a->open;
+      r->demands[i].tokens_per_s = a->requested_tokens * 1000 / span;
+      r->demands[i].concurrency = (double)a->peak_open;
+      a->requested_tokens = 0;
+      a->peak_open = a->open;
       a->demand_at = now;
     }
   *n = r->naccounts;
--- a/route/share.c
+++ b/route/share.c
@@ -69,7 +69,7 @@
 };
 
 double
-shr_decayed (double share, double even, clk_ms age)
+shr_decayed_share (double share, double even, clk_ms age)
 {
   if (age <= 0)
     return share;
@@ -137,8 +137,8 @@
     if (str_is (node, a->members[i].node))
       return &a->members[i];
   a->members = xrealloc (a->members, (a->n + 1) * sizeof *a->members);
-  a->members[a->n]
-      = (struct member){ .node = str_dup (node), .heard_at = -SHR_HEARD_MS };
+  a->members[a->n] = (struct member){ .node = str_dup (node),
+                                      .heard_at = -SHR_DEMAND_TIMEOUT_MS };
   return &a->members[a->n++];
 }
 
@@ -159,8 +159,8 @@
   if (a == NULL)
     a = add_account (s, account);
   if (home && !a->home)
-    a->quiet_until
-        = now + SHR_VALID_MS + SHR_FLIGHT_MS + QUIET_DECAYS * SHR_DECAY_MS;
+    a->quiet_until = now + SHR_VALID_MS + SHR_MAX_TRANSIT_MS
+                     + QUIET_DECAYS * SHR_DECAY_MS;
   a->set = true;
   a->home = home;
   a->limit[RATE] = limit->tokens_per_s;
@@ -213,7 +213,7 @@
 static bool
 heard (const struct member *m, clk_ms now)
 {
-  return now - m->heard_at < SHR_HEARD_MS;
+  return now - m->heard_at < SHR_DEMAND_TIMEOUT_MS;
 }
 
 /** Remaining value of a grant; after expiry it decays towards an even
@@ -223,7 +223,7 @@
 {
   if (now < until)
     return share;
-  return share > even ? shr_decayed (share, even, now - until) : 0;
+  return share > even ? shr_decayed_share (share, even, now - until) : 0;
 }
 
 /**
@@ -332,7 +332,7 @@
         continue;
       p->granted
           = p->target <= peak ? p->target : peak + part * (p->target - peak);
-      p->granted_until = now + SHR_VALID_MS + SHR_FLIGHT_MS;
+      p->granted_until = now + SHR_VALID_MS + SHR_MAX_TRANSIT_MS;
       if (p->granted >= peak)
         {
           p->peak = p->granted;
--- a/route/share.h
+++ b/route/share.h
@@ -23,9 +23,9 @@
 /** Half-life of an expired share's difference from an even part. */
 #define SHR_DECAY_MS ((clk_ms)1000)
 /** Maximum transit time of a grant to its gateway, added to its lifetime. */
-#define SHR_FLIGHT_MS ((clk_ms)500)
+#define SHR_MAX_TRANSIT_MS ((clk_ms)500)
 /** A node counts as reachable while its last demand is younger. */
-#define SHR_HEARD_MS ((clk_ms)2500)
+#define SHR_DEMAND_TIMEOUT_MS ((clk_ms)2500)
 
 /** The two limits of an account; also a demand or a share of them. */
 struct shr_amount
@@ -44,7 +44,7 @@
 
 /** Value of a share @p age ms after its grant expired. Gateways apply it
     (route/limit.c) and homes account for it. */
-double shr_decayed (double share, double even, clk_ms age);
+double shr_decayed_share (double share, double even, clk_ms age);
 
 struct shr;
 
--- a/route/slot.c
+++ b/route/slot.c
@@ -9,7 +9,7 @@
 static struct rt_action *
 act (struct rt *r, enum rt_action_kind kind, const struct rt_req *q)
 {
-  struct rt_action *a = rt_act (r, kind, q);
+  struct rt_action *a = rt_push_action (r, kind, q);
   a->slot.model = str_from (q->target->name);
   a->slot.account = str_from (q->account->name);
   a->slot.priority = q->priority;
@@ -23,7 +23,7 @@
 static bool
 asks_home (const struct rt *r, const struct rt_target *t)
 {
-  return t->has_home && r->now >= t->mute_until;
+  return t->has_home && r->now >= t->slot_asks_paused_until;
 }
 
 bool
@@ -33,10 +33,10 @@
   if (!asks_home (r, q->target) || wait == 0)
     return false;
   rt_step (q, RT_X_ASK);
-  q->slot = true;
+  q->has_slot = true;
   q->queued_at = r->now;
   clk_ms at = r->now + wait;
-  rt_timer (r, q, q->deadline && q->deadline < at ? q->deadline : at);
+  rt_set_timer (r, q, q->deadline && q->deadline < at ? q->deadline : at);
   act (r, RT_ACT_SLOT_ASK, q);
   return true;
 }
@@ -55,22 +55,22 @@
 leave_home (struct rt *r, struct rt_target *t)
 {
   for (size_t i = 0; i < r->table_size; i++)
-    for (struct rt_req *q = r->table[i]; q; q = q->chain)
+    for (struct rt_req *q = r->table[i]; q; q = q->hash_next)
       if (q->target == t && q->state == RT_S_ASKING)
         decide_here (r, q);
 }
 
 void
-rt_slot_home (struct rt *r, struct str model, bool on)
+rt_on_slot_home (struct rt *r, struct str model, bool on)
 {
   struct rt_target *t = rt_target (r, model, true);
   t->has_home = on;
-  t->mute = 0;
-  t->mute_until = 0;
+  t->slot_timeouts = 0;
+  t->slot_asks_paused_until = 0;
   if (on)
     return;
   leave_home (r, t);
-  rt_pump (r, t);
+  rt_dispatch_queued (r, t);
 }
 
 /**
@@ -83,23 +83,23 @@
 {
   struct rt_target *t = q->target;
   decide_here (r, q);
-  if (++t->mute >= MUTE_ASKS)
+  if (++t->slot_timeouts >= MUTE_ASKS)
     {
-      t->mute = 0;
-      t->mute_until = r->now + MUTE_MS;
+      t->slot_timeouts = 0;
+      t->slot_asks_paused_until = r->now + MUTE_MS;
       leave_home (r, t);
     }
-  rt_pump (r, t);
+  rt_dispatch_queued (r, t);
 }
 
 void
-rt_slot_timer (struct rt *r, struct rt_req *q)
+rt_on_slot_timeout (struct rt *r, struct rt_req *q)
 {
-  if (q->heard)
+  if (q->queued_at_home)
     rt_refuse (r, q,
-               rt_any_usable (r, q->target) ? RT_CODE_QUEUE_FULL
-                                            : RT_CODE_NO_REPLICA,
-               RT_RETRY_MS);
+               rt_has_usable_server (r, q->target) ? RT_CODE_QUEUE_FULL
+                                                   : RT_CODE_NO_REPLICA,
+               RT_DEFAULT_RETRY_MS);
   else
     unanswered (r, q);
 }
@@ -132,53 +132,53 @@
       rt_dispatch (r, q, s);
       return;
     }
-  rt_slot_done (r, q);
+  rt_slot_release (r, q);
   if (q->state != RT_S_ASKING)
     return;
   decide_here (r, q);
-  rt_pump (r, q->target);
+  rt_dispatch_queued (r, q->target);
 }
 
 void
-rt_slot_event (struct rt *r, struct rt_req *q, const struct rt_event *ev)
+rt_on_slot_reply (struct rt *r, struct rt_req *q, const struct rt_event *ev)
 {
   bool asking = q->state == RT_S_ASKING;
   /* Ignore a reply after a local decision and a second reply. */
-  if (!q->slot || (!asking && (q->state != RT_S_QUEUED || !q->waiting)))
+  if (!q->has_slot || (!asking && (q->state != RT_S_QUEUED || !q->waiting)))
     return;
-  q->target->mute = 0;
+  q->target->slot_timeouts = 0;
   if (ev->slot == RT_SLOT_GRANTED)
     on_granted (r, q, ev->name);
   else if (!asking)
     return;
   else if (ev->slot == RT_SLOT_QUEUED)
     {
-      q->heard = true;
-      rt_timer (r, q, rt_queue_until (q));
+      q->queued_at_home = true;
+      rt_set_timer (r, q, rt_queue_deadline (q));
     }
   else
     rt_refuse (r, q, ev->code, rt_clamp_retry ((double)ev->retry_ms));
 }
 
 void
-rt_slot_taken (struct rt *r, struct rt_req *q)
+rt_slot_report_taken (struct rt *r, struct rt_req *q)
 {
   if (!q->target->has_home || !q->server)
     return;
-  q->slot = true;
+  q->has_slot = true;
   act (r, RT_ACT_SLOT_TAKEN, q)->name = str_from (q->server->name);
 }
 
 void
-rt_slot_done (struct rt *r, struct rt_req *q)
+rt_slot_release (struct rt *r, struct rt_req *q)
 {
-  if (!q->slot)
+  if (!q->has_slot)
     return;
-  q->slot = false;
+  q->has_slot = false;
   struct rt_action *a = act (r, RT_ACT_SLOT_DONE, q);
-  a->slot.first_ms = q->whole ? q->first_ms : 0;
-  a->slot.failed = q->lost;
-  q->lost = false;
+  a->slot.first_ms = q->complete ? q->first_ms : 0;
+  a->slot.failed = q->attempt_failed;
+  q->attempt_failed = false;
 }
 
 const struct rt_slot *
@@ -187,7 +187,7 @@
   r->slots = xrealloc (r->slots, (r->open + 1) * sizeof *r->slots);
   *n = 0;
   for (size_t i = 0; i < r->table_size; i++)
-    for (const struct rt_req *q = r->table[i]; q; q = q->chain)
+    for (const struct rt_req *q = r->table[i]; q; q = q->hash_next)
       if (q->server && q->target->is_model && str_is (model, q->target->name))
         r->slots[(*n)++]
             = (struct rt_slot){ q->id, str_from (q->server->name), q->cost };
--- a/route/slots.c
+++ b/route/slots.c
@@ -60,7 +60,7 @@
   e->gateway = ev->gateway;
   e->q.id = id;
   e->q.cost = cost > 1 ? cost : 1;
-  e->q.arrived = s->now;
+  e->q.arrived_at = s->now;
   e->told = s->now;
   return *at = e;
 }
@@ -69,8 +69,8 @@
 hold (struct slt *s, struct entry *e, struct rt_server *server)
 {
   e->q.server = server;
-  e->q.started = e->told = s->now;
-  rt_server_take (s->core, s->target, server, e->q.cost);
+  e->q.started_at = e->told = s->now;
+  rt_server_add_request (s->core, s->target, server, e->q.cost);
 }
 
 /** Remove the entry from the queue and free its slot. */
@@ -86,7 +86,7 @@
     {
       if (e->q.probe)
         e->q.server->probing = false;
-      rt_server_drop (s->core, s->target, e->q.server, e->q.cost);
+      rt_server_remove_request (s->core, s->target, e->q.server, e->q.cost);
     }
   *at = e->chain;
   free (e);
@@ -118,18 +118,18 @@
 
 /* --- choice of the replica ---------------------------------------------- */
 
-static struct rt_warm *
+static struct rt_grant_history *
 warm_of (struct rt_server *server)
 {
-  if (!server->warm)
-    server->warm = xcalloc (1, sizeof *server->warm);
-  return server->warm;
+  if (!server->grants)
+    server->grants = xcalloc (1, sizeof *server->grants);
+  return server->grants;
 }
 
 static bool
-is_warm (const struct rt_warm *w, uint64_t prefix)
+is_warm (const struct rt_grant_history *w, uint64_t prefix)
 {
-  for (unsigned i = 0; i < RT_WARM; i++)
+  for (unsigned i = 0; i < RT_MAX_PREFIXES; i++)
     if (w->prefixes[i] == prefix)
       return true;
   return false;
@@ -137,10 +137,10 @@
 
 /** Move the prefix to the front of the LRU list; the last one is evicted. */
 static void
-touch (struct rt_warm *w, uint64_t prefix)
+touch (struct rt_grant_history *w, uint64_t prefix)
 {
   unsigned at = 0;
-  while (at < RT_WARM - 1 && w->prefixes[at] != prefix)
+  while (at < RT_MAX_PREFIXES - 1 && w->prefixes[at] != prefix)
     at++;
   memmove (w->prefixes + 1, w->prefixes, at * sizeof w->prefixes[0]);
   w->prefixes[0] = prefix;
@@ -148,11 +148,11 @@
 
 /** Grants that are probably still without a first byte. */
 static unsigned
-pending (const struct slt *s, const struct rt_warm *w)
+pending (const struct slt *s, const struct rt_grant_history *w)
 {
   unsigned n = 0;
-  for (unsigned i = 0; i < RT_RECENT; i++)
-    n += w->recent[i] && (double)(s->now - w->recent[i]) < s->first_ms;
+  for (unsigned i = 0; i < RT_MAX_GRANT_TIMES; i++)
+    n += w->times[i] && (double)(s->now - w->times[i]) < s->first_ms;
   return n;
 }
 
@@ -166,9 +166,10 @@
 static double
 unknown_load (const struct slt *s, const struct rt_server *server)
 {
-  if (server->load_at <= s->grants_from || server->others <= OTHERS_LEAST)
+  if (server->load_at <= s->grants_from
+      || server->others_requests <= OTHERS_LEAST)
     return 0;
-  return server->others - OTHERS_LEAST;
+  return server->others_requests - OTHERS_LEAST;
 }
 
 /**
@@ -206,7 +207,7 @@
       if (!rt_usable (s->core, server) || load > server->capacity - 1
           || !is_in (s, server, q))
         continue;
-      const struct rt_warm *w = warm_of (server);
+      const struct rt_grant_history *w = warm_of (server);
       double score = pending (s, w) + BUSY_COST * load / server->capacity;
       if (q->prefix && (!best || score < least))
         score += !is_warm (w, q->prefix);
@@ -222,10 +223,10 @@
 static void
 grant (struct slt *s, struct entry *e, struct rt_server *server)
 {
-  struct rt_warm *w = warm_of (server);
+  struct rt_grant_history *w = warm_of (server);
   if (server->ejected_until)
     server->probing = e->q.probe = true;
-  w->recent[w->next++ % RT_RECENT] = s->now;
+  w->times[w->next++ % RT_MAX_GRANT_TIMES] = s->now;
   if (e->q.prefix)
     touch (w, e->q.prefix);
   hold (s, e, server);
@@ -238,12 +239,12 @@
   struct rt_req *q;
   if (s->now < s->grants_from)
     return;
-  while ((q = rt_queue_turn (&s->queue, s->now)) != NULL)
+  while ((q = rt_queue_next (&s->queue, s->now)) != NULL)
     {
       struct rt_server *server = choose (s, q);
       if (!server)
         return;
-      rt_queue_take (&s->queue, q);
+      rt_queue_pop (&s->queue, q);
       grant (s, (struct entry *)q, server);
     }
 }
@@ -265,8 +266,8 @@
   if (!e->q.deadline)
     return false;
   double ahead = t->in_flight
-                     ? rt_queue_ahead (&s->queue, e->q.priority, e->q.account,
-                                       weight, e->q.cost)
+                     ? rt_queue_tokens_ahead (&s->queue, e->q.priority,
+                                              e->q.account, weight, e->q.cost)
                            / t->in_flight
                      : 0;
   double end = (double)s->now + (ahead + e->q.cost) * t->ms_per_token;
@@ -366,12 +367,13 @@
 judge (struct slt *s, struct rt_server *server, const struct slt_event *ev)
 {
   if (ev->failed)
-    rt_outlier_bad (s->core, s->target, server);
+    rt_outlier_failure (s->core, s->target, server);
   else if (ev->first_ms > 0)
     {
       if (server->ejected_until)
-        rt_outlier_first (s->core, s->target, server, (clk_ms)ev->first_ms);
-      rt_outlier_good (s->core, s->target, server);
+        rt_outlier_first_byte (s->core, s->target, server,
+                               (clk_ms)ev->first_ms);
+      rt_outlier_success (s->core, s->target, server);
     }
 }
 
@@ -389,7 +391,7 @@
       s->first_ms += SMOOTH * (ev->first_ms - s->first_ms);
       average (&s->target->mean_cost, q->cost);
       average (&s->target->ms_per_token,
-               (double)(s->now - q->started) / q->cost);
+               (double)(s->now - q->started_at) / q->cost);
     }
   drop (s, at);
 }
@@ -397,7 +399,7 @@
 static bool
 is_stale (const struct slt *s, const struct entry *e)
 {
-  return e->q.server && s->now - e->told > SLT_HELD_MS;
+  return e->q.server && s->now - e->told > SLT_SLOT_TIMEOUT_MS;
 }
 
 /**
@@ -509,7 +511,7 @@
   s->core = rt_new (&opt, 1);
   s->target = rt_target (s->core, model, true);
   s->now = s->core->now = s->swept = now;
-  s->grants_from = now + SLT_LEARN_MS;
+  s->grants_from = now + SLT_START_DELAY_MS;
   s->first_ms = FIRST_MS;
   s->nodes = 1;
   return s;
--- a/route/slots.h
+++ b/route/slots.h
@@ -19,10 +19,10 @@
 /** Interval at which a gateway reports the slots it holds. */
 #define SLT_OPEN_MS ((clk_ms)1000)
 /** A slot that its gateway has not reported for this long is freed. */
-#define SLT_HELD_MS ((clk_ms)3500)
+#define SLT_SLOT_TIMEOUT_MS ((clk_ms)3500)
 /** A new home grants nothing for this long, while it receives the held
     slots. */
-#define SLT_LEARN_MS ((clk_ms)200)
+#define SLT_START_DELAY_MS ((clk_ms)200)
 /** Timeout of a gateway's slot request. */
 #define SLT_ANSWER_MS ((clk_ms)50)
 
@@ -36,7 +36,7 @@
   SLT_EV_DONE,  /**< gateway, id, first_ms, failed: ended or canceled */
   SLT_EV_OPEN,  /**< gateway, open, n: all slots that it holds */
   SLT_EV_GONE,  /**< gateway: its link was lost; its queued requests are
-                   dropped, its slots stay until SLT_HELD_MS */
+                   dropped, its slots stay until SLT_SLOT_TIMEOUT_MS */
   SLT_EV_NODES  /**< n: gateways, each of which may queue limits.max_queue
                    requests */
 };
--- a/t/t5500-share.c
+++ b/t/t5500-share.c
@@ -60,7 +60,7 @@
 static double
 usable (const struct held *h, clk_ms now)
 {
-  return shr_decayed (h->amount, LIMIT / NODES, now - h->until);
+  return shr_decayed_share (h->amount, LIMIT / NODES, now - h->until);
 }
 
 static double
