--- a/route/admit.c
+++ b/route/admit.c
@@ -1,16 +1,18 @@
 #include "route/core.h"
 
-#define MEASURED_MS 5000 /* validity of a measured processing time */
-#define RETRY_LEAST_MS 100
-#define RETRY_MOST_MS 10000
-#define SMOOTH 0.05 /* weight of the newest sample in moving averages */
+#define MEASUREMENT_VALID_MS 5000 /* validity of a measured processing time   \
+                                   */
+#define RETRY_MIN_MS 100
+#define RETRY_MAX_MS 10000
+#define AVERAGE_WEIGHT                                                        \
+  0.05 /* weight of the newest sample in moving averages */
 
 clk_ms
 rt_clamp_retry (double ms)
 {
-  if (ms < RETRY_LEAST_MS)
-    return RETRY_LEAST_MS;
-  return ms > RETRY_MOST_MS ? RETRY_MOST_MS : (clk_ms)ms;
+  if (ms < RETRY_MIN_MS)
+    return RETRY_MIN_MS;
+  return ms > RETRY_MAX_MS ? RETRY_MAX_MS : (clk_ms)ms;
 }
 
 static const struct cfg_account *
@@ -20,7 +22,7 @@
 }
 
 static double
-weight_of (const struct rt_req *q)
+account_weight (const struct rt_req *q)
 {
   const struct cfg_account *a = account_config (q);
   return a && a->weight > 0 ? a->weight : 1;
@@ -35,7 +37,7 @@
   if (t->queue.n == 0 || t->in_flight == 0)
     return 0;
   double ahead = rt_queue_tokens_ahead (&t->queue, q->priority, q->account,
-                                        weight_of (q), q->cost);
+                                        account_weight (q), q->cost);
   return ahead * t->ms_per_token / t->in_flight;
 }
 
@@ -62,7 +64,7 @@
 rt_enqueue (struct rt *r, struct rt_req *q, bool front)
 {
   q->queued_at = r->now;
-  rt_queue_push (&q->target->queue, q, weight_of (q), front);
+  rt_queue_push (&q->target->queue, q, account_weight (q), front);
   rt_set_timer (r, q, rt_queue_deadline (q));
 }
 
@@ -84,7 +86,7 @@
   bool fairer = victim->priority == q->priority
                 && victim->account != q->account
                 && victim->flow->tokens / victim->flow->weight
-                       > 2 * (q->cost / weight_of (q));
+                       > 2 * (q->cost / account_weight (q));
   /* A request that may have run is kept, since it has used server time
      already. */
   if ((!better && !fairer) || rt_may_have_run (victim))
@@ -121,14 +123,14 @@
     measurements. Older measurements are ignored: if they caused every
     request to be refused, no new measurement would ever be made. */
 static bool
-too_late (const struct rt *r, const struct rt_req *q, double wait_ms)
+misses_deadline (const struct rt *r, const struct rt_req *q, double wait_ms)
 {
   const struct rt_target *t = q->target;
   if (!q->deadline)
     return false;
   if (q->deadline <= r->now)
     return true;
-  if (r->now - t->measured_at > MEASURED_MS)
+  if (r->now - t->measured_at > MEASUREMENT_VALID_MS)
     return false;
   double end = (double)r->now + wait_ms + t->ms_per_token * q->cost;
   return end > (double)q->deadline;
@@ -139,7 +141,7 @@
 {
   double wait = queue_wait_ms (q);
   *retry_ms = rt_clamp_retry (wait);
-  if (too_late (r, q, wait))
+  if (misses_deadline (r, q, wait))
     return RT_CODE_DEADLINE;
   if (!rt_has_usable_server (r, q->target))
     {
@@ -200,7 +202,8 @@
       return;
     }
   struct rt_target *t = q->target;
-  t->mean_cost += (t->mean_cost > 0 ? SMOOTH : 1) * (q->cost - t->mean_cost);
+  t->mean_cost
+      += (t->mean_cost > 0 ? AVERAGE_WEIGHT : 1) * (q->cost - t->mean_cost);
   rt_step (q, RT_X_ADMIT);
   if (rt_slot_ask (r, q))
     return;
--- a/route/attempt.c
+++ b/route/attempt.c
@@ -1,9 +1,10 @@
 #include "route/core.h"
 
-#define SMOOTH 0.05 /* weight of the newest sample in moving averages */
+#define AVERAGE_WEIGHT                                                        \
+  0.05 /* weight of the newest sample in moving averages */
 
 static void
-avoid (struct rt_req *q)
+mark_tried (struct rt_req *q)
 {
   q->tried[q->ntried % RT_MAX_TRIED] = q->server->hash;
   if (q->ntried < RT_MAX_TRIED)
@@ -13,13 +14,13 @@
 /** Queue the request again at the front, for another server, after a
     delay. */
 static void
-again (struct rt *r, struct rt_req *q, clk_ms after)
+requeue (struct rt *r, struct rt_req *q, clk_ms delay)
 {
   struct rt_target *t = q->target;
   rt_detach_server (r, q);
-  if (after > 0)
+  if (delay > 0)
     {
-      rt_set_timer (r, q, r->now + after);
+      rt_set_timer (r, q, r->now + delay);
       rt_dispatch_queued (r, t);
       return;
     }
@@ -28,7 +29,7 @@
 }
 
 static bool
-other_server (const struct rt *r, const struct rt_req *q)
+has_untried_server (const struct rt *r, const struct rt_req *q)
 {
   for (size_t i = 0; i < q->target->nservers; i++)
     if (rt_usable (r, q->target->servers[i])
@@ -40,7 +41,7 @@
 static bool
 may_retry (struct rt *r, struct rt_req *q)
 {
-  return q->attempt < RT_MAX_ATTEMPTS && other_server (r, q)
+  return q->attempt < RT_MAX_ATTEMPTS && has_untried_server (r, q)
          && rt_retry_spend (r, q->target);
 }
 
@@ -49,15 +50,15 @@
 {
   rt_outlier_failure (r, q->target, q->server);
   q->attempt_failed = true;
-  avoid (q);
+  mark_tried (q);
   /* Nothing was sent, so a non-idempotent request may be retried too. */
-  bool more = may_retry (r, q);
-  bool ran = q->state == RT_S_RECONNECTING;
+  bool retry = may_retry (r, q);
+  bool may_have_run = q->state == RT_S_RECONNECTING;
   rt_step (q, RT_X_CONNECT_FAILED);
   rt_detach_server (r, q);
-  if (more)
-    again (r, q, 0);
-  else if (ran)
+  if (retry)
+    requeue (r, q, 0);
+  else if (may_have_run)
     rt_give_up (r, q, RT_CODE_CONNECT);
   else
     rt_refuse (r, q, RT_CODE_CONNECT, RT_DEFAULT_RETRY_MS);
@@ -89,18 +90,18 @@
 on_refused (struct rt *r, struct rt_req *q)
 {
   rt_push_action (r, RT_ACT_CANCEL, q);
-  avoid (q);
+  mark_tried (q);
   bool first = q->state == RT_S_SENDING;
   if (first)
     q->sent
         = false; /* so that the claim is released: the request did not run */
-  bool more = q->idempotent && may_retry (r, q);
-  clk_ms after = rt_retry_backoff (r, q->attempt);
+  bool retry = q->idempotent && may_retry (r, q);
+  clk_ms delay = rt_retry_backoff (r, q->attempt);
   rt_detach_server (r, q);
-  if (more)
+  if (retry)
     {
       rt_step (q, first ? RT_X_REFUSED_UNRUN : RT_X_RETRY);
-      again (r, q, after);
+      requeue (r, q, delay);
       return;
     }
   if (!first)
@@ -114,7 +115,7 @@
 }
 
 static bool
-refused_status (const struct rt_req *q, int status)
+is_refusal_status (const struct rt_req *q, int status)
 {
   const int *list
       = q->model ? q->model->not_run_status : q->service->not_run_status;
@@ -127,24 +128,25 @@
 
 /** The attempt ended without a complete response: broken or silent. */
 static void
-on_lost (struct rt *r, struct rt_req *q, enum rt_code code)
+on_attempt_failed (struct rt *r, struct rt_req *q, enum rt_code code)
 {
   rt_push_action (r, RT_ACT_CANCEL, q);
   rt_outlier_failure (r, q->target, q->server);
   q->attempt_failed = true;
-  avoid (q);
-  bool can = q->forwarding ? q->idempotent && q->model && q->model->can_resume
-                           : q->idempotent;
-  bool more = can && may_retry (r, q);
-  clk_ms after = rt_retry_backoff (r, q->attempt);
+  mark_tried (q);
+  bool repeatable = q->forwarding
+                        ? q->idempotent && q->model && q->model->can_resume
+                        : q->idempotent;
+  bool retry = repeatable && may_retry (r, q);
+  clk_ms delay = rt_retry_backoff (r, q->attempt);
   rt_detach_server (r, q);
-  if (!more)
+  if (!retry)
     {
       rt_give_up (r, q, code);
       return;
     }
   rt_step (q, RT_X_RETRY);
-  again (r, q, after);
+  requeue (r, q, delay);
 }
 
 static void
@@ -153,7 +155,7 @@
   if (q->state != RT_S_SENDING && q->state != RT_S_RESENDING)
     return;
   q->status = status;
-  if (refused_status (q, status))
+  if (is_refusal_status (q, status))
     {
       on_refused (r, q);
       return;
@@ -162,14 +164,14 @@
      of the stream. */
   if (q->forwarding && status >= 300)
     {
-      on_lost (r, q, RT_CODE_BROKEN);
+      on_attempt_failed (r, q, RT_CODE_BROKEN);
       return;
     }
   rt_step (q, RT_X_HEAD);
 }
 
 static void
-first_bytes (struct rt *r, struct rt_req *q)
+on_first_byte (struct rt *r, struct rt_req *q)
 {
   rt_step (q, RT_X_BODY);
   q->forwarding = true;
@@ -184,16 +186,16 @@
 on_body (struct rt *r, struct rt_req *q, size_t size)
 {
   if (q->state == RT_S_SENT)
-    first_bytes (r, q);
+    on_first_byte (r, q);
   if (q->state == RT_S_STREAMING)
     q->forwarded_bytes += size;
 }
 
 static void
-on_whole (struct rt *r, struct rt_req *q, double tokens)
+on_complete (struct rt *r, struct rt_req *q, double tokens)
 {
   if (q->state == RT_S_SENT)
-    first_bytes (r, q);
+    on_first_byte (r, q);
   if (q->state != RT_S_STREAMING)
     return;
   struct rt_target *t = q->target;
@@ -203,7 +205,7 @@
     rt_limit_correct (q->account, q->cost, tokens);
   double ms = (double)(r->now - q->started_at) / q->cost;
   t->ms_per_token
-      += (t->ms_per_token > 0 ? SMOOTH : 1) * (ms - t->ms_per_token);
+      += (t->ms_per_token > 0 ? AVERAGE_WEIGHT : 1) * (ms - t->ms_per_token);
   t->measured_at = r->now;
   q->complete = true;
   rt_detach_server (r, q);
@@ -234,9 +236,9 @@
   else if (ev->kind == RT_EV_BODY)
     on_body (r, q, ev->size);
   else if (ev->kind == RT_EV_WHOLE)
-    on_whole (r, q, ev->tokens);
+    on_complete (r, q, ev->tokens);
   else if (ev->kind == RT_EV_BROKEN)
-    on_lost (r, q, RT_CODE_BROKEN);
+    on_attempt_failed (r, q, RT_CODE_BROKEN);
   else if (ev->kind == RT_EV_SILENT)
-    on_lost (r, q, RT_CODE_SILENT);
+    on_attempt_failed (r, q, RT_CODE_SILENT);
 }
--- a/route/choose.c
+++ b/route/choose.c
@@ -5,21 +5,21 @@
 
 /* The constants below were tuned with `lapisline bench route`;
    docs/DESIGN.md lists the alternatives. */
-#define GATE                                                                  \
+#define DISPATCH_LOAD                                                         \
   1.15 /* of the total capacity; more requests wait at the gateway */
-#define FULL_PART                                                             \
+#define MIN_OWN_PART                                                          \
   0.05 /* share of all requests above which full servers are skipped */
-#define GATE_TAKEN                                                            \
+#define DISPATCH_TAKEN                                                        \
   0.98 /* occupied part of all slots above which requests wait */
 /* Bonus of a server that has the prefix cached, as part of its slots on
    top of the mean number of this gateway's requests. */
-#define WARM_FACTOR 2.5 /* times the part of slots that is free */
-#define WARM_OFFSET 0.5 /* subtracted from it */
-#define WARM_MOST 0.225
+#define PREFIX_FACTOR 2.5 /* times the part of slots that is free */
+#define PREFIX_OFFSET 0.5 /* subtracted from it */
+#define PREFIX_MAX 0.225
 /* Below this bound the gateway has hardly any request per server, so its
    own count can't prevent all gateways from choosing one prefix's
    server. */
-#define WARM_LEAST 0.5
+#define PREFIX_MIN_BOUND 0.5
 
 bool
 rt_usable (const struct rt *r, const struct rt_server *s)
@@ -29,7 +29,7 @@
 }
 
 static bool
-tried (const struct rt_req *q, uint64_t hash)
+was_tried (const struct rt_req *q, uint64_t hash)
 {
   for (unsigned i = 0; i < q->ntried; i++)
     if (q->tried[i] == hash)
@@ -40,7 +40,7 @@
 bool
 rt_tried (const struct rt_req *q, const struct rt_server *s)
 {
-  return tried (q, s->hash);
+  return was_tried (q, s->hash);
 }
 
 /**
@@ -53,13 +53,13 @@
  * learn first of each freed slot.
  */
 static bool
-gate_open (const struct rt *r, const struct rt_target *t, double others,
-           double taken)
+may_dispatch (const struct rt *r, const struct rt_target *t, double others,
+              double taken)
 {
   const struct rt_view *v = &t->view;
   double own = rt_own_requests (t);
-  return own + others < GATE * v->capacity
-         || own + taken < GATE_TAKEN * v->capacity
+  return own + others < DISPATCH_LOAD * v->capacity
+         || own + taken < DISPATCH_TAKEN * v->capacity
          || own < v->capacity / (r->nodes ? r->nodes : 1);
 }
 
@@ -71,14 +71,14 @@
  * these have no spare slots.
  */
 static double
-warm_bound (const struct rt_target *t, double others)
+prefix_bound (const struct rt_target *t, double others)
 {
   const struct rt_view *v = &t->view;
   double n = (double)v->n, own = rt_own_requests (t);
   double all = own + others;
   double part = all > 0 ? own / all : 1;
   double free_part = 1 - all / v->capacity;
-  double extra = fmin (WARM_FACTOR * free_part - WARM_OFFSET, WARM_MOST);
+  double extra = fmin (PREFIX_FACTOR * free_part - PREFIX_OFFSET, PREFIX_MAX);
   return (own + 1) / n + extra * part * v->capacity / n;
 }
 
@@ -94,10 +94,11 @@
 /** Whether the candidate is excluded because it is full or was tried
     before. */
 static bool
-skipped (const struct rt_req *q, const struct rt_candidate *c, bool skip_full)
+is_excluded (const struct rt_req *q, const struct rt_candidate *c,
+             bool skip_full)
 {
   return (skip_full && (float)c->in_flight >= c->max_in_flight)
-         || (q->ntried && tried (q, c->hash));
+         || (q->ntried && was_tried (q, c->hash));
 }
 
 /**
@@ -106,14 +107,14 @@
  * score is below the bound.
  */
 static struct rt_server *
-warm_server (const struct rt_view *v, const struct rt_req *q, double bound)
+prefix_server (const struct rt_view *v, const struct rt_req *q, double bound)
 {
   struct rt_server *best = NULL;
   uint64_t most = 0;
   for (size_t i = 0; i < v->n; i++)
     {
       const struct rt_candidate *c = &v->list[i];
-      if (c->score >= bound || skipped (q, c, true))
+      if (c->score >= bound || is_excluded (q, c, true))
         continue;
       uint64_t h = mix (c->hash ^ q->prefix);
       if (!best || h > most)
@@ -127,14 +128,14 @@
 
 /** Number of candidates with the lowest score; 0: there is no candidate. */
 static size_t
-count_least (const struct rt_view *v, const struct rt_req *q, bool skip_full,
-             uint32_t *least)
+count_least_loaded (const struct rt_view *v, const struct rt_req *q,
+                    bool skip_full, uint32_t *least)
 {
   size_t n = 0;
   for (size_t i = 0; i < v->n; i++)
     {
       const struct rt_candidate *c = &v->list[i];
-      if ((n && c->score > *least) || skipped (q, c, skip_full))
+      if ((n && c->score > *least) || is_excluded (q, c, skip_full))
         continue;
       n = n && c->score == *least ? n + 1 : 1;
       *least = c->score;
@@ -144,23 +145,23 @@
 
 /** Weighted random choice among the candidates with the lowest score. */
 static struct rt_server *
-one_of_least (struct rt *r, const struct rt_target *t, const struct rt_req *q,
-              bool skip_full)
+random_least_loaded (struct rt *r, const struct rt_target *t,
+                     const struct rt_req *q, bool skip_full)
 {
   const struct rt_view *v = &t->view;
   struct rt_server *last = NULL;
   uint32_t least = 0;
   double sum = 0;
-  if (count_least (v, q, skip_full, &least) == 0)
+  if (count_least_loaded (v, q, skip_full, &least) == 0)
     return NULL;
   for (size_t i = 0; i < v->n; i++)
-    if (v->list[i].score == least && !skipped (q, &v->list[i], skip_full))
+    if (v->list[i].score == least && !is_excluded (q, &v->list[i], skip_full))
       sum += v->list[i].weight;
   double x = rng_unit (&r->rng) * sum;
   for (size_t i = 0; i < v->n; i++)
     {
       const struct rt_candidate *c = &v->list[i];
-      if (c->score != least || skipped (q, c, skip_full))
+      if (c->score != least || is_excluded (q, c, skip_full))
         continue;
       last = c->server;
       x -= c->weight;
@@ -176,14 +177,14 @@
 {
   struct rt_server *s = NULL;
   if (q->prefix && bound > 0)
-    s = warm_server (&t->view, q, bound);
-  return s ? s : one_of_least (r, t, q, skip_full);
+    s = prefix_server (&t->view, q, bound);
+  return s ? s : random_least_loaded (r, t, q, skip_full);
 }
 
 /** An ejected server whose ejection time is over and that has no probe
     yet. */
 static struct rt_server *
-due_for_probe (struct rt *r, struct rt_target *t, const struct rt_req *q)
+find_probe_due (struct rt *r, struct rt_target *t, const struct rt_req *q)
 {
   for (size_t i = 0; i < t->nservers; i++)
     if (rt_usable (r, t->servers[i]) && !rt_tried (q, t->servers[i])
@@ -215,7 +216,7 @@
   const struct rt_view *v = rt_view (r, t);
   if (v->ejected && q->idempotent)
     {
-      struct rt_server *probe = due_for_probe (r, t, q);
+      struct rt_server *probe = find_probe_due (r, t, q);
       if (probe)
         return probe;
     }
@@ -223,14 +224,14 @@
     return last_resort (r, t, q);
   double own = rt_own_requests (t);
   double taken, others = rt_estimate_others (t, &taken);
-  if (!gate_open (r, t, others, taken))
+  if (!may_dispatch (r, t, others, taken))
     return NULL;
   /* Round the bound up with the probability of its fraction. */
-  double bound = warm_bound (t, others);
-  bound = bound < WARM_LEAST ? 0 : floor (bound + rng_unit (&r->rng));
+  double bound = prefix_bound (t, others);
+  bound = bound < PREFIX_MIN_BOUND ? 0 : floor (bound + rng_unit (&r->rng));
   /* With many gateways, all of them would leave a server that was
      reported full and all return at the next report. */
-  bool skip_full = !t->is_model || own >= FULL_PART * (own + others);
+  bool skip_full = !t->is_model || own >= MIN_OWN_PART * (own + others);
   struct rt_server *s = pick (r, t, q, bound, skip_full);
   if (!s && t->is_model)
     s = pick (r, t, q, bound, false);
--- a/route/limit.c
+++ b/route/limit.c
@@ -5,10 +5,10 @@
 #include "route/share.h"
 
 #define BURST_S 1.0 /* burst size, in seconds of the rate */
-#define RETRY_LEAST_MS 50
-#define RETRY_MOST_MS 10000
-#define RETRY_CONC_MS 500
-#define ROUND 0.01 /* tolerance when a share is rounded down */
+#define RETRY_MIN_MS 50
+#define RETRY_MAX_MS 10000
+#define RETRY_CONCURRENCY_MS 500
+#define ROUNDING_TOLERANCE 0.01 /* tolerance when a share is rounded down */
 
 struct rt_account *
 rt_account (struct rt *r, struct str name)
@@ -30,8 +30,8 @@
 /** Share of the limit: limit / N before the first grant, the granted
     share while it is valid, then decaying towards limit / N. */
 static double
-share_now (const struct rt *r, const struct rt_account *a, double limit,
-           double share)
+current_share (const struct rt *r, const struct rt_account *a, double limit,
+               double share)
 {
   double even = limit / (double)(r->nodes ? r->nodes : 1);
   if (!a->has_share)
@@ -49,13 +49,13 @@
 double
 rt_limit_rate (const struct rt *r, const struct rt_account *a)
 {
-  return share_now (r, a, a->rate_limit, a->share_rate);
+  return current_share (r, a, a->rate_limit, a->share_rate);
 }
 
 double
 rt_limit_conc (const struct rt *r, const struct rt_account *a)
 {
-  return share_now (r, a, a->conc_limit, a->share_conc);
+  return current_share (r, a, a->conc_limit, a->share_conc);
 }
 
 void
@@ -99,9 +99,9 @@
 static clk_ms
 clamp_retry (double ms)
 {
-  if (ms < RETRY_LEAST_MS)
-    return RETRY_LEAST_MS;
-  return ms > RETRY_MOST_MS ? RETRY_MOST_MS : (clk_ms)ms;
+  if (ms < RETRY_MIN_MS)
+    return RETRY_MIN_MS;
+  return ms > RETRY_MAX_MS ? RETRY_MAX_MS : (clk_ms)ms;
 }
 
 enum rt_code
@@ -115,9 +115,10 @@
      limit below the number of nodes would reject all requests of the
      account. */
   if (a->conc_limit > 0
-      && (double)a->open > fmax (1, floor (rt_limit_conc (r, a) + ROUND)))
+      && (double)a->open
+             > fmax (1, floor (rt_limit_conc (r, a) + ROUNDING_TOLERANCE)))
     {
-      *retry_ms = RETRY_CONC_MS;
+      *retry_ms = RETRY_CONCURRENCY_MS;
       return RT_CODE_CONCURRENCY;
     }
   if (a->rate_limit <= 0)
@@ -132,7 +133,7 @@
   if (a->bucket_level < need || rate <= 0)
     {
       *retry_ms = clamp_retry (
-          rate > 0 ? (need - a->bucket_level) / rate * 1000 : RETRY_MOST_MS);
+          rate > 0 ? (need - a->bucket_level) / rate * 1000 : RETRY_MAX_MS);
       return RT_CODE_RATE;
     }
   a->bucket_level -= cost;
--- a/route/load.c
+++ b/route/load.c
@@ -4,16 +4,17 @@
 #include "route/core.h"
 
 #define REFRESH_MS 200 /* refresh interval of the load estimates */
-#define SERVICE_MS                                                            \
+#define DEFAULT_SERVICE_MS                                                    \
   3000.0 /* assumed service time before the first measurement */
-#define COST_FIRST 1000.0 /* assumed cost before the first request */
-#define FADE 0.3 /* time constant of the reports' decay, in service times */
-#define AGE_LEAST_MS 250  /* minimum age of a report in the weights */
-#define WEIGHT_LEAST 0.02 /* weight of a server loaded far above the mean */
-#define AWAY                                                                  \
+#define DEFAULT_COST 1000.0 /* assumed cost before the first request */
+#define DECAY_FACTOR                                                          \
+  0.3 /* time constant of the reports' decay, in service times */
+#define MIN_REPORT_AGE_MS 250 /* minimum age of a report in the weights */
+#define MIN_WEIGHT 0.02 /* weight of a server loaded far above the mean */
+#define OTHER_ZONE_WEIGHT                                                     \
   0.1 /* weight of a server in another zone without a load report             \
        */
-#define FEW_REQUESTS                                                          \
+#define TREND_REQUESTS                                                        \
   60 /* requests below which the local trend counts less than half */
 #define FULL_FACTOR                                                           \
   1.1 /* part of its capacity from which a server gets no requests */
@@ -81,7 +82,7 @@
   if (at <= s->load_at && s->load_at != 0)
     return;
   history_advance (s, r->now);
-  double mean = t->mean_cost > 0 ? t->mean_cost : COST_FIRST;
+  double mean = t->mean_cost > 0 ? t->mean_cost : DEFAULT_COST;
   double others = (double)load - history_at (s, at);
   s->others_requests = others > 0 ? others / mean : 0;
   s->load_at = at;
@@ -92,7 +93,7 @@
 rt_service_ms (const struct rt_target *t)
 {
   double ms = t->ms_per_token * t->mean_cost;
-  return ms > 0 ? ms : SERVICE_MS;
+  return ms > 0 ? ms : DEFAULT_SERVICE_MS;
 }
 
 /** Mean number of other gateways' requests over the reports. */
@@ -112,22 +113,22 @@
 
 /** Remaining weight of a report, cached by load_at: most reports of a
     list have the same time. */
-struct fading
+struct report_decay
 {
-  double pace;
+  double time_constant;
   clk_ms load_at;
   double weight;
 };
 
 static double
-fade (struct fading *f, clk_ms now, clk_ms load_at)
+report_weight (struct report_decay *f, clk_ms now, clk_ms load_at)
 {
   if (load_at == 0)
     return 0;
   if (load_at != f->load_at)
     {
       f->load_at = load_at;
-      f->weight = exp (-(double)(now - load_at) / f->pace);
+      f->weight = exp (-(double)(now - load_at) / f->time_constant);
     }
   return f->weight;
 }
@@ -135,7 +136,7 @@
 /** Limit of this gateway's requests on the server, given the load of the
     others. */
 static float
-room_of (const struct rt_target *t, const struct rt_server *s, double others)
+own_limit (const struct rt_target *t, const struct rt_server *s, double others)
 {
   if (!t->is_model)
     return (float)s->capacity;
@@ -149,26 +150,26 @@
  * gateways together send about what it lacks. Older reports count less.
  */
 static double
-pull_of (const struct rt_target *t, double age)
+preference (const struct rt_target *t, double age)
 {
   double service = rt_service_ms (t);
-  return service / (age + AGE_LEAST_MS) * exp (-age / service);
+  return service / (age + MIN_REPORT_AGE_MS) * exp (-age / service);
 }
 
 static double
-weight_of (const struct rt *r, const struct rt_target *t,
-           const struct rt_server *s)
+server_weight (const struct rt *r, const struct rt_target *t,
+               const struct rt_server *s)
 {
   if (s->load_at == 0 || t->mean_others <= 0)
-    return s->same_zone ? 1 : AWAY;
-  double pull = pull_of (t, (double)(r->now - s->load_at));
-  double w = 1 + pull * (1 - s->others_requests / t->mean_others);
-  return w > WEIGHT_LEAST ? w : WEIGHT_LEAST;
+    return s->same_zone ? 1 : OTHER_ZONE_WEIGHT;
+  double preferred = preference (t, (double)(r->now - s->load_at));
+  double w = 1 + preferred * (1 - s->others_requests / t->mean_others);
+  return w > MIN_WEIGHT ? w : MIN_WEIGHT;
 }
 
 /** Slots of the server that other gateways hold, by its report. */
 static double
-slots_taken (const struct rt_server *s)
+slots_of_others (const struct rt_server *s)
 {
   double left = s->capacity - s->in_flight;
   return s->others_requests < left ? s->others_requests : left > 0 ? left : 0;
@@ -182,8 +183,8 @@
   struct rt_candidate *c = &v->list[v->n++];
   *c = (struct rt_candidate){ .server = s,
                               .hash = s->hash,
-                              .max_in_flight = room_of (t, s, others),
-                              .weight = (float)weight_of (r, t, s) };
+                              .max_in_flight = own_limit (t, s, others),
+                              .weight = (float)server_weight (r, t, s) };
   s->candidate = c;
   rt_server_changed (s);
   v->capacity += s->capacity;
@@ -192,7 +193,7 @@
   if (s->load_at == 0)
     return;
   v->others += t->mean_others;
-  v->others_in_slots += slots_taken (s);
+  v->others_in_slots += slots_of_others (s);
   v->tokens_at_reports += history_at (s, s->load_at);
   v->total_age += (double)(r->now - s->load_at);
 }
@@ -206,7 +207,8 @@
 static void
 refresh (struct rt *r, struct rt_target *t)
 {
-  struct fading fading = { .pace = FADE * rt_service_ms (t) };
+  struct report_decay report_decay
+      = { .time_constant = DECAY_FACTOR * rt_service_ms (t) };
   struct rt_candidate *list
       = xrealloc (t->view.list, (t->nservers + 1) * sizeof *t->view.list);
   t->view = (struct rt_view){ .list = list,
@@ -216,7 +218,7 @@
   for (size_t i = 0; i < t->nservers; i++)
     {
       struct rt_server *s = t->servers[i];
-      double w = fade (&fading, r->now, s->load_at);
+      double w = report_weight (&report_decay, r->now, s->load_at);
       s->candidate = NULL;
       if (rt_usable (r, s) && !s->ejected_until)
         add_candidate (r, t, s,
@@ -269,7 +271,7 @@
     {
       double age = v->total_age / (double)v->n;
       double w = 1 - exp (-age / rt_service_ms (t));
-      w *= own / (own + FEW_REQUESTS);
+      w *= own / (own + TREND_REQUESTS);
       factor = pow ((t->own_tokens + 1) / (v->tokens_at_reports + 1), w);
     }
   *taken = factor * v->others_in_slots;
--- a/route/outlier.c
+++ b/route/outlier.c
@@ -2,29 +2,29 @@
 
 #include "route/core.h"
 
-#define BAD_RUN 3       /* consecutive failures before ejection */
+#define MAX_CONSECUTIVE_FAILURES 3 /* consecutive failures before ejection */
 #define SLOW_FACTOR 3.0 /* multiple of the peers' median before ejection */
-#define SLOW_LEAST_MS                                                         \
+#define SLOW_MIN_MS                                                           \
   100 /* minimum distance from the median, against noise                      \
        */
 #define SLOW_SAMPLES 8
-#define SMOOTH 0.1 /* weight of the newest sample */
-#define MEDIAN_OFTEN_MS 250
-#define OUT_FIRST_MS 5000
-#define OUT_MOST_MS 60000
+#define AVERAGE_WEIGHT 0.1 /* weight of the newest sample */
+#define MEDIAN_REFRESH_MS 250
+#define EJECTION_MIN_MS 5000
+#define EJECTION_MAX_MS 60000
 
 static size_t
-count_out (const struct rt_target *t, size_t *listed)
+count_ejected (const struct rt_target *t, size_t *listed)
 {
-  size_t out = 0;
+  size_t ejected = 0;
   *listed = 0;
   for (size_t i = 0; i < t->nservers; i++)
     if (t->servers[i]->listed)
       {
         (*listed)++;
-        out += t->servers[i]->ejected_until != 0;
+        ejected += t->servers[i]->ejected_until != 0;
       }
-  return out;
+  return ejected;
 }
 
 /**
@@ -35,14 +35,15 @@
 static void
 eject (struct rt *r, struct rt_target *t, struct rt_server *s)
 {
-  size_t listed, out = count_out (t, &listed);
-  if (!s->ejected_until && 3 * (out + 1) > listed)
+  size_t listed, ejected = count_ejected (t, &listed);
+  if (!s->ejected_until && 3 * (ejected + 1) > listed)
     return;
-  clk_ms span = OUT_FIRST_MS;
-  for (unsigned i = 0; i < s->ejections && span < OUT_MOST_MS; i++)
+  clk_ms span = EJECTION_MIN_MS;
+  for (unsigned i = 0; i < s->ejections && span < EJECTION_MAX_MS; i++)
     span *= 2;
   s->ejections++;
-  s->ejected_until = r->now + (span < OUT_MOST_MS ? span : OUT_MOST_MS);
+  s->ejected_until
+      = r->now + (span < EJECTION_MAX_MS ? span : EJECTION_MAX_MS);
   s->probing = false;
   t->view.current = false;
 }
@@ -55,11 +56,11 @@
 }
 
 /** Median over the servers' times to the first byte, cached for
-    MEDIAN_OFTEN_MS; 0: too few samples. */
+    MEDIAN_REFRESH_MS; 0: too few samples. */
 static double
-median_first (const struct rt *r, struct rt_target *t)
+median_first_byte (const struct rt *r, struct rt_target *t)
 {
-  if (t->median_at != 0 && r->now - t->median_at < MEDIAN_OFTEN_MS)
+  if (t->median_at != 0 && r->now - t->median_at < MEDIAN_REFRESH_MS)
     return t->median_ms;
   t->median_at = r->now;
   double *ms = xmalloc ((t->nservers + 1) * sizeof *ms);
@@ -75,11 +76,10 @@
 }
 
 static bool
-too_slow (const struct rt *r, struct rt_target *t, double ms)
+is_slow (const struct rt *r, struct rt_target *t, double ms)
 {
-  double median = median_first (r, t);
-  return median > 0 && ms > SLOW_FACTOR * median
-         && ms > median + SLOW_LEAST_MS;
+  double median = median_first_byte (r, t);
+  return median > 0 && ms > SLOW_FACTOR * median && ms > median + SLOW_MIN_MS;
 }
 
 bool
@@ -99,7 +99,7 @@
       if (!s->probing)
         return;
       s->probing = false;
-      if (too_slow (r, t, (double)ms))
+      if (is_slow (r, t, (double)ms))
         {
           eject (r, t, s);
           return;
@@ -108,13 +108,13 @@
       t->view.current = false;
       s->first_byte_samples = 0;
     }
-  s->first_byte_ms
-      = s->first_byte_samples == 0
-            ? (double)ms
-            : (1 - SMOOTH) * s->first_byte_ms + SMOOTH * (double)ms;
+  s->first_byte_ms = s->first_byte_samples == 0
+                         ? (double)ms
+                         : (1 - AVERAGE_WEIGHT) * s->first_byte_ms
+                               + AVERAGE_WEIGHT * (double)ms;
   s->first_byte_samples++;
   if (s->first_byte_samples >= SLOW_SAMPLES
-      && too_slow (r, t, s->first_byte_ms))
+      && is_slow (r, t, s->first_byte_ms))
     eject (r, t, s);
 }
 
@@ -132,6 +132,8 @@
 {
   s->failed++;
   s->consecutive_failures++;
-  if (s->probing || (s->consecutive_failures >= BAD_RUN && !s->ejected_until))
+  if (s->probing
+      || (s->consecutive_failures >= MAX_CONSECUTIVE_FAILURES
+          && !s->ejected_until))
     eject (r, t, s);
 }
--- a/route/queue.c
+++ b/route/queue.c
@@ -3,9 +3,9 @@
 #include "route/core.h"
 
 #define QUANTUM 512.0 /* tokens per round for weight 1 */
-#define LEAST_WEIGHT 0.01
-#define AGE_MS 2000  /* waiting time that makes up for one class */
-#define AGED_EVERY 3 /* requests of better classes between two aged ones */
+#define MIN_WEIGHT 0.01
+#define AGING_MS 2000 /* waiting time that makes up for one class */
+#define AGED_EVERY 3  /* requests of better classes between two aged ones */
 
 static struct rt_flow *
 flow_of (struct rt_class *c, struct rt_account *a)
@@ -73,7 +73,7 @@
 {
   struct rt_class *c = &w->classes[q->priority];
   struct rt_flow *f = flow_of (c, q->account);
-  f->weight = weight < LEAST_WEIGHT ? LEAST_WEIGHT : weight;
+  f->weight = weight < MIN_WEIGHT ? MIN_WEIGHT : weight;
   if (!f->active)
     flow_activate (c, f);
   link_flow (f, q, front);
@@ -104,13 +104,13 @@
 
 /**
  * Strict priority with aging: a lower class whose oldest request has waited
- * AGE_MS for each class in between gets one of AGED_EVERY + 1 requests.
+ * AGING_MS for each class in between gets one of AGED_EVERY + 1 requests.
  * Without aging, a steady stream of urgent requests would starve the lower
  * class; without the limit, a long backlog of old requests would delay urgent
  * ones.
  */
 static struct rt_class *
-class_turn (struct rt_queue *w, clk_ms now)
+next_class (struct rt_queue *w, clk_ms now)
 {
   struct rt_class *best = NULL, *aged = NULL;
   clk_ms longest = 0;
@@ -124,7 +124,7 @@
           best = c;
           continue;
         }
-      clk_ms over = now - c->oldest->arrived_at - AGE_MS * (c - best);
+      clk_ms over = now - c->oldest->arrived_at - AGING_MS * (c - best);
       if (over > longest)
         {
           longest = over;
@@ -136,7 +136,7 @@
 
 /** Move the first active flow to the end of the list. */
 static void
-rotate (struct rt_class *c)
+rotate_flows (struct rt_class *c)
 {
   struct rt_flow *f = c->first;
   if (!f->next)
@@ -150,7 +150,7 @@
 struct rt_req *
 rt_queue_next (struct rt_queue *w, clk_ms now)
 {
-  struct rt_class *c = class_turn (w, now);
+  struct rt_class *c = next_class (w, now);
   if (!c)
     return NULL;
   /* Deficit round-robin: a flow is credited its quantum when it reaches
@@ -161,7 +161,7 @@
       struct rt_flow *f = c->first;
       f->deficit += QUANTUM * f->weight;
       if (f->deficit < f->head->cost)
-        rotate (c);
+        rotate_flows (c);
     }
   return c->first->head;
 }
@@ -180,7 +180,7 @@
   /* Without the rotation, a flow that has used its quantum would be
      credited the next one at once, ahead of all flows behind it. */
   if (c->first == f && f->deficit < f->head->cost)
-    rotate (c);
+    rotate_flows (c);
 }
 
 struct rt_req *
--- a/route/record-read.c
+++ b/route/record-read.c
@@ -168,8 +168,8 @@
 }
 
 static bool
-bad (const struct rec_reader *r, struct fnd_list *findings,
-     const char *pointer, const char *text)
+add_error (const struct rec_reader *r, struct fnd_list *findings,
+           const char *pointer, const char *text)
 {
   fnd_addf (findings, FND_ERROR, r->file, r->line, pointer, "%s", text);
   return false;
@@ -187,8 +187,8 @@
   if (s->doc == NULL)
     return false;
   if (!str_is (jsn_str (s->doc, "core"), "route"))
-    return bad (r, findings, "/core",
-                "unsupported core; only \"route\" can be replayed");
+    return add_error (r, findings, "/core",
+                      "unsupported core; only \"route\" can be replayed");
   head->seed = (uint64_t)jsn_int (s->doc, "seed");
   head->options.zone = jsn_str (s->doc, "zone");
   head->options.node = jsn_str (s->doc, "node");
@@ -204,7 +204,7 @@
   const char *text;
 
   if (v == NULL)
-    return bad (r, findings, "/config", "missing");
+    return add_error (r, findings, "/config", "missing");
   text = json_object_to_json_string (v);
   s->cfg = cfg_parse (str_from (text), jsn_int (v, "revision"), findings);
   ev->cfg = s->cfg;
@@ -215,19 +215,19 @@
 read_slot (struct rec_reader *r, struct scratch *s, struct rt_event *ev,
            struct fnd_list *findings)
 {
-  int word
+  int reply
       = find_name (rec_slot_names, RT_SLOT_WORDS, jsn_str (s->doc, "slot"));
 
-  if (word < 0)
-    return bad (r, findings, "/slot", "unknown slot reply");
-  ev->slot = (enum rt_slot_word)word;
+  if (reply < 0)
+    return add_error (r, findings, "/slot", "unknown slot reply");
+  ev->slot = (enum rt_slot_word)reply;
   ev->code = (enum rt_code)jsn_int (s->doc, "code");
   return true;
 }
 
 static bool
-read_parts (struct rec_reader *r, struct scratch *s, struct rt_event *ev,
-            struct fnd_list *findings)
+read_payload (struct rec_reader *r, struct scratch *s, struct rt_event *ev,
+              struct fnd_list *findings)
 {
   struct json_object *v;
   int verdict;
@@ -237,13 +237,14 @@
     case RT_EV_ARRIVE:
       v = jsn_object (s->doc, "request");
       if (v == NULL)
-        return bad (r, findings, "/request", "missing");
+        return add_error (r, findings, "/request", "missing");
       read_request (v, ev->id, &s->request);
       ev->request = &s->request;
       return true;
     case RT_EV_REPLICAS:
       if (!read_replicas (s, ev))
-        return bad (r, findings, "/replicas", "missing or invalid address");
+        return add_error (r, findings, "/replicas",
+                          "missing or invalid address");
       return true;
     case RT_EV_CONFIG:
       return read_config (r, s, ev, findings);
@@ -251,7 +252,7 @@
       verdict = find_name (rec_verdict_names, REC_VERDICTS,
                            jsn_str (s->doc, "verdict"));
       if (verdict < 0)
-        return bad (r, findings, "/verdict", "unknown verdict");
+        return add_error (r, findings, "/verdict", "unknown verdict");
       ev->verdict = (enum clm_verdict)verdict;
       return true;
     case RT_EV_SLOT:
@@ -279,7 +280,7 @@
     return false;
   kind = find_name (rec_event_names, REC_EVENTS, jsn_str (s->doc, "ev"));
   if (kind < 0)
-    return bad (r, findings, "/ev", "unknown event");
+    return add_error (r, findings, "/ev", "unknown event");
   memset (ev, 0, sizeof *ev);
   ev->kind = (enum rt_event_kind)kind;
   *now = jsn_int (s->doc, "t");
@@ -294,7 +295,7 @@
   ev->status = (int)jsn_int (s->doc, "status");
   ev->size = (size_t)jsn_int (s->doc, "size");
   ev->tokens = jsn_double (s->doc, "tokens");
-  return read_parts (r, s, ev, findings);
+  return read_payload (r, s, ev, findings);
 }
 
 void
--- a/route/request.c
+++ b/route/request.c
@@ -2,8 +2,8 @@
 
 #include "route/core.h"
 
-#define CONNECT_MS 1000    /* connect timeout of a model's server */
-#define CLAIM_WAIT_MS 5000 /* timeout of a claim request */
+#define MODEL_CONNECT_MS 1000 /* connect timeout of a model's server */
+#define CLAIM_TIMEOUT_MS 5000 /* timeout of a claim request */
 
 static const char *const state_names[RT_STATES]
     = { "received",  "admitted",   "asking",       "queued",
@@ -33,11 +33,11 @@
 
 /** Transition table of the chart, indexed by enum rt_state and enum
     rt_step; -1: not allowed. Loaded once. */
-static signed char table[RT_STATES][RT_STEPS];
-static bool table_read;
+static signed char transitions[RT_STATES][RT_STEPS];
+static bool transitions_loaded;
 
 static void
-read_table (void)
+load_transitions (void)
 {
   const struct chart *c = chart_embedded ("attempt");
   int back[64];
@@ -48,9 +48,9 @@
       {
         int to = chart_step (c, chart_state (c, state_names[i]),
                              chart_event (c, step_names[k]));
-        table[i][k] = to == CHART_REFUSED ? -1 : (signed char)back[to];
+        transitions[i][k] = to == CHART_REFUSED ? -1 : (signed char)back[to];
       }
-  table_read = true;
+  transitions_loaded = true;
 }
 
 /** Aborts on a transition that the chart does not allow: it is a bug in
@@ -58,9 +58,9 @@
 void
 rt_step (struct rt_req *q, enum rt_step x)
 {
-  if (!table_read)
-    read_table ();
-  int to = table[q->state][x];
+  if (!transitions_loaded)
+    load_transitions ();
+  int to = transitions[q->state][x];
   if (to < 0)
     abort ();
   q->state = (enum rt_state)to;
@@ -133,7 +133,7 @@
  * minutes to repeated requests that the request is still running.
  */
 static void
-give_back_claim (struct rt *r, struct rt_req *q)
+end_claim (struct rt *r, struct rt_req *q)
 {
   if (q->claimed)
     rt_push_action (r, q->sent ? RT_ACT_FINISH : RT_ACT_RELEASE, q);
@@ -149,7 +149,7 @@
   if (rt_has_server (q) && q->state >= RT_S_CONNECTING)
     rt_push_action (r, RT_ACT_CANCEL, q);
   rt_detach_server (r, q);
-  give_back_claim (r, q);
+  end_claim (r, q);
 }
 
 /** Send the final error response, or abort a forwarded one. */
@@ -203,7 +203,8 @@
 }
 
 static void
-end_with (struct rt *r, struct rt_req *q, enum rt_code code, clk_ms retry_ms)
+fail_request (struct rt *r, struct rt_req *q, enum rt_code code,
+              clk_ms retry_ms)
 {
   if (rt_may_have_run (q))
     rt_give_up (r, q, code);
@@ -223,7 +224,7 @@
   a->fresh = !q->idempotent;
   a->resume = q->forwarding;
   a->offset = q->forwarded_bytes;
-  a->connect_ms = q->model ? CONNECT_MS : q->service->connect_ms;
+  a->connect_ms = q->model ? MODEL_CONNECT_MS : q->service->connect_ms;
   a->first_byte_ms
       = q->model ? q->model->first_byte_ms : q->service->first_byte_ms;
   a->progress_ms = q->model ? q->model->progress_ms : q->service->progress_ms;
@@ -239,7 +240,7 @@
   rt_step (q, RT_X_CLAIM);
   q->claimed = true;
   rt_push_action (r, RT_ACT_CLAIM, q);
-  clk_ms at = r->now + CLAIM_WAIT_MS;
+  clk_ms at = r->now + CLAIM_TIMEOUT_MS;
   rt_set_timer (r, q, q->deadline && q->deadline < at ? q->deadline : at);
 }
 
@@ -342,14 +343,14 @@
 rt_on_timer (struct rt *r, struct rt_req *q)
 {
   if (q->deadline && r->now >= q->deadline)
-    end_with (r, q, RT_CODE_DEADLINE, RT_DEFAULT_RETRY_MS);
+    fail_request (r, q, RT_CODE_DEADLINE, RT_DEFAULT_RETRY_MS);
   else if (q->state == RT_S_ASKING)
     rt_on_slot_timeout (r, q);
   else if (q->waiting && r->now >= rt_queue_deadline (q))
-    end_with (r, q,
-              rt_has_usable_server (r, q->target) ? RT_CODE_QUEUE_FULL
-                                                  : RT_CODE_NO_REPLICA,
-              RT_DEFAULT_RETRY_MS);
+    fail_request (r, q,
+                  rt_has_usable_server (r, q->target) ? RT_CODE_QUEUE_FULL
+                                                      : RT_CODE_NO_REPLICA,
+                  RT_DEFAULT_RETRY_MS);
   else if (q->state == RT_S_CLAIMING)
     rt_refuse (r, q, RT_CODE_STORE, RT_DEFAULT_RETRY_MS);
   else if (!q->waiting && !rt_has_server (q))
--- a/route/retry.c
+++ b/route/retry.c
@@ -1,13 +1,13 @@
 #include "route/core.h"
 
-#define EARNED_PER_SUCCESS 0.1
-#define EARNED_PER_MS                                                         \
+#define CREDIT_PER_SUCCESS 0.1
+#define CREDIT_PER_MS                                                         \
   0.0005 /* allows retries on a target with few requests                      \
           */
 #define BUDGET_START 5.0
-#define BUDGET_MOST 20.0
-#define BACKOFF_FIRST_MS 25
-#define BACKOFF_MOST_MS 1000
+#define BUDGET_MAX 20.0
+#define BACKOFF_MIN_MS 25
+#define BACKOFF_MAX_MS 1000
 
 /*
  * Retry budget. When a whole target fails, retries of every request would
@@ -20,10 +20,10 @@
   if (t->retry_at == 0)
     t->retry_budget = BUDGET_START;
   else
-    t->retry_budget += EARNED_PER_MS * (double)(r->now - t->retry_at);
+    t->retry_budget += CREDIT_PER_MS * (double)(r->now - t->retry_at);
   t->retry_at = r->now;
-  if (t->retry_budget > BUDGET_MOST)
-    t->retry_budget = BUDGET_MOST;
+  if (t->retry_budget > BUDGET_MAX)
+    t->retry_budget = BUDGET_MAX;
   if (t->retry_budget < 1)
     return false;
   t->retry_budget -= 1;
@@ -33,15 +33,15 @@
 void
 rt_retry_credit (struct rt_target *t)
 {
-  if (t->retry_budget < BUDGET_MOST)
-    t->retry_budget += EARNED_PER_SUCCESS;
+  if (t->retry_budget < BUDGET_MAX)
+    t->retry_budget += CREDIT_PER_SUCCESS;
 }
 
 clk_ms
 rt_retry_backoff (struct rt *r, unsigned attempt)
 {
-  clk_ms span = BACKOFF_FIRST_MS;
-  for (unsigned i = 1; i < attempt && span < BACKOFF_MOST_MS; i++)
+  clk_ms span = BACKOFF_MIN_MS;
+  for (unsigned i = 1; i < attempt && span < BACKOFF_MAX_MS; i++)
     span *= 2;
   return 1 + (clk_ms)rng_below (&r->rng, (uint64_t)span);
 }
--- a/route/route.c
+++ b/route/route.c
@@ -4,7 +4,7 @@
 
 #include "route/core.h"
 
-#define TABLE_FIRST 1024
+#define TABLE_INITIAL_SIZE 1024
 #define POLL_MS 20 /* poll interval for free capacity while requests wait */
 
 /* --- actions ----------------------------------------------------------- */
@@ -68,14 +68,14 @@
 {
   for (;;)
     {
-      size_t kid = 2 * at + 1;
-      if (kid + 1 < r->heap_n
-          && r->heap[kid + 1]->timer_due < r->heap[kid]->timer_due)
-        kid++;
-      if (kid >= r->heap_n || r->heap[kid]->timer_due >= q->timer_due)
+      size_t child = 2 * at + 1;
+      if (child + 1 < r->heap_n
+          && r->heap[child + 1]->timer_due < r->heap[child]->timer_due)
+        child++;
+      if (child >= r->heap_n || r->heap[child]->timer_due >= q->timer_due)
         break;
-      heap_put (r, at, r->heap[kid]);
-      at = kid;
+      heap_put (r, at, r->heap[child]);
+      at = child;
     }
   heap_put (r, at, q);
 }
@@ -186,7 +186,7 @@
 }
 
 static struct rt_server *
-server_of (struct rt_target *t, struct str name)
+get_server (struct rt_target *t, struct str name)
 {
   struct rt_server *s = g_hash_table_lookup (t->by_name, &name);
   if (s)
@@ -212,7 +212,7 @@
 
 /** Free servers that are no longer listed and have no requests in flight. */
 static void
-sweep_servers (struct rt_target *t)
+free_unlisted_servers (struct rt_target *t)
 {
   size_t kept = 0;
   for (size_t i = 0; i < t->nservers; i++)
@@ -228,8 +228,8 @@
 }
 
 static void
-server_place (struct rt *r, struct rt_server *s, struct str zone,
-              const struct net_addr *addr)
+server_set_location (struct rt *r, struct rt_server *s, struct str zone,
+                     const struct net_addr *addr)
 {
   if (!s->zone || !str_is (zone, s->zone))
     {
@@ -250,8 +250,8 @@
   for (size_t i = 0; i < c->nbackends; i++)
     {
       const struct cfg_backend *b = &c->backends[i];
-      struct rt_server *s = server_of (t, b->name);
-      server_place (r, s, b->zone, &b->addr);
+      struct rt_server *s = get_server (t, b->name);
+      server_set_location (r, s, b->zone, &b->addr);
       s->whole = true;
       s->valid_until = CLK_NEVER;
       s->observe = c->mode == CFG_OBSERVE;
@@ -285,7 +285,7 @@
   for (size_t i = 0; i < cfg->nservices; i++)
     config_service (r, &cfg->services[i]);
   for (size_t i = 0; i < r->ntargets; i++)
-    sweep_servers (r->targets[i]);
+    free_unlisted_servers (r->targets[i]);
   rt_limit_config (r);
   if (old)
     cfg_unref (old);
@@ -295,11 +295,11 @@
 on_replica (struct rt *r, const struct rt_replica *v)
 {
   struct rt_target *t = rt_target (r, v->model, true);
-  struct rt_server *s = server_of (t, v->name);
-  bool known = s->listed;
-  server_place (r, s, v->zone, &v->addr);
+  struct rt_server *s = get_server (t, v->name);
+  bool was_listed = s->listed;
+  server_set_location (r, s, v->zone, &v->addr);
   s->in_update = true;
-  if (!known || s->generation != v->generation)
+  if (!was_listed || s->generation != v->generation)
     {
       /* The replica has new VMs: reset the statistics of the old ones. */
       s->generation = v->generation;
@@ -329,7 +329,7 @@
         for (size_t k = 0; k < r->targets[i]->nservers; k++)
           r->targets[i]->servers[k]->listed
               = r->targets[i]->servers[k]->in_update;
-        sweep_servers (r->targets[i]);
+        free_unlisted_servers (r->targets[i]);
       }
 }
 
@@ -349,7 +349,7 @@
 /* --- events ------------------------------------------------------------ */
 
 static void
-pump_all (struct rt *r)
+dispatch_all (struct rt *r)
 {
   for (size_t i = 0; i < r->ntargets; i++)
     rt_dispatch_queued (r, r->targets[i]);
@@ -424,7 +424,7 @@
       on_request_event (r, ev);
       return;
     }
-  pump_all (r);
+  dispatch_all (r);
 }
 
 struct rt *
@@ -436,7 +436,7 @@
   r->nodes = opt->nodes;
   r->choose = rt_choose;
   rng_seed (&r->rng, seed);
-  r->table_size = TABLE_FIRST;
+  r->table_size = TABLE_INITIAL_SIZE;
   r->table = xcalloc (r->table_size, sizeof *r->table);
   return r;
 }
--- a/route/share.c
+++ b/route/share.c
@@ -8,7 +8,7 @@
 #define HEADROOM 1.25
 /* Part of an even share that a node gets without any demand, so that its
    first requests are not refused before the next division. */
-#define IDLE_PART 0.1
+#define IDLE_FRACTION 0.1
 /*
  * A node that reports this long after its highest grant has received a smaller
  * one, which was sent a second later over the same link. The heartbeat closes
@@ -16,13 +16,13 @@
  */
 #define CONFIRM_MS ((clk_ms)4500)
 /* Half-lives after which an expired share has decayed to an even part. */
-#define QUIET_DECAYS 11
+#define START_DELAY_HALF_LIVES 11
 
 enum
 {
   RATE,
   CONCURRENCY,
-  KINDS
+  LIMIT_KINDS
 };
 
 /** A node's part of one limit. */
@@ -40,9 +40,9 @@
 struct member
 {
   char *node;
-  bool known; /**< listed by shr_nodes() */
-  clk_ms heard_at;
-  struct part part[KINDS];
+  bool listed; /**< listed by shr_nodes() */
+  clk_ms demand_at;
+  struct part part[LIMIT_KINDS];
 };
 
 struct account
@@ -50,8 +50,8 @@
   char *name;
   bool set;
   bool home;
-  clk_ms quiet_until; /**< a new home grants nothing until then */
-  double limit[KINDS];
+  clk_ms grants_from; /**< a new home grants nothing until then */
+  double limit[LIMIT_KINDS];
   struct member *members;
   size_t n;
 };
@@ -138,7 +138,7 @@
       return &a->members[i];
   a->members = xrealloc (a->members, (a->n + 1) * sizeof *a->members);
   a->members[a->n] = (struct member){ .node = str_dup (node),
-                                      .heard_at = -SHR_DEMAND_TIMEOUT_MS };
+                                      .demand_at = -SHR_DEMAND_TIMEOUT_MS };
   return &a->members[a->n++];
 }
 
@@ -146,9 +146,9 @@
 sync_members (const struct shr *s, struct account *a)
 {
   for (size_t i = 0; i < a->n; i++)
-    a->members[i].known = false;
+    a->members[i].listed = false;
   for (size_t i = 0; i < s->nnodes; i++)
-    member_of (a, str_from (s->nodes[i]))->known = true;
+    member_of (a, str_from (s->nodes[i]))->listed = true;
 }
 
 void
@@ -159,8 +159,8 @@
   if (a == NULL)
     a = add_account (s, account);
   if (home && !a->home)
-    a->quiet_until = now + SHR_VALID_MS + SHR_MAX_TRANSIT_MS
-                     + QUIET_DECAYS * SHR_DECAY_MS;
+    a->grants_from = now + SHR_VALID_MS + SHR_MAX_TRANSIT_MS
+                     + START_DELAY_HALF_LIVES * SHR_DECAY_MS;
   a->set = true;
   a->home = home;
   a->limit[RATE] = limit->tokens_per_s;
@@ -205,21 +205,21 @@
   if (a == NULL)
     return;
   m = member_of (a, node);
-  m->heard_at = now;
+  m->demand_at = now;
   m->part[RATE].demand = demand->tokens_per_s;
   m->part[CONCURRENCY].demand = demand->concurrency;
 }
 
 static bool
-heard (const struct member *m, clk_ms now)
+is_reachable (const struct member *m, clk_ms now)
 {
-  return now - m->heard_at < SHR_DEMAND_TIMEOUT_MS;
+  return now - m->demand_at < SHR_DEMAND_TIMEOUT_MS;
 }
 
 /** Remaining value of a grant; after expiry it decays towards an even
     part. */
 static double
-left_of (double share, clk_ms until, double even, clk_ms now)
+remaining_grant (double share, clk_ms until, double even, clk_ms now)
 {
   if (now < until)
     return share;
@@ -232,14 +232,14 @@
  * the rest at once would exceed the limit.
  */
 static double
-outstanding (const struct member *m, int kind, double even, clk_ms now)
+max_usage (const struct member *m, int kind, double even, clk_ms now)
 {
   const struct part *p = &m->part[kind];
-  double granted = left_of (p->granted, p->granted_until, even, now);
+  double granted = remaining_grant (p->granted, p->granted_until, even, now);
 
-  if (m->heard_at - p->peak_at >= CONFIRM_MS && heard (m, now))
+  if (m->demand_at - p->peak_at >= CONFIRM_MS && is_reachable (m, now))
     return granted;
-  return fmax (granted, left_of (p->peak, p->peak_until, even, now));
+  return fmax (granted, remaining_grant (p->peak, p->peak_until, even, now));
 }
 
 /**
@@ -248,7 +248,7 @@
  * @return  the level that uses up @p budget, or infinity if all targets fit
  */
 static double
-fill_level (const struct account *a, int kind, clk_ms now, double budget)
+fair_level (const struct account *a, int kind, clk_ms now, double budget)
 {
   double level = 0;
   for (;;)
@@ -259,7 +259,7 @@
         {
           const struct member *m = &a->members[i];
           double want = m->part[kind].target;
-          if (!heard (m, now))
+          if (!is_reachable (m, now))
             continue;
           used += fmin (want, level);
           open += want > level;
@@ -282,24 +282,25 @@
   for (size_t i = 0; i < a->n; i++)
     {
       struct part *p = &a->members[i].part[kind];
-      p->target = fmax (p->demand * HEADROOM, even * IDLE_PART);
+      p->target = fmax (p->demand * HEADROOM, even * IDLE_FRACTION);
     }
 }
 
 /** Region's part of the limit minus what nodes without a recent demand
     may use. */
 static double
-budget_of (const struct account *a, int kind, clk_ms now, double even,
-           double limit)
+reachable_budget (const struct account *a, int kind, clk_ms now, double even,
+                  double limit)
 {
-  double silent = 0;
+  double reserved = 0;
   for (size_t i = 0; i < a->n; i++)
     {
       const struct member *m = &a->members[i];
-      if (!heard (m, now))
-        silent += fmax (outstanding (m, kind, even, now), m->known ? even : 0);
+      if (!is_reachable (m, now))
+        reserved
+            += fmax (max_usage (m, kind, even, now), m->listed ? even : 0);
     }
-  return fmax (limit - silent, 0);
+  return fmax (limit - reserved, 0);
 }
 
 /**
@@ -308,16 +309,16 @@
  * they grow only into what is certainly free.
  */
 static void
-give (struct account *a, int kind, clk_ms now, double even, double budget,
-      double level)
+set_grants (struct account *a, int kind, clk_ms now, double even,
+            double budget, double level)
 {
   double held = 0, growth = 0;
   for (size_t i = 0; i < a->n; i++)
     {
       struct part *p = &a->members[i].part[kind];
-      if (!heard (&a->members[i], now))
+      if (!is_reachable (&a->members[i], now))
         continue;
-      double peak = outstanding (&a->members[i], kind, even, now);
+      double peak = max_usage (&a->members[i], kind, even, now);
       p->target = fmin (p->target, level);
       held += peak;
       growth += fmax (p->target - peak, 0);
@@ -327,8 +328,8 @@
   for (size_t i = 0; i < a->n; i++)
     {
       struct part *p = &a->members[i].part[kind];
-      double peak = outstanding (&a->members[i], kind, even, now);
-      if (!heard (&a->members[i], now))
+      double peak = max_usage (&a->members[i], kind, even, now);
+      if (!is_reachable (&a->members[i], now))
         continue;
       p->granted
           = p->target <= peak ? p->target : peak + part * (p->target - peak);
@@ -343,7 +344,7 @@
 }
 
 static void
-divide (const struct shr *s, struct account *a, int kind, clk_ms now)
+divide_limit (const struct shr *s, struct account *a, int kind, clk_ms now)
 {
   double all = s->all ? (double)s->all : 1;
   double limit = a->limit[kind] * (double)s->nnodes / all;
@@ -351,8 +352,8 @@
   if (a->limit[kind] <= 0)
     return;
   set_targets (a, kind, now, even);
-  double budget = budget_of (a, kind, now, even, limit);
-  give (a, kind, now, even, budget, fill_level (a, kind, now, budget));
+  double budget = reachable_budget (a, kind, now, even, limit);
+  set_grants (a, kind, now, even, budget, fair_level (a, kind, now, budget));
 }
 
 static void
@@ -361,7 +362,7 @@
   for (size_t i = 0; i < a->n; i++)
     {
       const struct member *m = &a->members[i];
-      if (!heard (m, now))
+      if (!is_reachable (m, now))
         continue;
       s->grants = xrealloc (s->grants, (s->ngrants + 1) * sizeof *s->grants);
       s->grants[s->ngrants++] = (struct shr_grant){
@@ -385,11 +386,11 @@
          of the limit may be granted to an unreachable node. Shares that
          are not renewed decay to even parts, and their sum stays within
          the limit; a grant now would be added on top. */
-      if (!a->home || now < a->quiet_until
+      if (!a->home || now < a->grants_from
           || (a->limit[RATE] <= 0 && a->limit[CONCURRENCY] <= 0))
         continue;
-      divide (s, a, RATE, now);
-      divide (s, a, CONCURRENCY, now);
+      divide_limit (s, a, RATE, now);
+      divide_limit (s, a, CONCURRENCY, now);
       add_grants (s, a, now);
     }
 }
--- a/route/slot.c
+++ b/route/slot.c
@@ -2,12 +2,12 @@
 
 #include "route/core.h"
 
-#define MUTE_ASKS                                                             \
+#define MAX_SLOT_TIMEOUTS                                                     \
   3 /* consecutive timeouts after which the home is not asked */
-#define MUTE_MS 2000 /* for this time */
+#define ASKS_PAUSE_MS 2000 /* for this time */
 
 static struct rt_action *
-act (struct rt *r, enum rt_action_kind kind, const struct rt_req *q)
+push_action (struct rt *r, enum rt_action_kind kind, const struct rt_req *q)
 {
   struct rt_action *a = rt_push_action (r, kind, q);
   a->slot.model = str_from (q->target->name);
@@ -21,7 +21,7 @@
 }
 
 static bool
-asks_home (const struct rt *r, const struct rt_target *t)
+may_ask_home (const struct rt *r, const struct rt_target *t)
 {
   return t->has_home && r->now >= t->slot_asks_paused_until;
 }
@@ -30,21 +30,21 @@
 rt_slot_ask (struct rt *r, struct rt_req *q)
 {
   clk_ms wait = q->cfg->limits.slot_ms;
-  if (!asks_home (r, q->target) || wait == 0)
+  if (!may_ask_home (r, q->target) || wait == 0)
     return false;
   rt_step (q, RT_X_ASK);
   q->has_slot = true;
   q->queued_at = r->now;
   clk_ms at = r->now + wait;
   rt_set_timer (r, q, q->deadline && q->deadline < at ? q->deadline : at);
-  act (r, RT_ACT_SLOT_ASK, q);
+  push_action (r, RT_ACT_SLOT_ASK, q);
   return true;
 }
 
 /** Queue the request here, as without a home. A later grant of the home
     is still accepted. */
 static void
-decide_here (struct rt *r, struct rt_req *q)
+enqueue_locally (struct rt *r, struct rt_req *q)
 {
   rt_step (q, RT_X_ENQUEUE);
   rt_enqueue (r, q, false);
@@ -52,12 +52,12 @@
 
 /** Queue here all requests of @p t that wait at the home. */
 static void
-leave_home (struct rt *r, struct rt_target *t)
+enqueue_all_locally (struct rt *r, struct rt_target *t)
 {
   for (size_t i = 0; i < r->table_size; i++)
     for (struct rt_req *q = r->table[i]; q; q = q->hash_next)
       if (q->target == t && q->state == RT_S_ASKING)
-        decide_here (r, q);
+        enqueue_locally (r, q);
 }
 
 void
@@ -69,25 +69,25 @@
   t->slot_asks_paused_until = 0;
   if (on)
     return;
-  leave_home (r, t);
+  enqueue_all_locally (r, t);
   rt_dispatch_queued (r, t);
 }
 
 /**
- * The home did not reply in time. After MUTE_ASKS timeouts it counts as
- * stopped or unreachable: further requests would wait for a reply in vain, and
- * those queued there would never be granted.
+ * The home did not reply in time. After MAX_SLOT_TIMEOUTS timeouts it counts
+ * as stopped or unreachable: further requests would wait for a reply in vain,
+ * and those queued there would never be granted.
  */
 static void
-unanswered (struct rt *r, struct rt_req *q)
+on_unanswered (struct rt *r, struct rt_req *q)
 {
   struct rt_target *t = q->target;
-  decide_here (r, q);
-  if (++t->slot_timeouts >= MUTE_ASKS)
+  enqueue_locally (r, q);
+  if (++t->slot_timeouts >= MAX_SLOT_TIMEOUTS)
     {
       t->slot_timeouts = 0;
-      t->slot_asks_paused_until = r->now + MUTE_MS;
-      leave_home (r, t);
+      t->slot_asks_paused_until = r->now + ASKS_PAUSE_MS;
+      enqueue_all_locally (r, t);
     }
   rt_dispatch_queued (r, t);
 }
@@ -101,7 +101,7 @@
                                                    : RT_CODE_NO_REPLICA,
                RT_DEFAULT_RETRY_MS);
   else
-    unanswered (r, q);
+    on_unanswered (r, q);
 }
 
 /** The granted server, or NULL if this gateway considers it unusable. */
@@ -135,7 +135,7 @@
   rt_slot_release (r, q);
   if (q->state != RT_S_ASKING)
     return;
-  decide_here (r, q);
+  enqueue_locally (r, q);
   rt_dispatch_queued (r, q->target);
 }
 
@@ -166,7 +166,7 @@
   if (!q->target->has_home || !q->server)
     return;
   q->has_slot = true;
-  act (r, RT_ACT_SLOT_TAKEN, q)->name = str_from (q->server->name);
+  push_action (r, RT_ACT_SLOT_TAKEN, q)->name = str_from (q->server->name);
 }
 
 void
@@ -175,7 +175,7 @@
   if (!q->has_slot)
     return;
   q->has_slot = false;
-  struct rt_action *a = act (r, RT_ACT_SLOT_DONE, q);
+  struct rt_action *a = push_action (r, RT_ACT_SLOT_DONE, q);
   a->slot.first_ms = q->complete ? q->first_ms : 0;
   a->slot.failed = q->attempt_failed;
   q->attempt_failed = false;
--- a/route/slots.c
+++ b/route/slots.c
@@ -5,13 +5,15 @@
 
 #include "route/core.h"
 
-#define TABLE_SIZE 4096 /* hash buckets */
-#define SWEEP_MS 500    /* interval of the search for stale slots */
-#define SMOOTH 0.05     /* weight of the newest sample in moving averages */
-#define FIRST_MS                                                              \
+#define TABLE_SIZE 4096    /* hash buckets */
+#define STALE_CHECK_MS 500 /* interval of the search for stale slots */
+#define AVERAGE_WEIGHT                                                        \
+  0.05 /* weight of the newest sample in moving averages */
+#define DEFAULT_FIRST_BYTE_MS                                                 \
   150.0 /* assumed time to the first byte before the first sample */
-#define OTHERS_LEAST 4 /* reported requests within the error of the report */
-#define BUSY_COST 0.2  /* score of a full server relative to an idle one */
+#define REPORT_ERROR_REQUESTS                                                 \
+  4                    /* reported requests within the error of the report */
+#define LOAD_SCORE 0.2 /* score of a full server relative to an idle one */
 #define RETRY_MS 1000
 
 /** A request that is queued here or holds a slot. */
@@ -20,7 +22,7 @@
   struct rt_req q; /* first member: cast from the queue's result */
   struct entry *chain;
   uint32_t gateway;
-  clk_ms told; /* last report of the slot by its gateway */
+  clk_ms reported_at; /* last report of the slot by its gateway */
 };
 
 struct slt
@@ -34,16 +36,16 @@
   size_t act_head, act_n, act_cap;
   clk_ms now;
   clk_ms grants_from;
-  clk_ms swept;
-  double first_ms;
-  uint64_t turn;
+  clk_ms stale_checked_at;
+  double first_byte_ms;
+  uint64_t start_offset;
   size_t nodes; /* gateways that request slots */
 };
 
 /* --- entries ------------------------------------------------------------ */
 
 static struct entry **
-place_of (struct slt *s, uint32_t gateway, uint64_t id)
+find_entry (struct slt *s, uint32_t gateway, uint64_t id)
 {
   uint64_t h = (id ^ (uint64_t)gateway << 40) * 0x9e3779b97f4a7c15u;
   struct entry **at = &s->table[h >> 52];
@@ -55,27 +57,27 @@
 static struct entry *
 entry_new (struct slt *s, const struct slt_event *ev, uint64_t id, double cost)
 {
-  struct entry **at = place_of (s, ev->gateway, id);
+  struct entry **at = find_entry (s, ev->gateway, id);
   struct entry *e = xcalloc (1, sizeof *e);
   e->gateway = ev->gateway;
   e->q.id = id;
   e->q.cost = cost > 1 ? cost : 1;
   e->q.arrived_at = s->now;
-  e->told = s->now;
+  e->reported_at = s->now;
   return *at = e;
 }
 
 static void
-hold (struct slt *s, struct entry *e, struct rt_server *server)
+assign_server (struct slt *s, struct entry *e, struct rt_server *server)
 {
   e->q.server = server;
-  e->q.started_at = e->told = s->now;
+  e->q.started_at = e->reported_at = s->now;
   rt_server_add_request (s->core, s->target, server, e->q.cost);
 }
 
 /** Remove the entry from the queue and free its slot. */
 static void
-drop (struct slt *s, struct entry **at)
+entry_free (struct slt *s, struct entry **at)
 {
   struct entry *e = *at;
   if (!e)
@@ -93,7 +95,7 @@
 }
 
 static struct slt_action *
-act (struct slt *s, enum rt_slot_word word, const struct entry *e)
+push_action (struct slt *s, enum rt_slot_word word, const struct entry *e)
 {
   if (s->act_n == s->act_cap)
     {
@@ -110,16 +112,16 @@
 static void
 refuse (struct slt *s, struct entry *e, enum rt_code code, clk_ms retry_ms)
 {
-  struct slt_action *a = act (s, RT_SLOT_REFUSED, e);
+  struct slt_action *a = push_action (s, RT_SLOT_REFUSED, e);
   a->code = code;
   a->retry_ms = retry_ms;
-  drop (s, place_of (s, e->gateway, e->q.id));
+  entry_free (s, find_entry (s, e->gateway, e->q.id));
 }
 
 /* --- choice of the replica ---------------------------------------------- */
 
 static struct rt_grant_history *
-warm_of (struct rt_server *server)
+grants_of (struct rt_server *server)
 {
   if (!server->grants)
     server->grants = xcalloc (1, sizeof *server->grants);
@@ -127,7 +129,7 @@
 }
 
 static bool
-is_warm (const struct rt_grant_history *w, uint64_t prefix)
+has_prefix (const struct rt_grant_history *w, uint64_t prefix)
 {
   for (unsigned i = 0; i < RT_MAX_PREFIXES; i++)
     if (w->prefixes[i] == prefix)
@@ -137,7 +139,7 @@
 
 /** Move the prefix to the front of the LRU list; the last one is evicted. */
 static void
-touch (struct rt_grant_history *w, uint64_t prefix)
+move_prefix_to_front (struct rt_grant_history *w, uint64_t prefix)
 {
   unsigned at = 0;
   while (at < RT_MAX_PREFIXES - 1 && w->prefixes[at] != prefix)
@@ -152,7 +154,7 @@
 {
   unsigned n = 0;
   for (unsigned i = 0; i < RT_MAX_GRANT_TIMES; i++)
-    n += w->times[i] && (double)(s->now - w->times[i]) < s->first_ms;
+    n += w->times[i] && (double)(s->now - w->times[i]) < s->first_byte_ms;
   return n;
 }
 
@@ -164,12 +166,12 @@
  * unknown: counting it would block grants until the next reports.
  */
 static double
-unknown_load (const struct slt *s, const struct rt_server *server)
+unreported_load (const struct slt *s, const struct rt_server *server)
 {
   if (server->load_at <= s->grants_from
-      || server->others_requests <= OTHERS_LEAST)
+      || server->others_requests <= REPORT_ERROR_REQUESTS)
     return 0;
-  return server->others_requests - OTHERS_LEAST;
+  return server->others_requests - REPORT_ERROR_REQUESTS;
 }
 
 /**
@@ -179,8 +181,8 @@
  * recovered.
  */
 static bool
-is_in (const struct slt *s, const struct rt_server *server,
-       const struct rt_req *q)
+is_eligible (const struct slt *s, const struct rt_server *server,
+             const struct rt_req *q)
 {
   return server->ejected_until == 0
          || (q->idempotent && rt_outlier_probe_due (s->core, server));
@@ -202,39 +204,40 @@
     {
       /* Rotate the start, or the first of equal servers would get all
          requests. */
-      struct rt_server *server = t->servers[(i + s->turn) % t->nservers];
-      double load = server->in_flight + unknown_load (s, server);
+      struct rt_server *server
+          = t->servers[(i + s->start_offset) % t->nservers];
+      double load = server->in_flight + unreported_load (s, server);
       if (!rt_usable (s->core, server) || load > server->capacity - 1
-          || !is_in (s, server, q))
+          || !is_eligible (s, server, q))
         continue;
-      const struct rt_grant_history *w = warm_of (server);
-      double score = pending (s, w) + BUSY_COST * load / server->capacity;
+      const struct rt_grant_history *w = grants_of (server);
+      double score = pending (s, w) + LOAD_SCORE * load / server->capacity;
       if (q->prefix && (!best || score < least))
-        score += !is_warm (w, q->prefix);
+        score += !has_prefix (w, q->prefix);
       if (best && score >= least)
         continue;
       best = server;
       least = score;
     }
-  s->turn += 7;
+  s->start_offset += 7;
   return best;
 }
 
 static void
 grant (struct slt *s, struct entry *e, struct rt_server *server)
 {
-  struct rt_grant_history *w = warm_of (server);
+  struct rt_grant_history *w = grants_of (server);
   if (server->ejected_until)
     server->probing = e->q.probe = true;
   w->times[w->next++ % RT_MAX_GRANT_TIMES] = s->now;
   if (e->q.prefix)
-    touch (w, e->q.prefix);
-  hold (s, e, server);
-  act (s, RT_SLOT_GRANTED, e)->replica = str_from (server->name);
+    move_prefix_to_front (w, e->q.prefix);
+  assign_server (s, e, server);
+  push_action (s, RT_SLOT_GRANTED, e)->replica = str_from (server->name);
 }
 
 static void
-pump (struct slt *s)
+grant_queued (struct slt *s)
 {
   struct rt_req *q;
   if (s->now < s->grants_from)
@@ -260,7 +263,7 @@
 /** Whether the request would miss its deadline at the recent processing
     rate. */
 static bool
-too_late (const struct slt *s, const struct entry *e, double weight)
+misses_deadline (const struct slt *s, const struct entry *e, double weight)
 {
   const struct rt_target *t = s->target;
   if (!e->q.deadline)
@@ -283,7 +286,7 @@
 
 /** Refuse the queue's victim, which may be the new request itself. */
 static void
-shed (struct slt *s)
+refuse_excess (struct slt *s)
 {
   while (queue_overfull (s))
     refuse (s, (struct entry *)rt_queue_victim (&s->queue), RT_CODE_QUEUE_FULL,
@@ -293,7 +296,7 @@
 static void
 on_ask (struct slt *s, const struct slt_event *ev)
 {
-  if (*place_of (s, ev->gateway, ev->id))
+  if (*find_entry (s, ev->gateway, ev->id))
     return; /* already added by the gateway's list */
   const struct cfg_account *a = account_config (s, ev->account);
   double weight = a && a->weight > 0 ? a->weight : 1;
@@ -304,22 +307,22 @@
   e->q.deadline = ev->deadline;
   e->q.prefix = ev->prefix;
   e->q.idempotent = ev->idempotent;
-  if (too_late (s, e, weight))
+  if (misses_deadline (s, e, weight))
     {
       refuse (s, e, RT_CODE_DEADLINE, RETRY_MS);
       return;
     }
   rt_queue_push (&s->queue, &e->q, weight, false);
-  pump (s);
+  grant_queued (s);
   if (e->q.waiting)
     {
-      act (s, RT_SLOT_QUEUED, e);
-      shed (s);
+      push_action (s, RT_SLOT_QUEUED, e);
+      refuse_excess (s);
     }
 }
 
 static struct rt_server *
-server_named (const struct slt *s, struct str name)
+find_server (const struct slt *s, struct str name)
 {
   uint64_t hash = str_hash (name, 0);
   for (size_t i = 0; i < s->target->nservers; i++)
@@ -330,32 +333,33 @@
 
 /** The gateway uses that replica, whatever this home assigned. */
 static void
-on_held (struct slt *s, const struct slt_event *ev, const struct rt_slot *o)
+on_slot_report (struct slt *s, const struct slt_event *ev,
+                const struct rt_slot *o)
 {
-  struct entry **at = place_of (s, ev->gateway, o->id);
-  struct rt_server *server = server_named (s, o->replica);
+  struct entry **at = find_entry (s, ev->gateway, o->id);
+  struct rt_server *server = find_server (s, o->replica);
   if (*at && (*at)->q.server == server)
     {
-      (*at)->told = s->now;
+      (*at)->reported_at = s->now;
       return;
     }
   if (*at)
-    drop (s, at);
+    entry_free (s, at);
   if (server)
-    hold (s, entry_new (s, ev, o->id, o->cost), server);
+    assign_server (s, entry_new (s, ev, o->id, o->cost), server);
 }
 
 static void
-on_open (struct slt *s, const struct slt_event *ev)
+on_slot_list (struct slt *s, const struct slt_event *ev)
 {
   for (size_t i = 0; i < ev->n; i++)
-    on_held (s, ev, &ev->open[i]);
+    on_slot_report (s, ev, &ev->open[i]);
 }
 
 static void
 average (double *mean, double value)
 {
-  *mean += (*mean > 0 ? SMOOTH : 1) * (value - *mean);
+  *mean += (*mean > 0 ? AVERAGE_WEIGHT : 1) * (value - *mean);
 }
 
 /**
@@ -364,7 +368,8 @@
  * nairobi with a straggler).
  */
 static void
-judge (struct slt *s, struct rt_server *server, const struct slt_event *ev)
+record_result (struct slt *s, struct rt_server *server,
+               const struct slt_event *ev)
 {
   if (ev->failed)
     rt_outlier_failure (s->core, s->target, server);
@@ -380,26 +385,26 @@
 static void
 on_done (struct slt *s, const struct slt_event *ev)
 {
-  struct entry **at = place_of (s, ev->gateway, ev->id);
+  struct entry **at = find_entry (s, ev->gateway, ev->id);
   if (!*at)
     return;
   if ((*at)->q.server)
-    judge (s, (*at)->q.server, ev);
+    record_result (s, (*at)->q.server, ev);
   if (ev->first_ms > 0)
     {
       const struct rt_req *q = &(*at)->q;
-      s->first_ms += SMOOTH * (ev->first_ms - s->first_ms);
+      s->first_byte_ms += AVERAGE_WEIGHT * (ev->first_ms - s->first_byte_ms);
       average (&s->target->mean_cost, q->cost);
       average (&s->target->ms_per_token,
                (double)(s->now - q->started_at) / q->cost);
     }
-  drop (s, at);
+  entry_free (s, at);
 }
 
 static bool
 is_stale (const struct slt *s, const struct entry *e)
 {
-  return e->q.server && s->now - e->told > SLT_SLOT_TIMEOUT_MS;
+  return e->q.server && s->now - e->reported_at > SLT_SLOT_TIMEOUT_MS;
 }
 
 /**
@@ -408,13 +413,13 @@
  * slot after another permanently.
  */
 static void
-sweep (struct slt *s)
+free_stale_slots (struct slt *s)
 {
-  s->swept = s->now;
+  s->stale_checked_at = s->now;
   for (size_t i = 0; i < TABLE_SIZE; i++)
     for (struct entry **at = &s->table[i]; *at;)
       if (is_stale (s, *at))
-        drop (s, at);
+        entry_free (s, at);
       else
         at = &(*at)->chain;
 }
@@ -427,13 +432,14 @@
   for (size_t i = 0; i < TABLE_SIZE; i++)
     for (struct entry **at = &s->table[i]; *at;)
       if ((*at)->gateway == gateway && (*at)->q.waiting)
-        drop (s, at);
+        entry_free (s, at);
       else
         at = &(*at)->chain;
 }
 
 static void
-forward (struct slt *s, enum rt_event_kind kind, const struct slt_event *ev)
+forward_to_core (struct slt *s, enum rt_event_kind kind,
+                 const struct slt_event *ev)
 {
   struct rt_event in
       = { .kind = kind, .cfg = ev->cfg, .replicas = ev->replicas, .n = ev->n };
@@ -448,26 +454,27 @@
   switch (ev->kind)
     {
     case SLT_EV_TICK:
-      if (s->now - s->swept >= SWEEP_MS)
-        sweep (s);
+      if (s->now - s->stale_checked_at >= STALE_CHECK_MS)
+        free_stale_slots (s);
       break;
     case SLT_EV_CONFIG:
-      forward (s, RT_EV_CONFIG, ev);
+      forward_to_core (s, RT_EV_CONFIG, ev);
       break;
     case SLT_EV_REPLICAS:
-      forward (s, RT_EV_REPLICAS, ev);
+      forward_to_core (s, RT_EV_REPLICAS, ev);
       break;
     case SLT_EV_ASK:
       on_ask (s, ev);
       return;
     case SLT_EV_TAKEN:
-      on_held (s, ev, &(struct rt_slot){ ev->id, ev->replica, ev->cost });
+      on_slot_report (s, ev,
+                      &(struct rt_slot){ ev->id, ev->replica, ev->cost });
       return;
     case SLT_EV_DONE:
       on_done (s, ev);
       break;
     case SLT_EV_OPEN:
-      on_open (s, ev);
+      on_slot_list (s, ev);
       break;
     case SLT_EV_GONE:
       drop_waiting (s, ev->gateway);
@@ -476,7 +483,7 @@
       s->nodes = ev->n ? ev->n : 1;
       return;
     }
-  pump (s);
+  grant_queued (s);
 }
 
 bool
@@ -494,7 +501,8 @@
 clk_ms
 slt_wake (const struct slt *s)
 {
-  return s->now < s->grants_from ? s->grants_from : s->swept + SWEEP_MS;
+  return s->now < s->grants_from ? s->grants_from
+                                 : s->stale_checked_at + STALE_CHECK_MS;
 }
 
 size_t
@@ -510,9 +518,9 @@
   struct rt_options opt = { .zone = STR (""), .node = STR (""), .nodes = 1 };
   s->core = rt_new (&opt, 1);
   s->target = rt_target (s->core, model, true);
-  s->now = s->core->now = s->swept = now;
+  s->now = s->core->now = s->stale_checked_at = now;
   s->grants_from = now + SLT_START_DELAY_MS;
-  s->first_ms = FIRST_MS;
+  s->first_byte_ms = DEFAULT_FIRST_BYTE_MS;
   s->nodes = 1;
   return s;
 }
@@ -522,7 +530,7 @@
 {
   for (size_t i = 0; i < TABLE_SIZE; i++)
     while (s->table[i])
-      drop (s, &s->table[i]);
+      entry_free (s, &s->table[i]);
   rt_queue_clear (&s->queue);
   rt_free (s->core);
   free (s->actions);
