--- a/route/admit.c
+++ b/route/admit.c
@@ -1,11 +1,12 @@
 #include "route/core.h"
 
-#define MEASUREMENT_VALID_MS 5000 /* validity of a measured processing time   \
-                                   */
+#define MEASUREMENT_VALID_MS                                                  \
+  5000 /* validity of a measured processing time                              \
+        */
 #define RETRY_MIN_MS 100
 #define RETRY_MAX_MS 10000
-#define AVERAGE_WEIGHT                                                        \
-  0.05 /* weight of the newest sample in moving averages */
+/* Weight of the newest sample in moving averages. */
+#define AVERAGE_WEIGHT 0.05
 
 clk_ms
 rt_clamp_retry (double ms)
--- a/route/attempt.c
+++ b/route/attempt.c
@@ -1,7 +1,7 @@
 #include "route/core.h"
 
-#define AVERAGE_WEIGHT                                                        \
-  0.05 /* weight of the newest sample in moving averages */
+/* Weight of the newest sample in moving averages. */
+#define AVERAGE_WEIGHT 0.05
 
 static void
 mark_tried (struct rt_req *q)
@@ -177,8 +177,8 @@
   q->forwarding = true;
   rt_push_action (r, RT_ACT_PASS, q);
   rt_clear_pending (q);
-  q->first_ms = r->now - q->started_at;
-  rt_outlier_first_byte (r, q->target, q->server, q->first_ms);
+  q->first_byte_ms = r->now - q->started_at;
+  rt_outlier_first_byte (r, q->target, q->server, q->first_byte_ms);
   q->probe = false;
 }
 
--- a/route/choose.c
+++ b/route/choose.c
@@ -5,12 +5,12 @@
 
 /* The constants below were tuned with `lapisline bench route`;
    docs/DESIGN.md lists the alternatives. */
-#define DISPATCH_LOAD                                                         \
-  1.15 /* of the total capacity; more requests wait at the gateway */
-#define MIN_OWN_PART                                                          \
-  0.05 /* share of all requests above which full servers are skipped */
-#define DISPATCH_TAKEN                                                        \
-  0.98 /* occupied part of all slots above which requests wait */
+/* Of the total capacity; more requests wait at the gateway. */
+#define DISPATCH_LOAD 1.15
+/* Share of all requests above which full servers are skipped. */
+#define MIN_OWN_PART 0.05
+/* Occupied part of all slots above which requests wait. */
+#define DISPATCH_TAKEN 0.98
 /* Bonus of a server that has the prefix cached, as part of its slots on
    top of the mean number of this gateway's requests. */
 #define PREFIX_FACTOR 2.5 /* times the part of slots that is free */
--- a/route/core.h
+++ b/route/core.h
@@ -137,13 +137,13 @@
   uint32_t in_flight;
   uint32_t pending; /**< of these, sent without a first byte yet */
   double own_tokens;
-  double others_requests; /**< requests of other gateways at load_at */
+  double others; /**< requests of other gateways at load_at */
   clk_ms load_at;
   struct rt_history history;
   struct rt_candidate *candidate; /**< its entry in the target's view */
   /* Outlier detection. */
   uint64_t done, failed;
-  unsigned consecutive_failures; /**< consecutive failures */
+  unsigned consecutive_failures;
   double first_byte_ms; /**< moving average of the time to the first byte */
   unsigned first_byte_samples;
   clk_ms ejected_until; /**< 0: not ejected */
@@ -239,7 +239,7 @@
   clk_ms median_at;
   bool has_home;          /**< the model's home is reachable */
   unsigned slot_timeouts; /**< consecutive slot requests that timed out */
-  clk_ms slot_asks_paused_until; /**< no slot requests are sent until then */
+  clk_ms slot_asks_paused_until;
   double retry_budget;
   clk_ms retry_at;
 };
@@ -261,13 +261,13 @@
   uint64_t prefix;
   clk_ms arrived_at;
   clk_ms queued_at;
-  clk_ms deadline;   /**< 0: none */
-  clk_ms started_at; /**< RT_ACT_SEND of the current attempt */
-  clk_ms granted_at; /**< time of the claim's grant */
-  clk_ms first_ms;   /**< to the first byte of the current attempt */
+  clk_ms deadline;      /**< 0: none */
+  clk_ms started_at;    /**< RT_ACT_SEND of the current attempt */
+  clk_ms granted_at;    /**< time of the claim's grant */
+  clk_ms first_byte_ms; /**< to the first byte of the current attempt */
   clk_ms timer_due;
-  size_t heap_index;      /**< index in the heap */
-  size_t forwarded_bytes; /**< bytes forwarded to the client */
+  size_t heap_index;
+  size_t forwarded_bytes;
   uint64_t tried[RT_MAX_TRIED];
   unsigned attempt;
   enum rt_state state;
@@ -278,12 +278,12 @@
   bool claimed; /**< the claim was requested, perhaps granted */
   bool sent;    /**< some attempt got RT_ACT_SEND */
   bool forwarding;
-  bool charged;        /**< counted against the account's rate limit */
-  bool waiting;        /**< in the target's queue */
-  bool pending;        /**< counted in rt_server.pending */
-  bool probe;          /**< it is the probe of an ejected server */
-  bool has_slot;       /**< reported to the model's home */
-  bool queued_at_home; /**< queued at the model's home */
+  bool charged;  /**< counted against the account's rate limit */
+  bool waiting;  /**< in the target's queue */
+  bool pending;  /**< counted in rt_server.pending */
+  bool probe;    /**< it is the probe of an ejected server */
+  bool has_slot; /**< reported to the model's home */
+  bool queued_at_home;
   bool complete;       /**< the response is complete */
   bool attempt_failed; /**< the attempt or its connection failed */
   int status;
--- a/route/load.c
+++ b/route/load.c
@@ -4,20 +4,19 @@
 #include "route/core.h"
 
 #define REFRESH_MS 200 /* refresh interval of the load estimates */
-#define DEFAULT_SERVICE_MS                                                    \
-  3000.0 /* assumed service time before the first measurement */
+/* Assumed service time before the first measurement. */
+#define DEFAULT_SERVICE_MS 3000.0
 #define DEFAULT_COST 1000.0 /* assumed cost before the first request */
-#define DECAY_FACTOR                                                          \
-  0.3 /* time constant of the reports' decay, in service times */
+/* Time constant of the reports' decay, in service times. */
+#define DECAY_FACTOR 0.3
 #define MIN_REPORT_AGE_MS 250 /* minimum age of a report in the weights */
 #define MIN_WEIGHT 0.02 /* weight of a server loaded far above the mean */
-#define OTHER_ZONE_WEIGHT                                                     \
-  0.1 /* weight of a server in another zone without a load report             \
-       */
-#define TREND_REQUESTS                                                        \
-  60 /* requests below which the local trend counts less than half */
-#define FULL_FACTOR                                                           \
-  1.1 /* part of its capacity from which a server gets no requests */
+/* Weight of a server in another zone without a load report. */
+#define OTHER_ZONE_WEIGHT 0.1
+/* Requests below which the local trend counts less than half. */
+#define TREND_REQUESTS 60
+/* Part of its capacity from which a server gets no requests. */
+#define FULL_FACTOR 1.1
 
 /** Fill the samples since the last update with the current load. */
 static void
@@ -84,7 +83,7 @@
   history_advance (s, r->now);
   double mean = t->mean_cost > 0 ? t->mean_cost : DEFAULT_COST;
   double others = (double)load - history_at (s, at);
-  s->others_requests = others > 0 ? others / mean : 0;
+  s->others = others > 0 ? others / mean : 0;
   s->load_at = at;
   t->view.current = false;
 }
@@ -105,7 +104,7 @@
   for (size_t i = 0; i < t->nservers; i++)
     if (t->servers[i]->load_at != 0 && rt_usable (r, t->servers[i]))
       {
-        sum += t->servers[i]->others_requests;
+        sum += t->servers[i]->others;
         n++;
       }
   return n ? sum / (double)n : 0;
@@ -163,7 +162,7 @@
   if (s->load_at == 0 || t->mean_others <= 0)
     return s->same_zone ? 1 : OTHER_ZONE_WEIGHT;
   double preferred = preference (t, (double)(r->now - s->load_at));
-  double w = 1 + preferred * (1 - s->others_requests / t->mean_others);
+  double w = 1 + preferred * (1 - s->others / t->mean_others);
   return w > MIN_WEIGHT ? w : MIN_WEIGHT;
 }
 
@@ -172,7 +171,7 @@
 slots_of_others (const struct rt_server *s)
 {
   double left = s->capacity - s->in_flight;
-  return s->others_requests < left ? s->others_requests : left > 0 ? left : 0;
+  return s->others < left ? s->others : left > 0 ? left : 0;
 }
 
 static void
@@ -221,8 +220,7 @@
       double w = report_weight (&report_decay, r->now, s->load_at);
       s->candidate = NULL;
       if (rt_usable (r, s) && !s->ejected_until)
-        add_candidate (r, t, s,
-                       w * s->others_requests + (1 - w) * t->mean_others);
+        add_candidate (r, t, s, w * s->others + (1 - w) * t->mean_others);
       else
         t->view.outside_requests += s->in_flight;
       t->view.ejected += s->ejected_until != 0;
--- a/route/outlier.c
+++ b/route/outlier.c
@@ -4,9 +4,8 @@
 
 #define MAX_CONSECUTIVE_FAILURES 3 /* consecutive failures before ejection */
 #define SLOW_FACTOR 3.0 /* multiple of the peers' median before ejection */
-#define SLOW_MIN_MS                                                           \
-  100 /* minimum distance from the median, against noise                      \
-       */
+/* Minimum distance from the median, against noise. */
+#define SLOW_MIN_MS 100
 #define SLOW_SAMPLES 8
 #define AVERAGE_WEIGHT 0.1 /* weight of the newest sample */
 #define MEDIAN_REFRESH_MS 250
--- a/route/retry.c
+++ b/route/retry.c
@@ -1,9 +1,8 @@
 #include "route/core.h"
 
 #define CREDIT_PER_SUCCESS 0.1
-#define CREDIT_PER_MS                                                         \
-  0.0005 /* allows retries on a target with few requests                      \
-          */
+/* Allows retries on a target with few requests. */
+#define CREDIT_PER_MS 0.0005
 #define BUDGET_START 5.0
 #define BUDGET_MAX 20.0
 #define BACKOFF_MIN_MS 25
--- a/route/slot.c
+++ b/route/slot.c
@@ -2,9 +2,9 @@
 
 #include "route/core.h"
 
-#define MAX_SLOT_TIMEOUTS                                                     \
-  3 /* consecutive timeouts after which the home is not asked */
-#define ASKS_PAUSE_MS 2000 /* for this time */
+/* Consecutive timeouts after which the home is not asked. */
+#define MAX_SLOT_TIMEOUTS 3
+#define ASKS_PAUSE_MS 2000 /* pause of slot requests after these */
 
 static struct rt_action *
 push_action (struct rt *r, enum rt_action_kind kind, const struct rt_req *q)
@@ -176,7 +176,7 @@
     return;
   q->has_slot = false;
   struct rt_action *a = push_action (r, RT_ACT_SLOT_DONE, q);
-  a->slot.first_ms = q->complete ? q->first_ms : 0;
+  a->slot.first_ms = q->complete ? q->first_byte_ms : 0;
   a->slot.failed = q->attempt_failed;
   q->attempt_failed = false;
 }
--- a/route/slots.c
+++ b/route/slots.c
@@ -7,12 +7,12 @@
 
 #define TABLE_SIZE 4096    /* hash buckets */
 #define STALE_CHECK_MS 500 /* interval of the search for stale slots */
-#define AVERAGE_WEIGHT                                                        \
-  0.05 /* weight of the newest sample in moving averages */
-#define DEFAULT_FIRST_BYTE_MS                                                 \
-  150.0 /* assumed time to the first byte before the first sample */
-#define REPORT_ERROR_REQUESTS                                                 \
-  4                    /* reported requests within the error of the report */
+/* Weight of the newest sample in moving averages. */
+#define AVERAGE_WEIGHT 0.05
+/* Assumed time to the first byte before the first sample. */
+#define DEFAULT_FIRST_BYTE_MS 150.0
+/* Reported requests within the error of the report. */
+#define REPORT_ERROR_REQUESTS 4
 #define LOAD_SCORE 0.2 /* score of a full server relative to an idle one */
 #define RETRY_MS 1000
 
@@ -169,9 +169,9 @@
 unreported_load (const struct slt *s, const struct rt_server *server)
 {
   if (server->load_at <= s->grants_from
-      || server->others_requests <= REPORT_ERROR_REQUESTS)
+      || server->others <= REPORT_ERROR_REQUESTS)
     return 0;
-  return server->others_requests - REPORT_ERROR_REQUESTS;
+  return server->others - REPORT_ERROR_REQUESTS;
 }
 
 /**
