--- a/route/admit.c
+++ b/route/admit.c
@@ -1,8 +1,6 @@
 #include "route/core.h"
 
-#define MEASUREMENT_VALID_MS                                                  \
-  5000 /* validity of a measured processing time                              \
-        */
+#define MEASUREMENT_VALID_MS 5000 /* of a processing time */
 #define RETRY_MIN_MS 100
 #define RETRY_MAX_MS 10000
 /* Weight of the newest sample in moving averages. */
--- a/route/attempt.c
+++ b/route/attempt.c
@@ -92,9 +92,9 @@
   rt_push_action (r, RT_ACT_CANCEL, q);
   mark_tried (q);
   bool first = q->state == RT_S_SENDING;
+  /* The request did not run, so its claim may be released. */
   if (first)
-    q->sent
-        = false; /* so that the claim is released: the request did not run */
+    q->sent = false;
   bool retry = q->idempotent && may_retry (r, q);
   clk_ms delay = rt_retry_backoff (r, q->attempt);
   rt_detach_server (r, q);
--- a/route/choose.c
+++ b/route/choose.c
@@ -45,12 +45,12 @@
 
 /**
  * When all slots are taken, requests wait at the gateway, whose queue honors
- * priority classes and fair shares; the servers know neither. Both conditions
- * must hold. There must be more requests than slots, since requests that wait
- * at one server while another is free are no reason to hold back more. And
- * hardly any slot may be free. A gateway may always use its even part:
- * otherwise the gateways that hold the slots would keep them for good, as they
- * learn first of each freed slot.
+ * priority classes and fair shares; the servers know neither. Requests are
+ * held back only if both conditions hold: there are more requests than slots
+ * (requests that wait at one server while another is free are no reason to
+ * hold back more), and hardly any slot is free. A gateway may always use its
+ * even part: otherwise the gateways that hold the slots would keep them for
+ * good, as they learn first of each freed slot.
  */
 static bool
 may_dispatch (const struct rt *r, const struct rt_target *t, double others,
--- a/route/outlier.c
+++ b/route/outlier.c
@@ -2,7 +2,7 @@
 
 #include "route/core.h"
 
-#define MAX_CONSECUTIVE_FAILURES 3 /* consecutive failures before ejection */
+#define MAX_CONSECUTIVE_FAILURES 3 /* before ejection */
 #define SLOW_FACTOR 3.0 /* multiple of the peers' median before ejection */
 /* Minimum distance from the median, against noise. */
 #define SLOW_MIN_MS 100
--- a/route/request.c
+++ b/route/request.c
@@ -129,7 +129,7 @@
  * End the claim of a request that is given up. If the request was not sent,
  * the claim is released, also while the verdict is pending: a later grant
  * would block the client's next try. If it was sent, the outcome will never be
- * known, and the claim's home must be told: otherwise it would report for
+ * known, and the claim's home must be notified: otherwise it would report for
  * minutes to repeated requests that the request is still running.
  */
 static void
--- a/t/lib-route.h
+++ b/t/lib-route.h
@@ -1,34 +1,35 @@
 /**
  * @file
- * Scripts for the request core: lines "TIME VERB ARGS..." in, the actions of
- * each line out as text.
+ * Script interpreter for the request core. Input lines are "TIME VERB
+ * ARGS..."; the log contains the actions of each line as text.
  *
- *   replicas NAME[/FLAG]...   the whole list; flags: broken draining far
- *                             (other zone) gen2 until=MS (evidence) n=LOAD
+ *   replicas NAME[/FLAG]...   the complete list; flags: broken draining far
+ *                             (other zone) gen2 until=MS (validity) n=LOAD
  *   arrive ID ACCOUNT TARGET [once] [key] [prio=N] [by=TIME] [cost=N]
- *                            [prefix=N]
+ *                            [prefix=N]; once: not idempotent
  *   claim ID VERDICT          granted running answered unknown mismatch
  *                             unavailable
  *   open|fail|broken|silent|whole ID/ATTEMPT
  *   head ID/ATTEMPT STATUS    body ID/ATTEMPT SIZE
  *   gone ID    tick    leaving    down NAME    up NAME
- *   home on|off              the home of model "lm" can be asked for slots
+ *   home on|off               whether the home of model "lm" is reachable
  *   slot ID granted NAME | slot ID queued | slot ID refused
- *   serve COUNT STEP_MS       so many times: time goes on, the attempt that
- *                             connected first is opened and answered whole;
- *                             only the ids that connect next are logged
- *   pace NAME MS              serve takes so long with that server
+ *   serve COUNT STEP_MS       COUNT times: advance the time and complete the
+ *                             oldest connected attempt; only the ids that
+ *                             connect next are logged
+ *   pace NAME MS              `serve` takes MS on that server
  *   break COUNT STEP_MS       like serve, but each attempt breaks once sent
  *   share ACCOUNT TOKENS_PER_S CONCURRENCY VALID_MS
  *
- * A verb with "*" repeats for many: "arrive* FIRST-LAST ACCOUNT TARGET ...".
+ * A verb with "*" is repeated for a range of ids: "arrive* FIRST-LAST ACCOUNT
+ * TARGET ...".
  */
 #ifndef LAPISLINE_T_LIB_ROUTE_H
 #define LAPISLINE_T_LIB_ROUTE_H
 
 #include "route/route.h"
 
-/** Member of an account that the configuration requires. */
+/** The configuration requires at least one key digest. */
 #define KEY_DIGESTS                                                           \
   "\"key_digests\":["                                                         \
   "\"0123456789abcdef0123456789abcdef0123456789abcdef0123456789abcdef\"]"
@@ -39,16 +40,16 @@
   struct cfg *cfg;
   clk_ms now;
   struct buf log;
-  bool brief;            /**< log only ids of connects, and answers */
-  uint64_t running[256]; /**< ids by the order of their connects */
+  bool brief;            /**< log only ids of connects and error responses */
+  uint64_t running[256]; /**< ids in the order of their connects */
   unsigned attempts[256];
-  char servers[256][16]; /**< where they run */
+  char servers[256][16]; /**< servers of these */
   size_t nrunning;
-  char slow[16]; /**< server with a pace of its own */
+  char slow[16]; /**< server with a different service time */
   clk_ms slow_ms;
 };
 
-/** A core in zone "a" with the configuration given as JSON. */
+/** Create a core in zone "a" with the configuration given as JSON. */
 struct script script_new (const char *config, unsigned nodes);
 void script_free (struct script *s);
 void script_run (struct script *s, const char *text);
--- a/t/t5001-life.c
+++ b/t/t5001-life.c
@@ -2,8 +2,8 @@
 
 #include "lib-route.h"
 
-/* One model of three replicas and one plain service of two backend servers;
-   the life of single requests. */
+/* Life cycle of single requests, with one model of three replicas and
+   one plain service of two backend servers. */
 
 #define CONFIG                                                                \
   "{\"domains\":{\"d\":{\"zone\":\"a\",\"vms\":{"                             \
@@ -52,9 +52,8 @@
 
 Test (life, once_is_sent_once)
 {
-  /* A booking is passed to a backend server that takes it and then goes
-     silent or breaks.  Sent again it could book twice, so the caller hears
-     at once that nobody knows. */
+  /* A non-idempotent request is sent, then the attempt times out or
+     breaks. A retry could execute it twice, so the outcome is `unknown`. */
   check ("1 arrive 1 acme api once\n"
          "2 open 1/1\n"
          "3 silent 1/1\n"
@@ -81,9 +80,9 @@
 
 Test (life, once_may_try_another_server_unsent)
 {
-  /* The first backend server refuses the connection.  Nothing was handed
-     to the kernel, so another may get the booking; when none can be
-     reached, the caller hears that it was not run. */
+  /* The first backend server refuses the connection. Nothing was sent,
+     so another server is tried even for a non-idempotent request; if
+     none can be reached, the outcome is `not-run`. */
   check ("1 arrive 1 acme api once\n"
          "2 fail 1/1\n"
          "3 open 1/2\n"
@@ -104,8 +103,9 @@
 
 Test (life, once_refused_is_not_run)
 {
-  /* The backend server answers with the status that it gives only when it
-     did not run the request.  One attempt is all a booking gets. */
+  /* The backend server responds with the status that means "not
+     executed". A non-idempotent request gets no second attempt after
+     this. */
   check ("1 arrive 1 acme api once\n"
          "2 open 1/1\n"
          "3 head 1/1 503\n",
@@ -116,8 +116,8 @@
 
 Test (life, claim_comes_before_connect)
 {
-  /* A booking with a key: the claim must be recorded before anything can
-     run, and an ended booking keeps its answer for repeats. */
+  /* A request with a key is connected only after its claim was granted,
+     and its complete response is stored with the claim. */
   check ("1 arrive 1 acme api once key\n"
          "2 claim 1 granted\n"
          "3 open 1/1\n"
@@ -134,8 +134,8 @@
 
 Test (life, claim_verdicts)
 {
-  /* A repeat of a key gets the kept answer, or that the first one runs or
-     ran; no repeat is sent.  With the store down nothing is sent either. */
+  /* A request with a known key gets the stored response or an error, and
+     is not sent. Without the store, nothing is sent either. */
   check ("1 arrive 1 acme api once key\n"
          "2 claim 1 answered\n"
          "3 arrive 2 acme api once key\n"
@@ -164,9 +164,8 @@
 
 Test (life, claim_is_released_when_not_run)
 {
-  /* No backend server can be reached, or the one that was refused without
-     running: a claim that stayed would make the caller's next try
-     'unknown' although nothing ran. */
+  /* The claim is released when the request was not executed; otherwise
+     the client's next try would get `key-unknown`. */
   check ("1 arrive 1 acme api once key\n"
          "2 claim 1 granted\n"
          "3 fail 1/1\n"
@@ -192,10 +191,10 @@
 
 Test (life, claim_stays_when_it_may_have_run)
 {
-  /* The answer of a keyed booking is lost, or comes in part.  The claim must
-     stay, so that a repeat hears 'unknown' and does not run; and its home
-     must be told that no answer will come, or the repeat hears for minutes
-     that the booking still runs.  The part is not kept as an answer. */
+  /* The response to a request with a key is lost or incomplete. The
+     claim is kept, so that a repeat is not executed. The claim's home is
+     notified that no response will follow; otherwise repeats would get
+     `key-running` for minutes. The partial response is not stored. */
   check ("1 arrive 1 acme api once key\n"
          "2 claim 1 granted\n"
          "3 open 1/1\n"
@@ -222,9 +221,9 @@
 
 Test (life, old_grant_is_not_used)
 {
-  /* The connection takes longer than a grant holds.  Its home may have
-     given the key to a repeat meanwhile, so the claim is asked for again
-     before the request is sent. */
+  /* Connecting takes longer than a grant is valid. The home may have
+     granted the key to a repeat meanwhile, so the claim is requested
+     again before the request is sent. */
   check ("1 arrive 1 acme api once key\n"
          "2 claim 1 granted\n"
          "6000 open 1/1\n"
@@ -245,8 +244,9 @@
 
 Test (life, idempotent_moves_on)
 {
-  /* A listing is lost before a byte was passed: it is asked for elsewhere.
-     The answer of the first attempt comes late and reaches nobody. */
+  /* An attempt of an idempotent request fails before any byte was
+     forwarded, and another server is tried. Late events of the first
+     attempt are ignored. */
   check ("1 arrive 1 acme api\n"
          "2 open 1/1\n"
          "3 silent 1/1\n"
@@ -273,9 +273,9 @@
 
 Test (life, refused_listing_moves_on)
 {
-  /* A backend server refuses a listing without running it, then the other
-     one too: not run.  When one of them may have run it, the outcome must
-     not be not-run. */
+  /* Both backend servers refuse an idempotent request without executing
+     it: `not-run`. If an earlier attempt may have run, the outcome is
+     `failed`. */
   check ("1 arrive 1 acme api\n"
          "2 open 1/1\n"
          "3 head 1/1 503\n"
@@ -304,8 +304,9 @@
 
 Test (life, stream_resumes)
 {
-  /* A replica dies in the middle of a stream.  Another goes on from the
-     bytes that the caller has; an error in place of the rest cuts. */
+  /* A replica fails in the middle of a stream. Another one resumes at
+     the number of forwarded bytes; an error response instead of the rest
+     aborts the stream. */
   check ("0 replicas r1 r2 r3\n"
          "1 arrive 1 acme lm\n"
          "2 open 1/1\n"
@@ -340,8 +341,9 @@
 
 Test (life, cut_is_visible)
 {
-  /* A plain service's answer breaks after bytes were passed.  It can't be
-     resumed: the caller must see that it is not whole. */
+  /* A plain service's response breaks after bytes were forwarded. It
+     can't be resumed, so the client must be able to detect the
+     truncation. */
   check ("1 arrive 1 acme api\n"
          "2 open 1/1\n"
          "3 head 1/1 200\n"
@@ -356,9 +358,8 @@
 
 Test (life, deadline)
 {
-  /* A deadline passes while a request connects, waits for the head, and
-     streams.  Each is answered at once; only the first surely did not
-     run. */
+  /* The deadline passes while requests connect, wait for the head and
+     stream. Each is ended at once; only the first one is `not-run`. */
   check ("1 arrive 1 acme api by=100\n"
          "1 arrive 2 acme api by=100\n"
          "2 open 2/1\n"
@@ -384,7 +385,8 @@
 
 Test (life, caller_gone)
 {
-  /* The caller leaves: its attempt ends, and what comes late is ignored. */
+  /* The client disconnects: the attempt is canceled, and late events are
+     ignored. */
   check ("1 arrive 1 acme api\n"
          "2 open 1/1\n"
          "3 gone 1\n"
@@ -399,7 +401,8 @@
 
 Test (life, leaving)
 {
-  /* A leaving node refuses what arrives, and goes on with the rest. */
+  /* A node that shuts down refuses new requests and completes the
+     others. */
   check ("1 arrive 1 acme api\n"
          "1 arrive 2 acme api\n"
          "1 arrive 3 acme api\n"
@@ -432,9 +435,9 @@
 
 Test (life, only_whole_replicas)
 {
-  /* A replica that misses a VM, is draining, or whose evidence has run out
-     gets no new work.  With no other, the caller hears at once; work that
-     it has goes on. */
+  /* A replica that lacks a VM, is draining or has an expired status gets
+     no new requests; those in flight continue. Without any other
+     replica, new requests are refused at once. */
   check ("0 replicas r1/broken r2/draining r3/until=0\n"
          "1 arrive 1 acme lm\n"
          "2 replicas r1 r2/draining r3/until=0\n"
@@ -469,7 +472,8 @@
 
 Test (life, not_admitted)
 {
-  /* Bad names and accounts are told so. */
+  /* Unknown targets, unknown accounts and targets in mode observe are
+     refused with their own codes. */
   check ("0 replicas r1\n"
          "1 arrive 1 acme nothing\n"
          "2 arrive 2 nobody lm\n"
@@ -482,8 +486,8 @@
 
 Test (life, no_head_of_line_blocking)
 {
-  /* Every slot of one service is taken by stalled calls, and more of them
-     wait.  Calls to another target still go at once. */
+  /* All slots of one service are occupied by stalled requests and more
+     are queued. Requests to another target are still sent at once. */
   check ("0 replicas r1\n"
          "1 arrive* 1-9 acme api\n"
          "2 arrive 20 acme lm\n"
--- a/t/t5002-queue.c
+++ b/t/t5002-queue.c
@@ -2,8 +2,8 @@
 
 #include "lib-route.h"
 
-/* One backend server that runs one call at a time, so that the order in which
-   waiting calls get their turn can be read off. */
+/* One backend server with capacity 1, so that the order of the queued
+   requests is visible. */
 
 #define CONFIG                                                                \
   "{\"services\":{\"api\":{\"mode\":\"route\",\"capacity\":1,\"backends\":{"  \
@@ -25,8 +25,9 @@
 
 Test (queue, small_beside_flood)
 {
-  /* One account fills the queue; another sends two calls after it.  It waits
-     for one call of the flood per call of its own, not for all of them. */
+  /* One account fills the queue and another one adds two requests. They
+     alternate with the requests of the first account instead of waiting
+     for all of them. */
   check ("1 arrive* 1-5 flood api cost=512\n"
          "2 arrive* 101-102 small api cost=512\n"
          "3 serve 7 10\n",
@@ -37,8 +38,8 @@
 
 Test (queue, shares_by_weight)
 {
-  /* Both accounts keep the queue busy; the one of weight 3 gets three turns
-     for one. */
+  /* With both accounts queued, the one of weight 3 gets three requests
+     for each one of the other. */
   check ("1 arrive 1 small api cost=512\n"
          "1 arrive* 11-13 small api cost=512\n"
          "1 arrive* 21-23 paid api cost=512\n"
@@ -51,8 +52,8 @@
 
 Test (queue, counted_in_tokens)
 {
-  /* Calls of one account are four times as large: the other gets four turns
-     for one. */
+  /* Requests of one account cost four times as much, so the other one
+     gets four requests for each. */
   check ("1 arrive 1 flood api cost=2048\n"
          "1 arrive* 11-12 flood api cost=2048\n"
          "1 arrive* 21-24 small api cost=512\n"
@@ -65,8 +66,9 @@
 
 Test (queue, classes_with_ageing)
 {
-  /* Urgent calls come without end.  A call of the last class that has waited
-     for two seconds a class gets a turn between them; before that, none. */
+  /* Urgent requests arrive continuously. A request of the lowest class
+     is served between them after it has waited for two seconds per
+     class, and not before. */
   check ("0 arrive 1 flood api\n"
          "1 arrive 2 small api prio=2\n"
          "2 arrive* 3-6 flood api\n"
@@ -85,8 +87,8 @@
 
 Test (queue, old_backlog_does_not_push_urgent_aside)
 {
-  /* A backlog of the last class has waited for long.  Urgent calls that come
-     now go before most of it. */
+  /* A backlog of the lowest class has waited for long. New urgent
+     requests are served before most of it. */
   check ("0 arrive 1 flood api\n"
          "1 arrive* 2-4 flood api prio=3\n"
          "9000 arrive* 11-13 small api\n"
@@ -99,9 +101,10 @@
 
 Test (queue, full_queue_refuses_the_least_important)
 {
-  /* The queue is full.  A more urgent call takes the place of the newest of
-     the last class; a small account's takes one of the flood's; what is no
-     better is refused itself.  Each refused caller hears at once. */
+  /* When the queue is full, a more urgent request replaces the newest of
+     the lowest class, and one of a small account replaces one of a busy
+     account. A request that is no better is refused itself. Refusals are
+     sent at once. */
   check ("0 arrive 1 flood api\n"
          "1 arrive* 2-5 flood api\n"
          "2 arrive* 6-7 flood api prio=3\n"
@@ -122,7 +125,8 @@
 
 Test (queue, waits_no_longer_than_configured)
 {
-  /* Nothing ends.  Who has waited for queue_ms hears at once, not run. */
+  /* No request completes. One that has waited for queue_ms is refused as
+     `not-run`. */
   check ("0 arrive 1 flood api\n"
          "1 arrive 2 small api\n"
          "20000 tick\n"
@@ -135,9 +139,9 @@
 
 Test (queue, refused_early_by_deadline)
 {
-  /* Calls have taken 100 ms each.  One that would have to wait for two others
-     can't end within 150 ms: it is told at once, before any work.  With
-     400 ms it is let in.  A pace measured long ago refuses nobody. */
+  /* Requests have taken 100 ms each. One that would wait for two others
+     can't complete within 150 ms and is refused at once; with 400 ms it
+     is admitted. An old measurement refuses no request. */
   check ("0 arrive 1 flood api\n"
          "1 arrive 2 flood api\n"
          "1 serve 2 100\n"
--- a/t/t5003-limits.c
+++ b/t/t5003-limits.c
@@ -2,7 +2,7 @@
 
 #include "lib-route.h"
 
-/* Limits of accounts at one node of four. */
+/* Account limits at one of four nodes. */
 
 #define CONFIG                                                                \
   "{\"services\":{\"api\":{\"mode\":\"route\",\"capacity\":90,\"backends\":{" \
@@ -23,8 +23,9 @@
 
 Test (limits, rate_before_any_news)
 {
-  /* No share is known yet: a quarter of 1000 tokens a second.  The refused
-     caller hears when to come back; time fills the bucket again. */
+  /* Before the first grant the node may use a quarter of 1000 tokens per
+     second. A refusal names the retry delay; the bucket is refilled over
+     time. */
   check ("0 arrive 1 rate api cost=250\n"
          "1 arrive 2 rate api cost=250\n"
          "101 arrive 3 rate api cost=20\n"
@@ -41,7 +42,7 @@
 
 Test (limits, refused_work_is_not_charged)
 {
-  /* A call that is answered not-run gives its tokens back. */
+  /* A request that ended as `not-run` is not charged. */
   check ("0 arrive 1 rate api cost=250\n"
          "1 fail 1/1\n"
          "2 arrive 2 rate api cost=250\n"
@@ -54,8 +55,8 @@
 
 Test (limits, concurrency_by_share)
 {
-  /* A quarter of eight calls, then a share of three; a share below one still
-     lets one call through. */
+  /* The node may use a quarter of eight requests, then a granted share
+     of three. A share below one still admits one request. */
   check ("0 arrive* 1-3 few api\n"
          "1 share few 0 3 1000\n"
          "2 arrive* 4-5 few api\n"
@@ -80,9 +81,9 @@
 
 Test (limits, share_is_kept_and_then_decays)
 {
-  /* The account's home falls silent behind a partition.  The share of seven
-     calls holds until its end, half of what is above a quarter of the
-     limit goes each second, and a quarter is left for good. */
+  /* The account's home is unreachable. The granted share of seven
+     requests is used until it expires. Then its difference from a
+     quarter of the limit is halved each second, and the quarter remains. */
   check ("0 share few 0 7 10000\n"
          "1 arrive* 1-8 few api\n"
          "10000 arrive 10 few api\n"
@@ -118,7 +119,7 @@
 
 Test (limits, small_share_grows_to_its_part)
 {
-  /* The same with a share of nothing: it grows to a quarter of the limit. */
+  /* An expired share of zero grows to a quarter of the limit. */
   check ("0 share few 0 0 1000\n"
          "1 arrive* 1-2 few api\n"
          "60000 arrive* 3-4 few api\n",
--- a/t/t5004-faults.c
+++ b/t/t5004-faults.c
@@ -3,8 +3,7 @@
 
 #include "lib-route.h"
 
-/* Servers that do worse than their peers, and retries under a fault that
-   takes a whole target. */
+/* Ejection of outliers, and retries when a whole target fails. */
 
 #define CONFIG                                                                \
   "{\"models\":{\"lm\":{\"mode\":\"route\",\"vms\":1,\"capacity\":90}},"      \
@@ -22,7 +21,7 @@
       buf_addf (&s->log, "%.*s ", STR_ARG (v[i].name));
 }
 
-/** Twelve calls by turns to each server, then who is out. */
+/** Run @p n rounds of twelve requests, then log the ejected servers. */
 static void
 rounds (struct script *s, int n)
 {
@@ -39,7 +38,8 @@
   log_ejected (s);
 }
 
-/** Attempts that @p calls idempotent calls cause when each one breaks. */
+/** Number of attempts for @p calls idempotent requests if each attempt
+    breaks. */
 static size_t
 storm (struct script *s, int calls)
 {
@@ -62,9 +62,10 @@
 
 Test (faults, straggler_goes_out_and_comes_back)
 {
-  /* r6 answers thirty times as slowly as its peers.  It is ejected; after
-     its time one call goes there to see, finds it slow, and it stays out for
-     longer; once it is quick again the next such call brings it back. */
+  /* r6 responds thirty times as slowly as its peers and is ejected.
+     After the ejection time one probe request finds it still slow, and
+     it is ejected for longer. When it is fast again, the next probe ends
+     the ejection. */
   struct script s = script_new (CONFIG, 1);
   script_run (&s, "1 replicas r1 r2 r3 r4 r5 r6\n2 pace r6 600\n");
   rounds (&s, 12);
@@ -83,8 +84,8 @@
 
 Test (faults, at_most_a_third_is_out)
 {
-  /* Four of six fail every call.  Ejecting all four would put the whole load
-     on two, which it would take down as well. */
+  /* Four of six servers fail every request. Ejecting all four would
+     overload the other two. */
   struct script s = script_new (CONFIG, 1);
   script_run (&s, "1 replicas r1 r2 r3 r4 r5 r6\n");
   storm (&s, 100);
@@ -99,9 +100,9 @@
 
 Test (faults, storm_is_stopped)
 {
-  /* Every attempt breaks once sent.  Retrying each call three times would
-     put four times the load on a target that is down already; the budget
-     leaves a few retries, then one for ten successes. */
+  /* Every attempt breaks once sent. Three retries per request would put
+     four times the load on a failed target; the budget allows a few
+     retries, then one per ten successes. */
   struct script s = script_new (CONFIG, 1);
   script_run (&s, "1 replicas r1 r2 r3\n");
   size_t attempts = storm (&s, 200);
@@ -115,8 +116,8 @@
 
 Test (faults, new_generation_starts_anew)
 {
-  /* The VMs behind a name were replaced: what the old ones did is no ground
-     to keep the new ones out. */
+  /* The VMs of a replica were replaced: the statistics of the old ones
+     don't apply to the new ones. */
   struct script s = script_new (CONFIG, 1);
   script_run (&s, "1 replicas r1 r2 r3\n2 pace r3 600\n");
   rounds (&s, 12);
--- a/t/t5005-choose.c
+++ b/t/t5005-choose.c
@@ -2,7 +2,7 @@
 
 #include "lib-route.h"
 
-/* Which replica gets the next request; each runs four at once. */
+/* Choice of the replica; each one has a capacity of four. */
 
 #define CONFIG                                                                \
   "{\"models\":{\"lm\":{\"mode\":\"route\",\"vms\":1,\"capacity\":4}},"       \
@@ -19,9 +19,8 @@
 
 Test (choose, evidence_runs_out)
 {
-  /* Nothing more is heard of a replica.  From the moment that its evidence
-     ends it gets no new work, also when nothing else happened since the
-     last choice. */
+  /* A replica whose status has expired gets no new requests, even
+     without any event since the last choice. */
   check ("0 replicas r1/until=100 r2\n"
          "99 arrive* 1-4 acme lm\n"
          "100 arrive* 5-7 acme lm\n",
@@ -33,7 +32,7 @@
 
 Test (choose, least_of_our_own)
 {
-  /* Three replicas get one request each before any gets a second. */
+  /* Each of three replicas gets one request before any gets a second. */
   check ("0 replicas r1 r2 r3\n"
          "1 arrive* 1-3 acme lm\n"
          "2 gone 1\n"
@@ -46,7 +45,7 @@
 
 Test (choose, reported_full)
 {
-  /* A fresh report shows that others have filled one replica. */
+  /* A new report shows that other gateways have filled one replica. */
   check ("0 replicas r1 r2\n"
          "1 arrive 1 acme lm\n"
          "2 gone 1\n"
@@ -61,8 +60,8 @@
 
 Test (choose, prefix_stays_while_slots_are_free)
 {
-  /* Requests of one prefix go to its replica although others have none, but
-     no further than free slots allow. */
+  /* Requests with one prefix go to its replica although others are idle,
+     but no further than its free slots allow. */
   check ("0 replicas r1 r2 r3 r4\n"
          "1 arrive 1 acme lm prefix=7\n"
          "2 open 1/1\n"
@@ -86,8 +85,8 @@
 
 Test (choose, waits_here_when_all_is_taken)
 {
-  /* Both replicas are full with ours and reported work.  What comes next
-     waits at the gateway, and goes when a slot is free. */
+  /* Both replicas are full. Further requests wait at the gateway until a
+     slot becomes free. */
   check ("0 replicas r1 r2\n"
          "1 arrive* 1-12 acme lm\n"
          "2 gone 1\n",
@@ -100,7 +99,8 @@
 
 Test (choose, same_zone_without_fresh_reports)
 {
-  /* Of two that have the same of ours, mostly the one in this zone. */
+  /* With equal local load, the replica in the local zone is mostly
+     preferred. */
   check ("0 replicas r1 r2/far\n"
          "1 arrive 1 acme lm\n"
          "2 gone 1\n"
--- a/t/t5500-share.c
+++ b/t/t5500-share.c
@@ -10,7 +10,7 @@
 static const struct str names[NODES]
     = { STR ("n0"), STR ("n1"), STR ("n2"), STR ("n3") };
 
-/* One home and what its nodes hold; grants reach the nodes that are linked. */
+/* A home and its nodes' demands; grants reach only linked nodes. */
 struct side
 {
   struct shr *core;
@@ -18,8 +18,8 @@
   bool linked[NODES];
 };
 
-/* What a node may use: the last grant while valid, then towards an even part
-   (as route/limit.c does). */
+/* A node's last grant, which decays to an even part after expiry as in
+   route/limit.c. */
 struct held
 {
   double amount;
@@ -84,10 +84,10 @@
 
 Test (share, follows_demand)
 {
-  /* One node has all the callers.  It gets what is asked there, the others
-     keep enough for a first caller; a new home first waits until grants of
-     another would be over; when demand moves, the share moves once
-     the old grant can't be valid any more. */
+  /* All demand is at one node. It gets the limit minus a reserve of the
+     others for their first requests. A new home waits until earlier
+     grants have expired. When demand moves, the share follows after the
+     old grant has expired. */
   struct side s = side_new (0, true);
   struct held held[NODES] = { 0 };
   s.demand[0] = 2000;
@@ -109,9 +109,9 @@
 
 Test (share, lost_shrink_is_waited_out)
 {
-  /* A node's share shrinks but the grant that says so is lost, so the node
-     goes on with the large one until it expires.  The others must not get
-     that part before, or the account runs past its limit. */
+  /* The grant that reduces a node's share is lost, and the node uses the
+     larger one until it expires. If the others got that part earlier,
+     the account would exceed its limit. */
   struct side s = side_new (-20000, true);
   struct held held[NODES] = { 0 };
   s.demand[0] = 2000;
@@ -134,9 +134,9 @@
 
 Test (share, partition_does_not_multiply_the_limit)
 {
-  /* The network splits two and two, and both halves have a home.  The one
-     that is new does not know the grants of the old; both halves are flooded.
-     The sum stays within the limit all the time. */
+  /* A partition leaves a home on both sides, with high demand on each.
+     The new home does not know the grants of the old one; the sum must
+     never exceed the limit. */
   struct side a = side_new (-20000, true);
   struct side b = side_new (-20000, false);
   struct shr_amount limit = { LIMIT, 0 };
@@ -163,10 +163,9 @@
 
 Test (share, new_home_does_not_know_the_grants_of_the_old)
 {
-  /* The home dies and with it the knowledge that node 3 has nearly all; at
-     the same time node 3 is cut off and goes on serving.  The others flood
-     the new home.  Even parts for them at once would come on top of what
-     node 3 still has. */
+  /* The home fails, and node 3, which holds nearly the whole limit, is
+     cut off and continues to serve. Even parts granted at once by the
+     new home would be added to the share of node 3. */
   struct side a = side_new (-20000, true);
   struct side b = side_new (-20000, false);
   struct shr_amount limit = { LIMIT, 0 };
--- a/t/t5600-slots.c
+++ b/t/t5600-slots.c
@@ -7,14 +7,15 @@
 #include "route/slots.h"
 
 /*
- * Scripts for the home of a model's slots: lines "TIME VERB ARGS..." in, the
- * actions of each line out.  Two slots a replica.
+ * Script interpreter for a model's home. Input lines are "TIME VERB ARGS...";
+ * the log contains the actions of each line. Replicas have two slots.
  *
- *   replicas NAME[=LOAD]...      ask GATEWAY ID ACCOUNT [COST [DEADLINE]]
- *   once ... (an ask that must not be repeated)
- *   taken GATEWAY ID REPLICA     done GATEWAY ID       gone GATEWAY
- *   fail GATEWAY ID (done: the replica broke it)
- *   open GATEWAY [ID=REPLICA]... warm GATEWAY ID PREFIX (an ask)     tick
+ *   replicas NAME[=LOAD]...     ask GATEWAY ID ACCOUNT [COST [DEADLINE]]
+ *   once ...                    like ask, for a non-idempotent request
+ *   warm GATEWAY ID PREFIX      like ask, with a prefix
+ *   taken GATEWAY ID REPLICA    done GATEWAY ID       gone GATEWAY
+ *   fail GATEWAY ID             like done, after a failure of the replica
+ *   open GATEWAY [ID=REPLICA]...                      tick
  */
 
 #define CONFIG                                                                \
@@ -142,7 +143,7 @@
   buf_addf (&h->log, " [%zu]\n", slt_held (h->core));
 }
 
-/** The number in brackets is that of the slots taken after the line. */
+/** The number in brackets is the number of occupied slots after the line. */
 static void
 check (const char *script, const char *log)
 {
@@ -167,8 +168,8 @@
 
 Test (slots, exact_over_gateways)
 {
-  /* Four gateways share four slots; the fifth ask waits until one is done,
-     whoever's it is, and gets that very slot. */
+  /* Four gateways share four slots. The fifth request waits until a
+     request of any gateway ends, and gets its slot. */
   check ("1 replicas r1 r2\n300 ask 1 1 big\n301 ask 2 1 big\n"
          "302 ask 3 1 big\n303 ask 4 1 big\n304 ask 1 2 big\n"
          "400 done 3 1\n",
@@ -181,9 +182,10 @@
 
 Test (slots, prefix_and_fairness)
 {
-  /* An idle server with the prefix comes before one without.  What waits is
-     granted by fair shares: the small account's ask overtakes the flood of
-     another gateway; a full queue sheds the flood's newest. */
+  /* An idle server with the prefix is preferred. Queued requests are
+     granted by fair shares: the small account's request overtakes those
+     of the busy account at another gateway, and a full queue drops the
+     newest of these. */
   check ("1 replicas r1 r2\n300 warm 1 1 7\n900 done 1 1\n"
          "1700 warm 2 3 7\n"
          "1701 taken 2 4 r1\n1701 taken 2 5 r2\n1701 taken 2 6 r2\n"
@@ -202,9 +204,10 @@
 
 Test (slots, lost_word_of_the_end)
 {
-  /* Gateway 1's word that its request ended is lost, and gateway 2 is killed
-     holding a slot.  Callers would see a model that dries up slot by slot.
-     Gateway 3 tells of its slots each second and keeps them. */
+  /* Gateway 1's release message is lost, and gateway 2 stops while
+     holding a slot. Without a timeout the model would lose one slot
+     after another. Gateway 3 reports its slots every second and keeps
+     them. */
   check ("1 replicas r1 r2\n300 ask 1 1 big\n300 ask 2 1 big\n"
          "300 ask 3 1 big\n300 ask 3 2 big\n400 ask 3 3 big\n"
          "2000 open 3 1=r1 2=r2\n3000 open 3 1=r1 2=r2\n3800 tick\n"
@@ -219,10 +222,10 @@
 
 Test (slots, new_home_learns)
 {
-  /* A home takes over in the middle of a rush.  Gateways tell what they
-     hold; an ask that comes first waits, or the callers of all gateways
-     would meet at replicas that are full.  Engine reports from before count
-     for nothing: all that they show would look like other people's load. */
+  /* A new home takes over under load. It queues requests until the
+     gateways have reported their slots; otherwise all of them would be
+     sent to full replicas. Older engine reports are ignored, since all
+     the load that they show would look like that of others. */
   check ("1 replicas r1=9000 r2=9000\n2 ask 1 9 big\n"
          "10 open 1 1=r1 2=r1\n11 open 2 1=r2\n150 tick\n200 tick\n"
          "300 ask 2 2 big\n301 done 1 1\n",
@@ -234,10 +237,10 @@
 
 Test (slots, deadline_and_gone)
 {
-  /* A request takes 600 ms at the measured pace: one that must end sooner is
-     refused at once.  A gateway's link breaks: its ask no longer waits, or
-     the next free slot would go to nobody; its request may go on and keeps
-     its slot. */
+  /* At the measured rate a request takes 600 ms: one with an earlier
+     deadline is refused at once. When the link of a gateway is lost, its
+     queued request is dropped, as the grant could not be delivered; its
+     running request keeps its slot. */
   check ("1 replicas r1\n300 ask 1 1 big\n900 done 1 1\n"
          "1000 ask 1 2 big 100 1300\n1000 ask 1 3 big 100 1700\n"
          "1001 ask 2 4 big\n1002 ask 1 5 big\n1003 ask 2 6 big\n"
@@ -251,10 +254,10 @@
 
 Test (slots, replica_that_breaks)
 {
-  /* r1 breaks at once what it gets, so that it always has the most free
-     slots; without ejection all requests of all gateways would go there.
-     Three failures at three gateways put it out for 5 s; then one request
-     that may be repeated looks after it, and no other until it is answered. */
+  /* r1 fails every request at once, so it always has the most free slots
+     and would attract all requests. Three failures at three gateways
+     eject it for 5 s. Then one idempotent request probes it, and no
+     other until that one has ended. */
   check ("1 replicas r1 r2 r3\n300 taken 1 1 r1\n301 fail 1 1\n"
          "302 taken 2 1 r1\n303 fail 2 1\n304 taken 3 1 r1\n305 fail 3 1\n"
          "306 ask 1 2 big\n307 ask 1 3 big\n308 ask 1 4 big\n"
@@ -272,10 +275,10 @@
 
 Test (slots, two_homes)
 {
-  /* A partition of views: another gateway believes to be the home as well and
-     fills r1.  This one was told of nothing, but the engine's report shows
-     work that nobody told of; without heeding it callers of both homes would
-     wait at r1 while r2 is idle. */
+  /* Two gateways act as home, and the other one has filled r1. This one
+     got no report of it, but the engine's load report shows unreported
+     requests; if it ignored them, requests would wait at r1 while r2 is
+     idle. */
   check ("1 replicas r1 r2\n300 replicas r1=20000 r2\n301 ask 1 1 big\n"
          "302 ask 1 2 big\n303 ask 1 3 big\n1300 replicas r1=100 r2=200\n",
          "1 replicas r1: [0]\n300 replicas r1=20000: [0]\n"
--- a/t/t5601-slot.c
+++ b/t/t5601-slot.c
@@ -2,8 +2,8 @@
 
 #include "lib-route.h"
 
-/* A gateway that asks the model's home for slots, and all the ways in which
-   the home says nothing. */
+/* Slot requests of a gateway to the model's home, and the failures of
+   the home. */
 
 #define CONFIG                                                                \
   "{\"models\":{\"lm\":{\"mode\":\"route\",\"vms\":1,\"capacity\":1}},"       \
@@ -20,9 +20,9 @@
 
 Test (slot, granted)
 {
-  /* The home's replica is used, and its claim comes after the slot.  The home
-     hears when the slot is free, also when the caller hangs up while the
-     request waits there. */
+  /* The replica granted by the home is used, and the claim follows the
+     slot. The gateway releases the slot at the end of the request, also
+     when the client disconnects while the request is queued at the home. */
   check ("1 replicas r1 r2\n2 home on\n3 arrive 1 acme lm\n"
          "4 slot 1 granted r2\n5 open 1/1\n6 head 1/1 200\n7 whole 1/1\n"
          "8 arrive 2 acme lm once key\n9 slot 2 granted r1\n"
@@ -41,10 +41,11 @@
 
 Test (slot, no_word)
 {
-  /* The home is frozen.  Nobody waits for it longer than 50 ms; after three
-     asks it is left alone for 2 s, and what it had queued is decided here
-     too, or those callers would wait for their deadline.  A grant that comes
-     late starts nothing a second time. */
+  /* The home does not reply. A request waits for 50 ms at most. After
+     three timeouts the gateway sends no slot requests for 2 s, and
+     requests queued at the home are assigned locally; otherwise they
+     would wait until their deadline. A late grant does not start a
+     second attempt. */
   check ("1 replicas r1 r2 r3 r4 r5 r6\n2 home on\n"
          "3 arrive 9 acme lm\n4 slot 9 queued\n"
          "10 arrive 1 acme lm\n20 arrive 2 acme lm\n30 arrive 3 acme lm\n"
@@ -62,8 +63,8 @@
 
 Test (slot, home_lost)
 {
-  /* The link to the home breaks with two requests waiting there, one that
-     must not run twice: both go on by this gateway's choice, once. */
+  /* The link to the home is lost while two requests wait there, one of
+     them non-idempotent: both are assigned locally, once. */
   check ("1 replicas r1 r2\n2 home on\n3 arrive 1 acme lm once\n"
          "4 slot 1 queued\n5 arrive 2 acme lm\n6 home off\n"
          "7 slot 1 granted r1\n8 open 1/1\n9 slot 1 granted r2\n"
@@ -77,9 +78,9 @@
 
 Test (slot, unusable_grant)
 {
-  /* The home thinks of a replica that this gateway knows to be broken, or of
-     none that it has: it says so and decides itself.  A retry is its own
-     choice as well, which it tells. */
+  /* The home grants a replica that this gateway considers unusable or
+     does not know. The gateway returns the slot and chooses a replica
+     itself. Retries are local choices too, and are reported. */
   check ("1 replicas r1/broken r2 r3\n2 home on\n3 arrive 1 acme lm\n"
          "4 slot 1 granted r1\n5 fail 1/1\n6 arrive 2 acme lm\n"
          "7 slot 2 granted nobody\n8 arrive 3 acme lm\n9 slot 3 queued\n"
--- a/t/t5900-replay.c
+++ b/t/t5900-replay.c
@@ -15,7 +15,7 @@
   return strcmp (*(char *const *)a, *(char *const *)b);
 }
 
-/* Names of the traces without their ending, in order. */
+/* Sorted names of the traces, without suffix. */
 static size_t
 list_traces (char **names, size_t max)
 {
@@ -34,9 +34,8 @@
   return n;
 }
 
-/* The incidents that our users told of, each a trace whose comment tells what
-   the caller sees and a file of the decisions that must follow.  Two runs
-   must agree to the letter. */
+/* Traces of reported incidents, each with a description and a file of
+   the expected actions. Two runs must give identical results. */
 Test (replay, incidents_end_as_stated)
 {
   char *names[32];
@@ -58,8 +57,8 @@
     }
 }
 
-/* An operator replays a trace that was damaged on its way.  Each fault is
-   told with its line, and the exit code says that the input is wrong. */
+/* A damaged or empty trace is reported as invalid input by the exit
+   code, and no action is printed. */
 Test (replay, damaged_trace_is_told_with_its_line)
 {
   const char *head = "{\"core\":\"route\",\"seed\":1,\"nodes\":1}\n";
@@ -77,8 +76,7 @@
   buf_free (&out);
 }
 
-/* An expectation that the decisions do not meet must fail the command, or no
-   replay would ever prove anything. */
+/* The command must fail if the actions differ from the expected ones. */
 Test (replay, other_decisions_fail)
 {
   const char *expect = proc_file ("other.expect", "1000 connect id=1\n");
--- a/t/t5910-attempt-chart.c
+++ b/t/t5910-attempt-chart.c
@@ -1,7 +1,7 @@
 /*
- * An exhaustive walk of charts/attempt.json: every event in every state that
- * can be reached, with the knowledge of whether bytes of the request may be
- * at a backend server.  "Not run" must not be reachable while they may be.
+ * Exhaustive exploration of charts/attempt.json: every event in every
+ * reachable state, combined with whether bytes of the request may be at a
+ * backend server. "Not run" must not be reachable while they may be.
  */
 #include <criterion/criterion.h>
 #include <stdlib.h>
@@ -24,7 +24,8 @@
   return strcmp (chart_event_name (c, event), name) == 0;
 }
 
-/** Bytes go out by "send"; a refusal says that they were not run. */
+/** "send" puts bytes at the server; a refusal means that they were not
+    executed. */
 static bool
 after (const struct chart *c, int event, bool out)
 {
@@ -36,8 +37,8 @@
   return out;
 }
 
-/** Number of (state, bytes out) pairs reached; @p wrong receives whether
-    "not run" was among them with bytes out. */
+/** Number of reachable (state, bytes sent) pairs; @p wrong receives
+    whether "not run" was reached after bytes were sent. */
 static int
 walk (const struct chart *c, bool *wrong)
 {
@@ -80,8 +81,9 @@
   return NULL;
 }
 
-/* A caller books again when it is told "not run".  Were there any way to that
-   answer after the first byte went out, the booking could run twice. */
+/* A client repeats a request that ended as "not run". If this state were
+   reachable after the first byte was sent, the request could be executed
+   twice. */
 Test (attempt_chart, not_run_means_not_run)
 {
   const struct chart *c = chart_embedded ("attempt");
@@ -91,7 +93,7 @@
   cr_expect_not (wrong);
 }
 
-/** Load the chart with @p from replaced by @p to, and walk it. */
+/** Load the chart with @p from replaced by @p to, and explore it. */
 static bool
 wrong_with (const char *from, const char *to)
 {
@@ -115,8 +117,9 @@
   return wrong;
 }
 
-/* The walk finds a chart that answers "not run" after a lost connection, and
-   one that queues a sent request again, from where it may be refused. */
+/* The exploration detects a chart that reports "not run" after a lost
+   connection, and one that queues a sent request again, from where it
+   may be refused. */
 Test (attempt_chart, finds_planted_faults)
 {
   cr_expect (wrong_with ("\"sent\": { \"on\": {",
@@ -125,9 +128,9 @@
   cr_expect_not (wrong_with ("\"chart\"", "\"chart\""));
 }
 
-/* The same of a node's chart on a platform.  There "unrun" takes back only the
-   attempt that it answers; after an earlier one that may have run, the chart
-   is in states from which "not run" can't be reached at all. */
+/* The same for a platform node's chart. There "unrun" refers only to the
+   attempt that it answers; after an earlier attempt that may have run,
+   the chart is in states from which "not run" can't be reached. */
 Test (attempt_chart, not_run_means_not_run_on_a_platform)
 {
   const struct chart *c = chart_embedded ("forward");
