--- a/t/lib-route.c
+++ b/t/lib-route.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define MOST_WORDS 64
+#define MAX_WORDS 64
 
 static const char *const action_names[]
     = { "claim",  "release", "finish", "connect", "send",
@@ -45,7 +45,7 @@
 }
 
 static void
-note_connect (struct script *s, const struct rt_action *a)
+record_connect (struct script *s, const struct rt_action *a)
 {
   size_t at = s->nrunning++;
   cr_assert_lt (at, sizeof s->running / sizeof s->running[0]);
@@ -58,7 +58,7 @@
 log_action (struct script *s, const struct rt_action *a)
 {
   if (a->kind == RT_ACT_CONNECT)
-    note_connect (s, a);
+    record_connect (s, a);
   if (s->brief && a->kind == RT_ACT_CONNECT)
     buf_addf (&s->log, " %llu", (unsigned long long)a->id);
   if (s->brief && a->kind != RT_ACT_ANSWER)
@@ -106,7 +106,7 @@
 static void
 replicas (struct script *s, char **w, size_t n)
 {
-  struct rt_replica list[MOST_WORDS] = { 0 };
+  struct rt_replica list[MAX_WORDS] = { 0 };
   for (size_t i = 0; i < n; i++)
     {
       const char *load = strstr (w[i], "n=");
@@ -179,7 +179,7 @@
 }
 
 static void
-plain_event (struct script *s, enum rt_event_kind kind, char **w, size_t n)
+send_event (struct script *s, enum rt_event_kind kind, char **w, size_t n)
 {
   struct rt_event ev = { .kind = kind, .on = strcmp (w[0], "up") != 0 };
   if (kind == RT_EV_BACKEND_DOWN)
@@ -297,10 +297,10 @@
 static void
 run_line (struct script *s, char *line)
 {
-  char *w[MOST_WORDS];
+  char *w[MAX_WORDS];
   size_t n = 0;
   enum rt_event_kind kind;
-  for (char *t = strtok (line, " "); t && n < MOST_WORDS;
+  for (char *t = strtok (line, " "); t && n < MAX_WORDS;
        t = strtok (NULL, " "))
     w[n++] = t;
   if (n < 2)
@@ -331,7 +331,7 @@
   else if (strcmp (w[1], "share") == 0)
     share (s, w + 1);
   else if (attempt_verb (w[1], &kind))
-    plain_event (s, kind, w + 1, n - 1);
+    send_event (s, kind, w + 1, n - 1);
   else
     cr_assert_fail ("unknown verb %s", w[1]);
   drain (s);
--- a/t/lib-route.h
+++ b/t/lib-route.h
@@ -29,7 +29,7 @@
 
 #include "route/route.h"
 
-/** The configuration requires at least one key digest. */
+/** Account member that a configuration requires. */
 #define KEY_DIGESTS                                                           \
   "\"key_digests\":["                                                         \
   "\"0123456789abcdef0123456789abcdef0123456789abcdef0123456789abcdef\"]"
--- a/t/t5001-life.c
+++ b/t/t5001-life.c
@@ -36,7 +36,7 @@
   script_free (&s);
 }
 
-Test (life, plain_call)
+Test (lifecycle, plain_request)
 {
   check ("1 arrive 1 acme api\n"
          "2 open 1/1\n"
@@ -50,7 +50,7 @@
          "5 whole 1/1: end(1 done)\n");
 }
 
-Test (life, once_is_sent_once)
+Test (lifecycle, non_idempotent_request_is_not_resent)
 {
   /* A non-idempotent request is sent, then the attempt times out or
      breaks. A retry could execute it twice, so the outcome is `unknown`. */
@@ -78,7 +78,7 @@
          "24 broken 3/1: cancel(3/1) cut(3 broken unknown)\n");
 }
 
-Test (life, once_may_try_another_server_unsent)
+Test (lifecycle, unsent_non_idempotent_request_is_retried)
 {
   /* The first backend server refuses the connection. Nothing was sent,
      so another server is tried even for a non-idempotent request; if
@@ -101,7 +101,7 @@
          "12 fail 2/2: answer(2 503 connect-failed not-run)\n");
 }
 
-Test (life, once_refused_is_not_run)
+Test (lifecycle, refused_non_idempotent_request_is_not_run)
 {
   /* The backend server responds with the status that means "not
      executed". A non-idempotent request gets no second attempt after
@@ -114,7 +114,7 @@
          "3 head 1/1: cancel(1/1) answer(1 503 backend-refused not-run)\n");
 }
 
-Test (life, claim_comes_before_connect)
+Test (lifecycle, claim_precedes_connect)
 {
   /* A request with a key is connected only after its claim was granted,
      and its complete response is stored with the claim. */
@@ -132,7 +132,7 @@
          "6 whole 1/1: finish(1) end(1 done)\n");
 }
 
-Test (life, claim_verdicts)
+Test (lifecycle, claim_verdicts)
 {
   /* A request with a known key gets the stored response or an error, and
      is not sent. Without the store, nothing is sent either. */
@@ -162,7 +162,7 @@
          "6000 tick : release(6) answer(6 503 store-unavailable not-run)\n");
 }
 
-Test (life, claim_is_released_when_not_run)
+Test (lifecycle, claim_is_released_when_not_run)
 {
   /* The claim is released when the request was not executed; otherwise
      the client's next try would get `key-unknown`. */
@@ -189,7 +189,7 @@
          "21 gone 3: release(3)\n");
 }
 
-Test (life, claim_stays_when_it_may_have_run)
+Test (lifecycle, claim_is_kept_when_request_may_have_run)
 {
   /* The response to a request with a key is lost or incomplete. The
      claim is kept, so that a repeat is not executed. The claim's home is
@@ -219,7 +219,7 @@
          "cut(2 broken unknown)\n");
 }
 
-Test (life, old_grant_is_not_used)
+Test (lifecycle, expired_grant_is_renewed)
 {
   /* Connecting takes longer than a grant is valid. The home may have
      granted the key to a repeat meanwhile, so the claim is requested
@@ -242,7 +242,7 @@
          "6005 whole 1/2: pass(1/2) finish(1) end(1 done)\n");
 }
 
-Test (life, idempotent_moves_on)
+Test (lifecycle, idempotent_request_is_retried)
 {
   /* An attempt of an idempotent request fails before any byte was
      forwarded, and another server is tried. Late events of the first
@@ -271,7 +271,7 @@
          "107 whole 1/2: end(1 done)\n");
 }
 
-Test (life, refused_listing_moves_on)
+Test (lifecycle, refused_idempotent_request_is_retried)
 {
   /* Both backend servers refuse an idempotent request without executing
      it: `not-run`. If an earlier attempt may have run, the outcome is
@@ -302,7 +302,7 @@
          "302 head 2/2: cancel(2/2) answer(2 503 backend-refused failed)\n");
 }
 
-Test (life, stream_resumes)
+Test (lifecycle, stream_resumes)
 {
   /* A replica fails in the middle of a stream. Another one resumes at
      the number of forwarded bytes; an error response instead of the rest
@@ -339,7 +339,7 @@
          "302 head 1/3: cancel(1/3) cut(1 broken failed)\n");
 }
 
-Test (life, cut_is_visible)
+Test (lifecycle, truncated_response_is_detectable)
 {
   /* A plain service's response breaks after bytes were forwarded. It
      can't be resumed, so the client must be able to detect the
@@ -356,7 +356,7 @@
          "5 broken 1/1: cancel(1/1) cut(1 broken failed)\n");
 }
 
-Test (life, deadline)
+Test (lifecycle, deadline)
 {
   /* The deadline passes while requests connect, wait for the head and
      stream. Each is ended at once; only the first one is `not-run`. */
@@ -383,7 +383,7 @@
          "200 arrive 4: answer(4 504 deadline not-run)\n");
 }
 
-Test (life, caller_gone)
+Test (lifecycle, caller_gone)
 {
   /* The client disconnects: the attempt is canceled, and late events are
      ignored. */
@@ -399,7 +399,7 @@
          "5 whole 1/1:\n");
 }
 
-Test (life, leaving)
+Test (lifecycle, leaving)
 {
   /* A node that shuts down refuses new requests and completes the
      others. */
@@ -433,7 +433,7 @@
          "10 gone 5: cancel(5/1)\n");
 }
 
-Test (life, only_whole_replicas)
+Test (lifecycle, only_complete_replicas)
 {
   /* A replica that lacks a VM, is draining or has an expired status gets
      no new requests; those in flight continue. Without any other
@@ -470,7 +470,7 @@
          "14 gone 5: cancel(5/1)\n");
 }
 
-Test (life, not_admitted)
+Test (lifecycle, not_admitted)
 {
   /* Unknown targets, unknown accounts and targets in mode observe are
      refused with their own codes. */
@@ -484,7 +484,7 @@
          "3 arrive 3: answer(3 503 not-routed not-run)\n");
 }
 
-Test (life, no_head_of_line_blocking)
+Test (lifecycle, no_head_of_line_blocking)
 {
   /* All slots of one service are occupied by stalled requests and more
      are queued. Requests to another target are still sent at once. */
--- a/t/t5002-queue.c
+++ b/t/t5002-queue.c
@@ -23,7 +23,7 @@
   script_free (&s);
 }
 
-Test (queue, small_beside_flood)
+Test (queue, small_account_beside_busy_account)
 {
   /* One account fills the queue and another one adds two requests. They
      alternate with the requests of the first account instead of waiting
@@ -50,7 +50,7 @@
          "3 serve 7: 11 21 22 23 12 13\n");
 }
 
-Test (queue, counted_in_tokens)
+Test (queue, cost_is_counted_in_tokens)
 {
   /* Requests of one account cost four times as much, so the other one
      gets four requests for each. */
@@ -64,7 +64,7 @@
          "3 serve 7: 11 21 22 23 24 12\n");
 }
 
-Test (queue, classes_with_ageing)
+Test (queue, priority_aging)
 {
   /* Urgent requests arrive continuously. A request of the lowest class
      is served between them after it has waited for two seconds per
@@ -85,7 +85,7 @@
          "4200 serve 3: 9\n");
 }
 
-Test (queue, old_backlog_does_not_push_urgent_aside)
+Test (queue, old_backlog_does_not_delay_urgent_requests)
 {
   /* A backlog of the lowest class has waited for long. New urgent
      requests are served before most of it. */
@@ -99,7 +99,7 @@
          "9001 serve 7: 11 12 2 13 3 4\n");
 }
 
-Test (queue, full_queue_refuses_the_least_important)
+Test (queue, full_queue_drops_least_important)
 {
   /* When the queue is full, a more urgent request replaces the newest of
      the lowest class, and one of a small account replaces one of a busy
@@ -123,7 +123,7 @@
          "7 arrive 12: answer(10 503 queue-full not-run)\n");
 }
 
-Test (queue, waits_no_longer_than_configured)
+Test (queue, queue_timeout)
 {
   /* No request completes. One that has waited for queue_ms is refused as
      `not-run`. */
@@ -137,7 +137,7 @@
          "20001 tick : answer(2 503 queue-full not-run)\n");
 }
 
-Test (queue, refused_early_by_deadline)
+Test (queue, unachievable_deadline_is_refused_early)
 {
   /* Requests have taken 100 ms each. One that would wait for two others
      can't complete within 150 ms and is refused at once; with 400 ms it
--- a/t/t5003-limits.c
+++ b/t/t5003-limits.c
@@ -21,7 +21,7 @@
   script_free (&s);
 }
 
-Test (limits, rate_before_any_news)
+Test (limits, rate_before_first_grant)
 {
   /* Before the first grant the node may use a quarter of 1000 tokens per
      second. A refusal names the retry delay; the bucket is refilled over
@@ -40,7 +40,7 @@
          "1301 arrive 6: answer(6 429 rate-limit not-run)\n");
 }
 
-Test (limits, refused_work_is_not_charged)
+Test (limits, unexecuted_request_is_not_charged)
 {
   /* A request that ended as `not-run` is not charged. */
   check ("0 arrive 1 rate api cost=250\n"
@@ -79,7 +79,7 @@
          "8 arrive 7: answer(7 429 concurrency-limit not-run)\n");
 }
 
-Test (limits, share_is_kept_and_then_decays)
+Test (limits, share_decays_after_expiry)
 {
   /* The account's home is unreachable. The granted share of seven
      requests is used until it expires. Then its difference from a
@@ -117,7 +117,7 @@
          "90005 arrive 15: answer(15 429 concurrency-limit not-run)\n");
 }
 
-Test (limits, small_share_grows_to_its_part)
+Test (limits, small_expired_share_grows_to_even_part)
 {
   /* An expired share of zero grows to a quarter of the limit. */
   check ("0 share few 0 0 1000\n"
--- a/t/t5004-faults.c
+++ b/t/t5004-faults.c
@@ -23,7 +23,7 @@
 
 /** Run @p n rounds of twelve requests, then log the ejected servers. */
 static void
-rounds (struct script *s, int n)
+run_rounds (struct script *s, int n)
 {
   char line[64];
   for (int i = 0; i < n; i++)
@@ -41,7 +41,7 @@
 /** Number of attempts for @p calls idempotent requests if each attempt
     breaks. */
 static size_t
-storm (struct script *s, int calls)
+count_attempts_when_all_break (struct script *s, int calls)
 {
   size_t attempts = 0;
   char line[64];
@@ -60,7 +60,7 @@
   return attempts;
 }
 
-Test (faults, straggler_goes_out_and_comes_back)
+Test (faults, slow_server_is_ejected_and_returns)
 {
   /* r6 responds thirty times as slowly as its peers and is ejected.
      After the ejection time one probe request finds it still slow, and
@@ -68,59 +68,59 @@
      the ejection. */
   struct script s = script_new (CONFIG, 1);
   script_run (&s, "1 replicas r1 r2 r3 r4 r5 r6\n2 pace r6 600\n");
-  rounds (&s, 12);
+  run_rounds (&s, 12);
   cr_expect_str_eq (buf_c (&s.log), "r6 ");
   uint64_t before = rt_targets (s.rt, &(size_t){ 0 })[5].done;
   s.now += 5000;
-  rounds (&s, 4);
+  run_rounds (&s, 4);
   cr_expect_str_eq (buf_c (&s.log), "r6 ");
   cr_expect_eq (rt_targets (s.rt, &(size_t){ 0 })[5].done, before + 1);
   s.now += 10000;
   s.slow_ms = 20;
-  rounds (&s, 4);
+  run_rounds (&s, 4);
   cr_expect_str_eq (buf_c (&s.log), "");
   script_free (&s);
 }
 
-Test (faults, at_most_a_third_is_out)
+Test (faults, at_most_a_third_is_ejected)
 {
   /* Four of six servers fail every request. Ejecting all four would
      overload the other two. */
   struct script s = script_new (CONFIG, 1);
   script_run (&s, "1 replicas r1 r2 r3 r4 r5 r6\n");
-  storm (&s, 100);
+  count_attempts_when_all_break (&s, 100);
   buf_clear (&s.log);
   log_ejected (&s);
-  size_t out = 0;
+  size_t ejected = 0;
   for (const char *c = buf_c (&s.log); *c; c++)
-    out += *c == 'r';
-  cr_expect_eq (out, 2, "out: %s", buf_c (&s.log));
+    ejected += *c == 'r';
+  cr_expect_eq (ejected, 2, "ejected: %s", buf_c (&s.log));
   script_free (&s);
 }
 
-Test (faults, storm_is_stopped)
+Test (faults, retry_budget_limits_attempts)
 {
   /* Every attempt breaks once sent. Three retries per request would put
      four times the load on a failed target; the budget allows a few
      retries, then one per ten successes. */
   struct script s = script_new (CONFIG, 1);
   script_run (&s, "1 replicas r1 r2 r3\n");
-  size_t attempts = storm (&s, 200);
+  size_t attempts = count_attempts_when_all_break (&s, 200);
   cr_expect_leq (attempts, 210, "%zu attempts for 200 calls", attempts);
-  rounds (&s, 10);
-  attempts = storm (&s, 100);
+  run_rounds (&s, 10);
+  attempts = count_attempts_when_all_break (&s, 100);
   cr_expect_leq (attempts, 116, "%zu attempts for 100 calls", attempts);
   cr_expect_geq (attempts, 105, "%zu attempts for 100 calls", attempts);
   script_free (&s);
 }
 
-Test (faults, new_generation_starts_anew)
+Test (faults, new_generation_resets_statistics)
 {
   /* The VMs of a replica were replaced: the statistics of the old ones
      don't apply to the new ones. */
   struct script s = script_new (CONFIG, 1);
   script_run (&s, "1 replicas r1 r2 r3\n2 pace r3 600\n");
-  rounds (&s, 12);
+  run_rounds (&s, 12);
   cr_expect_str_eq (buf_c (&s.log), "r3 ");
   script_run (&s, "100000 replicas r1 r2 r3/gen2\n");
   buf_clear (&s.log);
--- a/t/t5005-choose.c
+++ b/t/t5005-choose.c
@@ -17,7 +17,7 @@
   script_free (&s);
 }
 
-Test (choose, evidence_runs_out)
+Test (choose, expired_status_excludes_replica)
 {
   /* A replica whose status has expired gets no new requests, even
      without any event since the last choice. */
@@ -30,7 +30,7 @@
          "100 arrive* 5-7: connect(5/1 r2) connect(6/1 r2) connect(7/1 r2)\n");
 }
 
-Test (choose, least_of_our_own)
+Test (choose, fewest_local_requests)
 {
   /* Each of three replicas gets one request before any gets a second. */
   check ("0 replicas r1 r2 r3\n"
@@ -58,7 +58,7 @@
          "4 arrive* 2-4: connect(2/1 r2) connect(3/1 r2) connect(4/1 r2)\n");
 }
 
-Test (choose, prefix_stays_while_slots_are_free)
+Test (choose, prefix_affinity_while_slots_are_free)
 {
   /* Requests with one prefix go to its replica although others are idle,
      but no further than its free slots allow. */
@@ -83,7 +83,7 @@
          "connect(6/1 r3) connect(7/1 r4) connect(8/1 r2)\n");
 }
 
-Test (choose, waits_here_when_all_is_taken)
+Test (choose, requests_wait_when_all_slots_are_taken)
 {
   /* Both replicas are full. Further requests wait at the gateway until a
      slot becomes free. */
--- a/t/t5600-slots.c
+++ b/t/t5600-slots.c
@@ -24,7 +24,7 @@
   "\"big\":{" KEY_DIGESTS ",\"may\":[\"*\"]},"                                \
   "\"small\":{\"key_digests\":[],\"may\":[\"*\"]}}}"
 
-#define MOST_WORDS 16
+#define MAX_WORDS 16
 
 struct home
 {
@@ -54,7 +54,7 @@
 static void
 replicas (struct home *h, char **w, size_t n)
 {
-  struct rt_replica list[MOST_WORDS] = { 0 };
+  struct rt_replica list[MAX_WORDS] = { 0 };
   for (size_t i = 0; i < n; i++)
     {
       const char *load = strchr (w[i], '=');
@@ -75,7 +75,7 @@
 static void
 open_list (struct home *h, uint32_t gateway, char **w, size_t n)
 {
-  struct rt_slot list[MOST_WORDS] = { 0 };
+  struct rt_slot list[MAX_WORDS] = { 0 };
   for (size_t i = 0; i < n; i++)
     list[i] = (struct rt_slot){ (uint64_t)atoll (w[i]),
                                 str_from (strchr (w[i], '=') + 1), 100 };
@@ -125,9 +125,9 @@
 static void
 run_line (struct home *h, char *line)
 {
-  char *w[MOST_WORDS] = { NULL }, *save = NULL;
+  char *w[MAX_WORDS] = { NULL }, *save = NULL;
   size_t n = 0;
-  for (char *x = strtok_r (line, " ", &save); x && n < MOST_WORDS;
+  for (char *x = strtok_r (line, " ", &save); x && n < MAX_WORDS;
        x = strtok_r (NULL, " ", &save))
     w[n++] = x;
   h->now = atoll (w[0]);
@@ -166,7 +166,7 @@
   free (text);
 }
 
-Test (slots, exact_over_gateways)
+Test (slots, exact_across_gateways)
 {
   /* Four gateways share four slots. The fifth request waits until a
      request of any gateway ends, and gets its slot. */
@@ -202,7 +202,7 @@
          "1801 done 2: grant(2/20 r2) [4]\n");
 }
 
-Test (slots, lost_word_of_the_end)
+Test (slots, lost_release_message)
 {
   /* Gateway 1's release message is lost, and gateway 2 stops while
      holding a slot. Without a timeout the model would lose one slot
@@ -220,7 +220,7 @@
          "4301 ask 3: grant(3/4 r2) [4]\n4302 ask 3: queued(3/5) [4]\n");
 }
 
-Test (slots, new_home_learns)
+Test (slots, new_home_waits_for_slot_reports)
 {
   /* A new home takes over under load. It queues requests until the
      gateways have reported their slots; otherwise all of them would be
@@ -235,7 +235,7 @@
          "301 done 1: grant(2/2 r1) [4]\n");
 }
 
-Test (slots, deadline_and_gone)
+Test (slots, deadline_and_lost_gateway)
 {
   /* At the measured rate a request takes 600 ms: one with an earlier
      deadline is refused at once. When the link of a gateway is lost, its
@@ -252,7 +252,7 @@
          "1004 gone 1: [2]\n1005 done 2: grant(2/6 r1) [2]\n");
 }
 
-Test (slots, replica_that_breaks)
+Test (slots, failing_replica_is_ejected)
 {
   /* r1 fails every request at once, so it always has the most free slots
      and would attract all requests. Three failures at three gateways
--- a/t/t5601-slot.c
+++ b/t/t5601-slot.c
@@ -39,7 +39,7 @@
          "16 slot 4: answer(4 504 deadline not-run) slot-done(4)\n");
 }
 
-Test (slot, no_word)
+Test (slot, home_without_reply)
 {
   /* The home does not reply. A request waits for 50 ms at most. After
      three timeouts the gateway sends no slot requests for 2 s, and
--- a/t/t5900-replay.c
+++ b/t/t5900-replay.c
@@ -36,7 +36,7 @@
 
 /* Traces of reported incidents, each with a description and a file of
    the expected actions. Two runs must give identical results. */
-Test (replay, incidents_end_as_stated)
+Test (replay, incidents_match_expected_actions)
 {
   char *names[32];
   size_t n = list_traces (names, 32);
@@ -59,11 +59,11 @@
 
 /* A damaged or empty trace is reported as invalid input by the exit
    code, and no action is printed. */
-Test (replay, damaged_trace_is_told_with_its_line)
+Test (replay, damaged_trace_is_rejected)
 {
   const char *head = "{\"core\":\"route\",\"seed\":1,\"nodes\":1}\n";
   const char *path = proc_file ("bad.trace",
-                                "%s{\"t\":1,\"ev\":\"sneeze\"}\n"
+                                "%s{\"t\":1,\"ev\":\"no-such-event\"}\n"
                                 "{\"t\":2,\"ev\":\"arrive\"}\n"
                                 "{\"t\":3,\n",
                                 head);
@@ -77,7 +77,7 @@
 }
 
 /* The command must fail if the actions differ from the expected ones. */
-Test (replay, other_decisions_fail)
+Test (replay, different_actions_fail)
 {
   const char *expect = proc_file ("other.expect", "1000 connect id=1\n");
   struct buf out = BUF_INIT;
--- a/t/t5910-attempt-chart.c
+++ b/t/t5910-attempt-chart.c
@@ -27,20 +27,20 @@
 /** "send" puts bytes at the server; a refusal means that they were not
     executed. */
 static bool
-after (const struct chart *c, int event, bool out)
+sent_after (const struct chart *c, int event, bool sent)
 {
   if (is_event (c, event, "send") || is_event (c, event, "sent"))
     return true;
   if (is_event (c, event, "refused_unrun")
       || is_event (c, event, "refused_final") || is_event (c, event, "unrun"))
     return false;
-  return out;
+  return sent;
 }
 
 /** Number of reachable (state, bytes sent) pairs; @p wrong receives
     whether "not run" was reached after bytes were sent. */
 static int
-walk (const struct chart *c, bool *wrong)
+explore (const struct chart *c, bool *wrong)
 {
   bool seen[MAX_STATES][2] = { { false } };
   int todo[2 * MAX_STATES][2], n = 0, reached = 0;
@@ -54,50 +54,50 @@
   while (n > 0)
     {
       int state = todo[--n][0];
-      bool out = todo[n][1];
+      bool sent = todo[n][1];
       reached++;
-      *wrong |= state == not_run && out;
+      *wrong |= state == not_run && sent;
       for (int e = 0; e < chart_events (c); e++)
         {
           int next = chart_step (c, state, e);
-          bool next_out = after (c, e, out);
-          if (next == CHART_REFUSED || seen[next][next_out])
+          bool next_sent = sent_after (c, e, sent);
+          if (next == CHART_REFUSED || seen[next][next_sent])
             continue;
-          seen[next][next_out] = true;
+          seen[next][next_sent] = true;
           todo[n][0] = next;
-          todo[n++][1] = next_out;
+          todo[n++][1] = next_sent;
         }
     }
   return reached;
 }
 
 static const char *
-source (void)
+attempt_chart_json (void)
 {
   for (const struct chart_source *s = chart_sources; s->name; s++)
     if (strcmp (s->name, "attempt") == 0)
       return s->json;
-  cr_assert_fail ("no chart");
+  cr_assert_fail ("chart \"attempt\" is missing");
   return NULL;
 }
 
 /* A client repeats a request that ended as "not run". If this state were
    reachable after the first byte was sent, the request could be executed
    twice. */
-Test (attempt_chart, not_run_means_not_run)
+Test (attempt_chart, not_run_is_unreachable_after_send)
 {
   const struct chart *c = chart_embedded ("attempt");
   bool wrong;
 
-  cr_expect_geq (walk (c, &wrong), chart_states (c));
+  cr_expect_geq (explore (c, &wrong), chart_states (c));
   cr_expect_not (wrong);
 }
 
 /** Load the chart with @p from replaced by @p to, and explore it. */
 static bool
-wrong_with (const char *from, const char *to)
+is_wrong_with (const char *from, const char *to)
 {
-  const char *json = source ();
+  const char *json = attempt_chart_json ();
   const char *at = strstr (json, from);
   struct buf text = BUF_INIT;
   struct fnd_list findings = { 0 };
@@ -110,7 +110,7 @@
   buf_add_c (&text, at + strlen (from));
   c = chart_load (buf_str (&text), "attempt", &findings);
   cr_assert (c);
-  walk (c, &wrong);
+  explore (c, &wrong);
   chart_free (c);
   fnd_free (&findings);
   buf_free (&text);
@@ -120,25 +120,26 @@
 /* The exploration detects a chart that reports "not run" after a lost
    connection, and one that queues a sent request again, from where it
    may be refused. */
-Test (attempt_chart, finds_planted_faults)
+Test (attempt_chart, detects_injected_faults)
 {
-  cr_expect (wrong_with ("\"sent\": { \"on\": {",
-                         "\"sent\": { \"on\": { \"refuse\": \"not_run\","));
-  cr_expect (wrong_with ("\"retry\": \"retrying\"", "\"retry\": \"queued\""));
-  cr_expect_not (wrong_with ("\"chart\"", "\"chart\""));
+  cr_expect (is_wrong_with ("\"sent\": { \"on\": {",
+                            "\"sent\": { \"on\": { \"refuse\": \"not_run\","));
+  cr_expect (
+      is_wrong_with ("\"retry\": \"retrying\"", "\"retry\": \"queued\""));
+  cr_expect_not (is_wrong_with ("\"chart\"", "\"chart\""));
 }
 
 /* The same for a platform node's chart. There "unrun" refers only to the
    attempt that it answers; after an earlier attempt that may have run,
    the chart is in states from which "not run" can't be reached. */
-Test (attempt_chart, not_run_means_not_run_on_a_platform)
+Test (attempt_chart, not_run_is_unreachable_after_send_on_a_platform)
 {
   const struct chart *c = chart_embedded ("forward");
   static const char *const never[]
       = { "rewaiting", "reconnecting", "resent", "passing" };
   bool wrong;
 
-  cr_expect_geq (walk (c, &wrong), chart_states (c));
+  cr_expect_geq (explore (c, &wrong), chart_states (c));
   cr_expect_not (wrong);
   for (size_t i = 0; i < sizeof never / sizeof never[0]; i++)
     for (int e = 0; e < chart_events (c); e++)
