--- a/route/share.c
+++ b/route/share.c
@@ -26,7 +26,7 @@
 };
 
 /** A node's part of one limit. */
-struct part
+struct node_limit
 {
   double demand;
   double granted;
@@ -42,7 +42,7 @@
   char *node;
   bool listed; /**< listed by shr_nodes() */
   clk_ms demand_at;
-  struct part part[LIMIT_KINDS];
+  struct node_limit limits[LIMIT_KINDS];
 };
 
 struct account
@@ -206,8 +206,8 @@
     return;
   m = member_of (a, node);
   m->demand_at = now;
-  m->part[RATE].demand = demand->tokens_per_s;
-  m->part[CONCURRENCY].demand = demand->concurrency;
+  m->limits[RATE].demand = demand->tokens_per_s;
+  m->limits[CONCURRENCY].demand = demand->concurrency;
 }
 
 static bool
@@ -234,7 +234,7 @@
 static double
 max_usage (const struct member *m, int kind, double even, clk_ms now)
 {
-  const struct part *p = &m->part[kind];
+  const struct node_limit *p = &m->limits[kind];
   double granted = remaining_grant (p->granted, p->granted_until, even, now);
 
   if (m->demand_at - p->peak_at >= CONFIRM_MS && is_reachable (m, now))
@@ -258,7 +258,7 @@
       for (size_t i = 0; i < a->n; i++)
         {
           const struct member *m = &a->members[i];
-          double want = m->part[kind].target;
+          double want = m->limits[kind].target;
           if (!is_reachable (m, now))
             continue;
           used += fmin (want, level);
@@ -281,7 +281,7 @@
 {
   for (size_t i = 0; i < a->n; i++)
     {
-      struct part *p = &a->members[i].part[kind];
+      struct node_limit *p = &a->members[i].limits[kind];
       p->target = fmax (p->demand * HEADROOM, even * IDLE_FRACTION);
     }
 }
@@ -312,27 +312,27 @@
 set_grants (struct account *a, int kind, clk_ms now, double even,
             double budget, double level)
 {
-  double held = 0, growth = 0;
+  double total_usage = 0, growth = 0;
   for (size_t i = 0; i < a->n; i++)
     {
-      struct part *p = &a->members[i].part[kind];
+      struct node_limit *p = &a->members[i].limits[kind];
       if (!is_reachable (&a->members[i], now))
         continue;
       double peak = max_usage (&a->members[i], kind, even, now);
       p->target = fmin (p->target, level);
-      held += peak;
+      total_usage += peak;
       growth += fmax (p->target - peak, 0);
     }
-  double room = fmax (budget - held, 0);
-  double part = growth > room ? room / growth : 1;
+  double room = fmax (budget - total_usage, 0);
+  double fraction = growth > room ? room / growth : 1;
   for (size_t i = 0; i < a->n; i++)
     {
-      struct part *p = &a->members[i].part[kind];
+      struct node_limit *p = &a->members[i].limits[kind];
       double peak = max_usage (&a->members[i], kind, even, now);
       if (!is_reachable (&a->members[i], now))
         continue;
-      p->granted
-          = p->target <= peak ? p->target : peak + part * (p->target - peak);
+      p->granted = p->target <= peak ? p->target
+                                     : peak + fraction * (p->target - peak);
       p->granted_until = now + SHR_VALID_MS + SHR_MAX_TRANSIT_MS;
       if (p->granted >= peak)
         {
@@ -368,7 +368,7 @@
       s->grants[s->ngrants++] = (struct shr_grant){
         .account = str_from (a->name),
         .node = str_from (m->node),
-        .amount = { m->part[RATE].granted, m->part[CONCURRENCY].granted },
+        .amount = { m->limits[RATE].granted, m->limits[CONCURRENCY].granted },
         .valid_ms = SHR_VALID_MS,
       };
     }
