--- a/route/admit.c
+++ b/route/admit.c
@@ -27,8 +27,7 @@
   return a && a->weight > 0 ? a->weight : 1;
 }
 
-/** Expected wait in the queue at the recent processing rate; 0: not
-    known. */
+/** Expected wait in the queue at the recent processing rate; 0: not known. */
 static double
 queue_wait_ms (const struct rt_req *q)
 {
@@ -67,11 +66,9 @@
   rt_set_timer (r, q, rt_queue_deadline (q));
 }
 
-/**
- * Make room for @p q in a full queue by dropping the least important waiting
- * request, unless @p q is no better. A request refused in the queue has cost
- * no backend server any work.
- */
+/** Make room for @p q in a full queue by dropping the least important waiting
+    request, unless @p q is no better. A request refused in the queue has cost
+    no backend server any work. */
 static bool
 make_room (struct rt *r, struct rt_req *q, clk_ms retry_ms)
 {
@@ -94,8 +91,7 @@
   return true;
 }
 
-/** Check name, permission and mode of the target; RT_CODE_NONE if
-    admitted. */
+/** Check name, permission and mode of the target; RT_CODE_NONE if admitted. */
 static enum rt_code
 check_target (struct rt *r, struct rt_req *q, const struct rt_request *in)
 {
--- a/route/attempt.c
+++ b/route/attempt.c
@@ -11,8 +11,7 @@
     q->ntried++;
 }
 
-/** Queue the request again at the front, for another server, after a
-    delay. */
+/** Queue the request again at the front, for another server, after a delay. */
 static void
 requeue (struct rt *r, struct rt_req *q, clk_ms delay)
 {
--- a/route/choose.c
+++ b/route/choose.c
@@ -16,9 +16,8 @@
 #define PREFIX_FACTOR 2.5 /* times the part of slots that is free */
 #define PREFIX_OFFSET 0.5 /* subtracted from it */
 #define PREFIX_MAX 0.225
-/* Below this bound the gateway has hardly any request per server, so its
-   own count can't prevent all gateways from choosing one prefix's
-   server. */
+/* Below this bound the gateway has hardly any request per server, so its own
+   count can't prevent all gateways from choosing one prefix's server. */
 #define PREFIX_MIN_BOUND 0.5
 
 bool
@@ -101,11 +100,9 @@
          || (q->ntried && was_tried (q, c->hash));
 }
 
-/**
- * Rendezvous hashing: all gateways derive the same order of servers for a
- * prefix without communication. Returns the first server in this order whose
- * score is below the bound.
- */
+/** Rendezvous hashing: all gateways derive the same order of servers for a
+    prefix without communication. Returns the first server in this order whose
+    score is below the bound. */
 static struct rt_server *
 prefix_server (const struct rt_view *v, const struct rt_req *q, double bound)
 {
@@ -181,8 +178,7 @@
   return s ? s : random_least_loaded (r, t, q, skip_full);
 }
 
-/** An ejected server whose ejection time is over and that has no probe
-    yet. */
+/** An ejected server whose ejection time is over and that has no probe yet. */
 static struct rt_server *
 find_probe_due (struct rt *r, struct rt_target *t, const struct rt_req *q)
 {
--- a/route/core.h
+++ b/route/core.h
@@ -197,8 +197,7 @@
   float weight;        /**< random weight among equal scores */
 };
 
-/** Servers that accept requests, recomputed periodically and after
-    changes. */
+/** Servers that accept requests, recomputed periodically and after changes. */
 struct rt_view
 {
   struct rt_candidate *list;
@@ -261,9 +260,9 @@
   uint64_t prefix;
   clk_ms arrived_at;
   clk_ms queued_at;
-  clk_ms deadline;      /**< 0: none */
-  clk_ms started_at;    /**< RT_ACT_SEND of the current attempt */
-  clk_ms granted_at;    /**< time of the claim's grant */
+  clk_ms deadline;   /**< 0: none */
+  clk_ms started_at; /**< RT_ACT_SEND of the current attempt */
+  clk_ms granted_at;
   clk_ms first_byte_ms; /**< to the first byte of the current attempt */
   clk_ms timer_due;
   size_t heap_index;
@@ -407,8 +406,7 @@
 /** RT_CODE_NONE if admitted; otherwise @p retry_ms is set. */
 enum rt_code rt_limit_admit (struct rt *r, struct rt_account *a, double cost,
                              clk_ms *retry_ms);
-/** Correct the bucket for a request that cost @p actual instead of @p
-    cost. */
+/** Correct the bucket for a request that cost @p actual instead of @p cost. */
 void rt_limit_correct (struct rt_account *a, double cost, double actual);
 
 /* load.c */
--- a/route/limit.c
+++ b/route/limit.c
@@ -38,11 +38,9 @@
     return even;
   if (r->now <= a->share_until)
     return share;
-  /*
-   * No grant arrives from the account's home. Keeping a small share would
-   * starve this node for as long as the partition lasts; using the whole limit
-   * would multiply the limit by the number of partitions.
-   */
+  /* No grant arrives from the account's home. Keeping a small share would
+     starve this node for as long as the partition lasts; using the whole limit
+     would multiply the limit by the number of partitions. */
   return shr_decayed_share (share, even, r->now - a->share_until);
 }
 
@@ -111,9 +109,8 @@
   a->requested_tokens += cost;
   if (a->open > a->peak_open)
     a->peak_open = a->open;
-  /* A share below one still admits one request at a time; otherwise a
-     limit below the number of nodes would reject all requests of the
-     account. */
+  /* A share below one still admits one request at a time; otherwise a limit
+     below the number of nodes would reject all requests of the account. */
   if (a->conc_limit > 0
       && (double)a->open
              > fmax (1, floor (rt_limit_conc (r, a) + ROUNDING_TOLERANCE)))
--- a/route/outlier.c
+++ b/route/outlier.c
@@ -26,11 +26,9 @@
   return ejected;
 }
 
-/**
- * At most a third of the servers is ejected. When all servers slow down at
- * once, as under overload, ejecting more would move their load to the
- * remaining ones and overload these too.
- */
+/** At most a third of the servers is ejected. When all servers slow down at
+    once, as under overload, ejecting more would move their load to the
+    remaining ones and overload these too. */
 static void
 eject (struct rt *r, struct rt_target *t, struct rt_server *s)
 {
--- a/route/record.h
+++ b/route/record.h
@@ -23,10 +23,8 @@
 
 void rec_write_head (const struct rec_head *head, struct buf *out);
 
-/** Append the line of one event. */
 void rec_write_event (clk_ms now, const struct rt_event *ev, struct buf *out);
 
-/** Append the line of one action. */
 void rec_write_action (clk_ms now, const struct rt_action *act,
                        struct buf *out);
 
--- a/route/request.c
+++ b/route/request.c
@@ -184,10 +184,8 @@
   rt_answer (r, q, code, retry_ms);
 }
 
-/**
- * End a request that may have run. An idempotent one gets `failed`, as it may
- * be repeated in any case. Otherwise the outcome is `unknown`.
- */
+/** End a request that may have run. An idempotent one gets `failed`, as it may
+    be repeated in any case. Otherwise the outcome is `unknown`. */
 void
 rt_give_up (struct rt *r, struct rt_req *q, enum rt_code code)
 {
--- a/route/retry.c
+++ b/route/retry.c
@@ -8,11 +8,9 @@
 #define BACKOFF_MIN_MS 25
 #define BACKOFF_MAX_MS 1000
 
-/*
- * Retry budget. When a whole target fails, retries of every request would
- * multiply its load and prevent its recovery. With one retry per ten successes
- * the extra load stays near a tenth.
- */
+/* Retry budget. When a whole target fails, retries of every request would
+   multiply its load and prevent its recovery. With one retry per ten successes
+   the extra load stays near a tenth. */
 bool
 rt_retry_spend (struct rt *r, struct rt_target *t)
 {
--- a/route/share.c
+++ b/route/share.c
@@ -9,11 +9,9 @@
 /* Part of an even share that a node gets without any demand, so that its
    first requests are not refused before the next division. */
 #define IDLE_FRACTION 0.1
-/*
- * A node that reports this long after its highest grant has received a smaller
- * one, which was sent a second later over the same link. The heartbeat closes
- * a link that is silent in one direction after three seconds.
- */
+/* A node that reports this long after its highest grant has received a smaller
+   one, which was sent a second later over the same link. The heartbeat closes
+   a link that is silent in one direction after three seconds. */
 #define CONFIRM_MS ((clk_ms)4500)
 /* Half-lives after which an expired share has decayed to an even part. */
 #define START_DELAY_HALF_LIVES 11
@@ -216,8 +214,7 @@
   return now - m->demand_at < SHR_DEMAND_TIMEOUT_MS;
 }
 
-/** Remaining value of a grant; after expiry it decays towards an even
-    part. */
+/** Remaining value of a grant; after expiry it decays towards an even part. */
 static double
 remaining_grant (double share, clk_ms until, double even, clk_ms now)
 {
@@ -226,11 +223,9 @@
   return share > even ? shr_decayed_share (share, even, now - until) : 0;
 }
 
-/**
- * Upper bound of what a node may use now. A share does not end with its grant:
- * a gateway without a new grant decays from it to an even part, so granting
- * the rest at once would exceed the limit.
- */
+/** Upper bound of what a node may use now. A share does not end with its
+    grant: a gateway without a new grant decays from it to an even part, so
+    granting the rest at once would exceed the limit. */
 static double
 max_usage (const struct member *m, int kind, double even, clk_ms now)
 {
@@ -303,11 +298,9 @@
   return fmax (limit - reserved, 0);
 }
 
-/**
- * A smaller grant may be lost on its way, and the old one stays valid until it
- * expires. If other nodes grew before that, the limit would be exceeded, so
- * they grow only into what is certainly free.
- */
+/** A smaller grant may be lost on its way, and the old one stays valid until
+    it expires. If other nodes grew before that, the limit would be exceeded,
+    so they grow only into what is certainly free. */
 static void
 set_grants (struct account *a, int kind, clk_ms now, double even,
             double budget, double level)
--- a/route/slot.c
+++ b/route/slot.c
@@ -73,11 +73,9 @@
   rt_dispatch_queued (r, t);
 }
 
-/**
- * The home did not reply in time. After MAX_SLOT_TIMEOUTS timeouts it counts
- * as stopped or unreachable: further requests would wait for a reply in vain,
- * and those queued there would never be granted.
- */
+/** The home did not reply in time. After MAX_SLOT_TIMEOUTS timeouts it counts
+    as stopped or unreachable: further requests would wait for a reply in vain,
+    and those queued there would never be granted. */
 static void
 on_unanswered (struct rt *r, struct rt_req *q)
 {
--- a/route/slots.c
+++ b/route/slots.c
@@ -362,11 +362,9 @@
   *mean += (*mean > 0 ? AVERAGE_WEIGHT : 1) * (value - *mean);
 }
 
-/**
- * Slow replicas are not ejected: their slots become free more slowly, which
- * limits their load, and ejected they would be missing (p99 317 against 301 in
- * nairobi with a straggler).
- */
+/** Slow replicas are not ejected: their slots become free more slowly, which
+    limits their load, and ejected they would be missing (p99 317 against 301
+    in nairobi with a straggler). */
 static void
 record_result (struct slt *s, struct rt_server *server,
                const struct slt_event *ev)
@@ -407,11 +405,9 @@
   return e->q.server && s->now - e->reported_at > SLT_SLOT_TIMEOUT_MS;
 }
 
-/**
- * Free slots that their gateway no longer reports: the release message was
- * lost, or the gateway stopped. If they were kept, the model would lose one
- * slot after another permanently.
- */
+/** Free slots that their gateway no longer reports: the release message was
+    lost, or the gateway stopped. If they were kept, the model would lose one
+    slot after another permanently. */
 static void
 free_stale_slots (struct slt *s)
 {
--- a/t/t5001-life.c
+++ b/t/t5001-life.c
@@ -103,9 +103,8 @@
 
 Test (lifecycle, refused_non_idempotent_request_is_not_run)
 {
-  /* The backend server responds with the status that means "not
-     executed". A non-idempotent request gets no second attempt after
-     this. */
+  /* The backend server responds with the status that means "not executed". A
+     non-idempotent request gets no second attempt after this. */
   check ("1 arrive 1 acme api once\n"
          "2 open 1/1\n"
          "3 head 1/1 503\n",
@@ -273,9 +272,8 @@
 
 Test (lifecycle, refused_idempotent_request_is_retried)
 {
-  /* Both backend servers refuse an idempotent request without executing
-     it: `not-run`. If an earlier attempt may have run, the outcome is
-     `failed`. */
+  /* Both backend servers refuse an idempotent request without executing it:
+     `not-run`. If an earlier attempt may have run, the outcome is `failed`. */
   check ("1 arrive 1 acme api\n"
          "2 open 1/1\n"
          "3 head 1/1 503\n"
@@ -341,9 +339,8 @@
 
 Test (lifecycle, truncated_response_is_detectable)
 {
-  /* A plain service's response breaks after bytes were forwarded. It
-     can't be resumed, so the client must be able to detect the
-     truncation. */
+  /* A plain service's response breaks after bytes were forwarded. It can't be
+     resumed, so the client must be able to detect the truncation. */
   check ("1 arrive 1 acme api\n"
          "2 open 1/1\n"
          "3 head 1/1 200\n"
@@ -401,8 +398,7 @@
 
 Test (lifecycle, leaving)
 {
-  /* A node that shuts down refuses new requests and completes the
-     others. */
+  /* A node that shuts down refuses new requests and completes the others. */
   check ("1 arrive 1 acme api\n"
          "1 arrive 2 acme api\n"
          "1 arrive 3 acme api\n"
--- a/t/t5002-queue.c
+++ b/t/t5002-queue.c
@@ -101,10 +101,9 @@
 
 Test (queue, full_queue_drops_least_important)
 {
-  /* When the queue is full, a more urgent request replaces the newest of
-     the lowest class, and one of a small account replaces one of a busy
-     account. A request that is no better is refused itself. Refusals are
-     sent at once. */
+  /* When the queue is full, a more urgent request replaces the newest of the
+     lowest class, and one of a small account replaces one of a busy account. A
+     request that is no better is refused itself. Refusals are sent at once. */
   check ("0 arrive 1 flood api\n"
          "1 arrive* 2-5 flood api\n"
          "2 arrive* 6-7 flood api prio=3\n"
--- a/t/t5004-faults.c
+++ b/t/t5004-faults.c
@@ -10,7 +10,6 @@
   "\"accounts\":{"                                                            \
   "\"acme\":{" KEY_DIGESTS ",\"may\":[\"*\"],\"priority\":0}}}"
 
-/** Names of the ejected servers. */
 static void
 log_ejected (struct script *s)
 {
@@ -62,10 +61,9 @@
 
 Test (faults, slow_server_is_ejected_and_returns)
 {
-  /* r6 responds thirty times as slowly as its peers and is ejected.
-     After the ejection time one probe request finds it still slow, and
-     it is ejected for longer. When it is fast again, the next probe ends
-     the ejection. */
+  /* r6 responds thirty times as slowly as its peers and is ejected. After the
+     ejection time one probe request finds it still slow, and it is ejected for
+     longer. When it is fast again, the next probe ends the ejection. */
   struct script s = script_new (CONFIG, 1);
   script_run (&s, "1 replicas r1 r2 r3 r4 r5 r6\n2 pace r6 600\n");
   run_rounds (&s, 12);
--- a/t/t5600-slots.c
+++ b/t/t5600-slots.c
@@ -182,10 +182,9 @@
 
 Test (slots, prefix_and_fairness)
 {
-  /* An idle server with the prefix is preferred. Queued requests are
-     granted by fair shares: the small account's request overtakes those
-     of the busy account at another gateway, and a full queue drops the
-     newest of these. */
+  /* An idle server with the prefix is preferred. Queued requests are granted
+     by fair shares: the small account's request overtakes those of the busy
+     account at another gateway, and a full queue drops the newest of these. */
   check ("1 replicas r1 r2\n300 warm 1 1 7\n900 done 1 1\n"
          "1700 warm 2 3 7\n"
          "1701 taken 2 4 r1\n1701 taken 2 5 r2\n1701 taken 2 6 r2\n"
@@ -204,10 +203,9 @@
 
 Test (slots, lost_release_message)
 {
-  /* Gateway 1's release message is lost, and gateway 2 stops while
-     holding a slot. Without a timeout the model would lose one slot
-     after another. Gateway 3 reports its slots every second and keeps
-     them. */
+  /* Gateway 1's release message is lost, and gateway 2 stops while holding a
+     slot. Without a timeout the model would lose one slot after another.
+     Gateway 3 reports its slots every second and keeps them. */
   check ("1 replicas r1 r2\n300 ask 1 1 big\n300 ask 2 1 big\n"
          "300 ask 3 1 big\n300 ask 3 2 big\n400 ask 3 3 big\n"
          "2000 open 3 1=r1 2=r2\n3000 open 3 1=r1 2=r2\n3800 tick\n"
@@ -275,10 +273,9 @@
 
 Test (slots, two_homes)
 {
-  /* Two gateways act as home, and the other one has filled r1. This one
-     got no report of it, but the engine's load report shows unreported
-     requests; if it ignored them, requests would wait at r1 while r2 is
-     idle. */
+  /* Two gateways act as home, and the other one has filled r1. This one got no
+     report of it, but the engine's load report shows unreported requests; if
+     it ignored them, requests would wait at r1 while r2 is idle. */
   check ("1 replicas r1 r2\n300 replicas r1=20000 r2\n301 ask 1 1 big\n"
          "302 ask 1 2 big\n303 ask 1 3 big\n1300 replicas r1=100 r2=200\n",
          "1 replicas r1: [0]\n300 replicas r1=20000: [0]\n"
--- a/t/t5601-slot.c
+++ b/t/t5601-slot.c
@@ -41,11 +41,10 @@
 
 Test (slot, home_without_reply)
 {
-  /* The home does not reply. A request waits for 50 ms at most. After
-     three timeouts the gateway sends no slot requests for 2 s, and
-     requests queued at the home are assigned locally; otherwise they
-     would wait until their deadline. A late grant does not start a
-     second attempt. */
+  /* The home does not reply. A request waits for 50 ms at most. After three
+     timeouts the gateway sends no slot requests for 2 s, and requests queued
+     at the home are assigned locally; otherwise they would wait until their
+     deadline. A late grant does not start a second attempt. */
   check ("1 replicas r1 r2 r3 r4 r5 r6\n2 home on\n"
          "3 arrive 9 acme lm\n4 slot 9 queued\n"
          "10 arrive 1 acme lm\n20 arrive 2 acme lm\n30 arrive 3 acme lm\n"
--- a/t/t5910-attempt-chart.c
+++ b/t/t5910-attempt-chart.c
@@ -1,8 +1,6 @@
-/*
- * Exhaustive exploration of charts/attempt.json: every event in every
- * reachable state, combined with whether bytes of the request may be at a
- * backend server. "Not run" must not be reachable while they may be.
- */
+/* Exhaustive exploration of charts/attempt.json: every event in every
+   reachable state, combined with whether bytes of the request may be at a
+   backend server. "Not run" must not be reachable while they may be. */
 #include <criterion/criterion.h>
 #include <stdlib.h>
 #include <string.h>
