--- a/route/choose.c
+++ b/route/choose.c
@@ -44,12 +44,12 @@
 
 /**
  * When all slots are taken, requests wait at the gateway, whose queue honors
- * priority classes and fair shares; the servers know neither. Requests are
+ * priority classes and fair shares; the servers have neither. Requests are
  * held back only if both conditions hold: there are more requests than slots
  * (requests that wait at one server while another is free are no reason to
  * hold back more), and hardly any slot is free. A gateway may always use its
- * even part: otherwise the gateways that hold the slots would keep them for
- * good, as they learn first of each freed slot.
+ * even part: otherwise the gateways that hold the slots would keep
+ * them permanently, as each freed slot is visible to its holder first.
  */
 static bool
 may_dispatch (const struct rt *r, const struct rt_target *t, double others,
--- a/route/share.h
+++ b/route/share.h
@@ -54,7 +54,7 @@
 /**
  * Set an account's limits; zero means no limit and no grants.
  * @param home  whether this node is the account's home. A new home grants
- * nothing until the grants of its predecessor, which it does not know, have
+ * nothing until the grants of its predecessor, which it has no record of, have
  * expired and decayed.
  */
 void shr_account (struct shr *s, clk_ms now, struct str account,
--- a/route/slots.c
+++ b/route/slots.c
@@ -95,7 +95,7 @@
 }
 
 static struct slt_action *
-push_action (struct slt *s, enum rt_slot_word word, const struct entry *e)
+push_action (struct slt *s, enum rt_slot_word reply, const struct entry *e)
 {
   if (s->act_n == s->act_cap)
     {
@@ -103,7 +103,7 @@
       s->actions = xrealloc (s->actions, s->act_cap * sizeof *s->actions);
     }
   struct slt_action *a = &s->actions[s->act_n++];
-  *a = (struct slt_action){ .word = word,
+  *a = (struct slt_action){ .word = reply,
                             .gateway = e->gateway,
                             .id = e->q.id };
   return a;
--- a/route/slots.h
+++ b/route/slots.h
@@ -2,9 +2,10 @@
  * @file
  * Slots of one model's replicas, granted by the model's home gateway (no I/O).
  *
- * Many gateways share replicas with one or two free slots each, and none of
- * them sees in time what the others use. One of them, the model's home, gets a
- * request for a slot before a connection is opened and tracks every slot.
+ * Many gateways share replicas with one or two free slots each, and a
+ * gateway receives the load of the others too late. One of them, the model's
+ * home, gets a request for a slot before a connection is opened and tracks
+ * every slot.
  *
  * A grant is only an optimization; correctness does not depend on it. A
  * gateway without a reply decides by itself, and the rules of attempts are
