--- a/route/choose.c
+++ b/route/choose.c
@@ -48,8 +48,8 @@
  * held back only if both conditions hold: there are more requests than slots
  * (requests that wait at one server while another is free are no reason to
  * hold back more), and hardly any slot is free. A gateway may always use its
- * even part: otherwise the gateways that hold the slots would keep
- * them permanently, as each freed slot is visible to its holder first.
+ * even part: otherwise the gateways that hold the slots would keep them
+ * permanently, as each freed slot is visible to its holder first.
  */
 static bool
 may_dispatch (const struct rt *r, const struct rt_target *t, double others,
--- a/route/core.h
+++ b/route/core.h
@@ -90,8 +90,7 @@
   double bucket_level; /**< fill of the token bucket, may be negative */
   clk_ms bucket_at;
   size_t open;
-  double requested_tokens; /**< tokens since demand_at, including refused
-                              requests */
+  double requested_tokens; /**< since demand_at, also refused */
   size_t peak_open;
   clk_ms demand_at;
 };
@@ -203,17 +202,14 @@
   struct rt_candidate *list;
   size_t n;
   size_t ejected;
-  uint32_t outside_requests; /**< requests of this gateway on servers not in
-                                `list` */
+  uint32_t outside_requests; /**< own, on servers not in `list` */
   bool current;
   clk_ms at;
   clk_ms valid_until;     /**< earliest valid_until of the servers in `list` */
   double capacity;        /**< requests */
   double others;          /**< requests of other gateways, as reported */
-  double others_in_slots; /**< of these, in slots rather than waiting at the
-                             server */
-  double tokens_at_reports; /**< tokens of this gateway when the reports were
-                               made */
+  double others_in_slots; /**< of these, not waiting there */
+  double tokens_at_reports; /**< of this gateway */
   double total_age;         /**< sum of the reports' ages, ms */
 };
 
--- a/route/slots.h
+++ b/route/slots.h
@@ -21,8 +21,8 @@
 #define SLT_OPEN_MS ((clk_ms)1000)
 /** A slot that its gateway has not reported for this long is freed. */
 #define SLT_SLOT_TIMEOUT_MS ((clk_ms)3500)
-/** A new home grants nothing for this long, while it receives the held
-    slots. */
+/** Startup delay of a home, to receive the held slots before it grants
+    any. */
 #define SLT_START_DELAY_MS ((clk_ms)200)
 /** Timeout of a gateway's slot request. */
 #define SLT_ANSWER_MS ((clk_ms)50)
@@ -38,8 +38,7 @@
   SLT_EV_OPEN,  /**< gateway, open, n: all slots that it holds */
   SLT_EV_GONE,  /**< gateway: its link was lost; its queued requests are
                    dropped, its slots stay until SLT_SLOT_TIMEOUT_MS */
-  SLT_EV_NODES  /**< n: gateways, each of which may queue limits.max_queue
-                   requests */
+  SLT_EV_NODES  /**< n: gateways, each with max_queue requests */
 };
 
 struct slt_event
@@ -54,8 +53,7 @@
   uint64_t prefix;
   struct str replica;
   bool idempotent;
-  double first_ms; /**< time to the first byte of a complete response, 0: not
-                      known */
+  double first_ms; /**< of a complete response; 0: not known */
   bool failed;     /**< the replica failed to connect, broke or timed out */
   struct cfg *cfg;
   const struct rt_replica *replicas;
