--- a/route/admit.c
+++ b/route/admit.c
@@ -1,16 +1,17 @@
 #include "route/core.h"
 
-#define MEASURED_MS 5000 /* how long a measured pace counts */
-#define RETRY_LEAST_MS 100
-#define RETRY_MOST_MS 10000
-#define SMOOTH 0.05 /* of averages over requests */
+#define MEASUREMENT_VALID_MS 5000 /* of a processing time */
+#define RETRY_MIN_MS 100
+#define RETRY_MAX_MS 10000
+/* Weight of the newest sample in moving averages. */
+#define AVERAGE_WEIGHT 0.05
 
 clk_ms
 rt_clamp_retry (double ms)
 {
-  if (ms < RETRY_LEAST_MS)
-    return RETRY_LEAST_MS;
-  return ms > RETRY_MOST_MS ? RETRY_MOST_MS : (clk_ms)ms;
+  if (ms < RETRY_MIN_MS)
+    return RETRY_MIN_MS;
+  return ms > RETRY_MAX_MS ? RETRY_MAX_MS : (clk_ms)ms;
 }
 
 static const struct cfg_account *
@@ -20,27 +21,26 @@
 }
 
 static double
-weight_of (const struct rt_req *q)
+account_weight (const struct rt_req *q)
 {
   const struct cfg_account *a = account_config (q);
   return a && a->weight > 0 ? a->weight : 1;
 }
 
-/** How long the queue will take when requests end at the pace of those that
-    ended lately; 0: not known. */
+/** Expected wait in the queue at the recent processing rate; 0: not known. */
 static double
 queue_wait_ms (const struct rt_req *q)
 {
   const struct rt_target *t = q->target;
   if (t->queue.n == 0 || t->in_flight == 0)
     return 0;
-  double ahead = rt_queue_ahead (&t->queue, q->priority, q->account,
-                                 weight_of (q), q->cost);
+  double ahead = rt_queue_tokens_ahead (&t->queue, q->priority, q->account,
+                                        account_weight (q), q->cost);
   return ahead * t->ms_per_token / t->in_flight;
 }
 
 bool
-rt_any_usable (const struct rt *r, const struct rt_target *t)
+rt_has_usable_server (const struct rt *r, const struct rt_target *t)
 {
   for (size_t i = 0; i < t->nservers; i++)
     if (rt_usable (r, t->servers[i]))
@@ -48,9 +48,9 @@
   return false;
 }
 
-/** The longest wait in the queue ends at @p at. */
+/** Latest time until which @p q may wait in the queue. */
 clk_ms
-rt_queue_until (const struct rt_req *q)
+rt_queue_deadline (const struct rt_req *q)
 {
   clk_ms at = q->queued_at + q->cfg->limits.queue_ms;
   if (q->deadline && q->deadline < at)
@@ -62,15 +62,13 @@
 rt_enqueue (struct rt *r, struct rt_req *q, bool front)
 {
   q->queued_at = r->now;
-  rt_queue_push (&q->target->queue, q, weight_of (q), front);
-  rt_timer (r, q, rt_queue_until (q));
+  rt_queue_push (&q->target->queue, q, account_weight (q), front);
+  rt_set_timer (r, q, rt_queue_deadline (q));
 }
 
-/**
- * Room for @p q in a full queue: the least important waiting request goes,
- * unless the arriving one is no better.  Refusing at the queue costs nothing
- * that a backend server has done.
- */
+/** Make room for @p q in a full queue by dropping the least important waiting
+    request, unless @p q is no better. A request refused in the queue has cost
+    no backend server any work. */
 static bool
 make_room (struct rt *r, struct rt_req *q, clk_ms retry_ms)
 {
@@ -84,15 +82,16 @@
   bool fairer = victim->priority == q->priority
                 && victim->account != q->account
                 && victim->flow->tokens / victim->flow->weight
-                       > 2 * (q->cost / weight_of (q));
-  /* What may have run has cost work already and goes on. */
+                       > 2 * (q->cost / account_weight (q));
+  /* A request that may have run is kept, since it has used server time
+     already. */
   if ((!better && !fairer) || rt_may_have_run (victim))
     return false;
   rt_refuse (r, victim, RT_CODE_QUEUE_FULL, retry_ms);
   return true;
 }
 
-/** Why the request can't come in, or RT_CODE_NONE. */
+/** Check name, permission and mode of the target; RT_CODE_NONE if admitted. */
 static enum rt_code
 check_target (struct rt *r, struct rt_req *q, const struct rt_request *in)
 {
@@ -115,18 +114,18 @@
   return r->leaving ? RT_CODE_LEAVING : RT_CODE_NONE;
 }
 
-/** Whether it would end after its deadline, by what was measured lately.  An
-    old measurement does not count: refusing all by it, nothing would ever be
-    measured again. */
+/** Whether the request would miss its deadline, estimated from recent
+    measurements. Older measurements are ignored: if they caused every
+    request to be refused, no new measurement would ever be made. */
 static bool
-too_late (const struct rt *r, const struct rt_req *q, double wait_ms)
+misses_deadline (const struct rt *r, const struct rt_req *q, double wait_ms)
 {
   const struct rt_target *t = q->target;
   if (!q->deadline)
     return false;
   if (q->deadline <= r->now)
     return true;
-  if (r->now - t->measured_at > MEASURED_MS)
+  if (r->now - t->measured_at > MEASUREMENT_VALID_MS)
     return false;
   double end = (double)r->now + wait_ms + t->ms_per_token * q->cost;
   return end > (double)q->deadline;
@@ -137,11 +136,11 @@
 {
   double wait = queue_wait_ms (q);
   *retry_ms = rt_clamp_retry (wait);
-  if (too_late (r, q, wait))
+  if (misses_deadline (r, q, wait))
     return RT_CODE_DEADLINE;
-  if (!rt_any_usable (r, q->target))
+  if (!rt_has_usable_server (r, q->target))
     {
-      *retry_ms = RT_RETRY_MS;
+      *retry_ms = RT_DEFAULT_RETRY_MS;
       return RT_CODE_NO_REPLICA;
     }
   enum rt_code code = rt_limit_admit (r, q->account, q->cost, retry_ms);
@@ -160,30 +159,31 @@
   q->cfg = r->cfg ? cfg_ref (r->cfg) : NULL;
   q->cost = in->cost > 1 ? in->cost : 1;
   q->prefix = in->prefix;
-  q->arrived = r->now;
+  q->arrived_at = r->now;
   q->deadline = in->deadline;
-  q->timer_at = SIZE_MAX;
+  q->heap_index = SIZE_MAX;
   q->priority
       = (uint8_t)(in->priority < RT_CLASSES ? in->priority : RT_CLASSES - 1);
   q->idempotent = in->idempotent;
   q->has_key = in->has_key;
   q->state = RT_S_RECEIVED;
   size_t at = in->id & (r->table_size - 1);
-  q->chain = r->table[at];
+  q->hash_next = r->table[at];
   r->table[at] = q;
   r->open++;
   return q;
 }
 
 void
-rt_arrive (struct rt *r, const struct rt_request *in)
+rt_on_arrive (struct rt *r, const struct rt_request *in)
 {
   struct rt_req *q = new_request (r, in);
   clk_ms retry_ms = 0;
   enum rt_code code = check_target (r, q, in);
   if (code != RT_CODE_NONE)
     {
-      rt_refuse (r, q, code, rt_code_status (code) == 503 ? RT_RETRY_MS : 0);
+      rt_refuse (r, q, code,
+                 rt_code_status (code) == 503 ? RT_DEFAULT_RETRY_MS : 0);
       return;
     }
   q->target = rt_target (r, in->target, in->is_model);
@@ -197,11 +197,12 @@
       return;
     }
   struct rt_target *t = q->target;
-  t->mean_cost += (t->mean_cost > 0 ? SMOOTH : 1) * (q->cost - t->mean_cost);
+  t->mean_cost
+      += (t->mean_cost > 0 ? AVERAGE_WEIGHT : 1) * (q->cost - t->mean_cost);
   rt_step (q, RT_X_ADMIT);
   if (rt_slot_ask (r, q))
     return;
   rt_step (q, RT_X_ENQUEUE);
   rt_enqueue (r, q, false);
-  rt_pump (r, t);
+  rt_dispatch_queued (r, t);
 }
--- a/route/attempt.c
+++ b/route/attempt.c
@@ -1,33 +1,34 @@
 #include "route/core.h"
 
-#define SMOOTH 0.05 /* of averages over requests */
+/* Weight of the newest sample in moving averages. */
+#define AVERAGE_WEIGHT 0.05
 
 static void
-avoid (struct rt_req *q)
+mark_tried (struct rt_req *q)
 {
-  q->tried[q->ntried % RT_TRIED] = q->server->hash;
-  if (q->ntried < RT_TRIED)
+  q->tried[q->ntried % RT_MAX_TRIED] = q->server->hash;
+  if (q->ntried < RT_MAX_TRIED)
     q->ntried++;
 }
 
-/** Back to the head of the queue for another server. */
+/** Queue the request again at the front, for another server, after a delay. */
 static void
-again (struct rt *r, struct rt_req *q, clk_ms after)
+requeue (struct rt *r, struct rt_req *q, clk_ms delay)
 {
   struct rt_target *t = q->target;
-  rt_leave_server (r, q);
-  if (after > 0)
+  rt_detach_server (r, q);
+  if (delay > 0)
     {
-      rt_timer (r, q, r->now + after);
-      rt_pump (r, t);
+      rt_set_timer (r, q, r->now + delay);
+      rt_dispatch_queued (r, t);
       return;
     }
   rt_enqueue (r, q, true);
-  rt_pump (r, t);
+  rt_dispatch_queued (r, t);
 }
 
 static bool
-other_server (const struct rt *r, const struct rt_req *q)
+has_untried_server (const struct rt *r, const struct rt_req *q)
 {
   for (size_t i = 0; i < q->target->nservers; i++)
     if (rt_usable (r, q->target->servers[i])
@@ -39,65 +40,67 @@
 static bool
 may_retry (struct rt *r, struct rt_req *q)
 {
-  return q->attempt < RT_MAX_ATTEMPTS && other_server (r, q)
+  return q->attempt < RT_MAX_ATTEMPTS && has_untried_server (r, q)
          && rt_retry_spend (r, q->target);
 }
 
 static void
 on_connect_failed (struct rt *r, struct rt_req *q)
 {
-  rt_outlier_bad (r, q->target, q->server);
-  q->lost = true;
-  avoid (q);
-  /* Nothing was sent, so even a non-idempotent request may go elsewhere. */
-  bool more = may_retry (r, q);
-  bool ran = q->state == RT_S_RECONNECTING;
+  rt_outlier_failure (r, q->target, q->server);
+  q->attempt_failed = true;
+  mark_tried (q);
+  /* Nothing was sent, so a non-idempotent request may be retried too. */
+  bool retry = may_retry (r, q);
+  bool may_have_run = q->state == RT_S_RECONNECTING;
   rt_step (q, RT_X_CONNECT_FAILED);
-  rt_leave_server (r, q);
-  if (more)
-    again (r, q, 0);
-  else if (ran)
+  rt_detach_server (r, q);
+  if (retry)
+    requeue (r, q, 0);
+  else if (may_have_run)
     rt_give_up (r, q, RT_CODE_CONNECT);
   else
-    rt_refuse (r, q, RT_CODE_CONNECT, RT_RETRY_MS);
+    rt_refuse (r, q, RT_CODE_CONNECT, RT_DEFAULT_RETRY_MS);
 }
 
 static void
 on_connected (struct rt *r, struct rt_req *q)
 {
-  if (q->has_key && !q->sent && !rt_grant_fresh (r, q))
+  if (q->has_key && !q->sent && !rt_grant_is_valid (r, q))
     {
-      /* The connection took so long that the claim may have lapsed and been
-         given to a repeat; sending now could run it twice. */
-      rt_act (r, RT_ACT_CANCEL, q);
+      /* The claim may have expired while the connection was set up, and
+         may have been granted to a repeated request. Sending now could
+         run the request twice. */
+      rt_push_action (r, RT_ACT_CANCEL, q);
       rt_start_claim (r, q);
       return;
     }
   rt_step (q, RT_X_SEND);
   q->sent = true;
-  q->started = r->now;
+  q->started_at = r->now;
   q->pending = true;
   q->server->pending++;
   rt_server_changed (q->server);
-  rt_act (r, RT_ACT_SEND, q);
+  rt_push_action (r, RT_ACT_SEND, q);
 }
 
-/** A refusal that says the request was not run. */
+/** The server refused the request without executing it. */
 static void
 on_refused (struct rt *r, struct rt_req *q)
 {
-  rt_act (r, RT_ACT_CANCEL, q);
-  avoid (q);
+  rt_push_action (r, RT_ACT_CANCEL, q);
+  mark_tried (q);
   bool first = q->state == RT_S_SENDING;
+  /* The request did not run, so its claim may be released. */
   if (first)
-    q->sent = false; /* so that a claim is released: it surely did not run */
-  bool more = q->idempotent && may_retry (r, q);
-  clk_ms after = rt_retry_backoff (r, q->attempt);
-  rt_leave_server (r, q);
-  if (more)
+    q->sent = false;
+  bool retry = q->idempotent && may_retry (r, q);
+  clk_ms delay = rt_retry_backoff (r, q->attempt);
+  rt_detach_server (r, q);
+  if (retry)
     {
       rt_step (q, first ? RT_X_REFUSED_UNRUN : RT_X_RETRY);
-      again (r, q, after);
+      requeue (r, q, delay);
       return;
     }
   if (!first)
@@ -105,13 +108,13 @@
       rt_give_up (r, q, RT_CODE_BACKEND_REFUSED);
       return;
     }
-  rt_abandon (r, q);
+  rt_cancel_work (r, q);
   rt_step (q, RT_X_REFUSED_FINAL);
-  rt_answer (r, q, RT_CODE_BACKEND_REFUSED, RT_RETRY_MS);
+  rt_answer (r, q, RT_CODE_BACKEND_REFUSED, RT_DEFAULT_RETRY_MS);
 }
 
 static bool
-refused_status (const struct rt_req *q, int status)
+is_refusal_status (const struct rt_req *q, int status)
 {
   const int *list
       = q->model ? q->model->not_run_status : q->service->not_run_status;
@@ -122,26 +125,27 @@
   return false;
 }
 
-/** The attempt ended without a whole answer: broken or silent. */
+/** The attempt ended without a complete response: broken or silent. */
 static void
-on_lost (struct rt *r, struct rt_req *q, enum rt_code code)
+on_attempt_failed (struct rt *r, struct rt_req *q, enum rt_code code)
 {
-  rt_act (r, RT_ACT_CANCEL, q);
-  rt_outlier_bad (r, q->target, q->server);
-  q->lost = true;
-  avoid (q);
-  bool can = q->passing ? q->idempotent && q->model && q->model->can_resume
+  rt_push_action (r, RT_ACT_CANCEL, q);
+  rt_outlier_failure (r, q->target, q->server);
+  q->attempt_failed = true;
+  mark_tried (q);
+  bool repeatable = q->forwarding
+                        ? q->idempotent && q->model && q->model->can_resume
                         : q->idempotent;
-  bool more = can && may_retry (r, q);
-  clk_ms after = rt_retry_backoff (r, q->attempt);
-  rt_leave_server (r, q);
-  if (!more)
+  bool retry = repeatable && may_retry (r, q);
+  clk_ms delay = rt_retry_backoff (r, q->attempt);
+  rt_detach_server (r, q);
+  if (!retry)
     {
       rt_give_up (r, q, code);
       return;
     }
   rt_step (q, RT_X_RETRY);
-  again (r, q, after);
+  requeue (r, q, delay);
 }
 
 static void
@@ -150,29 +154,30 @@
   if (q->state != RT_S_SENDING && q->state != RT_S_RESENDING)
     return;
   q->status = status;
-  if (refused_status (q, status))
+  if (is_refusal_status (q, status))
     {
       on_refused (r, q);
       return;
     }
-  /* An error in place of the rest of a stream must not be passed as text. */
-  if (q->passing && status >= 300)
+  /* An error response to a resumed stream must not be forwarded as part
+     of the stream. */
+  if (q->forwarding && status >= 300)
     {
-      on_lost (r, q, RT_CODE_BROKEN);
+      on_attempt_failed (r, q, RT_CODE_BROKEN);
       return;
     }
   rt_step (q, RT_X_HEAD);
 }
 
 static void
-first_bytes (struct rt *r, struct rt_req *q)
+on_first_byte (struct rt *r, struct rt_req *q)
 {
   rt_step (q, RT_X_BODY);
-  q->passing = true;
-  rt_act (r, RT_ACT_PASS, q);
-  rt_settle_pending (q);
-  q->first_ms = r->now - q->started;
-  rt_outlier_first (r, q->target, q->server, q->first_ms);
+  q->forwarding = true;
+  rt_push_action (r, RT_ACT_PASS, q);
+  rt_clear_pending (q);
+  q->first_byte_ms = r->now - q->started_at;
+  rt_outlier_first_byte (r, q->target, q->server, q->first_byte_ms);
   q->probe = false;
 }
 
@@ -180,42 +185,41 @@
 on_body (struct rt *r, struct rt_req *q, size_t size)
 {
   if (q->state == RT_S_SENT)
-    first_bytes (r, q);
+    on_first_byte (r, q);
   if (q->state == RT_S_STREAMING)
-    q->passed += size;
+    q->forwarded_bytes += size;
 }
 
 static void
-on_whole (struct rt *r, struct rt_req *q, double tokens)
+on_complete (struct rt *r, struct rt_req *q, double tokens)
 {
   if (q->state == RT_S_SENT)
-    first_bytes (r, q);
+    on_first_byte (r, q);
   if (q->state != RT_S_STREAMING)
     return;
   struct rt_target *t = q->target;
-  rt_outlier_good (r, t, q->server);
-  rt_retry_earn (t);
+  rt_outlier_success (r, t, q->server);
+  rt_retry_credit (t);
   if (tokens > 0)
-    rt_limit_settle (q->account, q->cost, tokens);
-  double ms = (double)(r->now - q->started) / q->cost;
+    rt_limit_correct (q->account, q->cost, tokens);
+  double ms = (double)(r->now - q->started_at) / q->cost;
   t->ms_per_token
-      += (t->ms_per_token > 0 ? SMOOTH : 1) * (ms - t->ms_per_token);
+      += (t->ms_per_token > 0 ? AVERAGE_WEIGHT : 1) * (ms - t->ms_per_token);
   t->measured_at = r->now;
-  q->whole = true;
-  rt_leave_server (r, q);
+  q->complete = true;
+  rt_detach_server (r, q);
   rt_step (q, RT_X_END);
   if (q->claimed)
-    rt_act (r, RT_ACT_FINISH, q)->http_status = q->status;
-  rt_act (r, RT_ACT_END, q)->outcome = rt_status_outcome (q->status);
-  rt_forget (r, q);
+    rt_push_action (r, RT_ACT_FINISH, q)->http_status = q->status;
+  rt_push_action (r, RT_ACT_END, q)->outcome = rt_status_outcome (q->status);
+  rt_end_request (r, q);
 }
 
 void
-rt_attempt_event (struct rt *r, struct rt_req *q, const struct rt_event *ev)
+rt_on_attempt_event (struct rt *r, struct rt_req *q, const struct rt_event *ev)
 {
-  /* Events of an attempt that is over come late; what they carry belongs to
-     nobody any more. */
-  if (!rt_in_attempt (q) || ev->attempt != q->attempt
+  /* Ignore late events of attempts that have ended. */
+  if (!rt_has_server (q) || ev->attempt != q->attempt
       || q->state < RT_S_CONNECTING)
     return;
   bool connecting
@@ -231,9 +235,9 @@
   else if (ev->kind == RT_EV_BODY)
     on_body (r, q, ev->size);
   else if (ev->kind == RT_EV_WHOLE)
-    on_whole (r, q, ev->tokens);
+    on_complete (r, q, ev->tokens);
   else if (ev->kind == RT_EV_BROKEN)
-    on_lost (r, q, RT_CODE_BROKEN);
+    on_attempt_failed (r, q, RT_CODE_BROKEN);
   else if (ev->kind == RT_EV_SILENT)
-    on_lost (r, q, RT_CODE_SILENT);
+    on_attempt_failed (r, q, RT_CODE_SILENT);
 }
--- a/route/choose.c
+++ b/route/choose.c
@@ -3,18 +3,22 @@
 
 #include "route/core.h"
 
-/* The figures below were found with `lapisline bench route`; docs/DESIGN.md
-   tells what else was tried. */
-#define GATE 1.15       /* of all capacity: more than that waits here */
-#define FULL_PART 0.05  /* of all requests: ours, to heed a full server */
-#define GATE_TAKEN 0.98 /* of all slots */
-/* Of a server's slots, what is ours above our mean for a warm one. */
-#define WARM_FACTOR 2.5 /* of the part of slots that is free */
-#define WARM_OFFSET 0.5 /* less so much */
-#define WARM_MOST 0.225
-/* With less, a gateway has hardly a request on any server, and its own count
-   can't keep all gateways from one prefix's server. */
-#define WARM_LEAST 0.5
+/* The constants below were tuned with `lapisline bench route`;
+   docs/DESIGN.md lists the alternatives. */
+/* Of the total capacity; more requests wait at the gateway. */
+#define DISPATCH_LOAD 1.15
+/* Share of all requests above which full servers are skipped. */
+#define MIN_OWN_PART 0.05
+/* Occupied part of all slots above which requests wait. */
+#define DISPATCH_TAKEN 0.98
+/* Bonus of a server that has the prefix cached, as part of its slots on
+   top of the mean number of this gateway's requests. */
+#define PREFIX_FACTOR 2.5 /* times the part of slots that is free */
+#define PREFIX_OFFSET 0.5 /* subtracted from it */
+#define PREFIX_MAX 0.225
+/* Below this bound the gateway has hardly any request per server, so its own
+   count can't prevent all gateways from choosing one prefix's server. */
+#define PREFIX_MIN_BOUND 0.5
 
 bool
 rt_usable (const struct rt *r, const struct rt_server *s)
@@ -24,7 +28,7 @@
 }
 
 static bool
-tried (const struct rt_req *q, uint64_t hash)
+was_tried (const struct rt_req *q, uint64_t hash)
 {
   for (unsigned i = 0; i < q->ntried; i++)
     if (q->tried[i] == hash)
@@ -35,44 +39,45 @@
 bool
 rt_tried (const struct rt_req *q, const struct rt_server *s)
 {
-  return tried (q, s->hash);
+  return was_tried (q, s->hash);
 }
 
 /**
- * With every slot taken, requests wait here, where classes and accounts have
- * their turn, and not in the servers, which know neither.  Both must be: more
- * requests than slots, as work that waits at one server while another is free
- * is no reason to hold more back; and hardly a slot free.  A gateway may
- * always use its even part: those that hold the slots would otherwise hold
- * them for good, as they learn first of each one that is free.
+ * When all slots are taken, requests wait at the gateway, whose queue honors
+ * priority classes and fair shares; the servers have neither. Requests are
+ * held back only if both conditions hold: there are more requests than slots
+ * (requests that wait at one server while another is free are no reason to
+ * hold back more), and hardly any slot is free. A gateway may always use its
+ * even part: otherwise the gateways that hold the slots would keep them
+ * permanently, as each freed slot is visible to its holder first.
  */
 static bool
-gate_open (const struct rt *r, const struct rt_target *t, double others,
-           double taken)
+may_dispatch (const struct rt *r, const struct rt_target *t, double others,
+              double taken)
 {
   const struct rt_view *v = &t->view;
-  double own = rt_own_in_view (t);
-  return own + others < GATE * v->capacity
-         || own + taken < GATE_TAKEN * v->capacity
+  double own = rt_own_requests (t);
+  return own + others < DISPATCH_LOAD * v->capacity
+         || own + taken < DISPATCH_TAKEN * v->capacity
          || own < v->capacity / (r->nodes ? r->nodes : 1);
 }
 
 /**
- * How many requests of ours a server may have and still get one more only
- * because it holds the prefix.  With many free slots that is a little above
- * our mean; it falls with them, until at the end only the servers with the
- * least count: all gateways agree on the servers of a prefix, and these have
- * no slots to spare for it.
+ * Limit of this gateway's requests on a server up to which a prefix match
+ * decides. With many free slots it is slightly above the mean. It falls with
+ * the number of free slots until only the servers with the lowest count
+ * qualify: all gateways choose the same servers for a prefix, and at high load
+ * these have no spare slots.
  */
 static double
-warm_bound (const struct rt_target *t, double others)
+prefix_bound (const struct rt_target *t, double others)
 {
   const struct rt_view *v = &t->view;
-  double n = (double)v->n, own = rt_own_in_view (t);
+  double n = (double)v->n, own = rt_own_requests (t);
   double all = own + others;
   double part = all > 0 ? own / all : 1;
   double free_part = 1 - all / v->capacity;
-  double extra = fmin (WARM_FACTOR * free_part - WARM_OFFSET, WARM_MOST);
+  double extra = fmin (PREFIX_FACTOR * free_part - PREFIX_OFFSET, PREFIX_MAX);
   return (own + 1) / n + extra * part * v->capacity / n;
 }
 
@@ -85,28 +90,28 @@
   return x;
 }
 
-/** Whether the candidate is out, for this request or as it is full. */
+/** Whether the candidate is excluded because it is full or was tried
+    before. */
 static bool
-skipped (const struct rt_req *q, const struct rt_candidate *c, bool skip_full)
+is_excluded (const struct rt_req *q, const struct rt_candidate *c,
+             bool skip_full)
 {
-  return (skip_full && (float)c->in_flight >= c->room)
-         || (q->ntried && tried (q, c->hash));
+  return (skip_full && (float)c->in_flight >= c->max_in_flight)
+         || (q->ntried && was_tried (q, c->hash));
 }
 
-/**
- * Rendezvous hashing: all gateways have the same order of servers for a
- * prefix without telling each other.  The first in it that has not more of
- * ours than the bound.
- */
+/** Rendezvous hashing: all gateways derive the same order of servers for a
+    prefix without communication. Returns the first server in this order whose
+    score is below the bound. */
 static struct rt_server *
-warm_server (const struct rt_view *v, const struct rt_req *q, double bound)
+prefix_server (const struct rt_view *v, const struct rt_req *q, double bound)
 {
   struct rt_server *best = NULL;
   uint64_t most = 0;
   for (size_t i = 0; i < v->n; i++)
     {
       const struct rt_candidate *c = &v->list[i];
-      if (c->score >= bound || skipped (q, c, true))
+      if (c->score >= bound || is_excluded (q, c, true))
         continue;
       uint64_t h = mix (c->hash ^ q->prefix);
       if (!best || h > most)
@@ -118,16 +123,16 @@
   return best;
 }
 
-/** How many candidates have the least score; 0: there is none. */
+/** Number of candidates with the lowest score; 0: there is no candidate. */
 static size_t
-count_least (const struct rt_view *v, const struct rt_req *q, bool skip_full,
-             uint32_t *least)
+count_least_loaded (const struct rt_view *v, const struct rt_req *q,
+                    bool skip_full, uint32_t *least)
 {
   size_t n = 0;
   for (size_t i = 0; i < v->n; i++)
     {
       const struct rt_candidate *c = &v->list[i];
-      if ((n && c->score > *least) || skipped (q, c, skip_full))
+      if ((n && c->score > *least) || is_excluded (q, c, skip_full))
         continue;
       n = n && c->score == *least ? n + 1 : 1;
       *least = c->score;
@@ -135,25 +140,25 @@
   return n;
 }
 
-/** One of those with the least of ours, at random by weight. */
+/** Weighted random choice among the candidates with the lowest score. */
 static struct rt_server *
-one_of_least (struct rt *r, const struct rt_target *t, const struct rt_req *q,
-              bool skip_full)
+random_least_loaded (struct rt *r, const struct rt_target *t,
+                     const struct rt_req *q, bool skip_full)
 {
   const struct rt_view *v = &t->view;
   struct rt_server *last = NULL;
   uint32_t least = 0;
   double sum = 0;
-  if (count_least (v, q, skip_full, &least) == 0)
+  if (count_least_loaded (v, q, skip_full, &least) == 0)
     return NULL;
   for (size_t i = 0; i < v->n; i++)
-    if (v->list[i].score == least && !skipped (q, &v->list[i], skip_full))
+    if (v->list[i].score == least && !is_excluded (q, &v->list[i], skip_full))
       sum += v->list[i].weight;
   double x = rng_unit (&r->rng) * sum;
   for (size_t i = 0; i < v->n; i++)
     {
       const struct rt_candidate *c = &v->list[i];
-      if (c->score != least || skipped (q, c, skip_full))
+      if (c->score != least || is_excluded (q, c, skip_full))
         continue;
       last = c->server;
       x -= c->weight;
@@ -169,13 +174,13 @@
 {
   struct rt_server *s = NULL;
   if (q->prefix && bound > 0)
-    s = warm_server (&t->view, q, bound);
-  return s ? s : one_of_least (r, t, q, skip_full);
+    s = prefix_server (&t->view, q, bound);
+  return s ? s : random_least_loaded (r, t, q, skip_full);
 }
 
-/** An ejected server whose time is over and that is due for a look. */
+/** An ejected server whose ejection time is over and that has no probe yet. */
 static struct rt_server *
-due_for_probe (struct rt *r, struct rt_target *t, const struct rt_req *q)
+find_probe_due (struct rt *r, struct rt_target *t, const struct rt_req *q)
 {
   for (size_t i = 0; i < t->nservers; i++)
     if (rt_usable (r, t->servers[i]) && !rt_tried (q, t->servers[i])
@@ -184,7 +189,8 @@
   return NULL;
 }
 
-/** When all that is left is ejected, a slow answer is better than none. */
+/** Least loaded server including ejected ones: a slow response is better
+    than none. */
 static struct rt_server *
 last_resort (struct rt *r, struct rt_target *t, const struct rt_req *q)
 {
@@ -206,22 +212,22 @@
   const struct rt_view *v = rt_view (r, t);
   if (v->ejected && q->idempotent)
     {
-      struct rt_server *probe = due_for_probe (r, t, q);
+      struct rt_server *probe = find_probe_due (r, t, q);
       if (probe)
         return probe;
     }
   if (v->n == 0)
     return last_resort (r, t, q);
-  double own = rt_own_in_view (t);
-  double taken, others = rt_others_by_now (t, &taken);
-  if (!gate_open (r, t, others, taken))
+  double own = rt_own_requests (t);
+  double taken, others = rt_estimate_others (t, &taken);
+  if (!may_dispatch (r, t, others, taken))
     return NULL;
-  /* The fraction decides by chance, so that parts of a request count too. */
-  double bound = warm_bound (t, others);
-  bound = bound < WARM_LEAST ? 0 : floor (bound + rng_unit (&r->rng));
-  /* Where this gateway is one of many, all would leave a server that was
-     reported full and all come back at the next report. */
-  bool skip_full = !t->is_model || own >= FULL_PART * (own + others);
+  /* Round the bound up with the probability of its fraction. */
+  double bound = prefix_bound (t, others);
+  bound = bound < PREFIX_MIN_BOUND ? 0 : floor (bound + rng_unit (&r->rng));
+  /* With many gateways, all of them would leave a server that was
+     reported full and all return at the next report. */
+  bool skip_full = !t->is_model || own >= MIN_OWN_PART * (own + others);
   struct rt_server *s = pick (r, t, q, bound, skip_full);
   if (!s && t->is_model)
     s = pick (r, t, q, bound, false);
--- a/route/limit.c
+++ b/route/limit.c
@@ -4,11 +4,11 @@
 #include "route/core.h"
 #include "route/share.h"
 
-#define BURST_S 1.0 /* the bucket holds the rate of so many seconds */
-#define RETRY_LEAST_MS 50
-#define RETRY_MOST_MS 10000
-#define RETRY_CONC_MS 500
-#define ROUND 0.01 /* a share that nears a whole number reaches it */
+#define BURST_S 1.0 /* burst size, in seconds of the rate */
+#define RETRY_MIN_MS 50
+#define RETRY_MAX_MS 10000
+#define RETRY_CONCURRENCY_MS 500
+#define ROUNDING_TOLERANCE 0.01 /* tolerance when a share is rounded down */
 
 struct rt_account *
 rt_account (struct rt *r, struct str name)
@@ -27,35 +27,33 @@
   return a;
 }
 
-/** limit / N before any news; a share while it is valid; then from the share
-    towards limit / N. */
+/** Share of the limit: limit / N before the first grant, the granted
+    share while it is valid, then decaying towards limit / N. */
 static double
-share_now (const struct rt *r, const struct rt_account *a, double limit,
-           double share)
+current_share (const struct rt *r, const struct rt_account *a, double limit,
+               double share)
 {
   double even = limit / (double)(r->nodes ? r->nodes : 1);
   if (!a->has_share)
     return even;
   if (r->now <= a->share_until)
     return share;
-  /*
-   * The account's home can't be heard.  Keeping the share for good would
-   * leave a node with nothing for as long as the partition lasts; taking the
-   * whole limit would multiply it by the number of parts.
-   */
-  return shr_decayed (share, even, r->now - a->share_until);
+  /* No grant arrives from the account's home. Keeping a small share would
+     starve this node for as long as the partition lasts; using the whole limit
+     would multiply the limit by the number of partitions. */
+  return shr_decayed_share (share, even, r->now - a->share_until);
 }
 
 double
 rt_limit_rate (const struct rt *r, const struct rt_account *a)
 {
-  return share_now (r, a, a->rate_limit, a->share_rate);
+  return current_share (r, a, a->rate_limit, a->share_rate);
 }
 
 double
 rt_limit_conc (const struct rt *r, const struct rt_account *a)
 {
-  return share_now (r, a, a->conc_limit, a->share_conc);
+  return current_share (r, a, a->conc_limit, a->share_conc);
 }
 
 void
@@ -70,8 +68,8 @@
       a->conc_limit = c->concurrency;
       if (fresh)
         {
-          a->level = BURST_S * rt_limit_rate (r, a);
-          a->level_at = r->now;
+          a->bucket_level = BURST_S * rt_limit_rate (r, a);
+          a->bucket_at = r->now;
         }
     }
 }
@@ -90,56 +88,58 @@
 refill (struct rt *r, struct rt_account *a)
 {
   double rate = rt_limit_rate (r, a);
-  a->level += rate * (double)(r->now - a->level_at) / 1000;
-  a->level_at = r->now;
-  if (a->level > BURST_S * rate)
-    a->level = BURST_S * rate;
+  a->bucket_level += rate * (double)(r->now - a->bucket_at) / 1000;
+  a->bucket_at = r->now;
+  if (a->bucket_level > BURST_S * rate)
+    a->bucket_level = BURST_S * rate;
 }
 
 static clk_ms
 clamp_retry (double ms)
 {
-  if (ms < RETRY_LEAST_MS)
-    return RETRY_LEAST_MS;
-  return ms > RETRY_MOST_MS ? RETRY_MOST_MS : (clk_ms)ms;
+  if (ms < RETRY_MIN_MS)
+    return RETRY_MIN_MS;
+  return ms > RETRY_MAX_MS ? RETRY_MAX_MS : (clk_ms)ms;
 }
 
 enum rt_code
 rt_limit_admit (struct rt *r, struct rt_account *a, double cost,
                 clk_ms *retry_ms)
 {
-  a->asked += cost;
-  if (a->open > a->asked_peak)
-    a->asked_peak = a->open;
-  /* A share below one must still let one request through at a time, or a
-     limit smaller than the number of nodes would shut the account out. */
+  a->requested_tokens += cost;
+  if (a->open > a->peak_open)
+    a->peak_open = a->open;
+  /* A share below one still admits one request at a time; otherwise a limit
+     below the number of nodes would reject all requests of the account. */
   if (a->conc_limit > 0
-      && (double)a->open > fmax (1, floor (rt_limit_conc (r, a) + ROUND)))
+      && (double)a->open
+             > fmax (1, floor (rt_limit_conc (r, a) + ROUNDING_TOLERANCE)))
     {
-      *retry_ms = RETRY_CONC_MS;
+      *retry_ms = RETRY_CONCURRENCY_MS;
       return RT_CODE_CONCURRENCY;
     }
   if (a->rate_limit <= 0)
     return RT_CODE_NONE;
   refill (r, a);
   double rate = rt_limit_rate (r, a);
-  /* A request larger than the bucket goes through when the bucket is full
-     and leaves a debt, which keeps the account out until it is paid: it could
-     never come in otherwise, and the rate holds over time. */
+  /* A request larger than the bucket is admitted when the bucket is full
+     and leaves a negative level, which blocks the account until it is
+     refilled. Otherwise such a request could never be admitted; the
+     average rate still holds. */
   double need = fmin (cost, BURST_S * rate);
-  if (a->level < need || rate <= 0)
+  if (a->bucket_level < need || rate <= 0)
     {
-      *retry_ms = clamp_retry (rate > 0 ? (need - a->level) / rate * 1000
-                                        : RETRY_MOST_MS);
+      *retry_ms = clamp_retry (
+          rate > 0 ? (need - a->bucket_level) / rate * 1000 : RETRY_MAX_MS);
       return RT_CODE_RATE;
     }
-  a->level -= cost;
+  a->bucket_level -= cost;
   return RT_CODE_NONE;
 }
 
 void
-rt_limit_settle (struct rt_account *a, double cost, double actual)
+rt_limit_correct (struct rt_account *a, double cost, double actual)
 {
   if (a->rate_limit > 0)
-    a->level += cost - actual;
+    a->bucket_level += cost - actual;
 }
--- a/route/load.c
+++ b/route/load.c
@@ -3,79 +3,85 @@
 
 #include "route/core.h"
 
-#define REFRESH_MS 200    /* how often aged estimates are computed anew */
-#define SERVICE_MS 3000.0 /* time of a request until one was measured */
-#define COST_FIRST 1000.0 /* tokens of a request until one was seen */
-#define FADE 0.3          /* of a service time: pace at which reports fade */
-#define AGE_LEAST_MS 250  /* no report is younger in effect */
-#define WEIGHT_LEAST 0.02 /* of a server with far more than the mean */
-#define AWAY 0.1          /* weight in another zone, nothing being reported */
-#define FEW_REQUESTS 60   /* that tell little of the load elsewhere */
-#define FULL_FACTOR 1.1   /* of its capacity: a server that gets nothing */
+#define REFRESH_MS 200 /* refresh interval of the load estimates */
+/* Assumed service time before the first measurement. */
+#define DEFAULT_SERVICE_MS 3000.0
+#define DEFAULT_COST 1000.0 /* assumed cost before the first request */
+/* Time constant of the reports' decay, in service times. */
+#define DECAY_FACTOR 0.3
+#define MIN_REPORT_AGE_MS 250 /* minimum age of a report in the weights */
+#define MIN_WEIGHT 0.02 /* weight of a server loaded far above the mean */
+/* Weight of a server in another zone without a load report. */
+#define OTHER_ZONE_WEIGHT 0.1
+/* Requests below which the local trend counts less than half. */
+#define TREND_REQUESTS 60
+/* Part of its capacity from which a server gets no requests. */
+#define FULL_FACTOR 1.1
 
-/** Carry the present load on to the sample slots that passed since. */
+/** Fill the samples since the last update with the current load. */
 static void
 history_advance (struct rt_server *s, clk_ms now)
 {
   struct rt_history *h = &s->history;
   clk_ms slot = now / RT_HISTORY_MS;
-  clk_ms behind = slot - h->slot;
+  clk_ms behind = slot - h->newest;
   if (behind > RT_HISTORY)
     behind = RT_HISTORY;
   for (clk_ms i = 0; i < behind; i++)
     h->tokens[(slot - i) % RT_HISTORY] = (float)s->own_tokens;
-  if (slot > h->slot)
-    h->slot = slot;
+  if (slot > h->newest)
+    h->newest = slot;
 }
 
-/** Own load at the time @p at, to the precision of the samples. */
+/** This gateway's load at time @p at, to the precision of the samples. */
 static double
 history_at (const struct rt_server *s, clk_ms at)
 {
   const struct rt_history *h = &s->history;
   clk_ms slot = at / RT_HISTORY_MS;
-  if (slot >= h->slot)
+  if (slot >= h->newest)
     return s->own_tokens;
-  if (slot <= h->slot - RT_HISTORY)
-    slot = h->slot - RT_HISTORY + 1;
+  if (slot <= h->newest - RT_HISTORY)
+    slot = h->newest - RT_HISTORY + 1;
   return slot < 0 ? 0 : h->tokens[slot % RT_HISTORY];
 }
 
 void
-rt_server_take (struct rt *r, struct rt_target *t, struct rt_server *s,
-                double cost)
+rt_server_add_request (struct rt *r, struct rt_target *t, struct rt_server *s,
+                       double cost)
 {
   history_advance (s, r->now);
   s->in_flight++;
   t->in_flight++;
   t->own_tokens += cost;
   s->own_tokens += cost;
-  s->history.tokens[s->history.slot % RT_HISTORY] = (float)s->own_tokens;
+  s->history.tokens[s->history.newest % RT_HISTORY] = (float)s->own_tokens;
   rt_server_changed (s);
 }
 
 void
-rt_server_drop (struct rt *r, struct rt_target *t, struct rt_server *s,
-                double cost)
+rt_server_remove_request (struct rt *r, struct rt_target *t,
+                          struct rt_server *s, double cost)
 {
   history_advance (s, r->now);
   s->in_flight--;
   t->in_flight--;
   t->own_tokens = t->in_flight ? t->own_tokens - cost : 0;
   s->own_tokens = s->in_flight ? s->own_tokens - cost : 0;
-  s->history.tokens[s->history.slot % RT_HISTORY] = (float)s->own_tokens;
+  s->history.tokens[s->history.newest % RT_HISTORY] = (float)s->own_tokens;
   rt_server_changed (s);
 }
 
-/** The report holds our own work of that moment; the rest is of others. */
+/** The reported load includes this gateway's load at that time; the rest
+    belongs to other gateways. */
 void
-rt_server_load (struct rt *r, struct rt_target *t, struct rt_server *s,
-                uint32_t load, clk_ms at)
+rt_server_set_reported_load (struct rt *r, struct rt_target *t,
+                             struct rt_server *s, uint32_t load, clk_ms at)
 {
   if (at <= s->load_at && s->load_at != 0)
     return;
   history_advance (s, r->now);
-  double mean = t->mean_cost > 0 ? t->mean_cost : COST_FIRST;
+  double mean = t->mean_cost > 0 ? t->mean_cost : DEFAULT_COST;
   double others = (double)load - history_at (s, at);
   s->others = others > 0 ? others / mean : 0;
   s->load_at = at;
@@ -86,10 +92,10 @@
 rt_service_ms (const struct rt_target *t)
 {
   double ms = t->ms_per_token * t->mean_cost;
-  return ms > 0 ? ms : SERVICE_MS;
+  return ms > 0 ? ms : DEFAULT_SERVICE_MS;
 }
 
-/** Requests of others, averaged over the reports. */
+/** Mean number of other gateways' requests over the reports. */
 static double
 mean_others (const struct rt *r, const struct rt_target *t)
 {
@@ -104,30 +110,32 @@
   return n ? sum / (double)n : 0;
 }
 
-/** How much of a report still holds; most of a list are of one time. */
-struct fading
+/** Remaining weight of a report, cached by load_at: most reports of a
+    list have the same time. */
+struct report_decay
 {
-  double pace;
+  double time_constant;
   clk_ms load_at;
   double weight;
 };
 
 static double
-fade (struct fading *f, clk_ms now, clk_ms load_at)
+report_weight (struct report_decay *f, clk_ms now, clk_ms load_at)
 {
   if (load_at == 0)
     return 0;
   if (load_at != f->load_at)
     {
       f->load_at = load_at;
-      f->weight = exp (-(double)(now - load_at) / f->pace);
+      f->weight = exp (-(double)(now - load_at) / f->time_constant);
     }
   return f->weight;
 }
 
-/** How many of ours the server may have, by what is known of others'. */
+/** Limit of this gateway's requests on the server, given the load of the
+    others. */
 static float
-room_of (const struct rt_target *t, const struct rt_server *s, double others)
+own_limit (const struct rt_target *t, const struct rt_server *s, double others)
 {
   if (!t->is_model)
     return (float)s->capacity;
@@ -135,32 +143,32 @@
 }
 
 /**
- * How much likelier a server is chosen for having less than the mean.  Turning
- * to the least reported would send all gateways there until the next report;
- * in proportion to what is missing, together they send about what it lacks.
- * The older a report, the less it counts.
+ * Factor by which a server below the mean load is preferred. Choosing the
+ * least loaded server would send the requests of all gateways there until the
+ * next report; with a probability proportional to its free capacity, all
+ * gateways together send about what it lacks. Older reports count less.
  */
 static double
-pull_of (const struct rt_target *t, double age)
+preference (const struct rt_target *t, double age)
 {
   double service = rt_service_ms (t);
-  return service / (age + AGE_LEAST_MS) * exp (-age / service);
+  return service / (age + MIN_REPORT_AGE_MS) * exp (-age / service);
 }
 
 static double
-weight_of (const struct rt *r, const struct rt_target *t,
-           const struct rt_server *s)
+server_weight (const struct rt *r, const struct rt_target *t,
+               const struct rt_server *s)
 {
   if (s->load_at == 0 || t->mean_others <= 0)
-    return s->same_zone ? 1 : AWAY;
-  double pull = pull_of (t, (double)(r->now - s->load_at));
-  double w = 1 + pull * (1 - s->others / t->mean_others);
-  return w > WEIGHT_LEAST ? w : WEIGHT_LEAST;
+    return s->same_zone ? 1 : OTHER_ZONE_WEIGHT;
+  double preferred = preference (t, (double)(r->now - s->load_at));
+  double w = 1 + preferred * (1 - s->others / t->mean_others);
+  return w > MIN_WEIGHT ? w : MIN_WEIGHT;
 }
 
-/** Slots of the server that others have, by its report. */
+/** Slots of the server that other gateways hold, by its report. */
 static double
-slots_taken (const struct rt_server *s)
+slots_of_others (const struct rt_server *s)
 {
   double left = s->capacity - s->in_flight;
   return s->others < left ? s->others : left > 0 ? left : 0;
@@ -174,8 +182,8 @@
   struct rt_candidate *c = &v->list[v->n++];
   *c = (struct rt_candidate){ .server = s,
                               .hash = s->hash,
-                              .room = room_of (t, s, others),
-                              .weight = (float)weight_of (r, t, s) };
+                              .max_in_flight = own_limit (t, s, others),
+                              .weight = (float)server_weight (r, t, s) };
   s->candidate = c;
   rt_server_changed (s);
   v->capacity += s->capacity;
@@ -184,21 +192,22 @@
   if (s->load_at == 0)
     return;
   v->others += t->mean_others;
-  v->taken += slots_taken (s);
-  v->tokens_then += history_at (s, s->load_at);
-  v->age += (double)(r->now - s->load_at);
+  v->others_in_slots += slots_of_others (s);
+  v->tokens_at_reports += history_at (s, s->load_at);
+  v->total_age += (double)(r->now - s->load_at);
 }
 
 /**
- * What a report says of one server fades as the requests that it counted end
- * and as the other gateways even out what it shows, while the mean over all
- * servers stays right much longer.  So each estimate moves from the report to
- * the mean with the age of the report.
+ * A report of one server becomes outdated as the counted requests end and as
+ * other gateways react to it, while the mean over all servers stays accurate
+ * much longer. So each estimate moves from the report to the mean with the age
+ * of the report.
  */
 static void
 refresh (struct rt *r, struct rt_target *t)
 {
-  struct fading fading = { .pace = FADE * rt_service_ms (t) };
+  struct report_decay report_decay
+      = { .time_constant = DECAY_FACTOR * rt_service_ms (t) };
   struct rt_candidate *list
       = xrealloc (t->view.list, (t->nservers + 1) * sizeof *t->view.list);
   t->view = (struct rt_view){ .list = list,
@@ -208,12 +217,12 @@
   for (size_t i = 0; i < t->nservers; i++)
     {
       struct rt_server *s = t->servers[i];
-      double w = fade (&fading, r->now, s->load_at);
+      double w = report_weight (&report_decay, r->now, s->load_at);
       s->candidate = NULL;
       if (rt_usable (r, s) && !s->ejected_until)
         add_candidate (r, t, s, w * s->others + (1 - w) * t->mean_others);
       else
-        t->view.outside += s->in_flight;
+        t->view.outside_requests += s->in_flight;
       t->view.ejected += s->ejected_until != 0;
     }
   t->view.current = true;
@@ -238,29 +247,31 @@
 }
 
 double
-rt_own_in_view (const struct rt_target *t)
+rt_own_requests (const struct rt_target *t)
 {
-  return t->in_flight > t->view.outside ? t->in_flight - t->view.outside : 0;
+  return t->in_flight > t->view.outside_requests
+             ? t->in_flight - t->view.outside_requests
+             : 0;
 }
 
 /**
- * Requests of the other gateways now.  All gateways carry parts of the same
- * load, so what changed here since the reports changed there too, about as
- * much; the older the reports, the more this counts, and the less the fewer
- * requests it is seen by.
+ * Estimated current requests of the other gateways. All gateways carry parts
+ * of the same load, so the load of the others is assumed to have changed since
+ * the reports by the same factor as the local load. The factor counts more
+ * with older reports and less with few local requests.
  */
 double
-rt_others_by_now (const struct rt_target *t, double *taken)
+rt_estimate_others (const struct rt_target *t, double *taken)
 {
   const struct rt_view *v = &t->view;
-  double own = rt_own_in_view (t), factor = 1;
-  if (v->tokens_then > 0 && v->n > 0)
+  double own = rt_own_requests (t), factor = 1;
+  if (v->tokens_at_reports > 0 && v->n > 0)
     {
-      double age = v->age / (double)v->n;
+      double age = v->total_age / (double)v->n;
       double w = 1 - exp (-age / rt_service_ms (t));
-      w *= own / (own + FEW_REQUESTS);
-      factor = pow ((t->own_tokens + 1) / (v->tokens_then + 1), w);
+      w *= own / (own + TREND_REQUESTS);
+      factor = pow ((t->own_tokens + 1) / (v->tokens_at_reports + 1), w);
     }
-  *taken = factor * v->taken;
+  *taken = factor * v->others_in_slots;
   return factor * v->others;
 }
--- a/route/request.c
+++ b/route/request.c
@@ -2,8 +2,8 @@
 
 #include "route/core.h"
 
-#define CONNECT_MS 1000    /* of a model's backend server */
-#define CLAIM_WAIT_MS 5000 /* for a verdict */
+#define MODEL_CONNECT_MS 1000 /* connect timeout of a model's server */
+#define CLAIM_TIMEOUT_MS 5000 /* timeout of a claim request */
 
 static const char *const state_names[RT_STATES]
     = { "received",  "admitted",   "asking",       "queued",
@@ -31,12 +31,13 @@
                                                   "body",
                                                   "end" };
 
-/** The chart as a table of our own numbers, read once. */
-static signed char table[RT_STATES][RT_STEPS];
-static bool table_read;
+/** Transition table of the chart, indexed by enum rt_state and enum
+    rt_step; -1: not allowed. Loaded once. */
+static signed char transitions[RT_STATES][RT_STEPS];
+static bool transitions_loaded;
 
 static void
-read_table (void)
+load_transitions (void)
 {
   const struct chart *c = chart_embedded ("attempt");
   int back[64];
@@ -47,32 +48,32 @@
       {
         int to = chart_step (c, chart_state (c, state_names[i]),
                              chart_event (c, step_names[k]));
-        table[i][k] = to == CHART_REFUSED ? -1 : (signed char)back[to];
+        transitions[i][k] = to == CHART_REFUSED ? -1 : (signed char)back[to];
       }
-  table_read = true;
+  transitions_loaded = true;
 }
 
-/** A step that the chart refuses is a fault of ours; going on would give an
-    outcome that nobody can trust. */
+/** Aborts on a transition that the chart does not allow: it is a bug in
+    the core, and any outcome reported after it would be unreliable. */
 void
 rt_step (struct rt_req *q, enum rt_step x)
 {
-  if (!table_read)
-    read_table ();
-  int to = table[q->state][x];
+  if (!transitions_loaded)
+    load_transitions ();
+  int to = transitions[q->state][x];
   if (to < 0)
     abort ();
   q->state = (enum rt_state)to;
 }
 
 bool
-rt_in_attempt (const struct rt_req *q)
+rt_has_server (const struct rt_req *q)
 {
   return q->server != NULL;
 }
 
 void
-rt_settle_pending (struct rt_req *q)
+rt_clear_pending (struct rt_req *q)
 {
   if (q->pending)
     {
@@ -82,15 +83,15 @@
   q->pending = false;
 }
 
-/** The attempt is over; its server no longer carries it. */
+/** Detach the request from its server at the end of an attempt. */
 void
-rt_leave_server (struct rt *r, struct rt_req *q)
+rt_detach_server (struct rt *r, struct rt_req *q)
 {
   if (!q->server)
     return;
-  rt_slot_done (r, q);
-  rt_settle_pending (q);
-  rt_server_drop (r, q->target, q->server, q->cost);
+  rt_slot_release (r, q);
+  rt_clear_pending (q);
+  rt_server_remove_request (r, q->target, q->server, q->cost);
   if (q->probe)
     q->server->probing = false;
   q->probe = false;
@@ -98,14 +99,14 @@
 }
 
 void
-rt_forget (struct rt *r, struct rt_req *q)
+rt_end_request (struct rt *r, struct rt_req *q)
 {
   struct rt_target *t = q->target;
-  rt_slot_done (r, q);
-  rt_act (r, RT_ACT_FORGET, q);
+  rt_slot_release (r, q);
+  rt_push_action (r, RT_ACT_FORGET, q);
   rt_req_free (r, q);
   if (t)
-    rt_pump (r, t);
+    rt_dispatch_queued (r, t);
 }
 
 static enum rt_outcome
@@ -125,75 +126,72 @@
 }
 
 /**
- * What becomes of the claim of a request that is given up.  Not sent: it is
- * released, also while the verdict is awaited, as it may be granted after we
- * stopped caring and would block the caller's next try.  Sent: nobody will
- * ever know the end; without word of that the home would tell repeats for
- * minutes that the request still runs, and the caller would wait for nothing.
+ * End the claim of a request that is given up. If the request was not sent,
+ * the claim is released, also while the verdict is pending: a later grant
+ * would block the client's next try. If it was sent, the outcome will never be
+ * known, and the claim's home must be notified: otherwise it would report for
+ * minutes to repeated requests that the request is still running.
  */
 static void
-give_back_claim (struct rt *r, struct rt_req *q)
+end_claim (struct rt *r, struct rt_req *q)
 {
   if (q->claimed)
-    rt_act (r, q->sent ? RT_ACT_FINISH : RT_ACT_RELEASE, q);
+    rt_push_action (r, q->sent ? RT_ACT_FINISH : RT_ACT_RELEASE, q);
   q->claimed = false;
 }
 
-/** Give up what is under way: queue place, attempt, claim. */
+/** Leave the queue, cancel the attempt and end the claim. */
 void
-rt_abandon (struct rt *r, struct rt_req *q)
+rt_cancel_work (struct rt *r, struct rt_req *q)
 {
   if (q->waiting)
     rt_queue_remove (&q->target->queue, q);
-  if (rt_in_attempt (q) && q->state >= RT_S_CONNECTING)
-    rt_act (r, RT_ACT_CANCEL, q);
-  rt_leave_server (r, q);
-  give_back_claim (r, q);
+  if (rt_has_server (q) && q->state >= RT_S_CONNECTING)
+    rt_push_action (r, RT_ACT_CANCEL, q);
+  rt_detach_server (r, q);
+  end_claim (r, q);
 }
 
-/** The final answer of our own, at once. */
+/** Send the final error response, or abort a forwarded one. */
 void
 rt_answer (struct rt *r, struct rt_req *q, enum rt_code code, clk_ms retry_ms)
 {
-  if (q->passing)
+  if (q->forwarding)
     {
-      struct rt_action *a = rt_act (r, RT_ACT_CUT, q);
+      struct rt_action *a = rt_push_action (r, RT_ACT_CUT, q);
       a->code = code;
       a->outcome = outcome_of (q);
     }
   else
     {
-      struct rt_action *a = rt_act (r, RT_ACT_ANSWER, q);
+      struct rt_action *a = rt_push_action (r, RT_ACT_ANSWER, q);
       a->code = code;
       a->http_status = rt_code_status (code);
       a->outcome = outcome_of (q);
       a->retry_ms = retry_ms;
     }
-  rt_forget (r, q);
+  rt_end_request (r, q);
 }
 
-/** End a request that no backend server ran. */
+/** End a request that was not executed. */
 void
 rt_refuse (struct rt *r, struct rt_req *q, enum rt_code code, clk_ms retry_ms)
 {
-  rt_abandon (r, q);
+  rt_cancel_work (r, q);
   if (q->charged)
-    rt_limit_settle (q->account, q->cost, 0);
+    rt_limit_correct (q->account, q->cost, 0);
   rt_step (q, RT_X_REFUSE);
   rt_answer (r, q, code, retry_ms);
 }
 
-/**
- * End a request that may have run.  An idempotent one `failed`: it may be
- * repeated whatever became of it.  Otherwise the caller must know that
- * nobody can tell.
- */
+/** End a request that may have run. An idempotent one gets `failed`, as it may
+    be repeated in any case. Otherwise the outcome is `unknown`. */
 void
 rt_give_up (struct rt *r, struct rt_req *q, enum rt_code code)
 {
-  rt_abandon (r, q);
+  rt_cancel_work (r, q);
   rt_step (q, q->idempotent ? RT_X_FAIL : RT_X_LOSE);
-  rt_answer (r, q, code, q->idempotent ? RT_RETRY_MS : 0);
+  rt_answer (r, q, code, q->idempotent ? RT_DEFAULT_RETRY_MS : 0);
 }
 
 bool
@@ -203,7 +201,8 @@
 }
 
 static void
-end_with (struct rt *r, struct rt_req *q, enum rt_code code, clk_ms retry_ms)
+fail_request (struct rt *r, struct rt_req *q, enum rt_code code,
+              clk_ms retry_ms)
 {
   if (rt_may_have_run (q))
     rt_give_up (r, q, code);
@@ -215,22 +214,22 @@
 start_connect (struct rt *r, struct rt_req *q)
 {
   q->attempt++;
-  struct rt_action *a = rt_act (r, RT_ACT_CONNECT, q);
+  struct rt_action *a = rt_push_action (r, RT_ACT_CONNECT, q);
   a->addr = q->server->addr;
   a->name = str_from (q->server->name);
-  /* An idle connection may have gone silent unseen; what can't be sent twice
-     must not be the one to find out. */
+  /* A pooled connection may be dead without notice, and a request that
+     can't be sent twice must not be lost on it. */
   a->fresh = !q->idempotent;
-  a->resume = q->passing;
-  a->offset = q->passed;
-  a->connect_ms = q->model ? CONNECT_MS : q->service->connect_ms;
+  a->resume = q->forwarding;
+  a->offset = q->forwarded_bytes;
+  a->connect_ms = q->model ? MODEL_CONNECT_MS : q->service->connect_ms;
   a->first_byte_ms
       = q->model ? q->model->first_byte_ms : q->service->first_byte_ms;
   a->progress_ms = q->model ? q->model->progress_ms : q->service->progress_ms;
   if (q->deadline)
-    rt_timer (r, q, q->deadline);
+    rt_set_timer (r, q, q->deadline);
   else
-    rt_untimer (r, q);
+    rt_cancel_timer (r, q);
 }
 
 void
@@ -238,25 +237,25 @@
 {
   rt_step (q, RT_X_CLAIM);
   q->claimed = true;
-  rt_act (r, RT_ACT_CLAIM, q);
-  clk_ms at = r->now + CLAIM_WAIT_MS;
-  rt_timer (r, q, q->deadline && q->deadline < at ? q->deadline : at);
+  rt_push_action (r, RT_ACT_CLAIM, q);
+  clk_ms at = r->now + CLAIM_TIMEOUT_MS;
+  rt_set_timer (r, q, q->deadline && q->deadline < at ? q->deadline : at);
 }
 
 bool
-rt_grant_fresh (const struct rt *r, const struct rt_req *q)
+rt_grant_is_valid (const struct rt *r, const struct rt_req *q)
 {
-  return q->granted != 0 && r->now - q->granted < CLM_GRANT_MS;
+  return q->granted_at != 0 && r->now - q->granted_at < CLM_GRANT_MS;
 }
 
 void
 rt_dispatch (struct rt *r, struct rt_req *q, struct rt_server *s)
 {
   q->server = s;
-  rt_server_take (r, q->target, s, q->cost);
+  rt_server_add_request (r, q->target, s, q->cost);
   if (s->ejected_until && rt_outlier_probe_due (r, s))
     s->probing = q->probe = true;
-  if (q->has_key && !q->sent && !rt_grant_fresh (r, q))
+  if (q->has_key && !q->sent && !rt_grant_is_valid (r, q))
     {
       rt_start_claim (r, q);
       return;
@@ -266,46 +265,46 @@
 }
 
 void
-rt_pump (struct rt *r, struct rt_target *t)
+rt_dispatch_queued (struct rt *r, struct rt_target *t)
 {
   struct rt_req *q;
-  while ((q = rt_queue_turn (&t->queue, r->now)) != NULL)
+  while ((q = rt_queue_next (&t->queue, r->now)) != NULL)
     {
       struct rt_server *s = r->choose (r->choose_ctx, r, t, q);
       if (!s)
         return;
-      rt_queue_take (&t->queue, q);
+      rt_queue_pop (&t->queue, q);
       rt_dispatch (r, q, s);
-      rt_slot_taken (r, q);
+      rt_slot_report_taken (r, q);
     }
 }
 
 void
-rt_claimed (struct rt *r, struct rt_req *q, enum clm_verdict verdict,
-            clk_ms retry_ms)
+rt_on_claim (struct rt *r, struct rt_req *q, enum clm_verdict verdict,
+             clk_ms retry_ms)
 {
   if (q->state != RT_S_CLAIMING)
     return;
   switch (verdict)
     {
     case CLM_GRANTED:
-      q->granted = r->now;
+      q->granted_at = r->now;
       rt_step (q, RT_X_GRANTED);
       start_connect (r, q);
       return;
     case CLM_ANSWERED:
       q->claimed = false;
-      rt_abandon (r, q);
+      rt_cancel_work (r, q);
       rt_step (q, RT_X_REPLAY);
-      rt_act (r, RT_ACT_REPLAY, q);
-      rt_forget (r, q);
+      rt_push_action (r, RT_ACT_REPLAY, q);
+      rt_end_request (r, q);
       return;
     case CLM_RUNNING:
     case CLM_UNKNOWN:
-      /* This request was not sent, but the caller asks about its key, and
-         under that key something runs or ran. */
+      /* This request was not sent, but its outcome is that of the key,
+         under which another request is running or has run. */
       q->claimed = false;
-      rt_abandon (r, q);
+      rt_cancel_work (r, q);
       rt_step (q, RT_X_CLAIMED_ELSEWHERE);
       rt_answer (r, q,
                  verdict == CLM_RUNNING ? RT_CODE_CLAIM_RUNNING
@@ -323,38 +322,39 @@
 }
 
 void
-rt_caller_gone (struct rt *r, struct rt_req *q)
+rt_on_caller_gone (struct rt *r, struct rt_req *q)
 {
   /*
-   * Who gave a key and lost the connection will ask again with it.  Cut off
-   * now, the run could be neither repeated nor answered, and the caller would
-   * hear for as long as the key is remembered that its end is not known; left
-   * to end, its answer is kept and the repeat gets it.
+   * A client that sent a key and lost the connection will repeat the request
+   * with the key. If the request were canceled now, it could be neither
+   * repeated nor answered, and the client would get `key-unknown` for as long
+   * as the key is remembered. If it completes, its response is stored and
+   * replayed to the repeated request.
    */
   if (q->claimed && q->sent)
     return;
-  rt_abandon (r, q);
-  rt_forget (r, q);
+  rt_cancel_work (r, q);
+  rt_end_request (r, q);
 }
 
 void
-rt_req_timer (struct rt *r, struct rt_req *q)
+rt_on_timer (struct rt *r, struct rt_req *q)
 {
   if (q->deadline && r->now >= q->deadline)
-    end_with (r, q, RT_CODE_DEADLINE, RT_RETRY_MS);
+    fail_request (r, q, RT_CODE_DEADLINE, RT_DEFAULT_RETRY_MS);
   else if (q->state == RT_S_ASKING)
-    rt_slot_timer (r, q);
-  else if (q->waiting && r->now >= rt_queue_until (q))
-    end_with (r, q,
-              rt_any_usable (r, q->target) ? RT_CODE_QUEUE_FULL
-                                           : RT_CODE_NO_REPLICA,
-              RT_RETRY_MS);
+    rt_on_slot_timeout (r, q);
+  else if (q->waiting && r->now >= rt_queue_deadline (q))
+    fail_request (r, q,
+                  rt_has_usable_server (r, q->target) ? RT_CODE_QUEUE_FULL
+                                                      : RT_CODE_NO_REPLICA,
+                  RT_DEFAULT_RETRY_MS);
   else if (q->state == RT_S_CLAIMING)
-    rt_refuse (r, q, RT_CODE_STORE, RT_RETRY_MS);
-  else if (!q->waiting && !rt_in_attempt (q))
+    rt_refuse (r, q, RT_CODE_STORE, RT_DEFAULT_RETRY_MS);
+  else if (!q->waiting && !rt_has_server (q))
     {
       struct rt_target *t = q->target;
       rt_enqueue (r, q, true);
-      rt_pump (r, t);
+      rt_dispatch_queued (r, t);
     }
 }
--- a/route/route.c
+++ b/route/route.c
@@ -4,13 +4,13 @@
 
 #include "route/core.h"
 
-#define TABLE_FIRST 1024
-#define POLL_MS 20 /* looks for room while requests wait */
+#define TABLE_INITIAL_SIZE 1024
+#define POLL_MS 20 /* poll interval for free capacity while requests wait */
 
 /* --- actions ----------------------------------------------------------- */
 
 struct rt_action *
-rt_act (struct rt *r, enum rt_action_kind kind, const struct rt_req *q)
+rt_push_action (struct rt *r, enum rt_action_kind kind, const struct rt_req *q)
 {
   if (r->act_n == r->act_cap)
     {
@@ -49,13 +49,13 @@
 heap_put (struct rt *r, size_t at, struct rt_req *q)
 {
   r->heap[at] = q;
-  q->timer_at = at;
+  q->heap_index = at;
 }
 
 static void
 heap_up (struct rt *r, size_t at, struct rt_req *q)
 {
-  while (at > 0 && r->heap[(at - 1) / 2]->timer > q->timer)
+  while (at > 0 && r->heap[(at - 1) / 2]->timer_due > q->timer_due)
     {
       heap_put (r, at, r->heap[(at - 1) / 2]);
       at = (at - 1) / 2;
@@ -68,43 +68,44 @@
 {
   for (;;)
     {
-      size_t kid = 2 * at + 1;
-      if (kid + 1 < r->heap_n && r->heap[kid + 1]->timer < r->heap[kid]->timer)
-        kid++;
-      if (kid >= r->heap_n || r->heap[kid]->timer >= q->timer)
+      size_t child = 2 * at + 1;
+      if (child + 1 < r->heap_n
+          && r->heap[child + 1]->timer_due < r->heap[child]->timer_due)
+        child++;
+      if (child >= r->heap_n || r->heap[child]->timer_due >= q->timer_due)
         break;
-      heap_put (r, at, r->heap[kid]);
-      at = kid;
+      heap_put (r, at, r->heap[child]);
+      at = child;
     }
   heap_put (r, at, q);
 }
 
 void
-rt_untimer (struct rt *r, struct rt_req *q)
+rt_cancel_timer (struct rt *r, struct rt_req *q)
 {
-  size_t at = q->timer_at;
+  size_t at = q->heap_index;
   if (at == SIZE_MAX)
     return;
-  q->timer_at = SIZE_MAX;
+  q->heap_index = SIZE_MAX;
   struct rt_req *last = r->heap[--r->heap_n];
   if (last == q)
     return;
-  if (at > 0 && r->heap[(at - 1) / 2]->timer > last->timer)
+  if (at > 0 && r->heap[(at - 1) / 2]->timer_due > last->timer_due)
     heap_up (r, at, last);
   else
     heap_down (r, at, last);
 }
 
 void
-rt_timer (struct rt *r, struct rt_req *q, clk_ms at)
+rt_set_timer (struct rt *r, struct rt_req *q, clk_ms at)
 {
-  rt_untimer (r, q);
+  rt_cancel_timer (r, q);
   if (r->heap_n == r->heap_cap)
     {
       r->heap_cap = r->heap_cap ? 2 * r->heap_cap : 256;
       r->heap = xrealloc (r->heap, r->heap_cap * sizeof *r->heap);
     }
-  q->timer = at;
+  q->timer_due = at;
   heap_up (r, r->heap_n++, q);
 }
 
@@ -115,7 +116,7 @@
 {
   struct rt_req *q = r->table[id & (r->table_size - 1)];
   while (q && q->id != id)
-    q = q->chain;
+    q = q->hash_next;
   return q;
 }
 
@@ -127,8 +128,8 @@
   for (size_t i = 0; i < r->table_size; i++)
     for (struct rt_req *q = r->table[i], *next; q; q = next)
       {
-        next = q->chain;
-        q->chain = table[q->id & (size - 1)];
+        next = q->hash_next;
+        q->hash_next = table[q->id & (size - 1)];
         table[q->id & (size - 1)] = q;
       }
   free (r->table);
@@ -141,9 +142,9 @@
 {
   struct rt_req **at = &r->table[q->id & (r->table_size - 1)];
   while (*at != q)
-    at = &(*at)->chain;
-  *at = q->chain;
-  rt_untimer (r, q);
+    at = &(*at)->hash_next;
+  *at = q->hash_next;
+  rt_cancel_timer (r, q);
   if (q->account)
     q->account->open--;
   if (q->cfg)
@@ -185,7 +186,7 @@
 }
 
 static struct rt_server *
-server_of (struct rt_target *t, struct str name)
+get_server (struct rt_target *t, struct str name)
 {
   struct rt_server *s = g_hash_table_lookup (t->by_name, &name);
   if (s)
@@ -205,13 +206,13 @@
 {
   free (s->name);
   free (s->zone);
-  free (s->warm);
+  free (s->grants);
   free (s);
 }
 
-/** Servers that left the list go once no request is on them. */
+/** Free servers that are no longer listed and have no requests in flight. */
 static void
-sweep_servers (struct rt_target *t)
+free_unlisted_servers (struct rt_target *t)
 {
   size_t kept = 0;
   for (size_t i = 0; i < t->nservers; i++)
@@ -227,8 +228,8 @@
 }
 
 static void
-server_place (struct rt *r, struct rt_server *s, struct str zone,
-              const struct net_addr *addr)
+server_set_location (struct rt *r, struct rt_server *s, struct str zone,
+                     const struct net_addr *addr)
 {
   if (!s->zone || !str_is (zone, s->zone))
     {
@@ -249,8 +250,8 @@
   for (size_t i = 0; i < c->nbackends; i++)
     {
       const struct cfg_backend *b = &c->backends[i];
-      struct rt_server *s = server_of (t, b->name);
-      server_place (r, s, b->zone, &b->addr);
+      struct rt_server *s = get_server (t, b->name);
+      server_set_location (r, s, b->zone, &b->addr);
       s->whole = true;
       s->valid_until = CLK_NEVER;
       s->observe = c->mode == CFG_OBSERVE;
@@ -258,7 +259,7 @@
     }
 }
 
-/** What of a replica the configuration decides. */
+/** Set the fields of a replica that come from the configuration. */
 static void
 config_replica (struct rt *r, struct rt_target *t, struct rt_server *s)
 {
@@ -284,7 +285,7 @@
   for (size_t i = 0; i < cfg->nservices; i++)
     config_service (r, &cfg->services[i]);
   for (size_t i = 0; i < r->ntargets; i++)
-    sweep_servers (r->targets[i]);
+    free_unlisted_servers (r->targets[i]);
   rt_limit_config (r);
   if (old)
     cfg_unref (old);
@@ -294,23 +295,23 @@
 on_replica (struct rt *r, const struct rt_replica *v)
 {
   struct rt_target *t = rt_target (r, v->model, true);
-  struct rt_server *s = server_of (t, v->name);
-  bool known = s->listed;
-  server_place (r, s, v->zone, &v->addr);
-  s->fresh = true;
-  if (!known || s->generation != v->generation)
+  struct rt_server *s = get_server (t, v->name);
+  bool was_listed = s->listed;
+  server_set_location (r, s, v->zone, &v->addr);
+  s->in_update = true;
+  if (!was_listed || s->generation != v->generation)
     {
-      /* Other VMs stand behind the name: what was learnt is of the old. */
+      /* The replica has new VMs: reset the statistics of the old ones. */
       s->generation = v->generation;
       s->ejected_until = 0;
-      s->ejections = s->bad_run = s->first_n = 0;
+      s->ejections = s->consecutive_failures = s->first_byte_samples = 0;
       s->probing = false;
     }
   s->whole = v->whole;
   s->draining = v->draining;
   s->valid_until = v->valid_until;
   config_replica (r, t, s);
-  rt_server_load (r, t, s, v->load, v->load_at);
+  rt_server_set_reported_load (r, t, s, v->load, v->load_at);
 }
 
 static void
@@ -319,15 +320,16 @@
   for (size_t i = 0; i < r->ntargets; i++)
     for (size_t k = 0; k < r->targets[i]->nservers; k++)
       if (r->targets[i]->is_model)
-        r->targets[i]->servers[k]->fresh = false;
+        r->targets[i]->servers[k]->in_update = false;
   for (size_t i = 0; i < n; i++)
     on_replica (r, &list[i]);
   for (size_t i = 0; i < r->ntargets; i++)
     if (r->targets[i]->is_model)
       {
         for (size_t k = 0; k < r->targets[i]->nservers; k++)
-          r->targets[i]->servers[k]->listed = r->targets[i]->servers[k]->fresh;
-        sweep_servers (r->targets[i]);
+          r->targets[i]->servers[k]->listed
+              = r->targets[i]->servers[k]->in_update;
+        free_unlisted_servers (r->targets[i]);
       }
 }
 
@@ -347,20 +349,20 @@
 /* --- events ------------------------------------------------------------ */
 
 static void
-pump_all (struct rt *r)
+dispatch_all (struct rt *r)
 {
   for (size_t i = 0; i < r->ntargets; i++)
-    rt_pump (r, r->targets[i]);
+    rt_dispatch_queued (r, r->targets[i]);
 }
 
 static void
 on_tick (struct rt *r)
 {
-  while (r->heap_n && r->heap[0]->timer <= r->now)
+  while (r->heap_n && r->heap[0]->timer_due <= r->now)
     {
       struct rt_req *q = r->heap[0];
-      rt_untimer (r, q);
-      rt_req_timer (r, q);
+      rt_cancel_timer (r, q);
+      rt_on_timer (r, q);
     }
 }
 
@@ -371,13 +373,13 @@
   if (!q)
     return;
   if (ev->kind == RT_EV_SLOT)
-    rt_slot_event (r, q, ev);
+    rt_on_slot_reply (r, q, ev);
   else if (ev->kind == RT_EV_CLAIM)
-    rt_claimed (r, q, ev->verdict, ev->retry_ms);
+    rt_on_claim (r, q, ev->verdict, ev->retry_ms);
   else if (ev->kind == RT_EV_CALLER_GONE)
-    rt_caller_gone (r, q);
+    rt_on_caller_gone (r, q);
   else
-    rt_attempt_event (r, q, ev);
+    rt_on_attempt_event (r, q, ev);
 }
 
 void
@@ -406,7 +408,7 @@
       r->leaving = ev->on;
       return;
     case RT_EV_SLOT_HOME:
-      rt_slot_home (r, ev->name, ev->on);
+      rt_on_slot_home (r, ev->name, ev->on);
       return;
     case RT_EV_NODES:
       r->nodes = (unsigned)ev->size;
@@ -416,13 +418,13 @@
         return;
       if (r->open >= r->table_size)
         table_grow (r);
-      rt_arrive (r, ev->request);
+      rt_on_arrive (r, ev->request);
       return;
     default:
       on_request_event (r, ev);
       return;
     }
-  pump_all (r);
+  dispatch_all (r);
 }
 
 struct rt *
@@ -434,7 +436,7 @@
   r->nodes = opt->nodes;
   r->choose = rt_choose;
   rng_seed (&r->rng, seed);
-  r->table_size = TABLE_FIRST;
+  r->table_size = TABLE_INITIAL_SIZE;
   r->table = xcalloc (r->table_size, sizeof *r->table);
   return r;
 }
@@ -489,9 +491,9 @@
 clk_ms
 rt_wake (const struct rt *r)
 {
-  clk_ms at = r->heap_n ? r->heap[0]->timer : CLK_NEVER;
-  /* Estimates of other gateways' load fall by time alone, so room may
-     appear without an event. */
+  clk_ms at = r->heap_n ? r->heap[0]->timer_due : CLK_NEVER;
+  /* The estimated load of other gateways decreases with time alone, so
+     capacity may become free without an event. */
   for (size_t i = 0; i < r->ntargets; i++)
     if (r->targets[i]->queue.n && r->now + POLL_MS < at)
       at = r->now + POLL_MS;
@@ -507,10 +509,10 @@
       struct rt_account *a = r->accounts[i];
       double span = now > a->demand_at ? (double)(now - a->demand_at) : 1;
       r->demands[i].account = str_from (a->name);
-      r->demands[i].tokens_per_s = a->asked * 1000 / span;
-      r->demands[i].concurrency = (double)a->asked_peak;
-      a->asked = 0;
-      a->asked_peak = a->open;
+      r->demands[i].tokens_per_s = a->requested_tokens * 1000 / span;
+      r->demands[i].concurrency = (double)a->peak_open;
+      a->requested_tokens = 0;
+      a->peak_open = a->open;
       a->demand_at = now;
     }
   *n = r->naccounts;
--- a/route/share.c
+++ b/route/share.c
@@ -3,46 +3,44 @@
 #include <math.h>
 #include <stdlib.h>
 
-/* A node asks for what its callers asked lately; room above it lets the next
-   second's growth in without a refusal. */
+/* Factor on a node's recent demand, so that it can grow within the next
+   second without refusals. */
 #define HEADROOM 1.25
-/* Part of an even share that a node keeps without any demand, so that its
-   first callers are not refused before the next division. */
-#define IDLE_PART 0.1
-/*
- * A node that is heard so long after its highest grant has got a smaller one:
- * that went a second later over the same link, and a link that is silent in
- * one direction is given up by its heartbeat after three.
- */
+/* Part of an even share that a node gets without any demand, so that its
+   first requests are not refused before the next division. */
+#define IDLE_FRACTION 0.1
+/* A node that reports this long after its highest grant has received a smaller
+   one, which was sent a second later over the same link. The heartbeat closes
+   a link that is silent in one direction after three seconds. */
 #define CONFIRM_MS ((clk_ms)4500)
-/* Half-lives after which nothing to speak of is left of an expired share. */
-#define QUIET_DECAYS 11
+/* Half-lives after which an expired share has decayed to an even part. */
+#define START_DELAY_HALF_LIVES 11
 
 enum
 {
   RATE,
   CONCURRENCY,
-  KINDS
+  LIMIT_KINDS
 };
 
-/** One node's part of one limit. */
-struct part
+/** A node's part of one limit. */
+struct node_limit
 {
   double demand;
   double granted;
   clk_ms granted_until;
-  clk_ms peak_at;    /**< when the highest grant was last given... */
-  double peak;       /**< that may still be valid... */
-  clk_ms peak_until; /**< ...until then */
+  clk_ms peak_at;    /**< time of the highest grant that may still be valid */
+  double peak;       /**< the highest grant that may still be valid */
+  clk_ms peak_until; /**< end of validity of `peak` */
   double target;
 };
 
 struct member
 {
   char *node;
-  bool known; /**< in the list of nodes */
-  clk_ms heard_at;
-  struct part part[KINDS];
+  bool listed; /**< listed by shr_nodes() */
+  clk_ms demand_at;
+  struct node_limit limits[LIMIT_KINDS];
 };
 
 struct account
@@ -50,8 +48,8 @@
   char *name;
   bool set;
   bool home;
-  clk_ms quiet_until; /**< a new home grants nothing until then */
-  double limit[KINDS];
+  clk_ms grants_from; /**< a new home grants nothing until then */
+  double limit[LIMIT_KINDS];
   struct member *members;
   size_t n;
 };
@@ -69,7 +67,7 @@
 };
 
 double
-shr_decayed (double share, double even, clk_ms age)
+shr_decayed_share (double share, double even, clk_ms age)
 {
   if (age <= 0)
     return share;
@@ -137,8 +135,8 @@
     if (str_is (node, a->members[i].node))
       return &a->members[i];
   a->members = xrealloc (a->members, (a->n + 1) * sizeof *a->members);
-  a->members[a->n]
-      = (struct member){ .node = str_dup (node), .heard_at = -SHR_HEARD_MS };
+  a->members[a->n] = (struct member){ .node = str_dup (node),
+                                      .demand_at = -SHR_DEMAND_TIMEOUT_MS };
   return &a->members[a->n++];
 }
 
@@ -146,9 +144,9 @@
 sync_members (const struct shr *s, struct account *a)
 {
   for (size_t i = 0; i < a->n; i++)
-    a->members[i].known = false;
+    a->members[i].listed = false;
   for (size_t i = 0; i < s->nnodes; i++)
-    member_of (a, str_from (s->nodes[i]))->known = true;
+    member_of (a, str_from (s->nodes[i]))->listed = true;
 }
 
 void
@@ -159,8 +157,8 @@
   if (a == NULL)
     a = add_account (s, account);
   if (home && !a->home)
-    a->quiet_until
-        = now + SHR_VALID_MS + SHR_FLIGHT_MS + QUIET_DECAYS * SHR_DECAY_MS;
+    a->grants_from = now + SHR_VALID_MS + SHR_MAX_TRANSIT_MS
+                     + START_DELAY_HALF_LIVES * SHR_DECAY_MS;
   a->set = true;
   a->home = home;
   a->limit[RATE] = limit->tokens_per_s;
@@ -205,49 +203,47 @@
   if (a == NULL)
     return;
   m = member_of (a, node);
-  m->heard_at = now;
-  m->part[RATE].demand = demand->tokens_per_s;
-  m->part[CONCURRENCY].demand = demand->concurrency;
+  m->demand_at = now;
+  m->limits[RATE].demand = demand->tokens_per_s;
+  m->limits[CONCURRENCY].demand = demand->concurrency;
 }
 
 static bool
-heard (const struct member *m, clk_ms now)
+is_reachable (const struct member *m, clk_ms now)
 {
-  return now - m->heard_at < SHR_HEARD_MS;
+  return now - m->demand_at < SHR_DEMAND_TIMEOUT_MS;
 }
 
-/** What is left of a grant: once expired it falls towards an even part. */
+/** Remaining value of a grant; after expiry it decays towards an even part. */
 static double
-left_of (double share, clk_ms until, double even, clk_ms now)
+remaining_grant (double share, clk_ms until, double even, clk_ms now)
 {
   if (now < until)
     return share;
-  return share > even ? shr_decayed (share, even, now - until) : 0;
+  return share > even ? shr_decayed_share (share, even, now - until) : 0;
 }
 
-/**
- * What a node may be using at most at this moment.  A share does not end with
- * its grant: a gateway that hears nothing goes from it to an even part, and
- * giving out at once what it still has would exceed the limit.
- */
+/** Upper bound of what a node may use now. A share does not end with its
+    grant: a gateway without a new grant decays from it to an even part, so
+    granting the rest at once would exceed the limit. */
 static double
-outstanding (const struct member *m, int kind, double even, clk_ms now)
+max_usage (const struct member *m, int kind, double even, clk_ms now)
 {
-  const struct part *p = &m->part[kind];
-  double granted = left_of (p->granted, p->granted_until, even, now);
+  const struct node_limit *p = &m->limits[kind];
+  double granted = remaining_grant (p->granted, p->granted_until, even, now);
 
-  if (m->heard_at - p->peak_at >= CONFIRM_MS && heard (m, now))
+  if (m->demand_at - p->peak_at >= CONFIRM_MS && is_reachable (m, now))
     return granted;
-  return fmax (granted, left_of (p->peak, p->peak_until, even, now));
+  return fmax (granted, remaining_grant (p->peak, p->peak_until, even, now));
 }
 
 /**
- * Even levels: nobody gets more than it wants, and what some leave goes to
- * the others in equal parts.
- * @return  the level that uses up @p budget, or infinity when all fit
+ * Max-min fair level: no node gets more than its target, and the rest is
+ * divided evenly among the others.
+ * @return  the level that uses up @p budget, or infinity if all targets fit
  */
 static double
-fill_level (const struct account *a, int kind, clk_ms now, double budget)
+fair_level (const struct account *a, int kind, clk_ms now, double budget)
 {
   double level = 0;
   for (;;)
@@ -257,8 +253,8 @@
       for (size_t i = 0; i < a->n; i++)
         {
           const struct member *m = &a->members[i];
-          double want = m->part[kind].target;
-          if (!heard (m, now))
+          double want = m->limits[kind].target;
+          if (!is_reachable (m, now))
             continue;
           used += fmin (want, level);
           open += want > level;
@@ -280,57 +276,57 @@
 {
   for (size_t i = 0; i < a->n; i++)
     {
-      struct part *p = &a->members[i].part[kind];
-      p->target = fmax (p->demand * HEADROOM, even * IDLE_PART);
+      struct node_limit *p = &a->members[i].limits[kind];
+      p->target = fmax (p->demand * HEADROOM, even * IDLE_FRACTION);
     }
 }
 
-/** What is left of the region's part after nodes that are not heard. */
+/** Region's part of the limit minus what nodes without a recent demand
+    may use. */
 static double
-budget_of (const struct account *a, int kind, clk_ms now, double even,
-           double limit)
+reachable_budget (const struct account *a, int kind, clk_ms now, double even,
+                  double limit)
 {
-  double silent = 0;
+  double reserved = 0;
   for (size_t i = 0; i < a->n; i++)
     {
       const struct member *m = &a->members[i];
-      if (!heard (m, now))
-        silent += fmax (outstanding (m, kind, even, now), m->known ? even : 0);
+      if (!is_reachable (m, now))
+        reserved
+            += fmax (max_usage (m, kind, even, now), m->listed ? even : 0);
     }
-  return fmax (limit - silent, 0);
+  return fmax (limit - reserved, 0);
 }
 
-/**
- * A grant that shrinks may be lost on its way, and the old one stays valid
- * until it expires.  Growth of others before that would exceed the limit, so
- * they grow only into what is surely free.
- */
+/** A smaller grant may be lost on its way, and the old one stays valid until
+    it expires. If other nodes grew before that, the limit would be exceeded,
+    so they grow only into what is certainly free. */
 static void
-give (struct account *a, int kind, clk_ms now, double even, double budget,
-      double level)
+set_grants (struct account *a, int kind, clk_ms now, double even,
+            double budget, double level)
 {
-  double held = 0, growth = 0;
+  double total_usage = 0, growth = 0;
   for (size_t i = 0; i < a->n; i++)
     {
-      struct part *p = &a->members[i].part[kind];
-      if (!heard (&a->members[i], now))
+      struct node_limit *p = &a->members[i].limits[kind];
+      if (!is_reachable (&a->members[i], now))
         continue;
-      double peak = outstanding (&a->members[i], kind, even, now);
+      double peak = max_usage (&a->members[i], kind, even, now);
       p->target = fmin (p->target, level);
-      held += peak;
+      total_usage += peak;
       growth += fmax (p->target - peak, 0);
     }
-  double room = fmax (budget - held, 0);
-  double part = growth > room ? room / growth : 1;
+  double room = fmax (budget - total_usage, 0);
+  double fraction = growth > room ? room / growth : 1;
   for (size_t i = 0; i < a->n; i++)
     {
-      struct part *p = &a->members[i].part[kind];
-      double peak = outstanding (&a->members[i], kind, even, now);
-      if (!heard (&a->members[i], now))
+      struct node_limit *p = &a->members[i].limits[kind];
+      double peak = max_usage (&a->members[i], kind, even, now);
+      if (!is_reachable (&a->members[i], now))
         continue;
-      p->granted
-          = p->target <= peak ? p->target : peak + part * (p->target - peak);
-      p->granted_until = now + SHR_VALID_MS + SHR_FLIGHT_MS;
+      p->granted = p->target <= peak ? p->target
+                                     : peak + fraction * (p->target - peak);
+      p->granted_until = now + SHR_VALID_MS + SHR_MAX_TRANSIT_MS;
       if (p->granted >= peak)
         {
           p->peak = p->granted;
@@ -341,7 +337,7 @@
 }
 
 static void
-divide (const struct shr *s, struct account *a, int kind, clk_ms now)
+divide_limit (const struct shr *s, struct account *a, int kind, clk_ms now)
 {
   double all = s->all ? (double)s->all : 1;
   double limit = a->limit[kind] * (double)s->nnodes / all;
@@ -349,8 +345,8 @@
   if (a->limit[kind] <= 0)
     return;
   set_targets (a, kind, now, even);
-  double budget = budget_of (a, kind, now, even, limit);
-  give (a, kind, now, even, budget, fill_level (a, kind, now, budget));
+  double budget = reachable_budget (a, kind, now, even, limit);
+  set_grants (a, kind, now, even, budget, fair_level (a, kind, now, budget));
 }
 
 static void
@@ -359,13 +355,13 @@
   for (size_t i = 0; i < a->n; i++)
     {
       const struct member *m = &a->members[i];
-      if (!heard (m, now))
+      if (!is_reachable (m, now))
         continue;
       s->grants = xrealloc (s->grants, (s->ngrants + 1) * sizeof *s->grants);
       s->grants[s->ngrants++] = (struct shr_grant){
         .account = str_from (a->name),
         .node = str_from (m->node),
-        .amount = { m->part[RATE].granted, m->part[CONCURRENCY].granted },
+        .amount = { m->limits[RATE].granted, m->limits[CONCURRENCY].granted },
         .valid_ms = SHR_VALID_MS,
       };
     }
@@ -379,15 +375,15 @@
   for (size_t i = 0; i < s->n; i++)
     {
       struct account *a = s->accounts[i];
-      /* What the last home granted is not known here, perhaps nearly all of
-         it to a node that can't be heard.  Shares that nobody renews fall or
-         rise to even parts by themselves, and their sum stays within the
-         limit all the way; a grant now would come on top. */
-      if (!a->home || now < a->quiet_until
+      /* The grants of the previous home are not known here; nearly all
+         of the limit may be granted to an unreachable node. Shares that
+         are not renewed decay to even parts, and their sum stays within
+         the limit; a grant now would be added on top. */
+      if (!a->home || now < a->grants_from
           || (a->limit[RATE] <= 0 && a->limit[CONCURRENCY] <= 0))
         continue;
-      divide (s, a, RATE, now);
-      divide (s, a, CONCURRENCY, now);
+      divide_limit (s, a, RATE, now);
+      divide_limit (s, a, CONCURRENCY, now);
       add_grants (s, a, now);
     }
 }
--- a/t/t5005-choose.c
+++ b/t/t5005-choose.c
@@ -2,7 +2,7 @@
 
 #include "lib-route.h"
 
-/* Which replica gets the next request; each runs four at once. */
+/* Choice of the replica; each one has a capacity of four. */
 
 #define CONFIG                                                                \
   "{\"models\":{\"lm\":{\"mode\":\"route\",\"vms\":1,\"capacity\":4}},"       \
@@ -17,11 +17,10 @@
   script_free (&s);
 }
 
-Test (choose, evidence_runs_out)
+Test (choose, expired_status_excludes_replica)
 {
-  /* Nothing more is heard of a replica.  From the moment that its evidence
-     ends it gets no new work, also when nothing else happened since the
-     last choice. */
+  /* A replica whose status has expired gets no new requests, even
+     without any event since the last choice. */
   check ("0 replicas r1/until=100 r2\n"
          "99 arrive* 1-4 acme lm\n"
          "100 arrive* 5-7 acme lm\n",
@@ -31,9 +30,9 @@
          "100 arrive* 5-7: connect(5/1 r2) connect(6/1 r2) connect(7/1 r2)\n");
 }
 
-Test (choose, least_of_our_own)
+Test (choose, fewest_local_requests)
 {
-  /* Three replicas get one request each before any gets a second. */
+  /* Each of three replicas gets one request before any gets a second. */
   check ("0 replicas r1 r2 r3\n"
          "1 arrive* 1-3 acme lm\n"
          "2 gone 1\n"
@@ -46,7 +45,7 @@
 
 Test (choose, reported_full)
 {
-  /* A fresh report shows that others have filled one replica. */
+  /* A new report shows that other gateways have filled one replica. */
   check ("0 replicas r1 r2\n"
          "1 arrive 1 acme lm\n"
          "2 gone 1\n"
@@ -59,10 +58,10 @@
          "4 arrive* 2-4: connect(2/1 r2) connect(3/1 r2) connect(4/1 r2)\n");
 }
 
-Test (choose, prefix_stays_while_slots_are_free)
+Test (choose, prefix_affinity_while_slots_are_free)
 {
-  /* Requests of one prefix go to its replica although others have none, but
-     no further than free slots allow. */
+  /* Requests with one prefix go to its replica although others are idle,
+     but no further than its free slots allow. */
   check ("0 replicas r1 r2 r3 r4\n"
          "1 arrive 1 acme lm prefix=7\n"
          "2 open 1/1\n"
@@ -84,10 +83,10 @@
          "connect(6/1 r3) connect(7/1 r4) connect(8/1 r2)\n");
 }
 
-Test (choose, waits_here_when_all_is_taken)
+Test (choose, requests_wait_when_all_slots_are_taken)
 {
-  /* Both replicas are full with ours and reported work.  What comes next
-     waits at the gateway, and goes when a slot is free. */
+  /* Both replicas are full. Further requests wait at the gateway until a
+     slot becomes free. */
   check ("0 replicas r1 r2\n"
          "1 arrive* 1-12 acme lm\n"
          "2 gone 1\n",
@@ -100,7 +99,8 @@
 
 Test (choose, same_zone_without_fresh_reports)
 {
-  /* Of two that have the same of ours, mostly the one in this zone. */
+  /* With equal local load, the replica in the local zone is mostly
+     preferred. */
   check ("0 replicas r1 r2/far\n"
          "1 arrive 1 acme lm\n"
          "2 gone 1\n"
--- a/t/t5900-replay.c
+++ b/t/t5900-replay.c
@@ -15,7 +15,7 @@
   return strcmp (*(char *const *)a, *(char *const *)b);
 }
 
-/* Names of the traces without their ending, in order. */
+/* Sorted names of the traces, without suffix. */
 static size_t
 list_traces (char **names, size_t max)
 {
@@ -34,10 +34,9 @@
   return n;
 }
 
-/* The incidents that our users told of, each a trace whose comment tells what
-   the caller sees and a file of the decisions that must follow.  Two runs
-   must agree to the letter. */
-Test (replay, incidents_end_as_stated)
+/* Traces of reported incidents, each with a description and a file of
+   the expected actions. Two runs must give identical results. */
+Test (replay, incidents_match_expected_actions)
 {
   char *names[32];
   size_t n = list_traces (names, 32);
@@ -58,13 +57,13 @@
     }
 }
 
-/* An operator replays a trace that was damaged on its way.  Each fault is
-   told with its line, and the exit code says that the input is wrong. */
-Test (replay, damaged_trace_is_told_with_its_line)
+/* A damaged or empty trace is reported as invalid input by the exit
+   code, and no action is printed. */
+Test (replay, damaged_trace_is_rejected)
 {
   const char *head = "{\"core\":\"route\",\"seed\":1,\"nodes\":1}\n";
   const char *path = proc_file ("bad.trace",
-                                "%s{\"t\":1,\"ev\":\"sneeze\"}\n"
+                                "%s{\"t\":1,\"ev\":\"no-such-event\"}\n"
                                 "{\"t\":2,\"ev\":\"arrive\"}\n"
                                 "{\"t\":3,\n",
                                 head);
@@ -77,9 +76,8 @@
   buf_free (&out);
 }
 
-/* An expectation that the decisions do not meet must fail the command, or no
-   replay would ever prove anything. */
-Test (replay, other_decisions_fail)
+/* The command must fail if the actions differ from the expected ones. */
+Test (replay, different_actions_fail)
 {
   const char *expect = proc_file ("other.expect", "1000 connect id=1\n");
   struct buf out = BUF_INIT;
