--- a/builtin/bench-decide.c
+++ b/builtin/bench-decide.c
@@ -250,13 +250,13 @@
   for (uint64_t id = 1; id <= 400; id++)
     arrive (&f, id);
   drain (&f);
-  size_t before = mallinfo2 ().uordblks, open = rt_open (f.rt);
+  size_t before = mallinfo2 ().uordblks, open = rt_open_requests (f.rt);
   for (uint64_t id = 1001; id <= 1000 + QUEUED; id++)
     arrive (&f, id);
   drain (&f);
   size_t after = mallinfo2 ().uordblks;
   printf ("memory of a waiting request: %.0f bytes (%zu waiting)\n",
-          (double)(after - before) / (double)(rt_open (f.rt) - open),
+          (double)(after - before) / (double)(rt_open_requests (f.rt) - open),
           f.rt->targets[0]->queue.n);
   fleet_stop (&f);
 }
--- a/builtin/policies.c
+++ b/builtin/policies.c
@@ -7,7 +7,7 @@
 static bool
 open_to (const struct rt *r, const struct rt_server *s, const struct rt_req *q)
 {
-  return rt_usable (r, s) && !rt_tried (q, s);
+  return rt_is_usable (r, s) && !rt_was_tried (q, s);
 }
 
 /** A server at random that is open to the request, or NULL. */
--- a/builtin/world-homes.c
+++ b/builtin/world-homes.c
@@ -41,9 +41,9 @@
   while (slt_next (w->homes.core, &a))
     {
       uint32_t trip = (uint32_t)a.id - 1;
-      if (a.word == RT_SLOT_GRANTED)
+      if (a.reply == RT_SLOT_GRANTED)
         w->trips[trip].granted = (uint32_t)atoi (a.replica.ptr + 1) + 1;
-      post_hop (w, kinds[a.word], trip);
+      post_hop (w, kinds[a.reply], trip);
     }
 }
 
@@ -124,7 +124,7 @@
   if (trip->granted && q->ntried == 0)
     for (size_t i = 0; i < t->nservers; i++)
       if (str_is (str_from (w->names[trip->granted - 1]), t->servers[i]->name)
-          && rt_usable (r, t->servers[i]))
+          && rt_is_usable (r, t->servers[i]))
         return t->servers[i];
   return rt_choose (NULL, r, t, q);
 }
@@ -199,7 +199,7 @@
     }
   w->trips[trip].slot = SLOT_ASKED;
   post_hop (w, ASK_AT_HOME, trip);
-  wr_post (w, w->now + (double)SLT_ANSWER_MS, UNANSWERED, trip, NULL);
+  wr_post (w, w->now + (double)SLT_REPLY_TIMEOUT_MS, UNANSWERED, trip, NULL);
 }
 
 void
@@ -272,7 +272,7 @@
 {
   tell_open (w);
   if (w->now < 1000 * w->p->workload->seconds + 60000)
-    wr_post (w, w->now + (double)SLT_OPEN_MS, OPEN_LISTS, 0, NULL);
+    wr_post (w, w->now + (double)SLT_REPORT_INTERVAL_MS, OPEN_LISTS, 0, NULL);
 }
 
 void
@@ -331,7 +331,7 @@
       w->gateways[g]->choose = choose_granted;
       w->gateways[g]->choose_ctx = w;
     }
-  wr_post (w, (double)SLT_OPEN_MS, OPEN_LISTS, 0, NULL);
+  wr_post (w, (double)SLT_REPORT_INTERVAL_MS, OPEN_LISTS, 0, NULL);
 }
 
 void
--- a/control/shares.c
+++ b/control/shares.c
@@ -56,7 +56,7 @@
       shr_account (s->core, now, a->name, &limit,
                    str_is (home, s->c->set.node));
     }
-  shr_sweep (s->core);
+  shr_drop_unset (s->core);
 }
 
 static void
--- a/front/answer.c
+++ b/front/answer.c
@@ -22,7 +22,7 @@
   = "this key was used and how that ended is not known or not kept",
   [RT_CODE_CLAIM_MISMATCH] = "this key was used for another request",
   [RT_CODE_BACKEND_REFUSED] = "the backend server refused without running it",
-  [RT_CODE_GONE] = "the caller left",
+  [RT_CODE_CALLER_GONE] = "the caller left",
 };
 
 const char *
--- a/front/callers.c
+++ b/front/callers.c
@@ -186,7 +186,7 @@
 static size_t
 waiting (struct gw_callers *c)
 {
-  size_t n, open = rt_open (c->rt), busy = 0;
+  size_t n, open = rt_open_requests (c->rt), busy = 0;
   const struct rt_target_view *t = rt_targets (c->rt, &n);
 
   for (size_t i = 0; i < n; i++)
--- a/front/exchange.c
+++ b/front/exchange.c
@@ -432,7 +432,7 @@
 {
   struct rt_event ev = { .kind = RT_EV_CALLER_GONE, .id = ex->id };
 
-  take_req (ex, "gone", rt_code_name (RT_CODE_GONE));
+  take_req (ex, "gone", rt_code_name (RT_CODE_CALLER_GONE));
   for (struct gw_attempt *at = ex->attempts; at != NULL; at = at->next)
     gw_attempt_pause (at, false);
   gw_callers_event (ex->c, &ev);
--- a/front/slots-home.c
+++ b/front/slots-home.c
@@ -14,7 +14,7 @@
 {
   struct rt_event ev = { .kind = RT_EV_SLOT,
                          .id = a->id,
-                         .slot = a->word,
+                         .slot = a->reply,
                          .name = a->replica,
                          .code = a->code,
                          .retry_ms = a->retry_ms };
@@ -31,7 +31,7 @@
   char *replica = str_dup (a->replica);
 
   m.id = a->id;
-  m.word = a->word;
+  m.word = a->reply;
   m.replica = replica;
   m.code = a->code;
   m.retry_ms = (uint32_t)a->retry_ms;
@@ -43,9 +43,9 @@
 }
 
 static void
-count (struct gw_slots *s, enum rt_slot_word word)
+count (struct gw_slots *s, enum rt_slot_reply word)
 {
-  static const char *const labels[RT_SLOT_WORDS]
+  static const char *const labels[RT_SLOT_REPLIES]
       = { "word=\"granted\"", "word=\"queued\"", "word=\"refused\"" };
 
   met_add (met_counter (s->g->met, "lapisline_slot_answers_total",
@@ -68,7 +68,7 @@
   s->delivering = true;
   while (slt_next (m->core, &a))
     {
-      count (s, a.word);
+      count (s, a.reply);
       if (a.gateway == SLOTS_SELF)
         answer_self (s, &a);
       else
@@ -143,7 +143,7 @@
   met_set (met_gauge (s->g->met, "lapisline_slots_taken",
                       "Slots of a model's replicas that its home counts.",
                       label),
-           (double)slt_held (m->core));
+           (double)slt_taken (m->core));
 }
 
 /* ---- asks of other gateways ---- */
@@ -235,7 +235,7 @@
 void
 gw_slots_link_gone (struct gw_slots *s, const struct link *l)
 {
-  struct slt_event ev = { .kind = SLT_EV_GONE };
+  struct slt_event ev = { .kind = SLT_EV_GATEWAY_LOST };
 
   if (s == NULL || (ev.gateway = number_of_link (s, l)) == SLOTS_SELF)
     return;
--- a/front/slots.c
+++ b/front/slots.c
@@ -122,8 +122,8 @@
 {
   struct slt_event ev = { .kind = SLT_EV_OPEN, .gateway = SLOTS_SELF };
 
-  ev.open
-      = rt_slots (gw_callers_core (s->g->callers), str_from (m->name), &ev.n);
+  ev.open = rt_held_slots (gw_callers_core (s->g->callers), str_from (m->name),
+                           &ev.n);
   if (l != NULL)
     send_held (s, m, l, ev.open, ev.n);
   else
@@ -202,12 +202,12 @@
 {
   struct rt_event ev = { .kind = RT_EV_SLOT,
                          .id = a->id,
-                         .slot = (enum rt_slot_word)a->word,
+                         .slot = (enum rt_slot_reply)a->word,
                          .name = str_from (a->replica),
                          .code = (enum rt_code)a->code,
                          .retry_ms = a->retry_ms };
 
-  if (s != NULL && a->word < RT_SLOT_WORDS && a->code <= RT_CODE_GONE)
+  if (s != NULL && a->word < RT_SLOT_REPLIES && a->code <= RT_CODE_CALLER_GONE)
     gw_callers_tell (s->g->callers, &ev);
 }
 
@@ -280,7 +280,7 @@
 {
   struct gw_slots *s = t->data;
   clk_ms now = clk_now ();
-  bool tell = now - s->told_at >= SLT_OPEN_MS;
+  bool tell = now - s->told_at >= SLT_REPORT_INTERVAL_MS;
 
   if (tell)
     s->told_at = now;
--- a/route/admit.c
+++ b/route/admit.c
@@ -43,7 +43,7 @@
 rt_has_usable_server (const struct rt *r, const struct rt_target *t)
 {
   for (size_t i = 0; i < t->nservers; i++)
-    if (rt_usable (r, t->servers[i]))
+    if (rt_is_usable (r, t->servers[i]))
       return true;
   return false;
 }
--- a/route/attempt.c
+++ b/route/attempt.c
@@ -31,8 +31,8 @@
 has_untried_server (const struct rt *r, const struct rt_req *q)
 {
   for (size_t i = 0; i < q->target->nservers; i++)
-    if (rt_usable (r, q->target->servers[i])
-        && !rt_tried (q, q->target->servers[i]))
+    if (rt_is_usable (r, q->target->servers[i])
+        && !rt_was_tried (q, q->target->servers[i]))
       return true;
   return false;
 }
--- a/route/choose.c
+++ b/route/choose.c
@@ -21,7 +21,7 @@
 #define PREFIX_MIN_BOUND 0.5
 
 bool
-rt_usable (const struct rt *r, const struct rt_server *s)
+rt_is_usable (const struct rt *r, const struct rt_server *s)
 {
   return s->listed && s->whole && !s->draining && !s->down && !s->observe
          && s->valid_until > r->now;
@@ -37,7 +37,7 @@
 }
 
 bool
-rt_tried (const struct rt_req *q, const struct rt_server *s)
+rt_was_tried (const struct rt_req *q, const struct rt_server *s)
 {
   return was_tried (q, s->hash);
 }
@@ -183,7 +183,7 @@
 find_probe_due (struct rt *r, struct rt_target *t, const struct rt_req *q)
 {
   for (size_t i = 0; i < t->nservers; i++)
-    if (rt_usable (r, t->servers[i]) && !rt_tried (q, t->servers[i])
+    if (rt_is_usable (r, t->servers[i]) && !rt_was_tried (q, t->servers[i])
         && rt_outlier_probe_due (r, t->servers[i]))
       return t->servers[i];
   return NULL;
@@ -198,7 +198,8 @@
   for (size_t i = 0; i < t->nservers; i++)
     {
       struct rt_server *s = t->servers[i];
-      if (rt_usable (r, s) && !rt_tried (q, s) && s->in_flight < s->capacity
+      if (rt_is_usable (r, s) && !rt_was_tried (q, s)
+          && s->in_flight < s->capacity
           && (!best || s->in_flight < best->in_flight))
         best = s;
     }
--- a/route/core.h
+++ b/route/core.h
@@ -425,10 +425,10 @@
 double rt_service_ms (const struct rt_target *t);
 
 /* choose.c */
-bool rt_usable (const struct rt *r, const struct rt_server *s);
+bool rt_is_usable (const struct rt *r, const struct rt_server *s);
 struct rt_server *rt_choose (void *ctx, struct rt *r, struct rt_target *t,
                              const struct rt_req *q);
-bool rt_tried (const struct rt_req *q, const struct rt_server *s);
+bool rt_was_tried (const struct rt_req *q, const struct rt_server *s);
 
 /* retry.c */
 bool rt_retry_spend (struct rt *r, struct rt_target *t);
--- a/route/load.c
+++ b/route/load.c
@@ -102,7 +102,7 @@
   double sum = 0;
   size_t n = 0;
   for (size_t i = 0; i < t->nservers; i++)
-    if (t->servers[i]->load_at != 0 && rt_usable (r, t->servers[i]))
+    if (t->servers[i]->load_at != 0 && rt_is_usable (r, t->servers[i]))
       {
         sum += t->servers[i]->others;
         n++;
@@ -219,7 +219,7 @@
       struct rt_server *s = t->servers[i];
       double w = report_weight (&report_decay, r->now, s->load_at);
       s->candidate = NULL;
-      if (rt_usable (r, s) && !s->ejected_until)
+      if (rt_is_usable (r, s) && !s->ejected_until)
         add_candidate (r, t, s, w * s->others + (1 - w) * t->mean_others);
       else
         t->view.outside_requests += s->in_flight;
--- a/route/record-names.h
+++ b/route/record-names.h
@@ -14,6 +14,6 @@
 extern const char *const rec_event_names[REC_EVENTS];
 extern const char *const rec_action_names[REC_ACTIONS];
 extern const char *const rec_verdict_names[REC_VERDICTS];
-extern const char *const rec_slot_names[RT_SLOT_WORDS];
+extern const char *const rec_slot_names[RT_SLOT_REPLIES];
 
 #endif
--- a/route/record-read.c
+++ b/route/record-read.c
@@ -43,7 +43,7 @@
   [CLM_DONE] = "done",
 };
 
-const char *const rec_slot_names[RT_SLOT_WORDS] = {
+const char *const rec_slot_names[RT_SLOT_REPLIES] = {
   [RT_SLOT_GRANTED] = "granted",
   [RT_SLOT_QUEUED] = "queued",
   [RT_SLOT_REFUSED] = "refused",
@@ -216,11 +216,11 @@
            struct fnd_list *findings)
 {
   int reply
-      = find_name (rec_slot_names, RT_SLOT_WORDS, jsn_str (s->doc, "slot"));
+      = find_name (rec_slot_names, RT_SLOT_REPLIES, jsn_str (s->doc, "slot"));
 
   if (reply < 0)
     return add_error (r, findings, "/slot", "unknown slot reply");
-  ev->slot = (enum rt_slot_word)reply;
+  ev->slot = (enum rt_slot_reply)reply;
   ev->code = (enum rt_code)jsn_int (s->doc, "code");
   return true;
 }
--- a/route/route.c
+++ b/route/route.c
@@ -483,7 +483,7 @@
 }
 
 size_t
-rt_open (const struct rt *r)
+rt_open_requests (const struct rt *r)
 {
   return r->open;
 }
--- a/route/route.h
+++ b/route/route.h
@@ -49,7 +49,7 @@
   RT_CODE_CLAIM_UNKNOWN,   /**< 409: key was used, outcome not known */
   RT_CODE_CLAIM_MISMATCH,  /**< 422: the same key with a different request */
   RT_CODE_BACKEND_REFUSED, /**< 503: refused without execution */
-  RT_CODE_GONE             /**< the client disconnected */
+  RT_CODE_CALLER_GONE      /**< the client disconnected */
 };
 
 /** A request on arrival. */
@@ -86,12 +86,12 @@
 };
 
 /** Reply of a model's home gateway to a slot request, see route/slots.h. */
-enum rt_slot_word
+enum rt_slot_reply
 {
   RT_SLOT_GRANTED, /**< name: the replica */
   RT_SLOT_QUEUED,
   RT_SLOT_REFUSED, /**< code, retry_ms */
-  RT_SLOT_WORDS
+  RT_SLOT_REPLIES
 };
 
 enum rt_event_kind
@@ -136,7 +136,7 @@
   int status;
   size_t size;
   double tokens;
-  enum rt_slot_word slot;
+  enum rt_slot_reply slot;
   enum rt_code code;
 };
 
@@ -213,7 +213,7 @@
 bool rt_next (struct rt *r, struct rt_action *out);
 
 /** Number of requests that have not ended. */
-size_t rt_open (const struct rt *r);
+size_t rt_open_requests (const struct rt *r);
 
 /** Time of the next RT_EV_TICK that the core needs. */
 clk_ms rt_wake (const struct rt *r);
@@ -236,7 +236,8 @@
 };
 
 /** Slots of a model's replicas that this gateway holds. */
-const struct rt_slot *rt_slots (struct rt *r, struct str model, size_t *n);
+const struct rt_slot *rt_held_slots (struct rt *r, struct str model,
+                                     size_t *n);
 
 const char *rt_outcome_name (enum rt_outcome o); /**< "not-run" and so on */
 const char *rt_code_name (enum rt_code c);       /**< "queue-full" and so on */
--- a/route/share.c
+++ b/route/share.c
@@ -167,7 +167,7 @@
 }
 
 void
-shr_sweep (struct shr *s)
+shr_drop_unset (struct shr *s)
 {
   size_t kept = 0;
   for (size_t i = 0; i < s->n; i++)
--- a/route/share.h
+++ b/route/share.h
@@ -61,7 +61,7 @@
                   const struct shr_amount *limit, bool home);
 
 /** Drop the accounts that were not set since the last call. */
-void shr_sweep (struct shr *s);
+void shr_drop_unset (struct shr *s);
 
 /**
  * Set the known nodes of this region, including those that left as long as
--- a/route/slot.c
+++ b/route/slot.c
@@ -114,7 +114,7 @@
         continue;
       bool in = s->ejected_until == 0
                 || (q->idempotent && rt_outlier_probe_due (r, s));
-      return in && rt_usable (r, s) && !rt_tried (q, s) ? s : NULL;
+      return in && rt_is_usable (r, s) && !rt_was_tried (q, s) ? s : NULL;
     }
   return NULL;
 }
@@ -180,7 +180,7 @@
 }
 
 const struct rt_slot *
-rt_slots (struct rt *r, struct str model, size_t *n)
+rt_held_slots (struct rt *r, struct str model, size_t *n)
 {
   r->slots = xrealloc (r->slots, (r->open + 1) * sizeof *r->slots);
   *n = 0;
--- a/route/slots.c
+++ b/route/slots.c
@@ -95,7 +95,7 @@
 }
 
 static struct slt_action *
-push_action (struct slt *s, enum rt_slot_word reply, const struct entry *e)
+push_action (struct slt *s, enum rt_slot_reply reply, const struct entry *e)
 {
   if (s->act_n == s->act_cap)
     {
@@ -103,7 +103,7 @@
       s->actions = xrealloc (s->actions, s->act_cap * sizeof *s->actions);
     }
   struct slt_action *a = &s->actions[s->act_n++];
-  *a = (struct slt_action){ .word = reply,
+  *a = (struct slt_action){ .reply = reply,
                             .gateway = e->gateway,
                             .id = e->q.id };
   return a;
@@ -207,7 +207,7 @@
       struct rt_server *server
           = t->servers[(i + s->start_offset) % t->nservers];
       double load = server->in_flight + unreported_load (s, server);
-      if (!rt_usable (s->core, server) || load > server->capacity - 1
+      if (!rt_is_usable (s->core, server) || load > server->capacity - 1
           || !is_eligible (s, server, q))
         continue;
       const struct rt_grant_history *w = grants_of (server);
@@ -472,7 +472,7 @@
     case SLT_EV_OPEN:
       on_slot_list (s, ev);
       break;
-    case SLT_EV_GONE:
+    case SLT_EV_GATEWAY_LOST:
       drop_waiting (s, ev->gateway);
       break;
     case SLT_EV_NODES:
@@ -502,7 +502,7 @@
 }
 
 size_t
-slt_held (const struct slt *s)
+slt_taken (const struct slt *s)
 {
   return s->target->in_flight;
 }
--- a/route/slots.h
+++ b/route/slots.h
@@ -18,14 +18,14 @@
 #include "route/route.h"
 
 /** Interval at which a gateway reports the slots it holds. */
-#define SLT_OPEN_MS ((clk_ms)1000)
+#define SLT_REPORT_INTERVAL_MS ((clk_ms)1000)
 /** A slot that its gateway has not reported for this long is freed. */
 #define SLT_SLOT_TIMEOUT_MS ((clk_ms)3500)
 /** Startup delay of a home, to receive the held slots before it grants
     any. */
 #define SLT_START_DELAY_MS ((clk_ms)200)
 /** Timeout of a gateway's slot request. */
-#define SLT_ANSWER_MS ((clk_ms)50)
+#define SLT_REPLY_TIMEOUT_MS ((clk_ms)50)
 
 enum slt_event_kind
 {
@@ -36,9 +36,9 @@
   SLT_EV_TAKEN, /**< gateway, id, replica, cost: assigned without a grant */
   SLT_EV_DONE,  /**< gateway, id, first_ms, failed: ended or canceled */
   SLT_EV_OPEN,  /**< gateway, open, n: all slots that it holds */
-  SLT_EV_GONE,  /**< gateway: its link was lost; its queued requests are
-                   dropped, its slots stay until SLT_SLOT_TIMEOUT_MS */
-  SLT_EV_NODES  /**< n: gateways, each with max_queue requests */
+  SLT_EV_GATEWAY_LOST, /**< gateway: its link was lost; its queued requests are
+                  dropped, its slots stay until SLT_SLOT_TIMEOUT_MS */
+  SLT_EV_NODES         /**< n: gateways, each with max_queue requests */
 };
 
 struct slt_event
@@ -63,7 +63,7 @@
 
 struct slt_action
 {
-  enum rt_slot_word word;
+  enum rt_slot_reply reply;
   uint32_t gateway;
   uint64_t id;
   struct str replica; /**< valid until the next event */
@@ -80,6 +80,6 @@
 /** Time of the next SLT_EV_TICK that is needed. */
 clk_ms slt_wake (const struct slt *s);
 /** Number of occupied slots. */
-size_t slt_held (const struct slt *s);
+size_t slt_taken (const struct slt *s);
 
 #endif
--- a/t/t5001-life.c
+++ b/t/t5001-life.c
@@ -32,7 +32,8 @@
 {
   struct script s = script_new (CONFIG, 1);
   script_expect (&s, script, log);
-  cr_expect_eq (rt_open (s.rt), 0, "%zu requests left", rt_open (s.rt));
+  cr_expect_eq (rt_open_requests (s.rt), 0, "%zu requests left",
+                rt_open_requests (s.rt));
   script_free (&s);
 }
 
--- a/t/t5600-slots.c
+++ b/t/t5600-slots.c
@@ -40,10 +40,10 @@
   while (slt_next (h->core, &a))
     {
       unsigned long long id = a.id;
-      if (a.word == RT_SLOT_GRANTED)
+      if (a.reply == RT_SLOT_GRANTED)
         buf_addf (&h->log, " grant(%u/%llu %.*s)", a.gateway, id,
                   STR_ARG (a.replica));
-      else if (a.word == RT_SLOT_QUEUED)
+      else if (a.reply == RT_SLOT_QUEUED)
         buf_addf (&h->log, " queued(%u/%llu)", a.gateway, id);
       else
         buf_addf (&h->log, " refuse(%u/%llu %s)", a.gateway, id,
@@ -116,7 +116,7 @@
       ev.first_ms = 50;
     }
   else if (strcmp (w[0], "gone") == 0)
-    ev.kind = SLT_EV_GONE;
+    ev.kind = SLT_EV_GATEWAY_LOST;
   else if (strcmp (w[0], "tick") == 0)
     ev.kind = SLT_EV_TICK;
   slt_event (h->core, h->now, &ev);
@@ -140,7 +140,7 @@
   else
     one_request (h, w + 1, n - 1);
   log_actions (h);
-  buf_addf (&h->log, " [%zu]\n", slt_held (h->core));
+  buf_addf (&h->log, " [%zu]\n", slt_taken (h->core));
 }
 
 /** The number in brackets is the number of occupied slots after the line. */
