--- a/serve/dispatch-health.c
+++ b/serve/dispatch-health.c
@@ -76,7 +76,7 @@
   s->ejections++;
   s->ejected_until
       = d->now + (duration < EJECT_MAX_MS ? duration : EJECT_MAX_MS);
-  s->probing = false;
+  s->trial_in_flight = false;
   d->stats.ejections++;
 }
 
@@ -96,7 +96,7 @@
   s->failures_in_row = 0;
   s->failure_rate += SMOOTHING * (0 - s->failure_rate);
   s->samples++;
-  if (s->probing)
+  if (s->trial_in_flight)
     readmit (s);
   if (!s->ejected_until)
     s->ejections = 0;
@@ -109,7 +109,7 @@
   s->failures_in_row++;
   s->failure_rate += SMOOTHING * (1 - s->failure_rate);
   s->samples++;
-  if (s->probing
+  if (s->trial_in_flight
       || (!s->ejected_until && s->failures_in_row >= EJECT_FAILURES_IN_ROW)
       || (!s->ejected_until && s->samples >= EJECT_MIN_SAMPLES
           && s->failure_rate > EJECT_FAILURE_RATE))
@@ -132,13 +132,14 @@
 dsp_health_usable (const struct dsp *d, const struct dsp_endpoint_state *s)
 {
   return s->listed && s->accepting && !s->stalled && !s->ejected_until
-         && d->now >= s->full_until && !dsp_process_ended (d, s);
+         && d->now >= s->no_room_until && !dsp_process_ended (d, s);
 }
 
 bool
-dsp_health_probe_due (const struct dsp *d, const struct dsp_endpoint_state *s)
+dsp_health_trial_due (const struct dsp *d, const struct dsp_endpoint_state *s)
 {
-  if (!s->listed || !s->accepting || s->probing || dsp_process_ended (d, s))
+  if (!s->listed || !s->accepting || s->trial_in_flight
+      || dsp_process_ended (d, s))
     return false;
   if (s->stalled)
     return d->now - s->stalled_at >= STALL_TRIAL_MS;
@@ -208,7 +209,8 @@
 }
 
 bool
-dsp_health_is_silent (const struct dsp *d, const struct dsp_endpoint_state *s)
+dsp_health_streams_silent (const struct dsp *d,
+                           const struct dsp_endpoint_state *s)
 {
   clk_ms last_event_at = s->last_data_at;
   unsigned streaming = 0;
--- a/serve/dispatch-int.h
+++ b/serve/dispatch-int.h
@@ -38,16 +38,16 @@
 /** Events of charts/forward.json. */
 enum dsp_transition
 {
-  DSP_X_WAIT,
-  DSP_X_REFUSE,
-  DSP_X_CONNECT,
-  DSP_X_SENT,
-  DSP_X_UNRUN,
-  DSP_X_RETRY,
-  DSP_X_PASS,
-  DSP_X_WHOLE,
-  DSP_X_FAIL,
-  DSP_TRANSITIONS
+  DSP_EVENT_WAIT,
+  DSP_EVENT_REFUSE,
+  DSP_EVENT_CONNECT,
+  DSP_EVENT_SENT,
+  DSP_EVENT_UNRUN,
+  DSP_EVENT_RETRY,
+  DSP_EVENT_PASS,
+  DSP_EVENT_WHOLE,
+  DSP_EVENT_FAIL,
+  DSP_EVENTS
 };
 
 #define DSP_TRIED_MAX 8 /**< tried endpoints remembered for each request */
@@ -79,16 +79,16 @@
                                 event */
   double own_prefill;      /**< prompt tokens of this node's requests that
                                 are not yet processed */
-  double own_noticed;      /**< part of `own_prefill` that was announced to
-                                the other nodes by notices */
+  double own_announced;    /**< part of `own_prefill` that was announced to
+                              the other nodes by notices */
   double peer_prefill;
-  double peer_noticed; /**< tokens announced in notices that have not
+  double peer_announced; /**< tokens announced in notices that have not
                             expired */
-  clk_ms last_data_at; /**< time of the last response bytes */
-  clk_ms full_until;   /**< end of the pause after the server reported that
-                            it had no room */
-  bool stalled;        /**< no response bytes arrive, though streams are
-                            open */
+  clk_ms last_data_at;   /**< time of the last response bytes */
+  clk_ms no_room_until;  /**< end of the pause after the server reported that
+                           it had no room */
+  bool stalled;          /**< no response bytes arrive, though streams are
+                              open */
   clk_ms stalled_at;
   /** no requests are sent before this time, because this node has found that
       the process ended */
@@ -101,7 +101,7 @@
   unsigned samples;
   clk_ms ejected_until; /**< 0: not ejected */
   unsigned ejections;   /**< consecutive ejections, for the backoff */
-  bool probing;         /**< ejected, and one trial request is in flight */
+  bool trial_in_flight; /**< ejected, and one trial request is in flight */
 };
 
 /** Seconds that the retry budget counts; longer windows don't fit. */
@@ -139,7 +139,8 @@
   double first_event_ms;
   double response_ms; /**< moving average: from sending to the end of the
                            response */
-  struct dsp_retry_budget *budget; /**< shared by the pools of a service */
+  struct dsp_retry_budget
+      *retry_budget; /**< shared by the pools of a service */
   /** indexed by priority */
   struct dsp_rate request_rates[DSP_PRIORITIES];
   struct dsp_rate rejection_rate; /**< rate of requests rejected because all
@@ -174,12 +175,13 @@
   bool queued;
   bool streaming; /**< the current attempt has received its first event */
   clk_ms first_event_at;
-  bool forwarded; /**< part of the response has been forwarded to the client */
-  bool probe;
+  bool partly_forwarded; /**< part of the response has been forwarded to the
+                            client */
+  bool is_trial;
   bool prefill_counted;    /**< its prompt is counted in the endpoint's
                                 `own_prefill` */
-  bool prefill_noticed;    /**< its prompt is counted in the endpoint's
-                                `own_noticed` */
+  bool prefill_announced;  /**< its prompt is counted in the endpoint's
+                              `own_noticed` */
   bool awaits_first_event; /**< sent, and no event received yet */
   bool error_response;     /**< the current attempt's response is an error */
   uint64_t tried[DSP_TRIED_MAX];
@@ -295,7 +297,7 @@
     process. */
 double dsp_load_pending_prefill (const struct dsp_endpoint_state *s);
 /** Drops notices that have expired. */
-void dsp_load_expire_notices (struct dsp *d);
+void dsp_load_expire_prompt_notices (struct dsp *d);
 /** Adds the prompt of @p q to the pending tokens of its endpoint. */
 void dsp_load_prompt_sent (struct dsp *d, struct dsp_req *q);
 /** Removes it: the prompt was processed, or the attempt has ended. */
@@ -322,19 +324,19 @@
                              clk_ms ms);
 bool dsp_health_usable (const struct dsp *d,
                         const struct dsp_endpoint_state *s);
-bool dsp_health_probe_due (const struct dsp *d,
+bool dsp_health_trial_due (const struct dsp *d,
                            const struct dsp_endpoint_state *s);
 /** Whether its streams have been silent for long enough that new requests
     should avoid it. */
-bool dsp_health_is_silent (const struct dsp *d,
-                           const struct dsp_endpoint_state *s);
+bool dsp_health_streams_silent (const struct dsp *d,
+                                const struct dsp_endpoint_state *s);
 /** Detects stalled endpoints and moves their requests. */
 void dsp_health_tick (struct dsp *d);
 
 /* dispatch-limit.c */
 /** Whether the rate limit of the endpoint permits one more request now. */
-bool dsp_limit_allows (const struct dsp *d,
-                       const struct dsp_endpoint_state *s);
+bool dsp_limit_allows_request (const struct dsp *d,
+                               const struct dsp_endpoint_state *s);
 /** Asks for a permit on behalf of @p q. */
 void dsp_limit_ask_permit (const struct dsp *d,
                            const struct dsp_endpoint_state *s,
@@ -342,7 +344,8 @@
 /** Uses up a permit, as a request is sent there. */
 void dsp_limit_use_permit (const struct dsp *d,
                            const struct dsp_endpoint_state *s);
-bool dsp_is_limited (const struct dsp *d, const struct dsp_endpoint_state *s);
+bool dsp_has_rate_limit (const struct dsp *d,
+                         const struct dsp_endpoint_state *s);
 /** Slots of the endpoint that can be used under its rate limit. */
 double dsp_limit_slots (const struct dsp *d,
                         const struct dsp_endpoint_state *s);
@@ -350,10 +353,12 @@
 void dsp_limit_count_request (const struct dsp *d, const struct dsp_req *q);
 /** Whether @p q must leave the permitted rate to requests of higher priority,
     because these need all of it. */
-bool dsp_limit_must_defer (const struct dsp *d, const struct dsp_pool *p,
-                           const struct dsp_req *q);
+bool dsp_limit_used_by_higher_priority (const struct dsp *d,
+                                        const struct dsp_pool *p,
+                                        const struct dsp_req *q);
 /** Whether all usable endpoints of the pool are rate-limited. */
-bool dsp_limit_all (const struct dsp *d, const struct dsp_pool *p);
+bool dsp_limit_on_all_endpoints (const struct dsp *d,
+                                 const struct dsp_pool *p);
 /** Time after which the pool's queue can be sent, if all its usable endpoints
     are rate-limited and have no permits left; else 0. */
 clk_ms dsp_limit_wait_ms (const struct dsp *d, const struct dsp_pool *p);
--- a/serve/dispatch-limit.c
+++ b/serve/dispatch-limit.c
@@ -8,23 +8,23 @@
  */
 
 /** Longest retry delay sent to a client. */
-#define MAX_RETRY_MS ((clk_ms)10000)
+#define MAX_LIMIT_RETRY_MS ((clk_ms)10000)
 /** Time constant of the moving averages. */
 #define RATE_WINDOW_MS 2000.0
 
 enum lim_change
 dsp_response_limit (struct dsp *d, clk_ms now, uint64_t id, unsigned attempt,
-                    enum lim_report_kind says, double rate)
+                    enum lim_report_kind kind, double rate)
 {
   struct dsp_req *q = dsp_find_attempt (d, id, attempt);
-  struct lim_report statement = { .kind = says, .rate = rate };
+  struct lim_report report = { .kind = kind, .rate = rate };
 
   d->now = now;
   if (!q || !d->opt.limits)
     return LIM_UNCHANGED;
-  statement.server = q->endpoint->process_hash;
-  statement.sent_at = q->sent_at;
-  return lim_on_report (d->opt.limits, now, &statement);
+  report.server = q->endpoint->process_hash;
+  report.sent_at = q->sent_at;
+  return lim_on_report (d->opt.limits, now, &report);
 }
 
 uint64_t
@@ -38,7 +38,8 @@
 }
 
 bool
-dsp_limit_allows (const struct dsp *d, const struct dsp_endpoint_state *s)
+dsp_limit_allows_request (const struct dsp *d,
+                          const struct dsp_endpoint_state *s)
 {
   return !d->opt.limits || lim_allows (d->opt.limits, d->now, s->process_hash);
 }
@@ -60,7 +61,7 @@
 }
 
 bool
-dsp_is_limited (const struct dsp *d, const struct dsp_endpoint_state *s)
+dsp_has_rate_limit (const struct dsp *d, const struct dsp_endpoint_state *s)
 {
   double rate;
 
@@ -118,14 +119,14 @@
 /* --- pools with only rate-limited endpoints ------------------------------ */
 
 /** Sum of the rate limits of the pool's usable endpoints, in requests per
-    second; 0 if at least one of them is not limited. @param spent receives
+    second; 0 if at least one of them is not limited. @param exhausted receives
     whether none of them has a permit left */
 static double
-sum_of_limits (const struct dsp *d, const struct dsp_pool *p, bool *spent)
+sum_of_limits (const struct dsp *d, const struct dsp_pool *p, bool *exhausted)
 {
   double sum = 0, rate;
 
-  *spent = true;
+  *exhausted = true;
   if (!d->opt.limits || !lim_any_limited (d->opt.limits))
     return 0;
   for (size_t i = 0; i < p->n; i++)
@@ -136,18 +137,19 @@
       if (!lim_get_rate (d->opt.limits, s->process_hash, &rate))
         return 0;
       sum += fmax (rate, LIM_MIN_RATE);
-      *spent = *spent
-               && lim_is_exhausted (d->opt.limits, d->now, s->process_hash);
+      *exhausted
+          = *exhausted
+            && lim_is_exhausted (d->opt.limits, d->now, s->process_hash);
     }
   return sum;
 }
 
 bool
-dsp_limit_all (const struct dsp *d, const struct dsp_pool *p)
+dsp_limit_on_all_endpoints (const struct dsp *d, const struct dsp_pool *p)
 {
-  bool spent;
+  bool exhausted;
 
-  return sum_of_limits (d, p, &spent) > 0;
+  return sum_of_limits (d, p, &exhausted) > 0;
 }
 
 /** This node's share of that rate. */
@@ -158,18 +160,19 @@
 }
 
 bool
-dsp_limit_must_defer (const struct dsp *d, const struct dsp_pool *p,
-                      const struct dsp_req *q)
+dsp_limit_used_by_higher_priority (const struct dsp *d,
+                                   const struct dsp_pool *p,
+                                   const struct dsp_req *q)
 {
-  double urgent = 0, sum;
-  bool spent;
+  double higher_priority_rate = 0, sum;
+  bool exhausted;
 
-  sum = sum_of_limits (d, p, &spent);
-  if (sum <= 0 || q->forwarded)
+  sum = sum_of_limits (d, p, &exhausted);
+  if (sum <= 0 || q->partly_forwarded)
     return false;
   for (unsigned i = 0; i < q->priority && i < DSP_PRIORITIES; i++)
-    urgent += per_second (&p->request_rates[i], d->now);
-  return urgent >= own_share (d, sum);
+    higher_priority_rate += per_second (&p->request_rates[i], d->now);
+  return higher_priority_rate >= own_share (d, sum);
 }
 
 /** Time that this node needs to send @p n requests at its share of the
@@ -178,16 +181,17 @@
 time_to_send (const struct dsp *d, double sum, double n)
 {
   return (clk_ms)fmin (n * (double)CLK_SECOND / own_share (d, sum),
-                       (double)MAX_RETRY_MS);
+                       (double)MAX_LIMIT_RETRY_MS);
 }
 
 clk_ms
 dsp_limit_wait_ms (const struct dsp *d, const struct dsp_pool *p)
 {
-  bool spent;
-  double sum = sum_of_limits (d, p, &spent);
+  bool exhausted;
+  double sum = sum_of_limits (d, p, &exhausted);
 
-  return sum > 0 && spent ? time_to_send (d, sum, (double)p->queue_length) : 0;
+  return sum > 0 && exhausted ? time_to_send (d, sum, (double)p->queue_length)
+                              : 0;
 }
 
 /**
@@ -197,15 +201,15 @@
 clk_ms
 dsp_limit_reject (const struct dsp *d, struct dsp_pool *p)
 {
-  bool spent;
-  double sum = sum_of_limits (d, p, &spent);
+  bool exhausted;
+  double sum = sum_of_limits (d, p, &exhausted);
   clk_ms start = p->assigned_until > d->now ? p->assigned_until : d->now;
 
   count_event (&p->rejection_rate, d->now);
   p->assigned_until
-      = start + (sum > 0 ? time_to_send (d, sum, 1) : MAX_RETRY_MS);
-  if (p->assigned_until > d->now + MAX_RETRY_MS)
-    p->assigned_until = d->now + MAX_RETRY_MS;
+      = start + (sum > 0 ? time_to_send (d, sum, 1) : MAX_LIMIT_RETRY_MS);
+  if (p->assigned_until > d->now + MAX_LIMIT_RETRY_MS)
+    p->assigned_until = d->now + MAX_LIMIT_RETRY_MS;
   return p->assigned_until - d->now;
 }
 
--- a/serve/dispatch-load.c
+++ b/serve/dispatch-load.c
@@ -103,7 +103,7 @@
 
 void
 dsp_set_peer_load (struct dsp *d, clk_ms now, uint64_t peer,
-                   const struct dsp_endpoint_load *counts, size_t n)
+                   const struct dsp_endpoint_load *loads, size_t n)
 {
   struct dsp_peer *p = get_peer (d, peer);
 
@@ -111,13 +111,13 @@
   add_peer_loads (d, p, false);
   p->loads = xrealloc (p->loads, (n + 1) * sizeof *p->loads);
   if (n)
-    memcpy (p->loads, counts, n * sizeof *counts);
+    memcpy (p->loads, loads, n * sizeof *loads);
   p->n = n;
   p->received_at = now;
   add_peer_loads (d, p, true);
   for (size_t i = 0; i < n; i++)
-    if (counts[i].process_ended)
-      dsp_peer_reported_ended (d, dsp_find_endpoint (d, counts[i].endpoint));
+    if (loads[i].process_ended)
+      dsp_peer_reported_ended (d, dsp_find_endpoint (d, loads[i].endpoint));
   dsp_send_all_queued (d);
 }
 
@@ -141,7 +141,7 @@
             .endpoint = s->hash,
             .in_flight = s->own_requests,
             .streaming = s->own_streaming,
-            .pending_prefill = (uint32_t)(s->own_prefill - s->own_noticed),
+            .pending_prefill = (uint32_t)(s->own_prefill - s->own_announced),
             .last_event_at = s->last_data_at,
             .stalled = s->stalled,
             .process_ended = ended
@@ -178,7 +178,7 @@
 double
 dsp_load_pending_prefill (const struct dsp_endpoint_state *s)
 {
-  return s->own_prefill + s->peer_prefill + s->peer_noticed;
+  return s->own_prefill + s->peer_prefill + s->peer_announced;
 }
 
 static bool
@@ -198,10 +198,10 @@
 
   q->prefill_counted = true;
   s->own_prefill += q->prompt_tokens;
-  q->prefill_noticed = is_long_prompt (d, s, q->prompt_tokens);
-  if (!q->prefill_noticed)
+  q->prefill_announced = is_long_prompt (d, s, q->prompt_tokens);
+  if (!q->prefill_announced)
     return;
-  s->own_noticed += q->prompt_tokens;
+  s->own_announced += q->prompt_tokens;
   d->outgoing_notices[d->noutgoing++]
       = (struct dsp_prompt_notice){ s->hash, (uint32_t)q->prompt_tokens };
 }
@@ -213,9 +213,9 @@
 
   if (q->prefill_counted)
     s->own_prefill -= q->prompt_tokens;
-  if (q->prefill_noticed)
-    s->own_noticed -= q->prompt_tokens;
-  q->prefill_counted = q->prefill_noticed = false;
+  if (q->prefill_announced)
+    s->own_announced -= q->prompt_tokens;
+  q->prefill_counted = q->prefill_announced = false;
 }
 
 const struct dsp_prompt_notice *
@@ -233,9 +233,9 @@
 
   if (!s)
     return;
-  s->peer_noticed += add ? (double)n->tokens : -(double)n->tokens;
-  if (s->peer_noticed < 0)
-    s->peer_noticed = 0; /* the endpoint was added after the notice was
+  s->peer_announced += add ? (double)n->tokens : -(double)n->tokens;
+  if (s->peer_announced < 0)
+    s->peer_announced = 0; /* the endpoint was added after the notice was
                             received */
 }
 
@@ -248,7 +248,7 @@
 }
 
 void
-dsp_load_expire_notices (struct dsp *d)
+dsp_load_expire_prompt_notices (struct dsp *d)
 {
   while (d->nreceived > 0
          && d->now >= d->received_notices[d->received_first].expires_at)
@@ -260,7 +260,7 @@
                      const struct dsp_prompt_notice *list, size_t n)
 {
   d->now = now;
-  dsp_load_expire_notices (d);
+  dsp_load_expire_prompt_notices (d);
   for (size_t i = 0; i < n; i++)
     {
       if (d->nreceived == DSP_NOTICES_MAX)
--- a/serve/dispatch-place.c
+++ b/serve/dispatch-place.c
@@ -42,7 +42,7 @@
   struct dsp_pool *p = xcalloc (1, sizeof *p);
   p->service = str_dup (service);
   p->model = str_dup (model);
-  p->budget = dsp_get_budget (d, p->service);
+  p->retry_budget = dsp_get_budget (d, p->service);
   d->pools = xrealloc (d->pools, (d->npools + 1) * sizeof *d->pools);
   d->pools[d->npools++] = p;
   return p;
@@ -181,7 +181,7 @@
               const struct dsp_req *q)
 {
   return dsp_health_usable (d, s) && !dsp_was_tried (q, s)
-         && !dsp_health_is_silent (d, s);
+         && !dsp_health_streams_silent (d, s);
 }
 
 static struct dsp_endpoint_state *
@@ -214,12 +214,12 @@
       struct dsp_endpoint_state *s = p->endpoints[i];
       if (!is_candidate (d, s, q) || slots_taken (s) >= s->capacity + extra)
         continue;
-      if (!dsp_limit_allows (d, s))
+      if (!dsp_limit_allows_request (d, s))
         {
           dsp_limit_ask_permit (d, s, q);
           continue;
         }
-      if (dsp_is_limited (d, s))
+      if (dsp_has_rate_limit (d, s))
         {
           permitted = less_loaded (permitted, s);
           continue;
@@ -237,17 +237,17 @@
 /** Finds an ejected or stalled endpoint that is due for a trial, for a request
     that can be retried after a failure. */
 static bool
-find_probe (const struct dsp *d, const struct dsp_pool *p,
-            const struct dsp_req *q, struct dsp_endpoint_state **out)
+find_trial_endpoint (const struct dsp *d, const struct dsp_pool *p,
+                     const struct dsp_req *q, struct dsp_endpoint_state **out)
 {
-  if (!q->retryable || q->forwarded
+  if (!q->retryable || q->partly_forwarded
       || q->sent_attempts + 1 >= q->route->max_attempts)
     return false;
   for (size_t i = 0; i < p->n; i++)
     {
       *out = p->endpoints[i];
-      if (!dsp_was_tried (q, *out) && dsp_health_probe_due (d, *out)
-          && dsp_limit_allows (d, *out))
+      if (!dsp_was_tried (q, *out) && dsp_health_trial_due (d, *out)
+          && dsp_limit_allows_request (d, *out))
         return true;
     }
   return false;
@@ -264,8 +264,9 @@
     {
       struct dsp_endpoint_state *s = p->endpoints[i];
       if (!s->listed || !s->accepting || s->stalled || dsp_was_tried (q, s)
-          || d->now < s->full_until || dsp_process_ended (d, s)
-          || slots_taken (s) >= s->capacity || !dsp_limit_allows (d, s))
+          || d->now < s->no_room_until || dsp_process_ended (d, s)
+          || slots_taken (s) >= s->capacity
+          || !dsp_limit_allows_request (d, s))
         continue;
       if (!best || slots_taken (s) < slots_taken (best))
         best = s;
@@ -287,13 +288,13 @@
 dsp_choose_endpoint (struct dsp *d, struct dsp_pool *p,
                      const struct dsp_req *q)
 {
-  bool late = d->now >= q->goal_at && !q->forwarded;
+  bool late = d->now >= q->goal_at && !q->partly_forwarded;
   struct dsp_endpoint_state *s;
 
-  dsp_load_expire_notices (d);
-  if (dsp_limit_must_defer (d, p, q))
+  dsp_load_expire_prompt_notices (d);
+  if (dsp_limit_used_by_higher_priority (d, p, q))
     return NULL;
-  if (find_probe (d, p, q, &s))
+  if (find_trial_endpoint (d, p, q, &s))
     return s;
   s = choose_of_two (d, p, q, late ? 0 : EXTRA_REQUESTS);
   return s || dsp_any_usable (d, p) ? s : choose_fallback (d, p, q);
--- a/serve/dispatch-retry.c
+++ b/serve/dispatch-retry.c
@@ -54,8 +54,9 @@
 void
 dsp_budget_count_request (struct dsp *d, struct dsp_pool *p)
 {
-  advance (d, p->budget);
-  p->budget->requests[p->budget->newest_second % DSP_BUDGET_SECONDS]++;
+  advance (d, p->retry_budget);
+  p->retry_budget
+      ->requests[p->retry_budget->newest_second % DSP_BUDGET_SECONDS]++;
 }
 
 /*
@@ -67,7 +68,7 @@
 bool
 dsp_budget_take_retry (struct dsp *d, struct dsp_pool *p)
 {
-  struct dsp_retry_budget *b = p->budget;
+  struct dsp_retry_budget *b = p->retry_budget;
   double limit;
 
   advance (d, b);
--- a/serve/dispatch-wait.c
+++ b/serve/dispatch-wait.c
@@ -62,13 +62,13 @@
 comes_first (const struct dsp *d, const struct dsp_req *a,
              const struct dsp_req *b)
 {
-  bool late_a = is_late (d, a) && !a->forwarded;
-  bool late_b = is_late (d, b) && !b->forwarded;
+  bool late_a = is_late (d, a) && !a->partly_forwarded;
+  bool late_b = is_late (d, b) && !b->partly_forwarded;
 
   if (late_a != late_b)
     return !late_a;
-  if (a->forwarded != b->forwarded)
-    return a->forwarded;
+  if (a->partly_forwarded != b->partly_forwarded)
+    return a->partly_forwarded;
   if (a->priority != b->priority)
     return a->priority < b->priority;
   return a->arrived_at < b->arrived_at;
@@ -92,7 +92,7 @@
 {
   unsigned p = q->priority + 1;
 
-  if (q->forwarded)
+  if (q->partly_forwarded)
     return PRIORITY_RESUMED;
   return p < PRIORITY_LOWEST ? p : PRIORITY_LOWEST;
 }
@@ -103,7 +103,7 @@
   struct dsp_action *a;
 
   dsp_dequeue (q);
-  dsp_transition (q, DSP_X_CONNECT);
+  dsp_transition (q, DSP_EVENT_CONNECT);
   q->endpoint = s;
   q->attempt++;
   q->streaming = q->error_response = false;
@@ -111,7 +111,7 @@
   dsp_limit_use_permit (d, s);
   dsp_load_prompt_sent (d, q);
   if (s->ejected_until || s->stalled)
-    s->probing = q->probe = true;
+    s->trial_in_flight = q->is_trial = true;
   a = dsp_add_action (d, DSP_ACT_SEND, q);
   a->addr = s->addr;
   a->server = str_from (s->server);
@@ -120,7 +120,7 @@
      without notice. A request that can't be retried must not be sent on
      one. */
   a->new_connection = !q->retryable;
-  a->resume = q->forwarded;
+  a->resume = q->partly_forwarded;
   a->priority = server_priority (q);
 }
 
--- a/serve/dispatch.c
+++ b/serve/dispatch.c
@@ -48,12 +48,12 @@
         "rewaiting", "reconnecting", "resent",     "passing",
         "done",      "not_run",      "failed" };
 
-static const char *const transition_names[DSP_TRANSITIONS]
+static const char *const event_names[DSP_EVENTS]
     = { "wait",  "refuse", "connect", "sent", "unrun",
         "retry", "pass",   "whole",   "fail" };
 
 /** Transitions of the chart, indexed by the enums; loaded once. */
-static signed char transitions[DSP_STATES][DSP_TRANSITIONS];
+static signed char transitions[DSP_STATES][DSP_EVENTS];
 static bool transitions_loaded;
 
 static void
@@ -65,10 +65,10 @@
   for (int i = 0; i < DSP_STATES; i++)
     by_chart_state[chart_state (c, state_names[i])] = i;
   for (int i = 0; i < DSP_STATES; i++)
-    for (int k = 0; k < DSP_TRANSITIONS; k++)
+    for (int k = 0; k < DSP_EVENTS; k++)
       {
         int to = chart_step (c, chart_state (c, state_names[i]),
-                             chart_event (c, transition_names[k]));
+                             chart_event (c, event_names[k]));
         transitions[i][k]
             = to == CHART_REFUSED ? -1 : (signed char)by_chart_state[to];
       }
@@ -216,7 +216,7 @@
 /* --- end of an attempt ------------------------------------------------- */
 
 static void
-end_prefill (struct dsp_req *q)
+stop_awaiting_first_event (struct dsp_req *q)
 {
   dsp_load_prompt_processed (q);
   q->awaits_first_event = false;
@@ -227,13 +227,13 @@
 {
   if (!q->endpoint)
     return;
-  end_prefill (q);
+  stop_awaiting_first_event (q);
   q->endpoint->own_streaming -= q->streaming;
   q->streaming = false;
   q->endpoint->own_requests--;
-  if (q->probe)
-    q->endpoint->probing = false;
-  q->probe = false;
+  if (q->is_trial)
+    q->endpoint->trial_in_flight = false;
+  q->is_trial = false;
   q->endpoint = NULL;
 }
 
@@ -280,7 +280,7 @@
                clk_ms retry_ms)
 {
   struct dsp_action *a = dsp_add_action (
-      d, q->forwarded ? DSP_ACT_TRUNCATE : DSP_ACT_RESPOND_ERROR, q);
+      d, q->partly_forwarded ? DSP_ACT_TRUNCATE : DSP_ACT_RESPOND_ERROR, q);
 
   a->code = code;
   a->retry_after_ms = retry_ms;
@@ -310,11 +310,11 @@
   cancel_attempt (d, q);
   if (may_have_executed (q))
     {
-      dsp_transition (q, DSP_X_FAIL);
+      dsp_transition (q, DSP_EVENT_FAIL);
       respond_error (d, q, if_executed, 0);
       return;
     }
-  dsp_transition (q, DSP_X_REFUSE);
+  dsp_transition (q, DSP_EVENT_REFUSE);
   respond_error (d, q, if_not_executed, retry_ms);
 }
 
@@ -356,8 +356,8 @@
       give_up (d, q, code, code);
       return;
     }
-  d->stats.resumed += q->forwarded;
-  dsp_transition (q, DSP_X_RETRY);
+  d->stats.resumed += q->partly_forwarded;
+  dsp_transition (q, DSP_EVENT_RETRY);
   requeue (d, q);
 }
 
@@ -371,7 +371,7 @@
   d->now = now;
   if (!q || (q->state != DSP_S_CONNECTING && q->state != DSP_S_RECONNECTING))
     return false;
-  dsp_transition (q, DSP_X_SENT);
+  dsp_transition (q, DSP_EVENT_SENT);
   q->sent_attempts++;
   q->sent_at = q->last_data_at = now;
   q->awaits_first_event = true;
@@ -393,7 +393,7 @@
   dsp_health_failure (d, q->endpoint);
   mark_tried (q);
   release_endpoint (q);
-  dsp_transition (q, DSP_X_UNRUN);
+  dsp_transition (q, DSP_EVENT_UNRUN);
   if (++q->connect_failures >= MAX_CONNECT_FAILURES)
     give_up (d, q, DSP_NO_CONNECTION, DSP_INTERRUPTED);
   else
@@ -407,10 +407,10 @@
   struct dsp_endpoint_state *s = q->endpoint;
   bool retry = take_retry (d, q);
 
-  s->full_until = d->now + TICK_INTERVAL_MS;
+  s->no_room_until = d->now + TICK_INTERVAL_MS;
   mark_tried (q);
   cancel_attempt (d, q);
-  dsp_transition (q, DSP_X_UNRUN);
+  dsp_transition (q, DSP_EVENT_UNRUN);
   if (retry)
     requeue (d, q);
   else
@@ -439,12 +439,12 @@
       dsp_health_failure (d, q->endpoint);
       /* An error response to a resumed stream can't be appended to what the
          client already has. */
-      if (q->forwarded
+      if (q->partly_forwarded
           || (q->retryable && q->sent_attempts < q->route->max_attempts))
         dsp_attempt_failed (d, q, DSP_INTERRUPTED);
       break;
     case DSP_RESPONSE_FINAL:
-      if (q->forwarded)
+      if (q->partly_forwarded)
         dsp_attempt_failed (d, q, DSP_INTERRUPTED);
       break;
     }
@@ -453,15 +453,15 @@
 static void
 on_first_event (struct dsp *d, struct dsp_req *q)
 {
-  end_prefill (q);
+  stop_awaiting_first_event (q);
   q->streaming = true;
   q->first_event_at = d->now;
   q->endpoint->own_streaming++;
   dsp_health_first_event (d, q->endpoint, d->now - q->sent_at);
   if (q->state == DSP_S_PASSING)
     return;
-  dsp_transition (q, DSP_X_PASS);
-  q->forwarded = true;
+  dsp_transition (q, DSP_EVENT_PASS);
+  q->partly_forwarded = true;
   dsp_add_action (d, DSP_ACT_FORWARD, q);
 }
 
@@ -494,7 +494,7 @@
     return;
   if (!q->streaming)
     {
-      end_prefill (q);
+      stop_awaiting_first_event (q);
       dsp_health_first_event (d, q->endpoint, now - q->sent_at);
     }
   dsp_health_success (d, q->endpoint);
@@ -504,7 +504,7 @@
   ms = (double)(now - q->sent_at);
   q->pool->response_ms
       += (q->pool->response_ms > 0 ? 0.05 : 1) * (ms - q->pool->response_ms);
-  dsp_transition (q, DSP_X_WHOLE);
+  dsp_transition (q, DSP_EVENT_WHOLE);
   dsp_add_action (d, DSP_ACT_COMPLETE, q);
   finish_request (d, q);
 }
@@ -547,24 +547,24 @@
   d->stats.arrived++;
   if (d->shutting_down)
     {
-      dsp_transition (q, DSP_X_REFUSE);
+      dsp_transition (q, DSP_EVENT_REFUSE);
       respond_error (d, q, DSP_SHUTTING_DOWN, MIN_RETRY_MS);
       return;
     }
   if (d->opt.poison
       && psn_should_refuse (d->opt.poison, now, q->digest, &retry_ms))
     {
-      dsp_transition (q, DSP_X_REFUSE);
+      dsp_transition (q, DSP_EVENT_REFUSE);
       respond_error (d, q, DSP_POISON, retry_ms);
       return;
     }
   dsp_budget_count_request (d, q->pool);
   dsp_limit_count_request (d, q);
-  dsp_transition (q, DSP_X_WAIT);
+  dsp_transition (q, DSP_EVENT_WAIT);
   dsp_enqueue (d, q, false);
   dsp_send_queued (d, q->pool);
   if (q->queued
-      && (dsp_limit_must_defer (d, q->pool, q)
+      && (dsp_limit_used_by_higher_priority (d, q->pool, q)
           || now + dsp_limit_wait_ms (d, q->pool) > queue_deadline (q)))
     dsp_give_up (d, q, DSP_RATE_LIMITED, DSP_INTERRUPTED,
                  dsp_limit_reject (d, q->pool));
@@ -605,7 +605,7 @@
 {
   if (!dsp_any_usable (d, p))
     return DSP_NO_SERVER;
-  return dsp_limit_all (d, p) ? DSP_RATE_LIMITED : DSP_OVERLOAD;
+  return dsp_limit_on_all_endpoints (d, p) ? DSP_RATE_LIMITED : DSP_OVERLOAD;
 }
 
 static void
--- a/serve/dispatch.h
+++ b/serve/dispatch.h
@@ -199,7 +199,7 @@
 /** Replaces the load reported by the node @p peer; @p n is 0 also when the
     peer is gone. */
 void dsp_set_peer_load (struct dsp *d, clk_ms now, uint64_t peer,
-                        const struct dsp_endpoint_load *counts, size_t n);
+                        const struct dsp_endpoint_load *loads, size_t n);
 
 /** Records long prompts that another node has just sent. */
 void dsp_receive_notices (struct dsp *d, clk_ms now,
@@ -234,7 +234,7 @@
     dsp_response_head(). @param rate requests per second */
 enum lim_change dsp_response_limit (struct dsp *d, clk_ms now, uint64_t id,
                                     unsigned attempt,
-                                    enum lim_report_kind says, double rate);
+                                    enum lim_report_kind kind, double rate);
 /** Number of requests that this node has sent to the attempt's server while it
     was rate-limited. */
 uint64_t dsp_sent_while_limited (const struct dsp *d, uint64_t id,
--- a/serve/form-demand.c
+++ b/serve/form-demand.c
@@ -56,14 +56,14 @@
 }
 
 void
-frm_count_reassigned (struct frm *f, const struct frm_replica *r)
+frm_record_reassigned (struct frm *f, const struct frm_replica *r)
 {
   find_or_add_demand (f, str_from (r->service), str_from (r->model))
       ->reassigned++;
 }
 
 static struct frm_model *
-find_or_add_row (struct frm *f, const struct frm_domain *d, size_t k)
+find_or_add_row (struct frm *f, const struct frm_fabric_domain *d, size_t k)
 {
   struct str name = d->s->models[k].name;
 
@@ -79,7 +79,7 @@
 }
 
 static void
-add_domain_to_rows (struct frm *f, struct frm_domain *d)
+add_domain_to_rows (struct frm *f, struct frm_fabric_domain *d)
 {
   frm_plan_domain (f, d);
   for (size_t k = 0; k < d->s->nmodels && k < FRM_MAX_MODELS; k++)
--- a/serve/form-group.c
+++ b/serve/form-group.c
@@ -43,12 +43,12 @@
 }
 
 static bool
-all_members_usable (const struct frm *f, const struct frm_replica *r)
+all_members_eligible (const struct frm *f, const struct frm_replica *r)
 {
-  if (!r->spare && (r->size == 0 || r->nmembers < r->size))
+  if (!r->warm_spare && (r->size == 0 || r->nmembers < r->size))
     return false;
   for (size_t i = 0; i < r->nmembers; i++)
-    if (!r->members[i] || !frm_is_usable (f, r->members[i]))
+    if (!r->members[i] || !frm_is_eligible (f, r->members[i]))
       return false;
   return true;
 }
@@ -88,7 +88,7 @@
 may_accept_older_order (const struct frm *f, const struct frm_replica *r,
                         const struct frm_vm *vm)
 {
-  return r->adopted && !r->spare && vm->accepted_fence != f->fence;
+  return r->adopted && !r->warm_spare && vm->accepted_fence != f->fence;
 }
 
 static bool
@@ -108,7 +108,7 @@
       r->phase_since = f->now;
       return;
     }
-  if (!all_members_usable (f, r))
+  if (!all_members_eligible (f, r))
     {
       if (f->now - r->phase_since
               > (r->size ? ADOPT_WAIT_MS : FRM_STEP_TIMEOUT_MS)
@@ -118,7 +118,7 @@
     }
   if (all_ready (r) && !any_may_accept_older_order (f, r))
     {
-      if (!r->spare)
+      if (!r->warm_spare)
         frm_enter_phase (f, r, FRM_PH_OPENING);
       return;
     }
@@ -158,7 +158,7 @@
    * thousands of servers, reading the list takes seconds, and a replica that
    * is open may not show in it yet.
    */
-  if (!all_members_usable (f, r)
+  if (!all_members_eligible (f, r)
       || f->list_requested_at - r->phase_since > FRM_STEP_TIMEOUT_MS)
     {
       begin_close (f, r, true);
--- a/serve/form-int.h
+++ b/serve/form-int.h
@@ -105,7 +105,7 @@
   clk_ms phase_since; /**< start of the phase */
   bool adopted;       /**< formed by an earlier leader node */
   /** Warm spare: a single VM that loads a model and never opens. */
-  bool spare;
+  bool warm_spare;
   bool force;       /**< close without waiting for running requests */
   bool may_be_open; /**< an order to open may have been sent to its leader */
   /**
@@ -149,7 +149,7 @@
   bool leading;
   bool adopted; /**< the replicas that servers report have been taken over */
   bool list_complete; /**< a server missing from the list is gone */
-  bool traffic;
+  bool had_traffic;
   int64_t fence;
   int64_t generation; /**< last one assigned */
   clk_ms now;
@@ -189,15 +189,15 @@
 };
 
 /* form.c */
-bool frm_is_usable (const struct frm *f, const struct frm_vm *vm);
+bool frm_is_eligible (const struct frm *f, const struct frm_vm *vm);
 /** Whether it reports itself ready in the replica that it is assigned to. */
 bool frm_is_ready (const struct frm_vm *vm);
 /**
- * Whether its last report names this replica and generation, and @p part or a
- * later stage.
+ * Whether its last report names this replica and generation, and @p min_state
+ * or a later stage.
  */
 bool frm_reports (const struct frm_vm *vm, const struct frm_replica *r,
-                  enum bks_member_state part);
+                  enum bks_member_state min_state);
 const struct tbl_service *frm_find_service (const struct frm *f,
                                             const char *name);
 struct frm_replica *frm_replica_add (struct frm *f, const char *service,
@@ -233,7 +233,7 @@
                         size_t model, unsigned n);
 
 /** Counts a replica that closes to free its VMs for another model. */
-void frm_count_reassigned (struct frm *f, const struct frm_replica *r);
+void frm_record_reassigned (struct frm *f, const struct frm_replica *r);
 
 /* form-yield.c */
 /** Closes replicas whose VMs another model needs more. */
@@ -259,6 +259,6 @@
  * Whether the VM can join a replica of @p model without a load from the weight
  * store.
  */
-bool frm_is_warm (const struct frm_vm *vm, struct str model);
+bool frm_has_weights (const struct frm_vm *vm, struct str model);
 
 #endif
--- a/serve/form-order.c
+++ b/serve/form-order.c
@@ -112,7 +112,7 @@
 }
 
 bool
-frm_is_warm (const struct frm_vm *vm, struct str model)
+frm_has_weights (const struct frm_vm *vm, struct str model)
 {
   if (str_eq (frm_loaded_model (vm), model))
     return true;
@@ -130,7 +130,7 @@
       = f->now - (clk_ms)(f->opt.ceiling_window_s * (double)CLK_SECOND);
   double recent = n;
 
-  if (!f->traffic || s->loads_per_s <= 0)
+  if (!f->had_traffic || s->loads_per_s <= 0)
     return true;
   for (size_t i = 0; i < f->nloads && i < FRM_LOAD_RING; i++)
     recent += f->load_times[i] > from;
--- a/serve/form-place.c
+++ b/serve/form-place.c
@@ -43,7 +43,7 @@
  * available when their own domain could use them.
  */
 static bool
-choose_members (const struct frm *f, const struct frm_domain *d,
+choose_members (const struct frm *f, const struct frm_fabric_domain *d,
                 const struct tbl_model *m, enum frm_cost max_cost,
                 struct choice *out)
 {
@@ -62,9 +62,9 @@
 }
 
 static struct str
-next_replica_name (struct frm *f, bool spare, char *text, size_t size)
+next_replica_name (struct frm *f, bool warm_spare, char *text, size_t size)
 {
-  int n = snprintf (text, size, "%c%lld", spare ? 's' : 'r',
+  int n = snprintf (text, size, "%c%lld", warm_spare ? 's' : 'r',
                     (long long)++f->generation);
 
   return str_make (text, (size_t)n);
@@ -81,7 +81,7 @@
 {
   clk_ms ms = 0;
 
-  for (unsigned i = 0; f->traffic && i < c->n; i++)
+  for (unsigned i = 0; f->had_traffic && i < c->n; i++)
     if (frm_cost_of (c->members[i], m->name) != FRM_COST_LOADED)
       ms = m->warm_load_ms;
   return ms;
@@ -89,14 +89,14 @@
 
 static void
 form_replica (struct frm *f, const char *service, const struct tbl_model *m,
-              const struct choice *c, bool spare)
+              const struct choice *c, bool warm_spare)
 {
   char text[32];
-  struct str name = next_replica_name (f, spare, text, sizeof text);
+  struct str name = next_replica_name (f, warm_spare, text, sizeof text);
   struct frm_replica *r
       = frm_replica_add (f, service, name, m->name, f->generation);
 
-  r->spare = spare;
+  r->warm_spare = warm_spare;
   r->earliest_ready_at = f->now + min_joining_ms (f, m, c);
   r->nmembers = c->n;
   for (unsigned i = 0; i < c->n; i++)
@@ -120,7 +120,7 @@
 static bool
 is_settling (const struct frm *f)
 {
-  return !f->traffic
+  return !f->had_traffic
          && f->list_requested_at - f->last_arrival_requested_at
                 < SETTLE_WINDOW_MS
          && f->now - f->first_arrival_at < SETTLE_MAX_MS;
@@ -134,9 +134,10 @@
  * or their host's memory, and other VMs load it individually as warm spares.
  */
 static bool
-form_next_replica (struct frm *f, struct frm_domain *d)
+form_next_replica (struct frm *f, struct frm_fabric_domain *d)
 {
-  enum frm_cost max_cost = f->traffic ? FRM_COST_HOST_MEMORY : FRM_COST_OTHER;
+  enum frm_cost max_cost
+      = f->had_traffic ? FRM_COST_HOST_MEMORY : FRM_COST_OTHER_MODEL;
 
   if (is_settling (f))
     return false;
@@ -160,7 +161,7 @@
  * Free VMs needed for the planned replicas of the model that don't exist yet.
  */
 static unsigned
-missing_vms (const struct frm_domain *d, size_t k)
+missing_vms (const struct frm_fabric_domain *d, size_t k)
 {
   unsigned n = d->want[k] > d->have[k] ? d->want[k] - d->have[k] : 0;
 
@@ -169,7 +170,7 @@
 
 /** Model that lacks the most VMs, as a fraction of its replica size. */
 static size_t
-most_missing_model (const struct frm_domain *d)
+most_missing_model (const struct frm_fabric_domain *d)
 {
   size_t best = d->s->nmodels;
   double max = 0;
@@ -177,9 +178,10 @@
   for (size_t k = 0; k < d->s->nmodels && k < FRM_MAX_MODELS; k++)
     {
       unsigned need = missing_vms (d, k);
-      double part = need > d->warm[k]
-                        ? (double)(need - d->warm[k]) / d->s->models[k].size
-                        : 0;
+      double part
+          = need > d->warm_or_loading[k]
+                ? (double)(need - d->warm_or_loading[k]) / d->s->models[k].size
+                : 0;
       if (part <= max)
         continue;
       best = k;
@@ -194,7 +196,7 @@
  * members.
  */
 static size_t
-least_covered_model (const struct frm_domain *d)
+least_covered_model (const struct frm_fabric_domain *d)
 {
   size_t best = d->s->nmodels;
   double least = 0, members_best = 0;
@@ -202,8 +204,8 @@
   for (size_t k = 0; k < d->s->nmodels && k < FRM_MAX_MODELS; k++)
     {
       double members = (double)d->want[k] * d->s->models[k].size;
-      double spare = (double)d->warm[k] - missing_vms (d, k);
-      double x = members > 0 ? spare / members : 1e9;
+      double surplus = (double)d->warm_or_loading[k] - missing_vms (d, k);
+      double x = members > 0 ? surplus / members : 1e9;
       if (best < d->s->nmodels
           && (x > least || (x >= least && members <= members_best)))
         continue;
@@ -219,18 +221,19 @@
  * of the model that it holds are surplus and there is no surplus for @p k.
  */
 static bool
-may_load_model (const struct frm_domain *d, const struct frm_vm *vm, size_t k)
+may_load_model (const struct frm_fabric_domain *d, const struct frm_vm *vm,
+                size_t k)
 {
   size_t held = frm_loaded_model_index (vm, d->s);
 
   if (held == d->s->nmodels)
     return true;
-  return held != k && d->warm[held] > missing_vms (d, held) + 1
-         && d->warm[k] <= missing_vms (d, k);
+  return held != k && d->warm_or_loading[held] > missing_vms (d, held) + 1
+         && d->warm_or_loading[k] <= missing_vms (d, k);
 }
 
 static void
-load_spare (struct frm *f, struct frm_domain *d, struct frm_vm *vm)
+load_warm_spare (struct frm *f, struct frm_fabric_domain *d, struct frm_vm *vm)
 {
   struct choice c = { .members = { vm }, .n = 1 };
   size_t k = most_missing_model (d);
@@ -238,9 +241,9 @@
   if (k == d->s->nmodels)
     k = least_covered_model (d);
   if (k == d->s->nmodels || !may_load_model (d, vm, k)
-      || frm_is_warm (vm, d->s->models[k].name))
+      || frm_has_weights (vm, d->s->models[k].name))
     return;
-  c.loads = !frm_is_warm (vm, d->s->models[k].name);
+  c.loads = !frm_has_weights (vm, d->s->models[k].name);
   if (!frm_may_load (f, d->s, c.loads))
     return;
   form_replica (f, d->service, &d->s->models[k], &c, true);
@@ -248,7 +251,7 @@
 }
 
 static void
-load_domain_spares (struct frm *f, struct frm_domain *d)
+load_domain_warm_spares (struct frm *f, struct frm_fabric_domain *d)
 {
   frm_plan_domain (f, d);
   for (size_t i = 0; i < f->nvms; i++)
@@ -257,14 +260,14 @@
       if (frm_in_domain (vm, d) && frm_is_free (f, vm)
           && vm->entry.member_state != BKS_JOINING
           && (!vm->replica || frm_is_ready (vm)))
-        load_spare (f, d, vm);
+        load_warm_spare (f, d, vm);
     }
 }
 
 /* --- all domains ------------------------------------------------------- */
 
 static void
-form_domain_replicas (struct frm *f, struct frm_domain *d)
+form_domain_replicas (struct frm *f, struct frm_fabric_domain *d)
 {
   while (form_next_replica (f, d))
     ;
@@ -276,5 +279,5 @@
   frm_for_each_domain (f, form_domain_replicas);
   if (f->list_complete && !is_settling (f)
       && f->now - f->last_arrival_at >= ARRIVAL_QUIET_MS)
-    frm_for_each_domain (f, load_domain_spares);
+    frm_for_each_domain (f, load_domain_warm_spares);
 }
--- a/serve/form-plan.c
+++ b/serve/form-plan.c
@@ -8,10 +8,10 @@
  * replaces a VM that fails.  A smaller domain that holds a replica of each of
  * two models, of six and three VMs, would lose one of them.
  */
-#define SPARE_MIN_VMS 10
+#define RESERVE_MIN_VMS 10
 
 bool
-frm_in_domain (const struct frm_vm *vm, const struct frm_domain *d)
+frm_in_domain (const struct frm_vm *vm, const struct frm_fabric_domain *d)
 {
   return vm->domain_number == d->number;
 }
@@ -19,9 +19,9 @@
 bool
 frm_is_free (const struct frm *f, const struct frm_vm *vm)
 {
-  return frm_is_usable (f, vm) && !vm->order_token && vm->entry.domain.len > 0
-         && vm->entry.member_state < BKS_OPEN
-         && (!vm->replica || vm->replica->spare);
+  return frm_is_eligible (f, vm) && !vm->order_token
+         && vm->entry.domain.len > 0 && vm->entry.member_state < BKS_OPEN
+         && (!vm->replica || vm->replica->warm_spare);
 }
 
 enum frm_cost
@@ -34,9 +34,9 @@
 
   if (str_eq (frm_loaded_model (vm), model) && !loading)
     return FRM_COST_LOADED;
-  if (frm_is_warm (vm, model) && !loading)
+  if (frm_has_weights (vm, model) && !loading)
     return FRM_COST_HOST_MEMORY;
-  return frm_loaded_model (vm).len ? FRM_COST_OTHER : FRM_COST_EMPTY;
+  return frm_loaded_model (vm).len ? FRM_COST_OTHER_MODEL : FRM_COST_EMPTY;
 }
 
 /* --- plan of a domain -------------------------------------------------- */
@@ -57,7 +57,7 @@
  * larger one.
  */
 static size_t
-least_supplied_model (const struct frm_domain *d, unsigned room)
+least_supplied_model (const struct frm_fabric_domain *d, unsigned room)
 {
   const struct tbl_service *s = d->s;
   size_t best = s->nmodels;
@@ -77,12 +77,12 @@
 }
 
 static unsigned
-count_usable_vms (const struct frm *f, const struct frm_domain *d)
+count_eligible_vms (const struct frm *f, const struct frm_fabric_domain *d)
 {
   unsigned n = 0;
 
   for (size_t i = 0; i < f->nvms; i++)
-    n += frm_in_domain (f->vms[i], d) && frm_is_usable (f, f->vms[i]);
+    n += frm_in_domain (f->vms[i], d) && frm_is_eligible (f, f->vms[i]);
   return n;
 }
 
@@ -90,20 +90,20 @@
 static unsigned
 vms_for_replicas (unsigned n)
 {
-  return n >= SPARE_MIN_VMS ? n - 1 : n;
+  return n >= RESERVE_MIN_VMS ? n - 1 : n;
 }
 
 static void
-plan_replica (struct frm_domain *d, size_t k, unsigned *room)
+plan_replica (struct frm_fabric_domain *d, size_t k, unsigned *room)
 {
   d->want[k]++;
   *room -= d->s->models[k].size;
 }
 
 static void
-plan_replicas (const struct frm *f, struct frm_domain *d)
+plan_replicas (const struct frm *f, struct frm_fabric_domain *d)
 {
-  unsigned room = vms_for_replicas (count_usable_vms (f, d));
+  unsigned room = vms_for_replicas (count_eligible_vms (f, d));
   size_t i;
 
   while (d->dedicated_model < d->s->nmodels
@@ -114,7 +114,8 @@
 }
 
 bool
-frm_replica_in_domain (const struct frm_replica *r, const struct frm_domain *d)
+frm_replica_in_domain (const struct frm_replica *r,
+                       const struct frm_fabric_domain *d)
 {
   bool any = false;
 
@@ -128,12 +129,13 @@
 }
 
 static void
-count_replicas (const struct frm *f, struct frm_domain *d)
+count_replicas (const struct frm *f, struct frm_fabric_domain *d)
 {
   for (size_t i = 0; i < f->nreplicas; i++)
     {
       const struct frm_replica *r = f->replicas[i];
-      if (r->spare || r->phase > FRM_PH_OPEN || !frm_replica_in_domain (r, d))
+      if (r->warm_spare || r->phase > FRM_PH_OPEN
+          || !frm_replica_in_domain (r, d))
         continue;
       for (size_t k = 0; k < d->s->nmodels && k < FRM_MAX_MODELS; k++)
         d->have[k] += str_is (d->s->models[k].name, r->model);
@@ -153,28 +155,29 @@
 }
 
 static void
-count_warm_vms (const struct frm *f, struct frm_domain *d)
+count_warm_vms (const struct frm *f, struct frm_fabric_domain *d)
 {
   for (size_t i = 0; i < f->nvms; i++)
     {
       const struct frm_vm *vm = f->vms[i];
-      if (!frm_in_domain (vm, d) || !frm_is_usable (f, vm)
-          || (vm->replica && !vm->replica->spare))
+      if (!frm_in_domain (vm, d) || !frm_is_eligible (f, vm)
+          || (vm->replica && !vm->replica->warm_spare))
         continue;
       size_t held = frm_loaded_model_index (vm, d->s);
       for (size_t k = 0; k < d->s->nmodels && k < FRM_MAX_MODELS; k++)
-        d->warm[k] += k == held
-                      || (vm->entry.member_state != BKS_JOINING
-                          && frm_is_warm (vm, d->s->models[k].name));
+        d->warm_or_loading[k]
+            += k == held
+               || (vm->entry.member_state != BKS_JOINING
+                   && frm_has_weights (vm, d->s->models[k].name));
     }
 }
 
 void
-frm_plan_domain (const struct frm *f, struct frm_domain *d)
+frm_plan_domain (const struct frm *f, struct frm_fabric_domain *d)
 {
   memset (d->want, 0, sizeof d->want);
   memset (d->have, 0, sizeof d->have);
-  memset (d->warm, 0, sizeof d->warm);
+  memset (d->warm_or_loading, 0, sizeof d->warm_or_loading);
   plan_replicas (f, d);
   count_replicas (f, d);
   count_warm_vms (f, d);
@@ -217,7 +220,7 @@
     {
       const struct frm_replica *r = f->replicas[i];
       size_t k = model_index (s, r->model);
-      if (!r->spare && r->phase <= FRM_PH_OPEN && k < s->nmodels
+      if (!r->warm_spare && r->phase <= FRM_PH_OPEN && k < s->nmodels
           && str_is (s->name, r->service))
         t->vms[k] += (unsigned)r->nmembers;
     }
@@ -228,8 +231,8 @@
  * models, the larger one.
  */
 static size_t
-scarcest_model (const struct tbl_service *s, const struct model_vms *t,
-                unsigned room)
+least_supplied_in_service (const struct tbl_service *s,
+                           const struct model_vms *t, unsigned room)
 {
   size_t best = s->nmodels;
   double least = 0;
@@ -251,7 +254,7 @@
 
 /** Model that most of the domain's VMs hold or are assigned to, or nmodels. */
 static size_t
-most_loaded_model (const struct frm *f, const struct frm_domain *d)
+most_loaded_model (const struct frm *f, const struct frm_fabric_domain *d)
 {
   unsigned n[FRM_MAX_MODELS] = { 0 };
   size_t best = d->s->nmodels;
@@ -261,7 +264,7 @@
       const struct frm_vm *vm = f->vms[i];
       struct str held = vm->replica ? str_from (vm->replica->model)
                                     : frm_loaded_model (vm);
-      if (!frm_in_domain (vm, d) || (vm->replica && vm->replica->spare))
+      if (!frm_in_domain (vm, d) || (vm->replica && vm->replica->warm_spare))
         continue;
       for (size_t k = 0; k < d->s->nmodels && k < FRM_MAX_MODELS; k++)
         n[k] += str_eq (d->s->models[k].name, held);
@@ -278,7 +281,7 @@
  * appeared yet.
  */
 static unsigned
-largest_domain_size (const struct frm *f, const struct frm_domain *d)
+largest_domain_size (const struct frm *f, const struct frm_fabric_domain *d)
 {
   unsigned max = 0;
 
@@ -293,7 +296,7 @@
 }
 
 static bool
-is_too_small_for_all_models (const struct frm_domain *d, unsigned vms)
+is_too_small_for_all_models (const struct frm_fabric_domain *d, unsigned vms)
 {
   unsigned all = 0;
 
@@ -303,7 +306,7 @@
 }
 
 static void
-choose_dedicated_model (const struct frm *f, struct frm_domain *d)
+choose_dedicated_model (const struct frm *f, struct frm_fabric_domain *d)
 {
   struct model_vms t;
   unsigned vms = largest_domain_size (f, d);
@@ -315,7 +318,8 @@
   if (d->dedicated_model < d->s->nmodels)
     return;
   count_model_vms (f, d->s, &t);
-  d->dedicated_model = scarcest_model (d->s, &t, vms_for_replicas (vms));
+  d->dedicated_model
+      = least_supplied_in_service (d->s, &t, vms_for_replicas (vms));
 }
 
 /**
@@ -345,16 +349,16 @@
 
 void
 frm_for_each_domain (struct frm *f,
-                     void (*fn) (struct frm *f, struct frm_domain *d))
+                     void (*fn) (struct frm *f, struct frm_fabric_domain *d))
 {
   bool *seen = xcalloc (f->last_domain_number + 1, sizeof *seen);
 
   for (size_t i = 0; i < f->nvms; i++)
     {
       const struct frm_vm *vm = f->vms[i];
-      struct frm_domain d = { .s = frm_find_service (f, vm->service),
-                              .service = vm->service,
-                              .number = vm->domain_number };
+      struct frm_fabric_domain d = { .s = frm_find_service (f, vm->service),
+                                     .service = vm->service,
+                                     .number = vm->domain_number };
       if (!d.s || vm->domain[0] == '\0' || seen[d.number])
         continue;
       seen[d.number] = true;
--- a/serve/form-plan.h
+++ b/serve/form-plan.h
@@ -20,12 +20,12 @@
   FRM_COST_LOADED,      /**< the VM holds the model */
   FRM_COST_HOST_MEMORY, /**< its host holds the model in memory */
   FRM_COST_EMPTY,       /**< the VM holds no model */
-  FRM_COST_OTHER,       /**< the VM holds another model, which it would lose */
+  FRM_COST_OTHER_MODEL, /**< the VM holds another model, which it would lose */
   FRM_COSTS
 };
 
 /** One fabric domain of a service, with its plan and current state. */
-struct frm_domain
+struct frm_fabric_domain
 {
   const struct tbl_service *s;
   const char *service;
@@ -33,7 +33,7 @@
   unsigned want[FRM_MAX_MODELS]; /**< planned replicas of each model */
   unsigned have[FRM_MAX_MODELS]; /**< replicas that are open or being formed */
   /** Free VMs that hold the model or load it. */
-  unsigned warm[FRM_MAX_MODELS];
+  unsigned warm_or_loading[FRM_MAX_MODELS];
   /**
    * Model that the domain is dedicated to, if it is too small for a replica of
    * each model; otherwise the number of models.
@@ -41,10 +41,11 @@
   size_t dedicated_model;
 };
 
-bool frm_in_domain (const struct frm_vm *vm, const struct frm_domain *d);
+bool frm_in_domain (const struct frm_vm *vm,
+                    const struct frm_fabric_domain *d);
 /** Whether all known members are in that domain. */
 bool frm_replica_in_domain (const struct frm_replica *r,
-                            const struct frm_domain *d);
+                            const struct frm_fabric_domain *d);
 /**
  * Whether the VM may join a replica: it is in none (or only a warm spare), and
  * no order to it is in flight.
@@ -56,13 +57,14 @@
                                const struct tbl_service *s);
 
 /** Plans the domain and counts its replicas and warm VMs. */
-void frm_plan_domain (const struct frm *f, struct frm_domain *d);
+void frm_plan_domain (const struct frm *f, struct frm_fabric_domain *d);
 
 /** Updates the highest number of VMs listed in each domain. */
 void frm_update_domain_sizes (struct frm *f);
 
 /** Calls @p fn for each domain of a service whose replicas this core forms. */
 void frm_for_each_domain (struct frm *f,
-                          void (*fn) (struct frm *f, struct frm_domain *d));
+                          void (*fn) (struct frm *f,
+                                      struct frm_fabric_domain *d));
 
 #endif
--- a/serve/form-stage.c
+++ b/serve/form-stage.c
@@ -58,13 +58,13 @@
 static bool
 is_member (const struct frm_vm *vm)
 {
-  return vm->replica && !vm->replica->spare;
+  return vm->replica && !vm->replica->warm_spare;
 }
 
 static bool
 may_preload (const struct frm *f, const struct frm_vm *vm)
 {
-  return frm_is_usable (f, vm) && !vm->order_token
+  return frm_is_eligible (f, vm) && !vm->order_token
          && f->now >= vm->preload_until && vm->entry.domain.len > 0
          && frm_loaded_model (vm).len > 0 && !has_preloaded_other (vm)
          && (vm->replica ? frm_is_ready (vm)
@@ -77,12 +77,12 @@
  * no weights, so only the models in host memory count.
  */
 static bool
-survives_restart (const struct frm *f, const struct frm_domain *d)
+survives_restart (const struct frm *f, const struct frm_fabric_domain *d)
 {
   unsigned kept[FRM_MAX_MODELS] = { 0 };
 
   for (size_t i = 0; i < f->nvms; i++)
-    if (frm_in_domain (f->vms[i], d) && frm_is_usable (f, f->vms[i])
+    if (frm_in_domain (f->vms[i], d) && frm_is_eligible (f, f->vms[i])
         && frm_loaded_model (f->vms[i]).len > 0)
       {
         size_t k = model_to_preload (f->vms[i], d->s);
@@ -109,7 +109,7 @@
 is_forming_replica (const struct frm *f)
 {
   for (size_t i = 0; i < f->nreplicas; i++)
-    if (f->replicas[i]->phase <= FRM_PH_OPENING && !f->replicas[i]->spare)
+    if (f->replicas[i]->phase <= FRM_PH_OPENING && !f->replicas[i]->warm_spare)
       return true;
   return false;
 }
@@ -120,7 +120,7 @@
 static bool
 has_load_capacity (const struct frm *f, const struct tbl_service *s)
 {
-  if (!f->traffic)
+  if (!f->had_traffic)
     return !is_forming_replica (f);
   return frm_may_load (f, s, 1)
          && (s->loads_at_once == 0
@@ -128,14 +128,14 @@
 }
 
 static void
-preload_domain (struct frm *f, struct frm_domain *d)
+preload_domain (struct frm *f, struct frm_fabric_domain *d)
 {
   bool include_members;
 
   if (d->s->host_cache_models == 0 || d->s->nmodels < 2)
     return;
   frm_plan_domain (f, d);
-  include_members = !f->traffic && survives_restart (f, d);
+  include_members = !f->had_traffic && survives_restart (f, d);
   for (size_t i = 0; i < f->nvms; i++)
     {
       struct frm_vm *vm = f->vms[i];
--- a/serve/form-yield.c
+++ b/serve/form-yield.c
@@ -29,7 +29,7 @@
     {
       const struct frm_replica *r = f->replicas[i];
       for (size_t k = 0; k < s->nmodels && k < FRM_MAX_MODELS; k++)
-        n[k] += !r->spare && r->phase <= FRM_PH_OPEN
+        n[k] += !r->warm_spare && r->phase <= FRM_PH_OPEN
                 && str_is (s->name, r->service)
                 && str_is (s->models[k].name, r->model);
     }
@@ -44,14 +44,16 @@
                          const unsigned *n, size_t donor, unsigned closed,
                          size_t receiver)
 {
-  double donor_now = frm_utilization (f, s, donor, n[donor]);
-  double receiver_now = frm_utilization (f, s, receiver, n[receiver]);
-  double donor_then = frm_utilization (f, s, donor, n[donor] - closed);
-  double receiver_then = frm_utilization (f, s, receiver, n[receiver] + 1);
-  double now = donor_now > receiver_now ? donor_now : receiver_now;
-  double then = donor_then > receiver_then ? donor_then : receiver_then;
-
-  return then < now * MAX_UTILIZATION_RATIO;
+  double donor_before = frm_utilization (f, s, donor, n[donor]);
+  double receiver_before = frm_utilization (f, s, receiver, n[receiver]);
+  double donor_after = frm_utilization (f, s, donor, n[donor] - closed);
+  double receiver_after = frm_utilization (f, s, receiver, n[receiver] + 1);
+  double peak_before
+      = donor_before > receiver_before ? donor_before : receiver_before;
+  double peak_after
+      = donor_after > receiver_after ? donor_after : receiver_after;
+
+  return peak_after < peak_before * MAX_UTILIZATION_RATIO;
 }
 
 /**
@@ -59,39 +61,40 @@
  * without a load.
  */
 static bool
-is_available_warm (const struct frm *f, const struct frm_vm *vm,
-                   struct str model)
+is_available_with_weights (const struct frm *f, const struct frm_vm *vm,
+                           struct str model)
 {
-  if (!frm_is_usable (f, vm) || !frm_is_warm (vm, model))
+  if (!frm_is_eligible (f, vm) || !frm_has_weights (vm, model))
     return false;
   if (!vm->replica)
     return true;
-  return vm->replica->spare ? vm->entry.member_state != BKS_JOINING
-                            : vm->replica->phase > FRM_PH_OPEN;
+  return vm->replica->warm_spare ? vm->entry.member_state != BKS_JOINING
+                                 : vm->replica->phase > FRM_PH_OPEN;
 }
 
 static unsigned
-count_available_warm (const struct frm *f, const struct frm_domain *d,
-                      struct str model)
+count_available_with_weights (const struct frm *f,
+                              const struct frm_fabric_domain *d,
+                              struct str model)
 {
   unsigned n = 0;
 
   for (size_t i = 0; i < f->nvms; i++)
     n += frm_in_domain (f->vms[i], d)
-         && is_available_warm (f, f->vms[i], model);
+         && is_available_with_weights (f, f->vms[i], model);
   return n;
 }
 
 /** Counts members that could join a replica of that model without a load. */
 static unsigned
-count_warm_members (const struct frm *f, const struct frm_replica *r,
-                    struct str model)
+count_members_with_weights (const struct frm *f, const struct frm_replica *r,
+                            struct str model)
 {
   unsigned n = 0;
 
   for (size_t i = 0; i < r->nmembers; i++)
-    n += r->members[i] && frm_is_usable (f, r->members[i])
-         && frm_is_warm (r->members[i], model);
+    n += r->members[i] && frm_is_eligible (f, r->members[i])
+         && frm_has_weights (r->members[i], model);
   return n;
 }
 
@@ -102,31 +105,32 @@
  * @return number of replicas closed; 0: their VMs don't suffice
  */
 static unsigned
-close_replicas_for (struct frm *f, const struct frm_domain *d, size_t donor,
-                    size_t receiver, bool dry_run)
+close_replicas_for (struct frm *f, const struct frm_fabric_domain *d,
+                    size_t donor, size_t receiver, bool dry_run)
 {
   const struct tbl_model *m = &d->s->models[receiver];
-  unsigned vms = count_available_warm (f, d, m->name);
+  unsigned vms = count_available_with_weights (f, d, m->name);
   unsigned closed = 0;
 
   for (size_t i = 0; i < f->nreplicas && vms < m->size; i++)
     {
       struct frm_replica *r = f->replicas[i];
-      if (r->spare || r->phase != FRM_PH_OPEN || !frm_replica_in_domain (r, d)
+      if (r->warm_spare || r->phase != FRM_PH_OPEN
+          || !frm_replica_in_domain (r, d)
           || !str_is (d->s->models[donor].name, r->model))
         continue;
-      vms += count_warm_members (f, r, m->name);
+      vms += count_members_with_weights (f, r, m->name);
       closed++;
       if (dry_run)
         continue;
-      frm_count_reassigned (f, r);
+      frm_record_reassigned (f, r);
       frm_replica_close (f, r);
     }
   return vms >= m->size ? closed : 0;
 }
 
 static void
-reassign_to_model (struct frm *f, struct frm_domain *d, size_t receiver)
+reassign_to_model (struct frm *f, struct frm_fabric_domain *d, size_t receiver)
 {
   unsigned n[FRM_MAX_MODELS];
 
@@ -148,13 +152,13 @@
 }
 
 static void
-reassign_in_domain (struct frm *f, struct frm_domain *d)
+reassign_in_domain (struct frm *f, struct frm_fabric_domain *d)
 {
   frm_plan_domain (f, d);
   for (size_t receiver = 0;
        receiver < d->s->nmodels && receiver < FRM_MAX_MODELS; receiver++)
     if (d->have[receiver] < d->want[receiver]
-        && count_available_warm (f, d, d->s->models[receiver].name)
+        && count_available_with_weights (f, d, d->s->models[receiver].name)
                < d->s->models[receiver].size)
       {
         reassign_to_model (f, d, receiver);
@@ -165,6 +169,6 @@
 void
 frm_reassign (struct frm *f)
 {
-  if (f->traffic && f->list_complete)
+  if (f->had_traffic && f->list_complete)
     frm_for_each_domain (f, reassign_in_domain);
 }
--- a/serve/form.c
+++ b/serve/form.c
@@ -188,7 +188,7 @@
 void
 frm_replica_end (struct frm *f, struct frm_replica *r)
 {
-  if (r->may_be_open && !r->spare)
+  if (r->may_be_open && !r->warm_spare)
     frm_enter_phase (f, r, FRM_PH_LEAVING);
   else
     frm_replica_release (f, r);
@@ -241,7 +241,7 @@
 }
 
 bool
-frm_is_usable (const struct frm *f, const struct frm_vm *vm)
+frm_is_eligible (const struct frm *f, const struct frm_vm *vm)
 {
   return vm->listed && !vm->unresponsive && !vm->entry.draining
          && f->now >= vm->excluded_until && !is_blocked_by_old_replica (f, vm);
@@ -249,11 +249,11 @@
 
 bool
 frm_reports (const struct frm_vm *vm, const struct frm_replica *r,
-             enum bks_member_state part)
+             enum bks_member_state min_state)
 {
   return vm->listed && str_is (vm->entry.replica, r->name)
          && vm->entry.generation == r->generation
-         && vm->entry.member_state >= part;
+         && vm->entry.member_state >= min_state;
 }
 
 bool
@@ -377,7 +377,7 @@
 {
   const struct frm_replica *r = vm->replica;
 
-  return r && !r->spare && !vm->unresponsive && !vm->entry.draining
+  return r && !r->warm_spare && !vm->unresponsive && !vm->entry.draining
          && (r->phase == FRM_PH_OPEN || r->phase == FRM_PH_CLOSING
              || r->phase == FRM_PH_LEAVING);
 }
@@ -418,7 +418,7 @@
 /* --- adoption of existing replicas ------------------------------------- */
 
 static bool
-is_spare_name (struct str name)
+is_warm_spare_name (struct str name)
 {
   return name.len > 0 && name.ptr[0] == 's';
 }
@@ -458,9 +458,9 @@
       = frm_replica_add (f, first->service, first->entry.replica, STR_EMPTY,
                          first->entry.generation);
 
-  r->spare = is_spare_name (first->entry.replica);
+  r->warm_spare = is_warm_spare_name (first->entry.replica);
   /* An earlier leader node may have sent the order to open. */
-  r->may_be_open = !r->spare;
+  r->may_be_open = !r->warm_spare;
   r->adopted = true;
   for (size_t i = 0; i < f->nvms; i++)
     {
@@ -475,7 +475,7 @@
       vm->replica = r;
     }
   update_replica_model (f, r);
-  if (r->spare && !r->members[0])
+  if (r->warm_spare && !r->members[0])
     frm_replica_release (f, r);
   else
     enter_adopted_phase (f, r);
@@ -496,7 +496,7 @@
     if (!f->vms[i]->replica && f->vms[i]->entry.member_state != BKS_NO_REPLICA)
       adopt_replica (f, f->vms[i]);
   for (size_t i = 0; i < f->nreplicas; i++)
-    f->traffic |= f->replicas[i]->phase == FRM_PH_OPEN;
+    f->had_traffic |= f->replicas[i]->phase == FRM_PH_OPEN;
   f->adopted = true;
 }
 
@@ -560,7 +560,7 @@
       struct frm_vm *vm = f->vms[i];
       if (vm->replica || vm->entry.member_state == BKS_NO_REPLICA
           || vm->entry.generation <= vm->released_generation
-          || is_spare_name (vm->entry.replica))
+          || is_warm_spare_name (vm->entry.replica))
         continue;
       struct frm_replica *r = find_replica (f, vm);
       if (r)
@@ -630,7 +630,7 @@
 void
 frm_traffic_started (struct frm *f)
 {
-  f->traffic = true;
+  f->had_traffic = true;
 }
 
 void
@@ -739,7 +739,7 @@
 {
   if (r->phase == FRM_PH_OPENING || r->phase == FRM_PH_CLOSING)
     return true;
-  return r->phase == FRM_PH_JOINING && !r->spare
+  return r->phase == FRM_PH_JOINING && !r->warm_spare
          && f->now >= r->earliest_ready_at
          && f->now - r->phase_since < FRM_STEP_TIMEOUT_MS;
 }
@@ -762,7 +762,7 @@
   for (size_t i = 0; i < f->nreplicas; i++)
     {
       const struct frm_replica *r = f->replicas[i];
-      if (r->spare)
+      if (r->warm_spare)
         x->warm++;
       else if (r->phase <= FRM_PH_OPENING)
         x->forming++;
@@ -773,6 +773,6 @@
     }
   for (size_t i = 0; i < f->nvms; i++)
     x->spares += f->vms[i]->listed
-                 && (!f->vms[i]->replica || f->vms[i]->replica->spare);
+                 && (!f->vms[i]->replica || f->vms[i]->replica->warm_spare);
   return x;
 }
