--- a/serve/form-group.c
+++ b/serve/form-group.c
@@ -35,7 +35,7 @@
  */
 #define UNLISTED_CLOSE_MS ((clk_ms)2000)
 
-/** Whether the VM has been removed or is treated as missing. */
+/** Whether the VM has been removed or doesn't respond to probes. */
 static bool
 is_gone (const struct frm_vm *vm)
 {
@@ -63,8 +63,8 @@
 }
 
 /**
- * Whether the replica lacks members that this leader node has never seen
- * listed or that are gone.
+ * Whether the replica lacks a member: one that is gone, or that this leader
+ * node has never seen listed.
  */
 static bool
 has_missing_member (const struct frm_replica *r)
@@ -79,10 +79,10 @@
 
 /**
  * Whether the VM may still accept a join order of an earlier leader node.  A
- * node that led between the one that formed the replica and this one may have
- * sent an order to join another replica.  If it arrives late, it removes the
- * VM from this replica after the replica has opened.  A VM that has accepted
- * an order with the current fencing token rejects it.
+ * leader node between the one that formed the replica and this one may have
+ * ordered the VM to join another replica.  If that order arrives late, it
+ * removes the VM from this replica after the replica has opened.  A VM that
+ * has accepted an order with the current fencing token rejects it.
  */
 static bool
 may_accept_older_order (const struct frm *f, const struct frm_replica *r,
@@ -155,8 +155,8 @@
 {
   /*
    * Compares with the time of the list, not with the current time: with
-   * thousands of servers, reading the list takes seconds, and a replica that
-   * is open may not show in it yet.
+   * thousands of servers, reading the list takes seconds, and the list may not
+   * show the open replica yet.
    */
   if (!all_members_eligible (f, r)
       || f->list_requested_at - r->phase_since > FRM_STEP_TIMEOUT_MS)
@@ -181,8 +181,7 @@
 /**
  * Probes the members after a report that requests make no progress.  Only the
  * members' responses show which of them has failed.  A member without a
- * response is treated as missing, seconds before the platform removes it from
- * the list.
+ * response is replaced seconds before the platform removes it from the list.
  */
 static void
 probe_members (struct frm *f, struct frm_replica *r)
@@ -325,11 +324,11 @@
 }
 
 /**
- * Handles a replica whose leader is unreachable.  The leader may be cut off
- * from this node and from the store and still accept requests.  If a member
- * joined another replica now, it would belong to two replicas.  After all
- * members have left, the leader makes no progress and stops serving
- * after stall_ms, whether or not this node can reach it.
+ * Handles a replica whose leader is unreachable.  The leader may be
+ * disconnected from this node and from the store and still accept requests.  A
+ * member that joined another replica now would serve in both.  After all
+ * members have left, the leader makes no progress and stops serving after
+ * stall_ms, whether or not this node can reach it.
  */
 static void
 tick_fencing (struct frm *f, struct frm_replica *r)
@@ -415,7 +414,7 @@
     frm_replica_release (f, r);
   else if (result == FRM_UNANSWERED)
     r->close_unanswered = true;
-  /* A rejection means that this replica is not led by that VM. */
+  /* A rejection shows that the VM doesn't lead this replica. */
   else if (result != FRM_OUTDATED && !r->close_accepted_at)
     r->close_accepted_at = f->now;
 }
--- a/serve/form-int.h
+++ b/serve/form-int.h
@@ -50,7 +50,7 @@
   int64_t blocked_by;
   bool listed;       /**< in the last list; if not, it keeps its replica */
   bool seen_in_list; /**< in the list that is being processed */
-  bool unresponsive; /**< failed its probes; treated as missing */
+  bool unresponsive; /**< failed its probes; counts as removed */
   unsigned failed_probes; /**< consecutive probes without a response */
   clk_ms next_probe_at;
   clk_ms probe_ok_at;   /**< time of the last response to a probe */
@@ -109,8 +109,8 @@
   bool force;       /**< close without waiting for running requests */
   bool may_be_open; /**< an order to open may have been sent to its leader */
   /**
-   * Reported for the first time during this leadership: unlisted members may
-   * have been assigned elsewhere, so they are not members.
+   * First reported during this leadership: unlisted members may have been
+   * assigned elsewhere, so they are not members.
    */
   bool appeared_late;
   bool member_lost;    /**< a member is permanently gone */
@@ -147,9 +147,9 @@
 {
   struct frm_options opt;
   bool leading;
-  bool adopted; /**< the replicas that servers report have been taken over */
+  bool adopted;       /**< the reported replicas have been adopted */
   bool list_complete; /**< a server missing from the list is gone */
-  bool had_traffic;
+  bool had_traffic;   /**< clients have sent requests */
   int64_t fence;
   int64_t generation; /**< last one assigned */
   clk_ms now;
@@ -189,12 +189,16 @@
 };
 
 /* form.c */
+/**
+ * Whether the VM may be a member: listed, responsive, not draining, not
+ * excluded and not blocked by the replica of its previous incarnation.
+ */
 bool frm_is_eligible (const struct frm *f, const struct frm_vm *vm);
-/** Whether it reports itself ready in the replica that it is assigned to. */
+/** Whether the VM reports that it is ready in its assigned replica. */
 bool frm_is_ready (const struct frm_vm *vm);
 /**
- * Whether its last report names this replica and generation, and @p min_state
- * or a later stage.
+ * Whether the VM's last report names this replica and generation, and @p
+ * min_state or a later state.
  */
 bool frm_reports (const struct frm_vm *vm, const struct frm_replica *r,
                   enum bks_member_state min_state);
@@ -210,7 +214,7 @@
  * otherwise after its leader has left it.
  */
 void frm_replica_end (struct frm *f, struct frm_replica *r);
-/** Releases the members for other replicas. */
+/** Releases the members, so that they can join other replicas. */
 void frm_replica_release (struct frm *f, struct frm_replica *r);
 
 /* form-group.c */
@@ -256,8 +260,8 @@
 /** Model whose weights the VM holds, or empty. */
 struct str frm_loaded_model (const struct frm_vm *vm);
 /**
- * Whether the VM can join a replica of @p model without a load from the weight
- * store.
+ * Whether the VM or its host's memory holds the weights of @p model, so that
+ * no load from the weight store is needed.
  */
 bool frm_has_weights (const struct frm_vm *vm, struct str model);
 
--- a/serve/form-order.c
+++ b/serve/form-order.c
@@ -5,8 +5,8 @@
 
 /**
  * Share of the limit on loads that one leader node uses.  A new leader node
- * does not know which loads its predecessor started in the same window.  With
- * less than half each, both together stay below the limit.
+ * does not know which loads its predecessor started in the same window.  As
+ * each uses less than half, both together stay below the limit.
  */
 #define LOADS_SHARE 0.45
 
@@ -46,9 +46,9 @@
 }
 
 /**
- * Whether the VM accepted the same order and no list has been requested since
- * that would show its effect.  With thousands of servers the list is read only
- * every few seconds; if orders were repeated in between, each server would get
+ * Whether the VM accepted this order and the last list was requested too early
+ * to show its effect.  With thousands of servers the list is read only every
+ * few seconds; if orders were repeated in between, each server would get
  * several for each step.
  */
 static bool
--- a/serve/form-place.c
+++ b/serve/form-place.c
@@ -4,21 +4,18 @@
 #include <string.h>
 
 /**
- * For this time after the last VM appeared, no warm spare is loaded: the free
- * VMs may still become part of a replica.
+ * No warm spare is loaded until this long after the last VM appeared, because
+ * the free VMs may still become part of a replica.
  */
 #define ARRIVAL_QUIET_MS ((clk_ms)1000)
 
 /**
  * Settle window at startup.  Servers that start together appear between some
- * milliseconds and a tenth of a second apart.  A list without a new VM that
- * was requested this long after the list with the last new VM therefore
- * contains all of them.
+ * milliseconds and a tenth of a second apart.  All have appeared once a list
+ * without a new VM was requested this long after the last list with one.
  */
 #define SETTLE_WINDOW_MS ((clk_ms)200)
-/**
- * If VMs keep appearing, replicas are formed from the listed ones after this.
- */
+/** Upper limit of that wait, if VMs keep appearing. */
 #define SETTLE_MAX_MS ((clk_ms)5000)
 
 /* --- forming a replica ------------------------------------------------- */
@@ -33,14 +30,14 @@
 /**
  * Selects the cheapest free VMs of the domain for a replica of @p m.
  *
- * All members come from one domain.  VMs left over from a replica that can't
- * be completed within their domain stay idle until a load has ended.  Replicas
- * formed from the remaining VMs of several domains, which communicate over a
- * slower network, reduced the revenue: without them, 0.005 more of the
- * possible revenue is earned (20 days with failures; 0.008 on 10 days of
- * another workload), and no day lost more than 0.009.  At a quarter of the
- * speed each request to these replicas is late, and their VMs are not
- * available when their own domain could use them.
+ * All members come from one domain.  VMs that can't complete a replica within
+ * their domain stay idle until another VM of the domain has loaded the model.
+ * Replicas of VMs of several domains communicate over a slower network.
+ * Without them revenue was higher by 0.005 of the possible revenue (20 days
+ * with failures; by 0.008 on 10 days of another workload), and lower by at
+ * most 0.009 on any day.  At a quarter of the speed each request to these
+ * replicas is late, and their VMs are not available when their own domain
+ * could use them.
  */
 static bool
 choose_members (const struct frm *f, const struct frm_fabric_domain *d,
@@ -72,8 +69,8 @@
 
 /**
  * Minimum time until the members of @p c are ready.  The list is polled at the
- * fast interval only after that: each read is a paid call, and during half of
- * a day with constant server crashes some replica is joining.
+ * fast interval only after that: each read is a paid call, and on a day with
+ * constant server crashes some replica is joining half of the time.
  */
 static clk_ms
 min_joining_ms (const struct frm *f, const struct tbl_model *m,
@@ -103,7 +100,7 @@
     {
       struct frm_vm *vm = c->members[i];
       if (vm->replica)
-        frm_replica_release (f, vm->replica);
+        frm_replica_release (f, vm->replica); /* its warm spare */
       r->members[i] = vm;
       vm->replica = r;
       vm->next_order_at = f->now;
@@ -158,7 +155,8 @@
 /* --- warm spares -------------------------------------------------------- */
 
 /**
- * Free VMs needed for the planned replicas of the model that don't exist yet.
+ * Number of VMs that the planned but not yet formed replicas of the model
+ * need.
  */
 static unsigned
 missing_vms (const struct frm_fabric_domain *d, size_t k)
@@ -168,7 +166,7 @@
   return n * d->s->models[k].size;
 }
 
-/** Model that lacks the most VMs, as a fraction of its replica size. */
+/** Model that lacks the most VMs, in multiples of its replica size. */
 static size_t
 most_missing_model (const struct frm_fabric_domain *d)
 {
@@ -191,8 +189,9 @@
 }
 
 /**
- * Model with the fewest warm VMs beyond those needed, relative to its number
- * of members, any of which may fail.  Of two equal models, the one with more
+ * Model with the fewest surplus VMs, relative to the members of its planned
+ * replicas, any of which may fail.  Surplus VMs hold or load the model and are
+ * not needed for a missing replica.  Of two equal models, the one with more
  * members.
  */
 static size_t
@@ -217,8 +216,8 @@
 }
 
 /**
- * Whether the VM may load model @p k: it holds no model, or at least two VMs
- * of the model that it holds are surplus and there is no surplus for @p k.
+ * Whether the VM may load model @p k: it holds no model, or the model that it
+ * holds has at least two surplus VMs and model @p k has none.
  */
 static bool
 may_load_model (const struct frm_fabric_domain *d, const struct frm_vm *vm,
--- a/serve/form-plan.c
+++ b/serve/form-plan.c
@@ -4,9 +4,9 @@
 #include <string.h>
 
 /**
- * A domain with at least this many VMs keeps one VM out of its replicas, which
- * replaces a VM that fails.  A smaller domain that holds a replica of each of
- * two models, of six and three VMs, would lose one of them.
+ * A domain with at least this many VMs keeps one VM out of its replicas as a
+ * reserve, which replaces a VM that fails.  A smaller domain, for example with
+ * one replica of six VMs and one of three, would lose a replica by that.
  */
 #define RESERVE_MIN_VMS 10
 
@@ -43,8 +43,8 @@
 
 /**
  * VMs of @p n replicas of the model, relative to the model's share of the
- * work.  A share refers to the work of the VMs, whatever the throughput of one
- * replica.
+ * work.  Shares divide the VMs' work, not the number of requests that replicas
+ * complete.
  */
 static double
 vms_per_share (unsigned n, const struct tbl_model *m)
@@ -227,8 +227,8 @@
 }
 
 /**
- * Model with the fewest VMs relative to its share that fits; of two equal
- * models, the larger one.
+ * Model with the fewest VMs over all domains, relative to its share, that
+ * fits; of two equal models, the larger one.
  */
 static size_t
 least_supplied_in_service (const struct tbl_service *s,
@@ -323,8 +323,8 @@
 }
 
 /**
- * Keeps the maximum, so that a domain which has lost VMs is not dedicated to
- * another model because of that.
+ * Keeps the maximum, so that a domain is not dedicated to another model
+ * because it has lost VMs.
  */
 void
 frm_update_domain_sizes (struct frm *f)
--- a/serve/form-plan.h
+++ b/serve/form-plan.h
@@ -32,7 +32,8 @@
   unsigned number;               /**< as in frm_vm.domain_number */
   unsigned want[FRM_MAX_MODELS]; /**< planned replicas of each model */
   unsigned have[FRM_MAX_MODELS]; /**< replicas that are open or being formed */
-  /** Free VMs that hold the model or load it. */
+  /** VMs in no replica that load the model, or hold it in the VM or in host
+      memory. */
   unsigned warm_or_loading[FRM_MAX_MODELS];
   /**
    * Model that the domain is dedicated to, if it is too small for a replica of
--- a/serve/form-stage.c
+++ b/serve/form-stage.c
@@ -7,12 +7,12 @@
  * not hold.  The VM then joins a replica of either model within one or two
  * seconds, compared with 12 to 16 s for a load.
  *
- * The hosts of replica members preload as long as there is no traffic, when it
+ * The hosts of replica members preload only before there is traffic, when this
  * delays no request.  If a replica later can't be completed, its remaining VMs
  * can serve the other model, and a surplus replica can give its VMs to a
- * replica that needs them.  In a domain that couldn't form its replicas after
- * a restart of all its VMs, the members' hosts preload nothing and keep the
- * model that the member serves.
+ * replica that needs them.  If the domain could then not form its replicas
+ * after a restart of all its VMs, the members' hosts preload nothing and keep
+ * the model that the member serves.
  */
 
 /** Delay after the last VM appeared, so that replicas are formed first. */
@@ -24,7 +24,7 @@
 #define PRELOAD_RETRY_MS ((clk_ms)5000)
 /**
  * Share of the service's simultaneous loads that preloads may use; the rest is
- * left to VMs that a replica waits for.
+ * kept for loads that a replica waits for.
  */
 #define PRELOAD_SHARE 0.5
 
@@ -45,7 +45,7 @@
   return best;
 }
 
-/** Whether its host holds a model other than the VM's. */
+/** Whether the host holds a model other than the VM's. */
 static bool
 has_preloaded_other (const struct frm_vm *vm)
 {
@@ -115,7 +115,8 @@
 }
 
 /**
- * Whether the weight store has capacity for a load that no replica waits for.
+ * Whether the weight store has capacity for a preload, which no replica waits
+ * for.
  */
 static bool
 has_load_capacity (const struct frm *f, const struct tbl_service *s)
--- a/serve/form-yield.c
+++ b/serve/form-yield.c
@@ -2,10 +2,11 @@
 
 /*
  * A domain that has lost more VMs than its reserve can't hold all its replicas
- * any more.  The remaining VMs of a large replica then wait many seconds for
- * loads, while smaller replicas of another model in the domain may have unused
- * slots.  Such replicas are closed, and their VMs, whose hosts hold the
- * weights, complete the large replica within seconds.
+ * any more.  The remaining VMs of a large replica would wait many seconds
+ * until other VMs have loaded the weights, while smaller replicas of another
+ * model in the domain may have unused slots.  These smaller replicas are
+ * closed.  Their VMs, whose hosts hold the weights of the large model,
+ * complete the large replica within seconds.
  *
  * A replica is closed for another model only if this clearly lowers the
  * utilization of the busier of the two models, over all domains.
@@ -13,8 +14,9 @@
 
 /**
  * Reassignment must lower the utilization of the busier model below this
- * fraction of its current value: closing a replica moves requests to other
- * replicas, and the known demand is only an average.
+ * fraction of its current value.  The margin is needed because the demand is
+ * only an average, and because closing a replica moves its requests to other
+ * replicas.
  */
 #define MAX_UTILIZATION_RATIO 0.85
 
@@ -36,8 +38,8 @@
 }
 
 /**
- * Whether closing @p closed replicas of model @p donor for one of @p receiver
- * lowers the utilization of the busier of the two.
+ * Whether closing @p closed replicas of model @p donor, to form one more
+ * replica of model @p receiver, lowers the utilization of the busier model.
  */
 static bool
 lowers_peak_utilization (const struct frm *f, const struct tbl_service *s,
@@ -57,8 +59,8 @@
 }
 
 /**
- * Whether the VM is free, or will be soon, to join a replica of that model
- * without a load.
+ * Whether the VM can join a replica of @p model without a load, now or after
+ * its current replica has closed.
  */
 static bool
 is_available_with_weights (const struct frm *f, const struct frm_vm *vm,
@@ -99,10 +101,11 @@
 }
 
 /**
- * Closes replicas of model @p donor until their VMs suffice for one of @p
- * receiver.
- * @param dry_run  only count the replicas that would be closed
- * @return number of replicas closed; 0: their VMs don't suffice
+ * Closes replicas of model @p donor until enough VMs are available for one
+ * more replica of model @p receiver.
+ * @param dry_run only count the replicas that would be closed
+ * @return number of replicas closed; 0: the VMs don't suffice, or suffice with
+ *        none closed
  */
 static unsigned
 close_replicas_for (struct frm *f, const struct frm_fabric_domain *d,
--- a/serve/form.c
+++ b/serve/form.c
@@ -12,27 +12,27 @@
 #define GENERATIONS_PER_FENCE 1000
 
 /**
- * Delay before an order without a response is sent again.  The first one may
- * take effect only seconds later, and until every member is ready its replica
- * waits.
+ * Delay before an order without a response is sent again.  The unanswered
+ * order may take effect only seconds later, and the replica waits until every
+ * member is ready.
  */
 #define UNANSWERED_RETRY_MS ((clk_ms)50)
 
-/** Consecutive failed probes after which a VM is treated as missing. */
+/** Consecutive failed probes after which a VM counts as removed. */
 #define PROBE_FAILURES_MAX 2
 /**
- * Interval between the probes of a suspected VM.  Waiting for a response takes
- * 150 ms or more if the VM is dead, so it is treated as missing after 0.4 s.
+ * Interval between the probes of a VM that may have failed.  A probe of a dead
+ * VM takes 150 ms or more, so the VM counts as removed after 0.4 s.
  */
 #define PROBE_MS ((clk_ms)50)
 /**
  * Interval between the probes of a member that is not listed.  A repair takes
- * a second or more, so that half a second of delay before it starts matters
- * little; a disconnection from the store lasts some seconds, which makes ten
- * probes for each member.
+ * a second or more, so that starting it half a second later matters little.  A
+ * disconnection from the store lasts some seconds, which makes ten probes for
+ * each member.
  */
 #define PROBE_UNLISTED_MS ((clk_ms)500)
-/** Interval between the probes of a VM that is treated as missing. */
+/** Interval between the probes of an unresponsive VM. */
 #define PROBE_UNRESPONSIVE_MS ((clk_ms)2000)
 
 struct frm *
@@ -291,7 +291,7 @@
  * it stops serving.  A replica of which it was a member no longer works, but
  * its leader may still be open.  A late order to join that replica could make
  * the new incarnation a member of it again, so the VM joins no other replica
- * until that one has ended.
+ * until the old one has ended.
  */
 static void
 reset_restarted_vm (struct frm *f, struct frm_vm *vm)
@@ -368,9 +368,9 @@
 /**
  * Whether the VM may still serve although its entry has expired: it may only
  * be disconnected from the store.  As long as it responds to probes it stays
- * in its replica.  When every expired entry closed a replica, disconnecting
- * one VM in eight closed half of the replicas, and their warm members were
- * lost.
+ * in its replica.  When replicas were closed for each expired entry,
+ * disconnecting one VM in eight closed half of the replicas, and their
+ * members' loaded weights were lost.
  */
 static bool
 may_still_serve (const struct frm_vm *vm)
@@ -437,10 +437,9 @@
 
 /**
  * Sets the replica's model from the report of a ready member.  A VM that is
- * not ready yet reports no model, or the one that it held before.  If that
- * were used, a leader adopted without its members could be taken for a
- * complete replica with fewer members, and open without the others.  A ready
- * VM reports the replica's model.
+ * not ready yet reports no model, or the model that it held before.  With that
+ * model, a leader adopted without its members could count as a complete
+ * replica with fewer members, and open without the others.
  */
 static void
 update_replica_model (const struct frm *f, struct frm_replica *r)
@@ -450,7 +449,7 @@
       set_model (f, r, r->members[i]->entry.model);
 }
 
-/** Adds a replica with the VMs that report the same one as @p first. */
+/** Adds the replica that @p first reports, with all VMs that report it. */
 static struct frm_replica *
 adopt_replica (struct frm *f, struct frm_vm *first)
 {
@@ -511,7 +510,7 @@
   return NULL;
 }
 
-/** Adds a member that was not yet known to an adopted replica. */
+/** Adds a member that appeared after its replica was adopted. */
 static void
 attach_member (struct frm *f, struct frm_replica *r, struct frm_vm *vm)
 {
@@ -526,10 +525,9 @@
 }
 
 /**
- * Releases members that were disconnected while their replica was closed, and
- * now report it again.  The replica has ended, so its leader is known not to
- * lead it any more, and these members need not wait until that leader must
- * have stopped serving.
+ * Releases VMs that were disconnected while their replica was closed, and
+ * still report that replica.  Its leader no longer leads it, so these VMs need
+ * not wait for stall_ms.
  */
 static void
 release_returned_members (struct frm *f)
@@ -547,10 +545,10 @@
 
 /**
  * Adopts replicas that this leader node has not ended and that VMs report for
- * the first time.  A leader among them may still be open, or open again after
- * a late order, and a member's leader may be listed soon.  Therefore they are
- * handled like any other replica, and their VMs are not used as spares
- * meanwhile.
+ * the first time.  The leader of one of them may still be open, or open again
+ * after a late order, or be listed only later than its members.  Therefore
+ * they are handled like any other replica, and their VMs are not used as
+ * spares meanwhile.
  */
 static void
 adopt_late_replicas (struct frm *f)
--- a/serve/form.h
+++ b/serve/form.h
@@ -14,9 +14,9 @@
  *   reported that it is ready under this name, generation and member list.
  * - A backend server joins another replica only after the leader of its
  *   previous replica has closed, has reported it broken, was never open, or is
- *   known to be gone.  If that leader is unreachable, the other members leave,
- *   and the core waits until a replica leader without its members must have
- *   stopped serving.
+ *   known to be gone.  If that leader is unreachable, the core orders the
+ *   other members to leave.  It then waits a little longer than stall_ms, the
+ *   time after which a replica leader without its members stops serving.
  * - Generations increase across leader nodes, because each leader node starts
  *   above its fencing token times a constant; servers therefore reject an
  *   order that arrives late.
@@ -78,7 +78,7 @@
 
 struct frm_options
 {
-  /** A replica leader that lost a member stops serving after this. */
+  /** A replica leader stops serving this long after it has lost a member. */
   clk_ms stall_ms;
   double ceiling_window_s; /**< window of the limit on loads */
   double ceiling_over;     /**< factor on the allowed rate of loads */
@@ -91,6 +91,7 @@
 
 /**
  * This node became the leader node, or stopped being it.
+ * @param on  whether this node is the leader node now
  * @param fence  fencing token of this leadership
  */
 void frm_set_leading (struct frm *f, clk_ms now, bool on, int64_t fence);
@@ -100,7 +101,8 @@
  * entries: call this function again whenever @p servers has changed.
  * @param list_complete  whether the list is known to be complete.  As long as
  *        it is not, a missing server may only have an expired entry, so the
- *        core neither gives up a replica nor loads weights because of it.
+ *        core neither ends a replica nor loads weights onto other VMs because
+ *        of it.
  */
 void frm_set_servers (struct frm *f, clk_ms now, const struct bks *servers,
                       const struct tbl *config, bool list_complete);
@@ -137,6 +139,7 @@
 /** Replicas by state and totals, for metrics and logs. */
 struct frm_stats
 {
+  /** spares: VMs in no replica; warm: the warm spares among these */
   unsigned forming, open, closing, spares, warm;
   uint64_t loads, orders, formed, lost;
 };
--- a/serve/invalid-entries.c
+++ b/serve/invalid-entries.c
@@ -6,7 +6,7 @@
 struct entry
 {
   uint64_t value; /* hash of the value */
-  bool seen;      /* named by the list that is being read */
+  bool seen;      /* recorded in the current pass */
 };
 
 struct inv
--- a/serve/invalid-entries.h
+++ b/serve/invalid-entries.h
@@ -19,8 +19,8 @@
 
 /** Starts a new pass over the list. */
 void inv_begin_list (struct inv *u);
-/** Records an entry that can't be parsed. @return whether it is new or has
-    changed */
+/** Records an entry that can't be parsed.
+    @retval true it is new or has changed */
 bool inv_record (struct inv *u, struct str key, struct str value);
 /** Ends the pass and drops the entries that it didn't record. */
 void inv_end_list (struct inv *u);
--- a/serve/split.h
+++ b/serve/split.h
@@ -3,9 +3,9 @@
  * Incremental parser that splits a byte stream into server-sent events (SSE).
  *
  * Only complete events are returned; an incomplete one stays in the buffer.  A
- * backend server may fail in the middle of an event: if the first part had
- * been forwarded, the stream couldn't continue at another backend server
- * without a broken event.
+ * backend server may fail in the middle of an event.  If its first part had
+ * been forwarded, the client would get a broken event when the stream
+ * continues at another backend server.
  */
 #ifndef LAPISLINE_SERVE_SPLIT_H
 #define LAPISLINE_SERVE_SPLIT_H
