--- a/serve/dispatch-crash.c
+++ b/serve/dispatch-crash.c
@@ -11,15 +11,15 @@
 /** Runs interrupted at an endpoint within this time are attributed to the same
     cause. */
 #define SAME_CAUSE_MS ((clk_ms)2000)
-/** Time for which no requests are sent to a server whose process has ended. By
-    then its entry in the server list has expired, unless the check was
-    wrong. */
+/** Time for which no requests are sent to a server whose process has ended.
+    After it, the server's entry in the server list has expired, unless the
+    check was wrong. */
 #define PROCESS_ENDED_MS ((clk_ms)5000)
-/** The same after a report from another node, which repeats its report during
-    this time. */
+/** The same after a report from another node, which repeats the report for
+    PROCESS_ENDED_MS. */
 #define REPORTED_ENDED_MS ((clk_ms)1500)
 
-/** Finds the entry for a run that is interrupted now. An entry whose check
+/** Finds the record for a run that is interrupted now. A record whose check
     found the server alive or unreachable is not reused. */
 static struct dsp_interruption *
 find_interruption (struct dsp *d, uint64_t endpoint)
@@ -124,7 +124,7 @@
     s->reported_ended_until = d->now + REPORTED_ENDED_MS;
 }
 
-/** Whether it is still possible to prevent its execution. */
+/** Whether execution of the request can still be prevented. */
 static bool
 can_prevent (const struct dsp_req *q)
 {
--- a/serve/dispatch-int.h
+++ b/serve/dispatch-int.h
@@ -35,8 +35,9 @@
   DSP_STATES
 };
 
-/** Events of charts/forward.json. */
-enum dsp_transition
+/** Events of charts/forward.json, in the order of event_names in
+    dispatch.c. */
+enum dsp_event
 {
   DSP_EVENT_WAIT,
   DSP_EVENT_REFUSE,
@@ -93,18 +94,21 @@
   /** no requests are sent before this time, because this node has found that
       the process ended */
   clk_ms process_ended_until;
-  clk_ms reported_ended_until; /**< the same, because another node reported
-                                    it */
+  clk_ms reported_ended_until; /**< no requests are sent before this time,
+                                    because another node reported that the
+                                    process ended */
   unsigned failures_in_row;
   double failure_rate;   /**< moving average of failures, 0 to 1 */
   double first_event_ms; /**< moving average of the time to the first event */
   unsigned samples;
   clk_ms ejected_until; /**< 0: not ejected */
   unsigned ejections;   /**< consecutive ejections, for the backoff */
-  bool trial_in_flight; /**< ejected, and one trial request is in flight */
+  bool trial_in_flight; /**< one trial request is in flight, to find out
+                             whether the endpoint works again */
 };
 
-/** Seconds that the retry budget counts; longer windows don't fit. */
+/** Length of the retry budget's history, in seconds; longer windows are cut
+    to it. */
 #define DSP_BUDGET_SECONDS 32
 
 /** Requests and retries of a service in each second of a sliding window. */
@@ -145,8 +149,8 @@
   struct dsp_rate request_rates[DSP_PRIORITIES];
   struct dsp_rate rejection_rate; /**< rate of requests rejected because all
                                        endpoints are rate-limited */
-  clk_ms assigned_until; /**< time up to which the permitted rate has been
-                              given to rejected clients as retry delays */
+  clk_ms assigned_until; /**< latest retry time given to a rejected client;
+                              the next client gets a later one */
 };
 
 /** An open request. */
@@ -260,9 +264,9 @@
 /** @param q NULL: the action concerns no request */
 struct dsp_action *dsp_add_action (struct dsp *d, enum dsp_action_kind kind,
                                    const struct dsp_req *q);
-/** Makes a transition of the chart; aborts the process if the chart doesn't
-    allow it. */
-void dsp_transition (struct dsp_req *q, enum dsp_transition x);
+/** Applies an event to the request's state; aborts the process if the chart
+    doesn't allow it. */
+void dsp_transition (struct dsp_req *q, enum dsp_event event);
 /** Ends the current attempt and queues the request for a retry, if that is
     allowed; else ends the request with @p code. */
 void dsp_attempt_failed (struct dsp *d, struct dsp_req *q, enum dsp_code code);
@@ -271,9 +275,9 @@
 struct dsp_req *dsp_find_attempt (const struct dsp *d, uint64_t id,
                                   unsigned attempt);
 
-/** Ends the request with the error @p if_not_executed, where this is certain,
-    else with @p if_executed.
-    @param retry_ms  delay after which the client may retry; sent only if the
+/** Ends the request with the error @p if_not_executed if it was certainly
+    not executed, else with @p if_executed.
+    @param retry_ms delay after which the client may retry; sent only if the
     request was not executed; 0: not given */
 void dsp_give_up (struct dsp *d, struct dsp_req *q,
                   enum dsp_code if_not_executed, enum dsp_code if_executed,
@@ -293,14 +297,15 @@
 /** Sums the load reported by the peers again, after the list of endpoints has
     changed. */
 void dsp_load_sum_peers (struct dsp *d);
-/** Prompt tokens of all nodes' requests that the endpoint has yet to
-    process. */
+/** Prompt tokens of all nodes' requests that the endpoint has not processed
+    yet. */
 double dsp_load_pending_prefill (const struct dsp_endpoint_state *s);
 /** Drops notices that have expired. */
 void dsp_load_expire_prompt_notices (struct dsp *d);
 /** Adds the prompt of @p q to the pending tokens of its endpoint. */
 void dsp_load_prompt_sent (struct dsp *d, struct dsp_req *q);
-/** Removes it: the prompt was processed, or the attempt has ended. */
+/** Subtracts the prompt of @p q again: it was processed, or the attempt has
+    ended. */
 void dsp_load_prompt_processed (struct dsp_req *q);
 void dsp_send_all_queued (struct dsp *d);
 
@@ -326,8 +331,8 @@
                         const struct dsp_endpoint_state *s);
 bool dsp_health_trial_due (const struct dsp *d,
                            const struct dsp_endpoint_state *s);
-/** Whether its streams have been silent for long enough that new requests
-    should avoid it. */
+/** Whether the endpoint's streams have received nothing for so long that
+    new requests should avoid it. */
 bool dsp_health_streams_silent (const struct dsp *d,
                                 const struct dsp_endpoint_state *s);
 /** Detects stalled endpoints and moves their requests. */
@@ -341,7 +346,7 @@
 void dsp_limit_ask_permit (const struct dsp *d,
                            const struct dsp_endpoint_state *s,
                            const struct dsp_req *q);
-/** Uses up a permit, as a request is sent there. */
+/** Uses up a permit for a request sent to the endpoint. */
 void dsp_limit_use_permit (const struct dsp *d,
                            const struct dsp_endpoint_state *s);
 bool dsp_has_rate_limit (const struct dsp *d,
@@ -351,16 +356,16 @@
                         const struct dsp_endpoint_state *s);
 /** Counts a new request in the pool's rate for its priority. */
 void dsp_limit_count_request (const struct dsp *d, const struct dsp_req *q);
-/** Whether @p q must leave the permitted rate to requests of higher priority,
-    because these need all of it. */
+/** Whether requests of higher priority need all of the permitted rate, so
+    that @p q must wait. */
 bool dsp_limit_used_by_higher_priority (const struct dsp *d,
                                         const struct dsp_pool *p,
                                         const struct dsp_req *q);
 /** Whether all usable endpoints of the pool are rate-limited. */
 bool dsp_limit_on_all_endpoints (const struct dsp *d,
                                  const struct dsp_pool *p);
-/** Time after which the pool's queue can be sent, if all its usable endpoints
-    are rate-limited and have no permits left; else 0. */
+/** Time needed to send the pool's queue, if all its usable endpoints are
+    rate-limited and have no permits left; else 0. */
 clk_ms dsp_limit_wait_ms (const struct dsp *d, const struct dsp_pool *p);
 /** Delay after which a client that is rejected by the rate limit may retry;
     counts the rejection. */
--- a/serve/dispatch-limit.c
+++ b/serve/dispatch-limit.c
@@ -7,7 +7,7 @@
  * counts as full. It remains usable, and no request fails because of it.
  */
 
-/** Longest retry delay sent to a client. */
+/** Longest retry delay sent to a client that is rejected by a rate limit. */
 #define MAX_LIMIT_RETRY_MS ((clk_ms)10000)
 /** Time constant of the moving averages. */
 #define RATE_WINDOW_MS 2000.0
@@ -152,7 +152,7 @@
   return sum_of_limits (d, p, &exhausted) > 0;
 }
 
-/** This node's share of that rate. */
+/** This node's share of the summed rate limits. */
 static double
 own_share (const struct dsp *d, double sum)
 {
@@ -175,8 +175,8 @@
   return higher_priority_rate >= own_share (d, sum);
 }
 
-/** Time that this node needs to send @p n requests at its share of the
-    rate. */
+/** Time that this node needs to send @p n requests at its share of the rate
+    limits. */
 static clk_ms
 time_to_send (const struct dsp *d, double sum, double n)
 {
--- a/serve/dispatch-load.c
+++ b/serve/dispatch-load.c
@@ -5,8 +5,8 @@
 #include <string.h>
 
 /*
- * Load of each endpoint: of this node, and of the other nodes as they report
- * it.
+ * Load of each endpoint: that of this node, and that reported by the other
+ * nodes.
  */
 
 /**
@@ -14,8 +14,8 @@
  * the other nodes when it is sent. Load reports are sent only every tenth of a
  * second. In that time two nodes could send their longest prompts to the same
  * replica, and while it processes both, all its streams pause for longer than
- * clients accept. Fleets with more nodes than a full mesh connects rely on the
- * load reports alone.
+ * clients accept. Fleets of more than RLY_MESH_MAX nodes rely on the load
+ * reports alone.
  */
 #define NOTICE_MIN_PREFILL_MS 20.0
 /** An announced prompt counts as processed after this time. On a replica with
--- a/serve/dispatch-place.c
+++ b/serve/dispatch-place.c
@@ -3,18 +3,18 @@
 #include <stdlib.h>
 
 /**
- * Requests that an endpoint may be sent beyond its number of slots, if they
- * can still meet their latency goal: a slot becomes free there about every 60
- * ms, and the goals allow for a little more than one wait of this length.
+ * Number of requests that may be sent to an endpoint in addition to its slots,
+ * if they can still meet their latency goal. A slot becomes free there about
+ * every 60 ms, and the goals leave time for little more than that.
  */
 #define EXTRA_REQUESTS 1
 
 /**
- * Pending prompt processing, in ms, that weighs as much as all slots of an
- * endpoint. Long prompts that arrive together delay all streams of the
- * replica, while slots are rarely short. In tests over 20 days with failures
- * each, 20, 25, 40 and 80 ms gave the same served share within 0.003, and 170
- * ms gave 0.005 less.
+ * Processing time of pending prompts, in ms, that adds as much load as all
+ * slots of an endpoint in use. Long prompts that arrive together delay all
+ * streams of the replica, whereas all slots are seldom in use. In tests over
+ * 20 days with failures each, 20, 25, 40 and 80 ms gave the same served share
+ * within 0.003, and 170 ms gave 0.005 less.
  */
 #define PREFILL_WEIGHT_MS 25.0
 
@@ -150,7 +150,7 @@
   return false;
 }
 
-/** Requests that hold a slot or are queued for the next free ones. */
+/** Requests that hold a slot or wait at the server for one. */
 static uint32_t
 slots_taken (const struct dsp_endpoint_state *s)
 {
@@ -158,11 +158,10 @@
 }
 
 /**
- * Load of an endpoint as seen by a further request, in parts of its capacity:
- * the slots taken, plus the processing time of the pending prompts. A replica
- * processes all new prompts in one pass, and all its streams pause meanwhile.
- * Half a dozen long prompts take 200 ms, which makes each of these streams
- * late.
+ * Load of an endpoint as a fraction of its capacity: the slots taken, plus the
+ * processing time of the pending prompts. A replica processes all new prompts
+ * in one pass, and all its streams pause meanwhile. Half a dozen long prompts
+ * take 200 ms, which makes each of these streams late.
  */
 static double
 load_of (const struct dsp_endpoint_state *s)
@@ -198,7 +197,7 @@
  * loaded endpoint, all of them would choose the same one until the next
  * report, and the requests sent in that time would queue there.
  *
- * Rate-limited endpoints for which this node has a permit are considered in
+ * Rate-limited endpoints for which this node has a permit are compared in
  * addition, because the permit is valid for this node only and expires if it
  * is not used.
  */
@@ -234,8 +233,8 @@
   return less_loaded (permitted, less_loaded (drawn[0], drawn[1]));
 }
 
-/** Finds an ejected or stalled endpoint that is due for a trial, for a request
-    that can be retried after a failure. */
+/** Finds an ejected or stalled endpoint that is due for a trial request, if
+    @p q can be retried after a failure. */
 static bool
 find_trial_endpoint (const struct dsp *d, const struct dsp_pool *p,
                      const struct dsp_req *q, struct dsp_endpoint_state **out)
@@ -275,14 +274,13 @@
 }
 
 /*
- * When all slots are taken, a request waits in this queue for an eighth of its
- * latency goal and is then rejected as not executed. A backend server would
- * queue it behind all others. Under overload it would not be served there in
- * time, and it would take a slot just when a request arrives that could still
- * meet its goal. Queueing at the servers lowered the served share by 1.4
- * percentage points (20 days with failures and high load; 1.2 and 1.7 on 10
- * days of two other workloads), because a rejected request is retried when a
- * slot is free.
+ * If all slots are taken, the request stays in this node's queue for an eighth
+ * of its latency goal and is then rejected as not executed; its client retries
+ * it when a slot is free. A backend server would queue the request behind all
+ * others. Under overload it would not be served there in time, and would take
+ * a slot just when a request arrives that could still meet its goal. Queueing
+ * at the servers lowered the served share by 1.4 percentage points (20 days
+ * with failures and high load; 1.2 and 1.7 on 10 days of two other workloads).
  */
 struct dsp_endpoint_state *
 dsp_choose_endpoint (struct dsp *d, struct dsp_pool *p,
--- a/serve/dispatch-wait.c
+++ b/serve/dispatch-wait.c
@@ -1,7 +1,7 @@
 #include "serve/dispatch-int.h"
 
-/** Priorities sent to backend servers: of resumed streams, and the lowest of
-    all other requests. */
+/** Priorities sent to backend servers, which serve 0 first: resumed streams
+    get 0, other requests 1 to 8. */
 #define PRIORITY_RESUMED 0
 #define PRIORITY_LOWEST 8
 
@@ -45,7 +45,7 @@
   p->queue_length--;
 }
 
-/** Whether it would miss its latency goal if it were sent now. */
+/** Whether the request would miss its latency goal if it were sent now. */
 static bool
 is_late (const struct dsp *d, const struct dsp_req *q)
 {
@@ -54,9 +54,9 @@
 
 /**
  * Order of the queue. Requests that can still meet their latency goal come
- * before those that can't: a late response loses little by further waiting,
- * while a request delayed by it would lose most of its value. Then by
- * priority, then by arrival.
+ * first: a late response loses little value by waiting longer, whereas a
+ * request that becomes late loses most of it. Then come resumed streams, then
+ * requests by priority, then by arrival.
  */
 static bool
 comes_first (const struct dsp *d, const struct dsp_req *a,
@@ -116,9 +116,9 @@
   a->addr = s->addr;
   a->server = str_from (s->server);
   a->duration_ms = q->deadline - d->now;
-  /* The peer may have closed an idle connection, or the connection may be dead
-     without notice. A request that can't be retried must not be sent on
-     one. */
+  /* The backend server may have closed an idle connection, or the
+     connection may be dead without notice. A request that can't be retried
+     is therefore sent on a new one. */
   a->new_connection = !q->retryable;
   a->resume = q->partly_forwarded;
   a->priority = server_priority (q);
@@ -138,6 +138,7 @@
       else if (q->ntried == 0 || untried_only)
         return;
       else
-        untried_only = true; /* the free endpoints may suit other requests */
+        untried_only = true; /* requests that failed nowhere yet may use the
+                                free endpoints */
     }
 }
--- a/serve/dispatch.c
+++ b/serve/dispatch.c
@@ -15,13 +15,13 @@
     delays of some hundred milliseconds. */
 #define TICK_INTERVAL_MS ((clk_ms)20)
 
-/** A tick that is later than this shows that the process was suspended. Data
-    that arrived meanwhile is still in the sockets, as timers run before
-    sockets are read. */
+/** A tick that is later than this is skipped: the process was suspended,
+    and data that arrived meanwhile is still in the sockets, because timers
+    run before sockets are read. */
 #define LATE_TICK_MS ((clk_ms)100)
 
-/** Failed connections after which a request is given up. If a third endpoint
-    can't be reached, the fault is on this node's side. */
+/** Failed connections after which a request is given up. If a third
+    endpoint can't be reached, the cause is on this node. */
 #define MAX_CONNECT_FAILURES 3
 
 /**
@@ -78,9 +78,9 @@
 /** A transition that the chart doesn't allow is a bug in this process.
     Continuing could report a wrong outcome to the client. */
 void
-dsp_transition (struct dsp_req *q, enum dsp_transition x)
+dsp_transition (struct dsp_req *q, enum dsp_event event)
 {
-  int to = transitions[q->state][x];
+  int to = transitions[q->state][event];
 
   if (to < 0)
     abort ();
@@ -318,8 +318,8 @@
   respond_error (d, q, if_not_executed, retry_ms);
 }
 
-/** The same, with the estimated time until a slot is free as the retry
-    delay. */
+/** Does the same as dsp_give_up(), with the estimated time until a slot is
+    free as the retry delay. */
 static void
 give_up (struct dsp *d, struct dsp_req *q, enum dsp_code if_not_executed,
          enum dsp_code if_executed)
@@ -599,7 +599,7 @@
                 > RESPONSE_TIMEOUT_FACTOR * (double)q->route->latency_goal_ms;
 }
 
-/** Reason for which the pool has no endpoint for a request. */
+/** Error code for a request for which the pool has no endpoint. */
 static enum dsp_code
 no_endpoint_code (const struct dsp *d, const struct dsp_pool *p)
 {
@@ -624,9 +624,9 @@
     }
 }
 
-/** Whether this tick is too late to check timeouts. The next tick checks them
-    in any case; otherwise a node that is short of CPU time would never time
-    out a request. */
+/** Whether this tick is too late to check timeouts. The next tick checks
+    them even if it is late too; otherwise a node that is short of CPU time
+    would never time out a request. */
 static bool
 skip_late_tick (struct dsp *d, clk_ms now)
 {
--- a/serve/dispatch.h
+++ b/serve/dispatch.h
@@ -1,6 +1,7 @@
 /**
  * @file
- * Request dispatcher of a serving node (decision core, chart "forward"):
+ * Request dispatcher of a serving node (decision core, states in
+ * charts/forward.json):
  * chooses the backend server for each request and the time to send it, decides
  * on retries, and determines the outcome.
  *
@@ -81,9 +82,10 @@
   uint64_t endpoint;  /**< dsp_endpoint_hash() */
   uint32_t in_flight; /**< requests assigned to the endpoint and not
                            finished */
-  uint32_t streaming; /**< streams among these that have received an event */
-  uint32_t pending_prefill; /**< prompt tokens not yet processed, without
-                                 those announced by a notice */
+  uint32_t streaming; /**< those of them that are streams and have received
+                           an event */
+  uint32_t pending_prefill; /**< prompt tokens not yet processed, except
+                                 those of announced prompts */
   clk_ms last_event_at; /**< time of the last event of any of these streams,
                              by the receiving node's clock */
   bool stalled;         /**< the reporting node has detected a stall */
@@ -126,9 +128,9 @@
                               so that the client can detect it */
   DSP_ACT_RELEASE, /**< id: free the request's resources; no further action
                         names it */
-  DSP_ACT_STALLED, /**< server, duration: the endpoint has sent nothing for
-                        that time; only for the log, its requests are moved
-                        by separate actions */
+  DSP_ACT_STALLED, /**< server, duration: log that the endpoint has sent
+                        nothing for that time; other actions move its
+                        requests */
   DSP_ACT_CHECK_PROCESS /**< server, addr, endpoint: responses were
                              interrupted there; find out whether the process
                              has ended, then call dsp_process_checked() */
@@ -164,10 +166,10 @@
 struct dsp_options
 {
   struct str zone;
-  double retry_ratio; /**< allowed retries in parts of the requests, all
-                           nodes together */
-  double retry_slack; /**< retries allowed in each window in addition, all
-                           nodes together */
+  double retry_ratio; /**< allowed retries as a fraction of the requests,
+                           over all nodes */
+  double retry_slack; /**< additional retries allowed in each window, over
+                           all nodes */
   clk_ms retry_window_ms;
   clk_ms stall_ms;    /**< time after which a replica that has lost a member
                            fails */
@@ -235,8 +237,8 @@
 enum lim_change dsp_response_limit (struct dsp *d, clk_ms now, uint64_t id,
                                     unsigned attempt,
                                     enum lim_report_kind kind, double rate);
-/** Number of requests that this node has sent to the attempt's server while it
-    was rate-limited. */
+/** Number of requests that this node has sent to the attempt's server while
+    that server was rate-limited. */
 uint64_t dsp_sent_while_limited (const struct dsp *d, uint64_t id,
                                  unsigned attempt);
 
@@ -253,8 +255,8 @@
 void dsp_response_interrupted (struct dsp *d, clk_ms now, uint64_t id,
                                unsigned attempt);
 
-/** Reports the result of DSP_ACT_CHECK_PROCESS. @return number of runs
-   interrupted there */
+/** Reports the result of DSP_ACT_CHECK_PROCESS.
+    @return number of interrupted runs that the check covers */
 size_t dsp_process_checked (struct dsp *d, clk_ms now, uint64_t endpoint,
                             enum dsp_liveness found);
 
@@ -279,9 +281,11 @@
 /** Counters since the start of the process. */
 struct dsp_stats
 {
+  /** answered: error responses and truncated responses, by enum dsp_code */
   uint64_t arrived, ended, answered[DSP_DEADLINE + 1];
   uint64_t sent, retried, retries_denied, resumed, stalls, ejections;
-  uint64_t servers_ended; /**< while they executed requests of this node */
+  uint64_t servers_ended; /**< servers whose process ended while they
+                               executed requests of this node */
 };
 const struct dsp_stats *dsp_stats (const struct dsp *d);
 
