--- a/t/lib-dispatch.c
+++ b/t/lib-dispatch.c
@@ -102,18 +102,19 @@
         buf_addf (&b->log, "cancel %d\n", (int)a.id);
         break;
       case DSP_ACT_FORWARD:
-        buf_addf (&b->log, "pass %d\n", (int)a.id);
+        buf_addf (&b->log, "forward %d\n", (int)a.id);
         break;
       case DSP_ACT_COMPLETE:
-        buf_addf (&b->log, "end %d\n", (int)a.id);
+        buf_addf (&b->log, "complete %d\n", (int)a.id);
         break;
       case DSP_ACT_RESPOND_ERROR:
-        buf_addf (&b->log, "answer %d %s %d%s\n", (int)a.id,
+        buf_addf (&b->log, "error %d %s %d%s\n", (int)a.id,
                   dsp_code_name (a.code), dsp_code_status (a.code),
                   a.retry_after_ms ? " retry" : "");
         break;
       case DSP_ACT_TRUNCATE:
-        buf_addf (&b->log, "cut %d %s\n", (int)a.id, dsp_code_name (a.code));
+        buf_addf (&b->log, "truncate %d %s\n", (int)a.id,
+                  dsp_code_name (a.code));
         break;
       case DSP_ACT_RELEASE:
         break;
@@ -167,12 +168,13 @@
 }
 
 static void
-report_load (struct fixture *b, const char *server, unsigned n, unsigned begun)
+report_load (struct fixture *b, const char *server, unsigned n,
+             unsigned streaming)
 {
   struct dsp_endpoint_load c
       = { .endpoint = dsp_endpoint_hash (str_from (server), 0, 0),
           .in_flight = n,
-          .streaming = begun,
+          .streaming = streaming,
           .last_event_at = b->now };
 
   dsp_set_peer_load (b->d, b->now, 7, &c, 1);
@@ -233,23 +235,23 @@
 
   if (strcmp (command, "sent") == 0)
     dsp_request_sent (b->d, b->now, id, at);
-  else if (strcmp (command, "failed") == 0)
+  else if (strcmp (command, "connect-failed") == 0)
     dsp_connect_failed (b->d, b->now, id, at);
-  else if (strcmp (command, "good") == 0)
+  else if (strcmp (command, "ok") == 0)
     dsp_response_head (b->d, b->now, id, at, DSP_RESPONSE_OK);
   else if (strcmp (command, "error") == 0)
     dsp_response_head (b->d, b->now, id, at, DSP_RESPONSE_ERROR);
   else if (strcmp (command, "final") == 0)
     dsp_response_head (b->d, b->now, id, at, DSP_RESPONSE_FINAL);
-  else if (strcmp (command, "unrun") == 0)
+  else if (strcmp (command, "not-executed") == 0)
     dsp_response_head (b->d, b->now, id, at, DSP_RESPONSE_NOT_EXECUTED);
   else if (strcmp (command, "event") == 0)
     dsp_data_received (b->d, b->now, id, at, true);
-  else if (strcmp (command, "whole") == 0)
+  else if (strcmp (command, "complete") == 0)
     dsp_response_complete (b->d, b->now, id, at);
-  else if (strcmp (command, "broken") == 0)
+  else if (strcmp (command, "interrupted") == 0)
     dsp_response_interrupted (b->d, b->now, id, at);
-  else if (strcmp (command, "gone") == 0)
+  else if (strcmp (command, "client-gone") == 0)
     dsp_client_disconnected (b->d, b->now, id);
   else
     cr_assert (false, "unknown command: %s", command);
@@ -267,8 +269,8 @@
     }
 }
 
-/** Simulates a suspension of the process: a tick comes before the waiting data
-    is read. */
+/** Simulates a suspension of the process: its first tick afterwards comes
+    before the received data is read. */
 static void
 suspend (struct fixture *b, int ms)
 {
@@ -303,24 +305,25 @@
 run_command (struct fixture *b, const char *command, const char *x,
              const char *y, const char *z)
 {
-  if (strcmp (command, "places") == 0 || strcmp (command, "streams") == 0)
-    add_endpoints (b, x, atoi (y), (unsigned)atoi (z), command[0] == 's');
-  else if (strcmp (command, "closed") == 0)
+  if (strcmp (command, "endpoints") == 0 || strcmp (command, "replicas") == 0)
+    add_endpoints (b, x, atoi (y), (unsigned)atoi (z), command[0] == 'r');
+  else if (strcmp (command, "close") == 0)
     close_endpoint (b, x);
   else if (strcmp (command, "nodes") == 0)
     dsp_set_node_count (b->d, (unsigned)atoi (x));
-  else if (strcmp (command, "others") == 0)
+  else if (strcmp (command, "peer-load") == 0)
     report_load (b, x, (unsigned)atoi (y), (unsigned)atoi (z));
-  else if (strcmp (command, "ask") == 0 || strcmp (command, "late") == 0)
-    submit (b, (uint64_t)atoi (x), y, (uint64_t)atoi (z), command[0] == 'l',
-            0);
-  else if (strcmp (command, "minor") == 0)
+  else if (strcmp (command, "submit") == 0
+           || strcmp (command, "submit-late") == 0)
+    submit (b, (uint64_t)atoi (x), y, (uint64_t)atoi (z),
+            strcmp (command, "submit-late") == 0, 0);
+  else if (strcmp (command, "submit-low") == 0)
     submit (b, (uint64_t)atoi (x), y, 0, false, 1);
   else if (strcmp (command, "limit") == 0)
     set_limit (b, x, y);
   else if (strcmp (command, "permit") == 0)
     grant_permit (b, x);
-  else if (strcmp (command, "ended") == 0)
+  else if (strcmp (command, "peer-ended") == 0)
     report_ended (b, x);
   else if (strcmp (command, "crashed") == 0)
     finish_check (b, x, DSP_ENDED);
@@ -328,15 +331,15 @@
     finish_check (b, x, DSP_ALIVE);
   else if (strcmp (command, "unknown") == 0)
     finish_check (b, x, DSP_UNREACHABLE);
-  else if (strcmp (command, "blocked") == 0)
+  else if (strcmp (command, "block") == 0)
     block (b, (uint64_t)atoi (x));
   else if (strcmp (command, "run") == 0)
     run (b, atoi (x));
-  else if (strcmp (command, "pause") == 0)
+  else if (strcmp (command, "suspend") == 0)
     suspend (b, atoi (x));
-  else if (strcmp (command, "busy") == 0)
+  else if (strcmp (command, "run-events") == 0)
     run_with_events (b, atoi (x), (uint64_t)atoi (y));
-  else if (strcmp (command, "leave") == 0)
+  else if (strcmp (command, "shutdown") == 0)
     dsp_stop_accepting (b->d);
   else
     response_event (b, command, (uint64_t)atoi (x));
--- a/t/lib-dispatch.h
+++ b/t/lib-dispatch.h
@@ -1,36 +1,37 @@
 /**
  * @file
- * Drives the request dispatcher by a script.
+ * Script interpreter for tests of the request dispatcher.
  *
- *   places NAME N CAPACITY   adds N endpoints NAME1.. of the plain service
- *   streams NAME N CAPACITY  adds N replicas of the model "m"
- *   closed PLACE             the endpoint accepts no new requests
- *   nodes N                  number of nodes that share the retry budget
- *   others PLACE N BEGUN     another node reports N requests there, BEGUN of
- *                            them streams that received an event just now
- *   ended PLACE              another node reports that the process ended
- *   ask ID ROUTE [DIGEST]    a request; ROUTE is stream, once (not idempotent)
- *                            or safe (idempotent); DIGEST is a number, by
- *                            default one that no other request has
- *   late ID ROUTE            the same, from a client that has already waited
- *                            as long as the latency goal
- *   minor ID ROUTE           the same, with the next lower priority
- *   limit PLACE RATE         the server takes RATE requests per second; "none"
- *                            ends the limit
- *   permit PLACE             grants this node a permit for one request
- *   sent|failed|good|error|final|unrun|event|whole|broken|gone ID
- *                            event of the request's current attempt
- *   crashed|alive|unknown PLACE   result of the check of the server's process
- *   blocked DIGEST           the request is blocked, as it crashes servers
- *   busy MS ID               time passes, with ticks when the dispatcher asks
- *                            for them, and an event of the stream every 10 ms
- *   run MS                   time passes in steps of 20 ms
- *   pause MS                 the process is suspended, then a tick comes
- *   leave                    the node shuts down
+ *   endpoints NAME N CAPACITY  adds N endpoints NAME1.. of the plain service
+ *   replicas NAME N CAPACITY   adds N replicas of the model "m"
+ *   close SERVER               the endpoint accepts no new requests
+ *   nodes N                    sets the number of nodes
+ *   peer-load SERVER N STREAMING
+ *                              another node reports N requests there,
+ * STREAMING of them streams that received an event just now peer-ended SERVER
+ * another node reports that the process ended submit ID ROUTE [DIGEST]   a
+ * request; ROUTE is stream, once (at most once) or safe (idempotent); DIGEST
+ * is a number, by default one that no other request has submit-late ID ROUTE
+ * the same, from a client that has already waited as long as the latency goal
+ *   submit-low ID ROUTE        the same, with the next lower priority
+ *   limit SERVER RATE          the server accepts RATE requests per second;
+ *                              "none" removes the limit
+ *   permit SERVER              grants this node a permit for one request
+ *   sent|connect-failed|ok|error|final|not-executed|event|complete|interrupted
+ *   |client-gone ID            event of the request's current attempt
+ *   crashed|alive|unknown SERVER
+ *                              result of the check of the server's process
+ *   block DIGEST               the request is blocked, as it crashes servers
+ *   run MS                     advances the time in steps of 20 ms
+ *   run-events MS ID           advances the time, with ticks at dsp_wake() and
+ *                              an event of the stream every 10 ms
+ *   suspend MS                 the process is suspended, then a tick comes
+ *   shutdown                   the node shuts down
  *
- * The log has a line for each action: "send ID PLACE [resume] [pN]", with the
- * priority if it is not 1, "cancel", "pass", "end", "cut CODE", "answer CODE
- * STATUS [retry]", "stalled PLACE" and "check PLACE".
+ * The log has a line for each action: "send ID SERVER [resume] [pN]", with the
+ * priority if it is not 1, "cancel ID", "forward ID", "complete ID", "truncate
+ * ID CODE", "error ID CODE STATUS [retry]", "stalled SERVER" and "check
+ * SERVER".
  */
 #ifndef LAPISLINE_T_LIB_DISPATCH_H
 #define LAPISLINE_T_LIB_DISPATCH_H
--- a/t/lib-form.c
+++ b/t/lib-form.c
@@ -22,7 +22,7 @@
   clk_ms preloaded_at;
   int64_t generation;
   unsigned rank;
-  enum bks_member_state part;
+  enum bks_member_state state;
   clk_ms ready_at;
   bool killed, hung, disconnected, expired, draining;
 };
@@ -39,7 +39,7 @@
   struct frm *cores[2];
   bool leading[2];
   struct bks *lists[2];
-  struct tbl *table;
+  struct tbl *config;
   clk_ms now, last_list_at;
   clk_ms list_ms; /**< interval between two lists */
   struct vm vms[MAX_VMS];
@@ -47,8 +47,8 @@
   struct delayed_order delayed[16];
   size_t ndelayed;
   const char *delayed_kind;
-  bool drop_delayed, delay_all, apply_on_join, list_incomplete, quiet;
-  double requested[2]; /**< requests for each model */
+  bool drop_delayed, delay_all, apply_on_join, list_incomplete, hide_orders;
+  double demand[2]; /**< requests for each model */
   char logged_joins[64][32];
   size_t nlogged_joins;
   struct buf log;
@@ -58,7 +58,7 @@
     = { "join", "open", "close", "leave", "preload" };
 
 static struct tbl *
-make_table (void)
+make_config (void)
 {
   struct tbl *t = tbl_new ();
   struct tbl_service *s
@@ -106,9 +106,9 @@
   const struct vm *leader = vm->replica[0] ? leader_of (w, vm) : NULL;
 
   if (leader && !leader->killed && strcmp (vm->replica, replica) != 0
-      && (leader->part == BKS_OPEN || leader->part == BKS_CLOSING))
-    buf_addf (&w->log, "TWO %s joins %s while %s is open\n", vm->id, replica,
-              vm->replica);
+      && (leader->state == BKS_OPEN || leader->state == BKS_CLOSING))
+    buf_addf (&w->log, "VIOLATION %s joins %s while %s is open\n", vm->id,
+              replica, vm->replica);
 }
 
 static void
@@ -120,10 +120,10 @@
     wanted += *c == ' ';
   for (size_t i = 0; i < w->n; i++)
     ready += strcmp (w->vms[i].replica, leader->replica) == 0
-             && w->vms[i].part >= BKS_READY && !w->vms[i].killed;
+             && w->vms[i].state >= BKS_READY && !w->vms[i].killed;
   if (ready != wanted)
-    buf_addf (&w->log, "PARTIAL %s opens with %u of %u\n", leader->replica,
-              ready, wanted);
+    buf_addf (&w->log, "VIOLATION %s opens with %u of %u ready\n",
+              leader->replica, ready, wanted);
 }
 
 static bool
@@ -152,7 +152,7 @@
   vm->rank = 0;
   for (const char *c = strstr (o->members, vm->id); c > o->members; c--)
     vm->rank += c[-1] == ' ';
-  vm->part = BKS_JOINING;
+  vm->state = BKS_JOINING;
   vm->ready_at = w->now + (warm ? JOIN_MS : LOAD_MS);
   if (!warm)
     snprintf (vm->preloaded, sizeof vm->preloaded, "%s", o->model);
@@ -176,17 +176,17 @@
     return FRM_REJECTED;
   if (o->a.order == FRM_OPEN)
     {
-      if (vm->part != BKS_READY)
-        return vm->part == BKS_OPEN ? FRM_ACCEPTED : FRM_REJECTED;
+      if (vm->state != BKS_READY)
+        return vm->state == BKS_OPEN ? FRM_ACCEPTED : FRM_REJECTED;
       check_all_ready (w, vm);
-      vm->part = BKS_OPEN;
+      vm->state = BKS_OPEN;
     }
-  else if (o->a.order == FRM_CLOSE && vm->part >= BKS_OPEN)
-    vm->part = BKS_READY;
+  else if (o->a.order == FRM_CLOSE && vm->state >= BKS_OPEN)
+    vm->state = BKS_READY;
   else if (o->a.order == FRM_LEAVE)
     {
       vm->replica[0] = '\0';
-      vm->part = BKS_NO_REPLICA;
+      vm->state = BKS_NO_REPLICA;
     }
   return FRM_ACCEPTED;
 }
@@ -203,7 +203,7 @@
   return false;
 }
 
-/** Logs a repeated order only once. */
+/** Logs the order unless the log ends with the same one. */
 static void
 log_once (struct world *w, const char *text)
 {
@@ -218,15 +218,15 @@
 {
   char text[128];
 
-  if (w->quiet)
+  if (w->hide_orders)
     return;
   if (o->a.order == FRM_PRELOAD)
     buf_addf (&w->log, "preload %s %s\n", o->model, o->vm);
   else if (o->a.order != FRM_JOIN)
     {
-      snprintf (text, sizeof text, "%s%s %s %s\n", order_names[o->a.order],
-                o->a.order == FRM_CLOSE && o->a.force ? " cut" : "",
-                o->replica, o->vm);
+      snprintf (text, sizeof text, "%s%s %s %s\n",
+                o->a.order == FRM_CLOSE && o->a.force ? "force-" : "",
+                order_names[o->a.order], o->replica, o->vm);
       log_once (w, text);
     }
   else if (!is_join_logged (w, o->replica))
@@ -307,9 +307,9 @@
 static struct str
 reported_model (const struct vm *vm)
 {
-  if (vm->part == BKS_NO_REPLICA)
+  if (vm->state == BKS_NO_REPLICA)
     return STR_EMPTY;
-  return str_from (vm->part == BKS_JOINING ? vm->previous_model : vm->model);
+  return str_from (vm->state == BKS_JOINING ? vm->previous_model : vm->model);
 }
 
 static void
@@ -337,21 +337,21 @@
                                 .replica = str_from (vm->replica),
                                 .generation = vm->generation,
                                 .rank = vm->rank,
-                                .member_state = vm->part };
+                                .member_state = vm->state };
     }
   bks_update (w->lists[core], w->now, w->now, list, n);
-  frm_set_servers (w->cores[core], w->now, w->lists[core], w->table,
+  frm_set_servers (w->cores[core], w->now, w->lists[core], w->config,
                    !w->list_incomplete);
 }
 
 static void
 report_demand (struct world *w, size_t core)
 {
-  const struct tbl_service *s = &w->table->services[0];
+  const struct tbl_service *s = &w->config->services[0];
 
   for (size_t k = 0; k < s->nmodels; k++)
     frm_demand (w->cores[core], w->now, s->name, s->models[k].name,
-                w->requested[k]);
+                w->demand[k]);
 }
 
 static void
@@ -361,8 +361,8 @@
   for (size_t i = 0; i < w->n; i++)
     {
       struct vm *vm = &w->vms[i];
-      if (vm->part == BKS_JOINING && w->now >= vm->ready_at)
-        vm->part = BKS_READY;
+      if (vm->state == BKS_JOINING && w->now >= vm->ready_at)
+        vm->state = BKS_READY;
       if (vm->preloading[0] && w->now >= vm->preloaded_at)
         {
           memcpy (vm->preloaded, vm->preloading, sizeof vm->preloaded);
@@ -417,10 +417,10 @@
       const struct vm *vm = &w->vms[i];
       if (vm->killed || vm->rank != 0 || !vm->replica[0])
         continue;
-      if (vm->part == BKS_OPEN)
+      if (vm->state == BKS_OPEN)
         buf_addf (&w->log, "%s %s is open: %s\n", vm->replica, vm->model,
                   vm->members);
-      else if (vm->part == BKS_READY && vm->replica[0] == 's')
+      else if (vm->state == BKS_READY && vm->replica[0] == 's')
         buf_addf (&w->log, "%s is warm for %s\n", vm->id, vm->model);
     }
 }
@@ -429,7 +429,7 @@
 static void
 count (struct world *w, const char *domain)
 {
-  const struct tbl_service *s = &w->table->services[0];
+  const struct tbl_service *s = &w->config->services[0];
 
   buf_addf (&w->log, "%s:", domain);
   for (size_t k = 0; k < s->nmodels; k++)
@@ -437,7 +437,7 @@
       unsigned n = 0;
       for (size_t i = 0; i < w->n; i++)
         n += strcmp (w->vms[i].domain, domain) == 0 && !w->vms[i].killed
-             && w->vms[i].rank == 0 && w->vms[i].part == BKS_OPEN
+             && w->vms[i].rank == 0 && w->vms[i].state == BKS_OPEN
              && str_is (s->models[k].name, w->vms[i].model);
       buf_addf (&w->log, " %u %.*s", n, STR_ARG (s->models[k].name));
     }
@@ -458,23 +458,23 @@
 }
 
 static void
-set_model (struct world *w, const char *word, const char *name, int n)
+set_model (struct world *w, const char *command, const char *name, int n)
 {
-  struct tbl_service *s = &w->table->services[0];
+  struct tbl_service *s = &w->config->services[0];
 
   for (size_t k = 0; k < s->nmodels; k++)
     {
       struct tbl_model *m = &s->models[k];
       if (!str_is (m->name, name))
         continue;
-      if (strcmp (word, "size") == 0)
+      if (strcmp (command, "size") == 0)
         m->size = (unsigned)n;
-      else if (strcmp (word, "share") == 0)
+      else if (strcmp (command, "work-share") == 0)
         m->work_share = n / 100.0;
-      else if (strcmp (word, "pace") == 0)
+      else if (strcmp (command, "time-factor") == 0)
         m->time_factor = n / 100.0;
       else
-        w->requested[k] = n;
+        w->demand[k] = n;
     }
 }
 
@@ -494,106 +494,109 @@
 }
 
 static void
-set_vm_state (struct vm *vm, const char *word)
+set_vm_state (struct vm *vm, const char *command)
 {
   cr_assert_not_null (vm);
-  if (strcmp (word, "kill") == 0)
+  if (strcmp (command, "kill") == 0)
     vm->killed = true;
-  else if (strcmp (word, "hang") == 0)
+  else if (strcmp (command, "hang") == 0)
     vm->hung = true;
-  else if (strcmp (word, "back") == 0)
+  else if (strcmp (command, "restore") == 0)
     vm->hung = vm->disconnected = vm->expired = false;
-  else if (strcmp (word, "disconnect") == 0)
+  else if (strcmp (command, "disconnect") == 0)
     vm->disconnected = true;
-  else if (strcmp (word, "expire") == 0)
+  else if (strcmp (command, "expire") == 0)
     vm->expired = true;
-  else if (strcmp (word, "drain") == 0)
+  else if (strcmp (command, "drain") == 0)
     vm->draining = true;
-  else if (strcmp (word, "broken") == 0)
-    vm->part = BKS_BROKEN;
+  else if (strcmp (command, "broken") == 0)
+    vm->state = BKS_BROKEN;
   else
-    cr_assert (false, "unknown script verb: %s", word);
+    cr_assert (false, "unknown command: %s", command);
 }
 
 static void
-delay_orders (struct world *w, const char *kind, bool lost, bool all)
+delay_orders (struct world *w, const char *kind, bool drop, bool all)
 {
   for (size_t i = 0; i < sizeof order_names / sizeof order_names[0]; i++)
     if (strcmp (kind, order_names[i]) == 0)
       w->delayed_kind = order_names[i];
-  w->drop_delayed = lost;
+  w->drop_delayed = drop;
   w->delay_all = all;
 }
 
 static void
-run_command (struct world *w, const char *word, const char *a, int n)
+run_command (struct world *w, const char *command, const char *a, int n)
 {
   struct vm *vm = find (w, str_from (a));
 
-  if (strcmp (word, "vms") == 0)
+  if (strcmp (command, "vms") == 0)
     add_vms (w, a, n);
-  else if (strcmp (word, "lead") == 0)
+  else if (strcmp (command, "lead") == 0)
     set_leader_node (w, 0, atoi (a));
-  else if (strcmp (word, "lead-other") == 0)
+  else if (strcmp (command, "lead-other") == 0)
     set_leader_node (w, 1, atoi (a));
-  else if (strcmp (word, "run") == 0)
+  else if (strcmp (command, "run") == 0)
     for (int t = 0; t < atoi (a); t += STEP_MS)
       advance (w);
-  else if (strcmp (word, "late") == 0 || strcmp (word, "lose") == 0)
-    delay_orders (w, a, word[1] == 'o', false);
-  else if (strcmp (word, "late-all") == 0 || strcmp (word, "lose-all") == 0)
-    delay_orders (w, a, word[1] == 'o', true);
-  else if (strcmp (word, "restart") == 0)
+  else if (strcmp (command, "delay") == 0 || strcmp (command, "drop") == 0)
+    delay_orders (w, a, command[1] == 'r', false);
+  else if (strcmp (command, "delay-all") == 0
+           || strcmp (command, "drop-all") == 0)
+    delay_orders (w, a, command[1] == 'r', true);
+  else if (strcmp (command, "restart") == 0)
     restart_vm (w, vm);
-  else if (strcmp (word, "respond") == 0)
+  else if (strcmp (command, "respond") == 0)
     w->delayed_kind = NULL;
-  else if (strcmp (word, "apply") == 0)
+  else if (strcmp (command, "apply") == 0)
     apply_delayed (w);
-  else if (strcmp (word, "incomplete") == 0 || strcmp (word, "complete") == 0)
-    w->list_incomplete = word[0] == 'i';
-  else if (strcmp (word, "apply-on-join") == 0)
+  else if (strcmp (command, "incomplete") == 0
+           || strcmp (command, "complete") == 0)
+    w->list_incomplete = command[0] == 'i';
+  else if (strcmp (command, "apply-on-join") == 0)
     w->apply_on_join = true;
-  else if (strcmp (word, "traffic") == 0)
+  else if (strcmp (command, "traffic") == 0)
     frm_traffic_started (w->cores[0]);
-  else if (strcmp (word, "host-memory") == 0)
-    w->table->services[0].host_cache_models = 1;
-  else if (strcmp (word, "stalled") == 0)
+  else if (strcmp (command, "host-memory") == 0)
+    w->config->services[0].host_cache_models = 1;
+  else if (strcmp (command, "report-stall") == 0)
     for (size_t c = 0; c < 2; c++)
       frm_stalled (w->cores[c], w->now,
                    dsp_endpoint_hash (str_from (vm->id), vm->started_at,
                                       vm->generation));
-  else if (strcmp (word, "show") == 0)
+  else if (strcmp (command, "show") == 0)
     show (w);
-  else if (strcmp (word, "count") == 0)
+  else if (strcmp (command, "count-open") == 0)
     count (w, a);
-  else if (strcmp (word, "lists") == 0)
+  else if (strcmp (command, "list-interval") == 0)
     w->list_ms = atoi (a);
-  else if (strcmp (word, "orders") == 0)
+  else if (strcmp (command, "count-orders") == 0)
     buf_addf (&w->log, "%u orders\n",
               (unsigned)frm_stats (w->cores[0])->orders);
-  else if (strcmp (word, "plan") == 0)
+  else if (strcmp (command, "plan") == 0)
     show_plan (w);
-  else if (strcmp (word, "no-order-log") == 0)
-    w->quiet = true;
-  else if (strcmp (word, "size") == 0 || strcmp (word, "share") == 0
-           || strcmp (word, "pace") == 0 || strcmp (word, "demand") == 0)
-    set_model (w, word, a, n);
+  else if (strcmp (command, "no-order-log") == 0)
+    w->hide_orders = true;
+  else if (strcmp (command, "size") == 0 || strcmp (command, "work-share") == 0
+           || strcmp (command, "time-factor") == 0
+           || strcmp (command, "demand") == 0)
+    set_model (w, command, a, n);
   else
-    set_vm_state (vm, word);
+    set_vm_state (vm, command);
 }
 
 static void
 run_script (struct world *w, const char *script)
 {
-  char word[16], a[16];
+  char command[16], a[16];
   int n;
 
   while (*script)
     {
       int used = 0;
-      word[0] = a[0] = '\0';
+      command[0] = a[0] = '\0';
       n = 0;
-      if (sscanf (script, " %15[-a-z]%n", word, &used) < 1)
+      if (sscanf (script, " %15[-a-z]%n", command, &used) < 1)
         break;
       script += used;
       /* Arguments on the same line. */
@@ -604,7 +607,7 @@
           if (*script == ' ' && sscanf (script, " %d%n", &n, &used) == 1)
             script += used;
         }
-      run_command (w, word, a, n);
+      run_command (w, command, a, n);
       while (*script == '\n' || *script == ' ')
         script++;
     }
@@ -615,7 +618,8 @@
 {
   struct frm_options opt
       = { .stall_ms = 1000, .ceiling_window_s = 5, .ceiling_over = 1.1 };
-  struct world w = { .now = 1000, .list_ms = LIST_MS, .table = make_table () };
+  struct world w
+      = { .now = 1000, .list_ms = LIST_MS, .config = make_config () };
 
   for (size_t i = 0; i < 2; i++)
     {
@@ -630,6 +634,6 @@
       frm_free (w.cores[i]);
       bks_free (w.lists[i]);
     }
-  tbl_unref (w.table);
+  tbl_unref (w.config);
   buf_free (&w.log);
 }
--- a/t/lib-form.h
+++ b/t/lib-form.h
@@ -10,44 +10,45 @@
  *   run MS               advances the time; lists are read every 100 ms
  *   kill ID              stops the server: no responses, not listed
  *   hang ID              no responses, still listed
- *   back ID              undoes hang, disconnect and expire
+ *   restore ID           undoes hang, disconnect and expire
  *   restart ID           starts it again under the same id, without weights
  *   disconnect ID        no responses, not listed, but it keeps running
  *   expire ID            not listed; it runs and responds as before
  *   drain ID             it reports that it is draining
  *   broken ID            it reports its replica as broken
- *   late KIND            the next order of this kind gets no response and is
+ *   delay KIND           the next order of this kind gets no response and is
  *                        carried out by "apply"
- *   lose KIND            the next order of this kind gets no response and is
+ *   drop KIND            the next order of this kind gets no response and is
  *                        never carried out
- *   late-all KIND | lose-all KIND
+ *   delay-all KIND | drop-all KIND
  *                        the same for all orders of this kind
  *   respond              orders get responses again
- *   apply                carries out the late orders
- *   apply-on-join        carries out the late orders right before the next
+ *   apply                carries out the delayed orders
+ *   apply-on-join        carries out the delayed orders right before the next
  *                        order to join
  *   incomplete | complete
  *                        sets whether lists are known to be complete; they are
  *                        at first
  *   traffic              requests have arrived
  *   host-memory          hosts can hold one model in memory from now on
- *   stalled ID           reports that requests to this leader make no progress
+ *   report-stall ID      reports that requests to this leader make no progress
  *   show                 logs the open replicas and the warm spares
- *   lists MS             sets the interval between lists
- *   orders               logs how many orders the first core has sent
- *   count DOMAIN         logs how many replicas of each model are open there
+ *   list-interval MS     sets the interval between lists
+ *   count-orders         logs how many orders the first core has sent
+ *   count-open DOMAIN    logs how many replicas of each model are open there
  *   plan                 logs the first core's frm_models()
  *   no-order-log         orders are not logged from now on
  *   size MODEL N         sets the number of VMs of one replica
- *   share MODEL PERCENT  sets the declared share of the work
- *   pace MODEL PERCENT   sets the factor on the engine's times
+ *   work-share MODEL PERCENT
+ *                        sets the declared share of the work
+ *   time-factor MODEL PERCENT
+ *                        sets the factor on the engine's times
  *   demand MODEL N       sets how many requests have a slot or wait for one; a
  *                        replica has eight slots
  *
  * The log has one line for each order; repeated orders are logged once.  It
- * also has "TWO ..." if a server joins a replica while its previous one may
- * still serve, and "PARTIAL ..." if a leader opens before all members are
- * ready.
+ * also has "VIOLATION ..." if a server joins a replica while its previous one
+ * may still serve, or if a leader opens before all members are ready.
  */
 #ifndef LAPISLINE_T_LIB_FORM_H
 #define LAPISLINE_T_LIB_FORM_H
--- a/t/t6101-form.c
+++ b/t/t6101-form.c
@@ -35,7 +35,7 @@
 {
   form_check ("lead 1\n vms a 6\n run 5000\n traffic\n kill a2\n run 1000\n"
               "show\n",
-              FORMED "close cut r1001 a1\n"
+              FORMED "force-close r1001 a1\n"
                      "leave r1001 a1\n"
                      "join r1004 big: a1 a3 a6\n"
                      "open r1004 a1\n"
@@ -52,7 +52,7 @@
 Test (form, late_order_to_open_is_rejected_after_leader_change)
 {
   form_check (
-      "lead 1\n vms a 4\n late-all open\n run 2600\n respond\n kill a2\n"
+      "lead 1\n vms a 4\n delay-all open\n run 2600\n respond\n kill a2\n"
       "lead-other 2\n apply-on-join\n run 1500\n show\n",
       "join r1001 big: a1 a2 a3\n"
       "join s1002 big: a4\n"
@@ -69,13 +69,13 @@
  */
 Test (form, late_order_to_open_is_rejected_after_close)
 {
-  form_check ("lead 1\n vms a 4\n late-all open\n run 2600\n respond\n"
+  form_check ("lead 1\n vms a 4\n delay-all open\n run 2600\n respond\n"
               "kill a2\n apply-on-join\n"
               "run 2000\n show\n",
               "join r1001 big: a1 a2 a3\n"
               "join s1002 big: a4\n"
               "open r1001 a1\n"
-              "close cut r1001 a1\n"
+              "force-close r1001 a1\n"
               "leave r1001 a1\n"
               "join r1003 big: a1 a3 a4\n"
               "open r1003 a1\n"
@@ -120,11 +120,11 @@
 Test (form, a_stalled_replica_is_repaired_before_the_list_changes)
 {
   form_check ("lead 1\n vms a 4\n run 5000\n traffic\n hang a3\n"
-              "stalled a1\n run 1500\n show\n",
+              "report-stall a1\n run 1500\n show\n",
               "join r1001 big: a1 a2 a3\n"
               "join s1002 big: a4\n"
               "open r1001 a1\n"
-              "close cut r1001 a1\n"
+              "force-close r1001 a1\n"
               "leave r1001 a1\n"
               "join r1003 big: a1 a2 a4\n"
               "open r1003 a1\n"
@@ -138,7 +138,7 @@
 Test (form, a_returning_leader_is_closed_first)
 {
   form_check ("lead 1\n vms a 4\n run 3000\n disconnect a1\n run 3000\n"
-              "back a1\n run 3000\n show\n",
+              "restore a1\n run 3000\n show\n",
               "join r1001 big: a1 a2 a3\n"
               "join s1002 big: a4\n"
               "open r1001 a1\n"
@@ -146,7 +146,7 @@
               "leave r1001 a3\n"
               "join r1003 big: a2 a3 a4\n"
               "open r1003 a2\n"
-              "close cut r1001 a1\n"
+              "force-close r1001 a1\n"
               "leave r1001 a1\n"
               "r1003 big is open: a2 a3 a4\n");
 }
@@ -161,7 +161,7 @@
 {
   form_check ("lead 1\n vms a 6\n run 5000\n disconnect a1\n disconnect a2\n"
               "incomplete\n lead-other 2\n run 500\n complete\n run 500\n"
-              "back a2\n run 500\n back a1\n run 3000\n show\n",
+              "restore a2\n run 500\n restore a1\n run 3000\n show\n",
               FORMED "r1001 big is open: a1 a2 a3\n"
                      "r1002 small is open: a4 a5\n"
                      "a6 is warm for big\n");
@@ -175,7 +175,7 @@
 Test (form, a_serving_member_with_expired_entry_is_kept)
 {
   form_check ("lead 1\n vms a 6\n run 5000\n traffic\n expire a2\n run 5000\n"
-              "show\n back a2\n run 1000\n show\n",
+              "show\n restore a2\n run 1000\n show\n",
               FORMED "r1001 big is open: a1 a2 a3\n"
                      "r1002 small is open: a4 a5\n"
                      "a6 is warm for big\n"
@@ -195,7 +195,7 @@
               FORMED "r1001 big is open: a1 a2 a3\n"
                      "r1002 small is open: a4 a5\n"
                      "a6 is warm for big\n"
-                     "close cut r1001 a1\n"
+                     "force-close r1001 a1\n"
                      "leave r1001 a1\n"
                      "join r1004 big: a1 a3 a6\n"
                      "open r1004 a1\n"
@@ -230,12 +230,12 @@
 {
   form_check (
       "lead 1\n vms a 6\n run 5000\n traffic\n expire a2\n run 500\n"
-      "lead-other 2\n run 2000\n show\n kill a2\n stalled a1\n run 2000\n"
+      "lead-other 2\n run 2000\n show\n kill a2\n report-stall a1\n run 2000\n"
       "show\n",
       FORMED "r1001 big is open: a1 a2 a3\n"
              "r1002 small is open: a4 a5\n"
              "a6 is warm for big\n"
-             "close cut r1001 a1\n"
+             "force-close r1001 a1\n"
              "leave r1001 a1\n"
              "join r2001 big: a1 a3 a6\n"
              "open r2001 a1\n"
@@ -255,7 +255,7 @@
               "run 4000\n show\n",
               "join r1001 big: a1 a2 a3\n"
               "open r1001 a1\n"
-              "close cut r1001 a1\n"
+              "force-close r1001 a1\n"
               "leave r1001 a1\n"
               "join r1002 big: a1 a3 a2\n"
               "open r1002 a1\n"
@@ -286,13 +286,13 @@
  */
 Test (form, a_restarted_member_waits_until_its_old_replica_ended)
 {
-  form_check ("lead 1\n vms a 6\n run 5000\n traffic\n late-all close\n"
+  form_check ("lead 1\n vms a 6\n run 5000\n traffic\n delay-all close\n"
               "restart a2\n run 1000\n show\n respond\n run 4000\n show\n",
-              FORMED "close cut r1001 a1\n"
+              FORMED "force-close r1001 a1\n"
                      "r1001 big is open: a1 a2 a3\n"
                      "r1002 small is open: a4 a5\n"
                      "a6 is warm for big\n"
-                     "close cut r1001 a1\n"
+                     "force-close r1001 a1\n"
                      "leave r1001 a1\n"
                      "join r1004 big: a1 a3 a6\n"
                      "join s1005 small: a2\n"
@@ -392,7 +392,7 @@
   form_check ("host-memory\n lead 1\n vms a 6\n run 8000\n traffic\n kill a5\n"
               "run 1000\n show\n",
               FORMED "preload small a6\n"
-                     "close cut r1002 a4\n"
+                     "force-close r1002 a4\n"
                      "leave r1002 a4\n"
                      "join r1004 small: a4 a6\n"
                      "open r1004 a4\n"
@@ -422,8 +422,8 @@
               "open r1002 a4\n"
               "open r1003 b1\n"
               "open r1004 b4\n"
-              "close cut r1001 a1\n"
-              "close cut r1003 b1\n"
+              "force-close r1001 a1\n"
+              "force-close r1003 b1\n"
               "leave r1001 a1\n"
               "leave r1003 b1\n"
               "r1002 small is open: a4 a5\n"
@@ -447,7 +447,7 @@
   form_check (
       "lead 1\n vms a 6\n run 5000\n traffic\n incomplete\n lead-other 2\n"
       "run 200\n kill a2\n run 1500\n show\n",
-      FORMED "close cut r1001 a1\n"
+      FORMED "force-close r1001 a1\n"
              "leave r1001 a1\n"
              "join r2001 big: a1 a3 a6\n"
              "open r2001 a1\n"
@@ -464,9 +464,9 @@
 {
   form_check (
       "lead 1\n vms a 6\n run 5000\n traffic\n disconnect a1\n disconnect a2\n"
-      "disconnect a3\n incomplete\n lead-other 2\n run 500\n back a1\n run "
+      "disconnect a3\n incomplete\n lead-other 2\n run 500\n restore a1\n run "
       "500\n"
-      "back a2\n back a3\n run 200\n complete\n run 3000\n show\n",
+      "restore a2\n restore a3\n run 200\n complete\n run 3000\n show\n",
       FORMED "r1001 big is open: a1 a2 a3\n"
              "r1002 small is open: a4 a5\n"
              "a6 is warm for big\n");
@@ -481,7 +481,7 @@
 Test (form, a_drained_leader_is_not_probed)
 {
   form_check (
-      "lead 1\n vms a 6\n run 5000\n traffic\n lose-all close\n drain a1\n"
+      "lead 1\n vms a 6\n run 5000\n traffic\n drop-all close\n drain a1\n"
       "run 300\n expire a1\n run 200\n show\n",
       FORMED "close r1001 a1\n"
              "leave r1001 a2\n"
@@ -501,15 +501,15 @@
 {
   form_check (
       "lead 1\n vms a 4\n run 5000\n traffic\n disconnect a2\n run 3000\n"
-      "back a2\n run 300\n kill a3\n run 1500\n show\n",
+      "restore a2\n run 300\n kill a3\n run 1500\n show\n",
       "join r1001 big: a1 a2 a3\n"
       "join s1002 big: a4\n"
       "open r1001 a1\n"
-      "close cut r1001 a1\n"
+      "force-close r1001 a1\n"
       "leave r1001 a1\n"
       "join r1003 big: a1 a3 a4\n"
       "open r1003 a1\n"
-      "close cut r1003 a1\n"
+      "force-close r1003 a1\n"
       "leave r1003 a1\n"
       "join r1004 big: a1 a4 a2\n"
       "open r1004 a1\n"
@@ -523,7 +523,8 @@
  */
 Test (form, a_slow_list_causes_no_repeated_orders)
 {
-  form_check ("lists 4000\n lead 1\n vms a 6\n run 30000\n orders\n show\n",
+  form_check ("list-interval 4000\n lead 1\n vms a 6\n run 30000\n "
+              "count-orders\n show\n",
               FORMED "8 orders\n"
                      "r1001 big is open: a1 a2 a3\n"
                      "r1002 small is open: a4 a5\n"
@@ -538,8 +539,8 @@
  */
 Test (form, an_adopted_replica_opens_after_members_accepted_the_new_fence)
 {
-  form_check ("lead-other 1\n vms a 3\n lose-all open\n run 2600\n respond\n"
-              "lead 2\n run 1000\n orders\n show\n",
+  form_check ("lead-other 1\n vms a 3\n drop-all open\n run 2600\n respond\n"
+              "lead 2\n run 1000\n count-orders\n show\n",
               "join r1001 big: a1 a2 a3\n"
               "open r1001 a1\n"
               "4 orders\n"
--- a/t/t6102-work.c
+++ b/t/t6102-work.c
@@ -9,9 +9,9 @@
 #include "t/lib-form.h"
 
 #define MODELS                                                                \
-  "no-order-log\n size big 16\n size small 4\n share big 50\n share small "   \
-  "50\n"                                                                      \
-  "pace small 60\n"
+  "no-order-log\n size big 16\n size small 4\n"                               \
+  "work-share big 50\n work-share small 50\n"                                 \
+  "time-factor small 60\n"
 
 /*
  * Guards against dividing the work by replicas.  A replica of the small model
@@ -24,7 +24,7 @@
 Test (work, vms_are_divided_by_share)
 {
   form_check (MODELS "lead 1\n vms a 37\n vms b 37\n run 9000\n"
-                     "count a\n count b\n",
+                     "count-open a\n count-open b\n",
               "a: 1 big 5 small\n"
               "b: 1 big 5 small\n");
 }
@@ -39,7 +39,7 @@
 {
   form_check (MODELS "host-memory\n lead 1\n vms a 37\n run 9000\n traffic\n"
                      "kill a2\n kill a3\n kill a4\n kill a17\n kill a18\n"
-                     "kill a21\n run 3000\n count a\n",
+                     "kill a21\n run 3000\n count-open a\n",
               "a: 1 big 3 small\n");
 }
 
@@ -54,7 +54,7 @@
 {
   form_check (MODELS "host-memory\n lead 1\n vms a 37\n run 9000\n traffic\n"
                      "demand big 6\n demand small 16\n run 6000\n"
-                     "kill a2\n kill a3\n run 3000\n count a\n plan\n",
+                     "kill a2\n kill a3\n run 3000\n count-open a\n plan\n",
               "a: 1 big 4 small\n"
               "big: wanted 1, formed 1, requests 5, reassigned 0\n"
               "small: wanted 4, formed 4, requests 13, reassigned 1\n");
@@ -67,9 +67,10 @@
  */
 Test (work, a_busy_replica_is_not_closed)
 {
-  form_check (MODELS "host-memory\n lead 1\n vms a 37\n vms b 37\n run 9000\n"
-                     "traffic\n demand big 6\n demand small 76\n run 6000\n"
-                     "kill a2\n kill a3\n run 3000\n count a\n count b\n",
+  form_check (MODELS
+              "host-memory\n lead 1\n vms a 37\n vms b 37\n run 9000\n"
+              "traffic\n demand big 6\n demand small 76\n run 6000\n"
+              "kill a2\n kill a3\n run 3000\n count-open a\n count-open b\n",
               "a: 0 big 5 small\n"
               "b: 1 big 5 small\n");
 }
@@ -83,6 +84,6 @@
   form_check (MODELS
               "host-memory\n lead 1\n vms a 37\n run 9000\n traffic\n"
               "demand big 4\n demand small 16\n run 6000\n demand small 60\n"
-              "run 3000\n demand small 16\n run 6000\n count a\n",
+              "run 3000\n demand small 16\n run 6000\n count-open a\n",
               "a: 1 big 5 small\n");
 }
--- a/t/t9201-dispatch.c
+++ b/t/t9201-dispatch.c
@@ -9,10 +9,10 @@
 /* A stream and a plain request are sent, forwarded and completed. */
 Test (dispatch, request_lifecycle)
 {
-  dispatch_play ("streams s 1 4\n places p 1 4\n"
-                 "ask 1 stream\n sent 1\n good 1\n event 1\n event 1\n"
-                 "whole 1\n ask 2 once\n sent 2\n good 2\n whole 2\n",
-                 "send 1 s1\npass 1\nend 1\nsend 2 p1\nend 2\n");
+  dispatch_play ("replicas s 1 4\n endpoints p 1 4\n"
+                 "submit 1 stream\n sent 1\n ok 1\n event 1\n event 1\n"
+                 "complete 1\n submit 2 once\n sent 2\n ok 2\n complete 2\n",
+                 "send 1 s1\nforward 1\ncomplete 1\nsend 2 p1\ncomplete 2\n");
 }
 
 /*
@@ -22,10 +22,11 @@
  */
 Test (dispatch, interrupted_stream_is_resumed_once)
 {
-  dispatch_play ("streams s 2 4\n ask 1 stream\n sent 1\n good 1\n event 1\n"
-                 "broken 1\n sent 1\n good 1\n event 1\n broken 1\n",
-                 "send 1 s1\npass 1\ncheck s1\ncancel 1\nsend 1 s2 resume p0\n"
-                 "pass 1\ncheck s2\ncancel 1\ncut 1 broken\n");
+  dispatch_play (
+      "replicas s 2 4\n submit 1 stream\n sent 1\n ok 1\n event 1\n"
+      "interrupted 1\n sent 1\n ok 1\n event 1\n interrupted 1\n",
+      "send 1 s1\nforward 1\ncheck s1\ncancel 1\nsend 1 s2 resume p0\n"
+      "forward 1\ncheck s2\ncancel 1\ntruncate 1 broken\n");
 }
 
 /*
@@ -34,8 +35,8 @@
  */
 Test (dispatch, possibly_executed_request_is_not_retried)
 {
-  dispatch_play ("places p 2 4\n ask 1 once\n sent 1\n broken 1\n",
-                 "send 1 p1\ncheck p1\ncancel 1\nanswer 1 broken 502\n");
+  dispatch_play ("endpoints p 2 4\n submit 1 once\n sent 1\n interrupted 1\n",
+                 "send 1 p1\ncheck p1\ncancel 1\nerror 1 broken 502\n");
 }
 
 /*
@@ -46,32 +47,35 @@
  */
 Test (dispatch, unexecuted_request_is_reported)
 {
-  dispatch_play ("places p 2 4\n ask 1 once\n failed 1\n failed 1\n"
-                 "run 200\n ask 2 once\n sent 2\n unrun 2\n"
-                 "sent 2\n unrun 2\n",
-                 "send 1 p1\nsend 1 p2\n"
-                 "answer 1 overload 503 retry\n"
-                 "send 2 p1\ncancel 2\nsend 2 p2\ncancel 2\n"
-                 "answer 2 refused 503 retry\n");
+  dispatch_play (
+      "endpoints p 2 4\n submit 1 once\n connect-failed 1\n connect-failed 1\n"
+      "run 200\n submit 2 once\n sent 2\n not-executed 2\n"
+      "sent 2\n not-executed 2\n",
+      "send 1 p1\nsend 1 p2\n"
+      "error 1 overload 503 retry\n"
+      "send 2 p1\ncancel 2\nsend 2 p2\ncancel 2\n"
+      "error 2 refused 503 retry\n");
 }
 
 /* An idempotent request that gets an error response is retried at the other
    endpoint. A second error response is forwarded unchanged. */
 Test (dispatch, idempotent_request_is_retried_after_error)
 {
-  dispatch_play ("places p 2 4\n ask 1 safe\n sent 1\n error 1\n sent 1\n"
-                 "error 1\n whole 1\n",
-                 "send 1 p1\ncancel 1\nsend 1 p2\nend 1\n");
+  dispatch_play (
+      "endpoints p 2 4\n submit 1 safe\n sent 1\n error 1\n sent 1\n"
+      "error 1\n complete 1\n",
+      "send 1 p1\ncancel 1\nsend 1 p2\ncomplete 1\n");
 }
 
 /* An idempotent request without a response is retried at another endpoint
    after its latency goal. A non-idempotent one waits until its deadline. */
 Test (dispatch, overdue_idempotent_request_is_retried)
 {
-  dispatch_play ("places p 2 4\n ask 1 safe\n sent 1\n ask 2 once\n sent 2\n"
-                 "run 240\n sent 1\n good 1\n whole 1\n run 2000\n",
-                 "send 1 p1\nsend 2 p2\ncancel 1\nsend 1 p2\nend 1\n"
-                 "cancel 2\nanswer 2 deadline 504\n");
+  dispatch_play (
+      "endpoints p 2 4\n submit 1 safe\n sent 1\n submit 2 once\n sent 2\n"
+      "run 240\n sent 1\n ok 1\n complete 1\n run 2000\n",
+      "send 1 p1\nsend 2 p2\ncancel 1\nsend 1 p2\ncomplete 1\n"
+      "cancel 2\nerror 2 deadline 504\n");
 }
 
 /*
@@ -83,13 +87,14 @@
  */
 Test (dispatch, overload)
 {
-  dispatch_play ("streams s 1 2\n ask 1 stream\n ask 2 stream\n"
-                 "late 3 stream\n ask 4 stream\n ask 5 stream\n"
-                 "ask 6 stream\n sent 1\n good 1\n event 1\n whole 1\n"
-                 "run 60\n",
-                 "send 1 s1\nsend 2 s1\nsend 4 s1\npass 1\nend 1\nsend 5 s1\n"
-                 "answer 6 overload 503 retry\n"
-                 "answer 3 overload 503 retry\n");
+  dispatch_play (
+      "replicas s 1 2\n submit 1 stream\n submit 2 stream\n"
+      "submit-late 3 stream\n submit 4 stream\n submit 5 stream\n"
+      "submit 6 stream\n sent 1\n ok 1\n event 1\n complete 1\n"
+      "run 60\n",
+      "send 1 s1\nsend 2 s1\nsend 4 s1\nforward 1\ncomplete 1\nsend 5 s1\n"
+      "error 6 overload 503 retry\n"
+      "error 3 overload 503 retry\n");
 }
 
 /*
@@ -100,13 +105,14 @@
  */
 Test (dispatch, streams_leave_stalled_replica)
 {
-  dispatch_play ("streams s 2 8\n others s2 4 0\n ask 1 stream\n sent 1\n"
-                 "good 1\n event 1\n ask 2 stream\n sent 2\n good 2\n"
-                 "event 2\n ask 3 stream\n sent 3\n others s1 4 4\n"
-                 "run 300\n ask 4 stream\n run 400\n",
-                 "send 1 s1\npass 1\nsend 2 s1\npass 2\nsend 3 s1\n"
-                 "send 4 s2\nstalled s1\ncancel 3\nsend 3 s2\ncancel 2\n"
-                 "send 2 s2 resume p0\ncancel 1\nsend 1 s2 resume p0\n");
+  dispatch_play (
+      "replicas s 2 8\n peer-load s2 4 0\n submit 1 stream\n sent 1\n"
+      "ok 1\n event 1\n submit 2 stream\n sent 2\n ok 2\n"
+      "event 2\n submit 3 stream\n sent 3\n peer-load s1 4 4\n"
+      "run 300\n submit 4 stream\n run 400\n",
+      "send 1 s1\nforward 1\nsend 2 s1\nforward 2\nsend 3 s1\n"
+      "send 4 s2\nstalled s1\ncancel 3\nsend 3 s2\ncancel 2\n"
+      "send 2 s2 resume p0\ncancel 1\nsend 1 s2 resume p0\n");
 }
 
 /*
@@ -115,47 +121,50 @@
  */
 Test (dispatch, peer_events_prevent_stall)
 {
-  dispatch_play ("streams s 2 8\n ask 1 stream\n sent 1\n good 1\n event 1\n"
-                 "run 300\n others s1 4 4\n run 300\n"
-                 "others s1 4 4\n run 300\n",
-                 "send 1 s1\npass 1\n");
+  dispatch_play ("replicas s 2 8\n submit 1 stream\n sent 1\n ok 1\n event 1\n"
+                 "run 300\n peer-load s1 4 4\n run 300\n"
+                 "peer-load s1 4 4\n run 300\n",
+                 "send 1 s1\nforward 1\n");
 }
 
 /* The retry budget is shared: with a slack of 10, each of four nodes may make
    2 retries. */
 Test (dispatch, retry_budget_is_shared)
 {
-  dispatch_play ("places p 4 4\n nodes 4\n"
-                 "ask 1 safe\n sent 1\n error 1\n sent 1\n good 1\n whole 1\n"
-                 "ask 2 safe\n sent 2\n error 2\n sent 2\n good 2\n whole 2\n"
-                 "ask 3 safe\n sent 3\n error 3\n sent 3\n good 3\n whole 3\n",
-                 "send 1 p3\ncancel 1\nsend 1 p4\nend 1\n"
-                 "send 2 p1\ncancel 2\nsend 2 p2\nend 2\n"
-                 "send 3 p3\ncancel 3\nanswer 3 broken 502\n");
+  dispatch_play (
+      "endpoints p 4 4\n nodes 4\n"
+      "submit 1 safe\n sent 1\n error 1\n sent 1\n ok 1\n complete 1\n"
+      "submit 2 safe\n sent 2\n error 2\n sent 2\n ok 2\n complete 2\n"
+      "submit 3 safe\n sent 3\n error 3\n sent 3\n ok 3\n complete 3\n",
+      "send 1 p3\ncancel 1\nsend 1 p4\ncomplete 1\n"
+      "send 2 p1\ncancel 2\nsend 2 p2\ncomplete 2\n"
+      "send 3 p3\ncancel 3\nerror 3 broken 502\n");
 }
 
 /* The client disconnects: its attempt is canceled at once, also one that has
    not been sent. */
 Test (dispatch, client_disconnects)
 {
-  dispatch_play ("streams s 1 1\n ask 1 stream\n sent 1\n good 1\n event 1\n"
-                 "gone 1\n ask 2 stream\n gone 2\n",
-                 "send 1 s1\npass 1\ncancel 1\nsend 2 s1\ncancel 2\n");
+  dispatch_play ("replicas s 1 1\n submit 1 stream\n sent 1\n ok 1\n event 1\n"
+                 "client-gone 1\n submit 2 stream\n client-gone 2\n",
+                 "send 1 s1\nforward 1\ncancel 1\nsend 2 s1\ncancel 2\n");
 }
 
 /* A node that is shutting down rejects new requests as not executed. */
 Test (dispatch, shutdown_rejects_new_requests)
 {
-  dispatch_play ("places p 1 4\n ask 1 once\n leave\n ask 2 once\n sent 1\n"
-                 "good 1\n whole 1\n",
-                 "send 1 p1\nanswer 2 leaving 503 retry\nend 1\n");
+  dispatch_play (
+      "endpoints p 1 4\n submit 1 once\n shutdown\n submit 2 once\n sent 1\n"
+      "ok 1\n complete 1\n",
+      "send 1 p1\nerror 2 leaving 503 retry\ncomplete 1\n");
 }
 
 /* No usable endpoint is known: the request is rejected after part of its
    goal. */
 Test (dispatch, no_endpoint)
 {
-  dispatch_play ("ask 1 stream\n run 400\n", "answer 1 no-server 503 retry\n");
+  dispatch_play ("submit 1 stream\n run 400\n",
+                 "error 1 no-server 503 retry\n");
 }
 
 /*
@@ -165,10 +174,10 @@
  */
 Test (dispatch, ticks_stay_due_among_many_events)
 {
-  dispatch_play ("streams s 2 8\n ask 1 stream\n sent 1\n good 1\n event 1\n"
-                 "ask 2 stream\n sent 2\n good 2\n event 2\n"
-                 "busy 1000 2\n",
-                 "send 1 s1\npass 1\nsend 2 s2\npass 2\nstalled s1\n"
+  dispatch_play ("replicas s 2 8\n submit 1 stream\n sent 1\n ok 1\n event 1\n"
+                 "submit 2 stream\n sent 2\n ok 2\n event 2\n"
+                 "run-events 1000 2\n",
+                 "send 1 s1\nforward 1\nsend 2 s2\nforward 2\nstalled s1\n"
                  "cancel 1\nsend 1 s2 resume p0\n");
 }
 
@@ -177,11 +186,12 @@
    left. */
 Test (dispatch, suspension_is_not_a_stall)
 {
-  dispatch_play ("streams s 2 8\n ask 1 stream\n sent 1\n good 1\n event 1\n"
-                 "ask 2 stream\n sent 2\n good 2\n event 2\n"
-                 "run 100\n pause 1500\n event 1\n event 2\n run 20\n"
-                 "event 1\n event 2\n whole 1\n whole 2\n",
-                 "send 1 s1\npass 1\nsend 2 s2\npass 2\nend 1\nend 2\n");
+  dispatch_play (
+      "replicas s 2 8\n submit 1 stream\n sent 1\n ok 1\n event 1\n"
+      "submit 2 stream\n sent 2\n ok 2\n event 2\n"
+      "run 100\n suspend 1500\n event 1\n event 2\n run 20\n"
+      "event 1\n event 2\n complete 1\n complete 2\n",
+      "send 1 s1\nforward 1\nsend 2 s2\nforward 2\ncomplete 1\ncomplete 2\n");
 }
 
 /* Guards against requests that are retried or given up when this process
@@ -189,20 +199,21 @@
    sockets. */
 Test (dispatch, response_during_suspension_is_delivered)
 {
-  dispatch_play ("places p 2 4\n ask 1 safe\n sent 1\n run 40\n pause 1000\n"
-                 "good 1\n whole 1\n"
-                 "ask 2 once\n sent 2\n run 40\n pause 4000\n good 2\n"
-                 "whole 2\n",
-                 "send 1 p1\nend 1\nsend 2 p1\nend 2\n");
+  dispatch_play (
+      "endpoints p 2 4\n submit 1 safe\n sent 1\n run 40\n suspend 1000\n"
+      "ok 1\n complete 1\n"
+      "submit 2 once\n sent 2\n run 40\n suspend 4000\n ok 2\n"
+      "complete 2\n",
+      "send 1 p1\ncomplete 1\nsend 2 p1\ncomplete 2\n");
 }
 
 /* Guards against a node that is short of CPU time and so never checks
    timeouts. */
 Test (dispatch, every_second_late_tick_checks_timeouts)
 {
-  dispatch_play ("streams s 2 8\n ask 1 stream\n sent 1\n good 1\n event 1\n"
-                 "run 100\n pause 600\n pause 600\n",
-                 "send 1 s1\npass 1\nstalled s1\ncancel 1\n"
+  dispatch_play ("replicas s 2 8\n submit 1 stream\n sent 1\n ok 1\n event 1\n"
+                 "run 100\n suspend 600\n suspend 600\n",
+                 "send 1 s1\nforward 1\nstalled s1\ncancel 1\n"
                  "send 1 s2 resume p0\n");
 }
 
@@ -211,54 +222,54 @@
    rejection, as a retry would be in vain. */
 Test (dispatch, request_is_blocked_after_three_crashes)
 {
-  dispatch_play ("streams s 4 4\n"
-                 "ask 1 stream 7\n sent 1\n broken 1\n crashed s3\n"
-                 "closed s3\n sent 1\n broken 1\n crashed s4\n closed s4\n"
-                 "ask 2 stream 7\n sent 2\n broken 2\n crashed s1\n"
-                 "closed s1\n ask 3 stream 7\n run 400\n ask 4 stream 7\n"
-                 "ask 5 stream 8\n",
+  dispatch_play ("replicas s 4 4\n"
+                 "submit 1 stream 7\n sent 1\n interrupted 1\n crashed s3\n"
+                 "close s3\n sent 1\n interrupted 1\n crashed s4\n close s4\n"
+                 "submit 2 stream 7\n sent 2\n interrupted 2\n crashed s1\n"
+                 "close s1\n submit 3 stream 7\n run 400\n submit 4 stream 7\n"
+                 "submit 5 stream 8\n",
                  "send 1 s3\ncheck s3\ncancel 1\nsend 1 s4\ncheck s4\n"
-                 "cancel 1\nanswer 1 broken 502\nsend 2 s1\ncheck s1\n"
-                 "cancel 2\nanswer 2 broken 502\n"
-                 "answer 3 crashes-servers 503 retry\n"
-                 "answer 4 crashes-servers 503\nsend 5 s2\n");
+                 "cancel 1\nerror 1 broken 502\nsend 2 s1\ncheck s1\n"
+                 "cancel 2\nerror 2 broken 502\n"
+                 "error 3 crashes-servers 503 retry\n"
+                 "error 4 crashes-servers 503\nsend 5 s2\n");
 }
 
 /* Guards against blocking a request because its connections were reset or its
    servers could not be reached: neither proves a crash. */
 Test (dispatch, reset_connection_is_not_a_crash)
 {
-  dispatch_play ("streams s 3 4\n"
-                 "ask 1 stream 7\n sent 1\n broken 1\n alive s3\n"
-                 "sent 1\n broken 1\n unknown s1\n"
-                 "ask 2 stream 7\n sent 2\n broken 2\n alive s3\n"
-                 "sent 2\n broken 2\n alive s1\n run 400\n"
-                 "ask 3 stream 7\n",
+  dispatch_play ("replicas s 3 4\n"
+                 "submit 1 stream 7\n sent 1\n interrupted 1\n alive s3\n"
+                 "sent 1\n interrupted 1\n unknown s1\n"
+                 "submit 2 stream 7\n sent 2\n interrupted 2\n alive s3\n"
+                 "sent 2\n interrupted 2\n alive s1\n run 400\n"
+                 "submit 3 stream 7\n",
                  "send 1 s3\ncheck s3\ncancel 1\nsend 1 s1\ncheck s1\n"
-                 "cancel 1\nanswer 1 broken 502\nsend 2 s3\ncheck s3\n"
+                 "cancel 1\nerror 1 broken 502\nsend 2 s3\ncheck s3\n"
                  "cancel 2\nsend 2 s1\ncheck s1\ncancel 2\n"
-                 "answer 2 broken 502\nsend 3 s1\n");
+                 "error 2 broken 502\nsend 3 s1\n");
 }
 
 /* Guards against counting the end of a draining server as a crash. */
 Test (dispatch, draining_server_is_not_checked)
 {
-  dispatch_play ("streams s 1 4\n ask 1 stream 7\n sent 1\n closed s1\n"
-                 "broken 1\n run 100\n",
-                 "send 1 s1\ncancel 1\nanswer 1 broken 502\n");
+  dispatch_play ("replicas s 1 4\n submit 1 stream 7\n sent 1\n close s1\n"
+                 "interrupted 1\n run 100\n",
+                 "send 1 s1\ncancel 1\nerror 1 broken 502\n");
 }
 
 /* Guards against a retry that crashes one more server: after two crashes, a
    request is not retried until its client sends it again. */
 Test (dispatch, suspect_is_not_retried)
 {
-  dispatch_play ("streams s 4 4\n"
-                 "ask 1 stream 7\n sent 1\n broken 1\n crashed s3\n"
-                 "closed s3\n sent 1\n broken 1\n crashed s4\n closed s4\n"
-                 "ask 2 stream 7\n sent 2\n broken 2\n",
+  dispatch_play ("replicas s 4 4\n"
+                 "submit 1 stream 7\n sent 1\n interrupted 1\n crashed s3\n"
+                 "close s3\n sent 1\n interrupted 1\n crashed s4\n close s4\n"
+                 "submit 2 stream 7\n sent 2\n interrupted 2\n",
                  "send 1 s3\ncheck s3\ncancel 1\nsend 1 s4\ncheck s4\n"
-                 "cancel 1\nanswer 1 broken 502\nsend 2 s1\ncheck s1\n"
-                 "cancel 2\nanswer 2 broken 502\n");
+                 "cancel 1\nerror 1 broken 502\nsend 2 s1\ncheck s1\n"
+                 "cancel 2\nerror 2 broken 502\n");
 }
 
 /* Guards against executing a request after it was blocked, whether it is
@@ -266,53 +277,55 @@
    because it has not crashed the server. */
 Test (dispatch, block_ends_runs_without_events)
 {
-  dispatch_play ("streams s 1 2\n"
-                 "ask 1 stream 7\n sent 1\n good 1\n event 1\n"
-                 "ask 2 stream 7\n sent 2\n"
-                 "ask 3 stream 7\n sent 3\n ask 4 stream 7\n"
-                 "ask 5 stream 8\n blocked 7\n event 1\n whole 1\n",
-                 "send 1 s1\npass 1\nsend 2 s1\nsend 3 s1\n"
-                 "answer 4 crashes-servers 503\n"
-                 "cancel 3\nanswer 3 broken 502\n"
+  dispatch_play ("replicas s 1 2\n"
+                 "submit 1 stream 7\n sent 1\n ok 1\n event 1\n"
+                 "submit 2 stream 7\n sent 2\n"
+                 "submit 3 stream 7\n sent 3\n submit 4 stream 7\n"
+                 "submit 5 stream 8\n block 7\n event 1\n complete 1\n",
+                 "send 1 s1\nforward 1\nsend 2 s1\nsend 3 s1\n"
+                 "error 4 crashes-servers 503\n"
+                 "cancel 3\nerror 3 broken 502\n"
                  "send 5 s1\n"
-                 "cancel 2\nanswer 2 broken 502\n"
-                 "end 1\n");
+                 "cancel 2\nerror 2 broken 502\n"
+                 "complete 1\n");
 }
 
 /* Guards against requests that are lost on connections to a server whose
    process has ended, before its entry in the server list expires. */
 Test (dispatch, ended_server_gets_no_requests)
 {
-  dispatch_play ("streams s 2 9\n ask 1 stream\n sent 1\n broken 1\n"
-                 "crashed s1\n ask 2 stream\n ask 3 stream\n ask 4 stream\n"
-                 "ask 5 stream\n ask 6 stream\n",
-                 "send 1 s1\ncheck s1\ncancel 1\nsend 1 s2\nsend 2 s2\n"
-                 "send 3 s2\nsend 4 s2\nsend 5 s2\nsend 6 s2\n");
+  dispatch_play (
+      "replicas s 2 9\n submit 1 stream\n sent 1\n interrupted 1\n"
+      "crashed s1\n submit 2 stream\n submit 3 stream\n submit 4 stream\n"
+      "submit 5 stream\n submit 6 stream\n",
+      "send 1 s1\ncheck s1\ncancel 1\nsend 1 s2\nsend 2 s2\n"
+      "send 3 s2\nsend 4 s2\nsend 5 s2\nsend 6 s2\n");
 }
 
 /* Guards against the same at nodes that have not detected the end
    themselves. */
 Test (dispatch, server_reported_ended_gets_no_requests)
 {
-  dispatch_play ("streams s 2 9\n ended s1\n ask 1 stream\n ask 2 stream\n"
-                 "ask 3 stream\n ask 4 stream\n ask 5 stream\n run 1600\n"
-                 "ask 6 stream\n ask 7 stream\n",
-                 "send 1 s2\nsend 2 s2\nsend 3 s2\nsend 4 s2\nsend 5 s2\n"
-                 "send 6 s1\nsend 7 s1\n");
+  dispatch_play (
+      "replicas s 2 9\n peer-ended s1\n submit 1 stream\n submit 2 stream\n"
+      "submit 3 stream\n submit 4 stream\n submit 5 stream\n run 1600\n"
+      "submit 6 stream\n submit 7 stream\n",
+      "send 1 s2\nsend 2 s2\nsend 3 s2\nsend 4 s2\nsend 5 s2\n"
+      "send 6 s1\nsend 7 s1\n");
 }
 
 /* Guards against clearing a suspect on an error response: a server also
    returns one if the request has only waited there. */
 Test (dispatch, error_response_does_not_clear_suspect)
 {
-  dispatch_play ("places p 5 4\n"
-                 "ask 1 safe 7\n sent 1\n broken 1\n crashed p3\n"
-                 "closed p3\n sent 1\n broken 1\n crashed p5\n closed p5\n"
-                 "ask 2 once 7\n sent 2\n error 2\n whole 2\n"
-                 "ask 3 once 7\n sent 3\n broken 3\n crashed p1\n"
-                 "run 400\n ask 4 once 7\n",
+  dispatch_play ("endpoints p 5 4\n"
+                 "submit 1 safe 7\n sent 1\n interrupted 1\n crashed p3\n"
+                 "close p3\n sent 1\n interrupted 1\n crashed p5\n close p5\n"
+                 "submit 2 once 7\n sent 2\n error 2\n complete 2\n"
+                 "submit 3 once 7\n sent 3\n interrupted 3\n crashed p1\n"
+                 "run 400\n submit 4 once 7\n",
                  "send 1 p3\ncheck p3\ncancel 1\nsend 1 p5\ncheck p5\n"
-                 "cancel 1\nanswer 1 broken 502\nsend 2 p1\nend 2\n"
-                 "send 3 p1\ncheck p1\ncancel 3\nanswer 3 broken 502\n"
-                 "answer 4 crashes-servers 503\n");
+                 "cancel 1\nerror 1 broken 502\nsend 2 p1\ncomplete 2\n"
+                 "send 3 p1\ncheck p1\ncancel 3\nerror 3 broken 502\n"
+                 "error 4 crashes-servers 503\n");
 }
--- a/t/t9208-limit.c
+++ b/t/t9208-limit.c
@@ -397,12 +397,13 @@
 /* A limited endpoint looks idle, but must not attract all requests. */
 Test (limit, limited_endpoint_counts_as_full)
 {
-  dispatch_play ("places app 2 10\n limit app1 2\n ask 1 safe\n ask 2 safe\n"
-                 "ask 3 safe\n permit app1\n ask 4 safe\n ask 5 safe\n"
-                 "run 20\n"
-                 "limit app1 none\n ask 6 safe\n",
-                 "send 1 app2\nsend 2 app2\nsend 3 app2\nsend 4 app1\n"
-                 "send 5 app2\nsend 6 app1\n");
+  dispatch_play (
+      "endpoints app 2 10\n limit app1 2\n submit 1 safe\n submit 2 safe\n"
+      "submit 3 safe\n permit app1\n submit 4 safe\n submit 5 safe\n"
+      "run 20\n"
+      "limit app1 none\n submit 6 safe\n",
+      "send 1 app2\nsend 2 app2\nsend 3 app2\nsend 4 app1\n"
+      "send 5 app2\nsend 6 app1\n");
 }
 
 /* A request must not wait for a permit that will not come, if all endpoints
@@ -411,36 +412,38 @@
 Test (limit, refused_immediately_without_permits)
 {
   dispatch_play (
-      "nodes 8\n places app 1 10\n limit app1 2\n ask 1 safe\n"
-      "run 20\n ask 2 safe\n run 20\n",
-      "answer 2 rate-limited 503 retry\nanswer 1 rate-limited 503 retry\n");
+      "nodes 8\n endpoints app 1 10\n limit app1 2\n submit 1 safe\n"
+      "run 20\n submit 2 safe\n run 20\n",
+      "error 2 rate-limited 503 retry\nerror 1 rate-limited 503 retry\n");
 }
 
 /* A permit that arrives while a request waits must be used by this request. */
 Test (limit, permit_is_used_by_waiting_request)
 {
-  dispatch_play ("nodes 8\n places app 1 10\n limit app1 2\n ask 1 safe\n"
-                 "permit app1\n permit app1\n ask 2 safe\n",
-                 "send 1 app1\nsend 2 app1\n");
+  dispatch_play (
+      "nodes 8\n endpoints app 1 10\n limit app1 2\n submit 1 safe\n"
+      "permit app1\n permit app1\n submit 2 safe\n",
+      "send 1 app1\nsend 2 app1\n");
 }
 
 /* Requests of lower priority must not use up the permits. */
 Test (limit, higher_priority_gets_permits_first)
 {
-  dispatch_play ("nodes 8\n places app 1 10\n limit app1 2\n permit app1\n"
-                 "minor 1 safe\n permit app1\n ask 2 safe\n permit app1\n"
-                 "minor 3 safe\n ask 4 safe\n",
-                 "send 1 app1 p2\nsend 2 app1\n"
-                 "answer 3 rate-limited 503 retry\nsend 4 app1\n");
+  dispatch_play (
+      "nodes 8\n endpoints app 1 10\n limit app1 2\n permit app1\n"
+      "submit-low 1 safe\n permit app1\n submit 2 safe\n permit app1\n"
+      "submit-low 3 safe\n submit 4 safe\n",
+      "send 1 app1 p2\nsend 2 app1\n"
+      "error 3 rate-limited 503 retry\nsend 4 app1\n");
 }
 
 /* Retries must not bypass the limit that applies to first attempts. */
 Test (limit, retries_need_a_permit)
 {
-  dispatch_play ("places app 2 10\n limit app2 2\n ask 1 safe\n sent 1\n"
+  dispatch_play ("endpoints app 2 10\n limit app2 2\n submit 1 safe\n sent 1\n"
                  "error 1\n run 40\n",
-                 "send 1 app1\ncancel 1\nanswer 1 broken 502\n");
-  dispatch_play ("places app 2 10\n limit app2 2\n ask 1 safe\n sent 1\n"
+                 "send 1 app1\ncancel 1\nerror 1 broken 502\n");
+  dispatch_play ("endpoints app 2 10\n limit app2 2\n submit 1 safe\n sent 1\n"
                  "error 1\n permit app2\n",
                  "send 1 app1\ncancel 1\nsend 1 app2\n");
 }
@@ -448,9 +451,9 @@
 /* Resumed streams must not bypass the limit. */
 Test (limit, resumed_streams_need_a_permit)
 {
-  dispatch_play ("streams lm 2 10\n limit lm2 2\n ask 1 stream\n sent 1\n"
-                 "event 1\n broken 1\n permit lm2\n",
-                 "send 1 lm1\npass 1\ncheck lm1\ncancel 1\n"
+  dispatch_play ("replicas lm 2 10\n limit lm2 2\n submit 1 stream\n sent 1\n"
+                 "event 1\n interrupted 1\n permit lm2\n",
+                 "send 1 lm1\nforward 1\ncheck lm1\ncancel 1\n"
                  "send 1 lm2 resume p0\n");
 }
 
@@ -458,12 +461,14 @@
    more requests than its limit allows. */
 Test (limit, only_remaining_endpoint_needs_a_permit)
 {
-  dispatch_play ("places app 2 10\n closed app2\n ask 1 once\n sent 1\n"
-                 "broken 1\n ask 2 once\n sent 2\n broken 2\n ask 3 once\n"
-                 "sent 3\n broken 3\n ask 4 once\n limit app1 2\n ask 5 once\n"
-                 "run 60\n",
-                 "send 1 app1\ncheck app1\ncancel 1\nanswer 1 broken 502\n"
-                 "send 2 app1\ncancel 2\nanswer 2 broken 502\n"
-                 "send 3 app1\ncancel 3\nanswer 3 broken 502\n"
-                 "send 4 app1\nanswer 5 no-server 503 retry\n");
+  dispatch_play (
+      "endpoints app 2 10\n close app2\n submit 1 once\n sent 1\n"
+      "interrupted 1\n submit 2 once\n sent 2\n interrupted 2\n submit 3 "
+      "once\n"
+      "sent 3\n interrupted 3\n submit 4 once\n limit app1 2\n submit 5 once\n"
+      "run 60\n",
+      "send 1 app1\ncheck app1\ncancel 1\nerror 1 broken 502\n"
+      "send 2 app1\ncancel 2\nerror 2 broken 502\n"
+      "send 3 app1\ncancel 3\nerror 3 broken 502\n"
+      "send 4 app1\nerror 5 no-server 503 retry\n");
 }
