--- a/serve/form-int.h
+++ b/serve/form-int.h
@@ -23,7 +23,7 @@
  * effect, because servers report a change at once.
  */
 #define FRM_REPORT_DELAY_MS ((clk_ms)1000)
-/** Joining or opening fails when it takes longer than expected by this. */
+/** Joining or opening fails when it takes this much longer than expected. */
 #define FRM_STEP_TIMEOUT_MS ((clk_ms)6000)
 
 /** State of one backend server, as this leader node has recorded it. */
--- a/serve/form-place.c
+++ b/serve/form-place.c
@@ -32,12 +32,11 @@
  *
  * All members come from one domain.  VMs that can't complete a replica within
  * their domain stay idle until another VM of the domain has loaded the model.
- * Replicas of VMs of several domains communicate over a slower network.
- * Without them revenue was higher by 0.005 of the possible revenue (20 days
- * with failures; by 0.008 on 10 days of another workload), and lower by at
- * most 0.009 on any day.  At a quarter of the speed each request to these
- * replicas is late, and their VMs are not available when their own domain
- * could use them.
+ * Replicas across domains communicate over a slower network.  Without them
+ * revenue was higher by 0.005 of the possible revenue (20 days with failures;
+ * by 0.008 on 10 days of another workload), and lower by at most 0.009 on any
+ * day.  At a quarter of the speed each request to these replicas is late, and
+ * their VMs are not available when their own domain could use them.
  */
 static bool
 choose_members (const struct frm *f, const struct frm_fabric_domain *d,
@@ -154,10 +153,7 @@
 
 /* --- warm spares -------------------------------------------------------- */
 
-/**
- * Number of VMs that the planned but not yet formed replicas of the model
- * need.
- */
+/** VMs needed to form the planned but missing replicas of the model. */
 static unsigned
 missing_vms (const struct frm_fabric_domain *d, size_t k)
 {
--- a/t/t6101-form.c
+++ b/t/t6101-form.c
@@ -64,8 +64,8 @@
 }
 
 /*
- * The same under one leader node: the leader accepts the close, and then the
- * late order to open must not open it again.
+ * The same without a change of the leader node: after the replica leader has
+ * accepted the close, the late order must not open it again.
  */
 Test (form, late_order_to_open_is_rejected_after_close)
 {
@@ -83,9 +83,9 @@
 }
 
 /*
- * A leader becomes unreachable while it may still accept requests.  Its
- * members leave it, and join another replica only after it must have stopped
- * serving.
+ * A replica leader becomes unreachable but may still accept requests.  Its
+ * members leave, and join another replica only after stall_ms, when it has
+ * stopped serving.
  */
 Test (form, members_of_unreachable_leader_wait_until_it_stopped)
 {
@@ -115,7 +115,7 @@
 
 /*
  * Requests at a replica make no progress.  Its members are probed; one without
- * a response is treated as missing although it is still listed.
+ * a response is replaced although it is still listed.
  */
 Test (form, a_stalled_replica_is_repaired_before_the_list_changes)
 {
@@ -185,8 +185,8 @@
 }
 
 /*
- * A member whose entry had expired stops without deregistering, as one that is
- * killed does, and streams stall.  The warm spare replaces it within a second.
+ * A member whose entry had expired is killed, so it doesn't deregister, and
+ * streams stall.  The warm spare replaces it within a second.
  */
 Test (form, a_stopped_member_with_expired_entry_is_replaced)
 {
@@ -204,10 +204,9 @@
 }
 
 /*
- * A leader's entry expires, so that it may get no new requests and its replica
- * is closed.  Running requests get some time, then the leader leaves.  It
- * responds to orders, so the members need not wait until it must have stopped
- * serving.
+ * A leader's entry expires.  It may get no new requests any more, so its
+ * replica is closed.  Running requests get some time, then the leader leaves.
+ * It responds to orders, so the members need not wait for stall_ms.
  */
 Test (form, a_leader_with_expired_entry_closes_and_leaves)
 {
@@ -279,10 +278,10 @@
 }
 
 /*
- * Guards against a late order to join.  It is delayed repeatedly, and its VM
- * restarts in the meantime, while the leader of the old replica can't be
- * closed.  If the new incarnation were used for another replica at once, the
- * late order could make it a member of the old replica while that one is open.
+ * Guards against a late order to join.  Its VM restarts before the order
+ * arrives, and the leader of the old replica can't be closed.  If the new
+ * incarnation were used for another replica at once, the late order could make
+ * it a member of the old replica while that one is open.
  */
 Test (form, a_restarted_member_waits_until_its_old_replica_ended)
 {
@@ -353,8 +352,8 @@
 
 /*
  * Servers register a few at a time over a second.  If replicas were formed
- * from the first ones, the small model would take the VMs of the large one,
- * whose requests would be rejected all day.
+ * from the first ones, the small model would take the VMs of the large model,
+ * and requests to the large model would be rejected all day.
  */
 Test (form, replicas_are_formed_after_all_servers_registered)
 {
@@ -474,9 +473,9 @@
 
 /*
  * A leader reported that it is draining, and its entry disappears while it is
- * being closed, so it has shut down.  It isn't probed first: its members leave
- * at once, because the wait until it must have stopped serving starts only
- * after that.
+ * being closed, so it has shut down.  Its members are ordered to leave at
+ * once, without a probe of the leader, because the wait of stall_ms starts
+ * only after that.
  */
 Test (form, a_drained_leader_is_not_probed)
 {
@@ -517,9 +516,9 @@
 }
 
 /*
- * With thousands of servers the list is read every four seconds.  A replica
- * that had opened was closed again because the list didn't show it in time.
- * Each server gets one order for each step, and open replicas stay open.
+ * With thousands of servers the list is read every four seconds.  Guards
+ * against closing an open replica because the list doesn't show it in time,
+ * and against more than one order to a server for each step.
  */
 Test (form, a_slow_list_causes_no_repeated_orders)
 {
@@ -532,10 +531,10 @@
 }
 
 /*
- * Guards against a member that an intermediate leader node considered free:
- * its late order to join another replica removes the member from this replica
- * after it has opened.  A VM that has accepted an order of the new leader node
- * rejects the late one.
+ * Guards against a late order of an intermediate leader node, which considered
+ * a member free: the order to join another replica would remove the member
+ * from this one after it has opened.  A VM that has accepted an order of the
+ * new leader node rejects the late order.
  */
 Test (form, an_adopted_replica_opens_after_members_accepted_the_new_fence)
 {
--- a/t/t6102-work.c
+++ b/t/t6102-work.c
@@ -15,11 +15,10 @@
 
 /*
  * Guards against dividing the work by replicas.  A replica of the small model
- * works a little faster than one of the large model, so counted by replicas it
- * provided as much as a large one; each domain held two large replicas and one
- * small one, and requests to the small model were rejected.  A share refers to
- * the work of the VMs, and four small replicas take as many VMs as a large
- * one.
+ * works a little faster than one of the large model and was counted as its
+ * equal: each domain held two large replicas and one small one, and requests
+ * to the small model were rejected.  A share refers to the work of the VMs,
+ * and four small replicas take as many VMs as a large one.
  */
 Test (work, vms_are_divided_by_share)
 {
--- a/t/t9201-dispatch.c
+++ b/t/t9201-dispatch.c
@@ -16,9 +16,9 @@
 }
 
 /*
- * A replica breaks off a stream after some events. The stream is resumed at
- * the other replica, with priority over queued requests. A second interruption
- * aborts the response visibly.
+ * A replica interrupts a stream after some events. The stream is resumed at
+ * the other replica, with priority over queued requests. After a second
+ * interruption the response is truncated.
  */
 Test (dispatch, interrupted_stream_is_resumed_once)
 {
@@ -219,7 +219,7 @@
 
 /* Guards against a request that is repeated by its client and crashes one
    server after the other, and against a retry delay sent with the final
-   rejection, as a retry would be in vain. */
+   rejection, as a retry can't succeed. */
 Test (dispatch, request_is_blocked_after_three_crashes)
 {
   dispatch_play ("replicas s 4 4\n"
@@ -302,8 +302,8 @@
       "send 3 s2\nsend 4 s2\nsend 5 s2\nsend 6 s2\n");
 }
 
-/* Guards against the same at nodes that have not detected the end
-   themselves. */
+/* Guards against requests to a server whose end only another node has
+   detected. */
 Test (dispatch, server_reported_ended_gets_no_requests)
 {
   dispatch_play (
--- a/t/t9204-prompts.c
+++ b/t/t9204-prompts.c
@@ -54,7 +54,7 @@
   struct rng rng;
   clk_ms now;
   bool notices;
-  unsigned late, passes; /* streams that paused for too long */
+  unsigned late_pauses, passes; /* pauses of a stream for too long */
 };
 
 static struct tbl *
@@ -217,11 +217,11 @@
   double ms = PASS_MS + tokens / PREFILL_PER_MS;
   f->replicas[r].pass_ends_at = (double)f->now + ms;
   f->passes++;
-  f->late += ms > MAX_PAUSE_MS ? running : 0;
+  f->late_pauses += ms > MAX_PAUSE_MS ? running : 0;
 }
 
 static unsigned
-count_late_streams (bool notices)
+count_late_pauses (bool notices)
 {
   static struct fleet f;
   double next = 0;
@@ -250,7 +250,7 @@
   for (unsigned i = 0; i < NODES; i++)
     dsp_free (f.nodes[i]);
   tbl_unref (f.config);
-  return f.late;
+  return f.late_pauses;
 }
 
 /*
@@ -261,10 +261,10 @@
  */
 Test (prompts, notices_spread_long_prompts)
 {
-  unsigned without = count_late_streams (false);
-  unsigned with = count_late_streams (true);
+  unsigned without = count_late_pauses (false);
+  unsigned with = count_late_pauses (true);
 
-  cr_log_info ("%u late streams without notices, %u with", without, with);
+  cr_log_info ("%u late pauses without notices, %u with", without, with);
   cr_expect (without >= 20, "only %u without", without);
   cr_expect (2 * with < without, "%u with, %u without", with, without);
 }
