--- a/serve/dispatch-health.c
+++ b/serve/dispatch-health.c
@@ -36,8 +36,8 @@
     requests, but avoiding the endpoint costs nothing. */
 #define SILENT_MS ((clk_ms)220)
 /** Stall timeout when no stream has received an event: a multiple of the
-    request's latency goal, but at least STALL_FIRST_EVENT_MS. First events
-    are also late at a replica that is full. */
+    request's latency goal, but at least STALL_FIRST_EVENT_MS. First events are
+    also late at a replica that is full. */
 #define STALL_FIRST_EVENT_FACTOR 3
 #define STALL_FIRST_EVENT_MS ((clk_ms)1200)
 /** Time after which a stalled endpoint gets a trial request. */
@@ -241,9 +241,9 @@
          && s->last_data_at < m.oldest_sent_at;
 }
 
-/** Time for which the endpoint has sent nothing. If it has sent nothing
-    since the oldest waiting request was sent, the time is measured from
-    that request. */
+/** Time for which the endpoint has sent nothing. If it has sent nothing since
+    the oldest waiting request was sent, the time is measured from that
+    request. */
 static clk_ms
 silence_duration (const struct dsp *d, const struct dsp_endpoint_state *s)
 {
--- a/serve/dispatch-int.h
+++ b/serve/dispatch-int.h
@@ -51,7 +51,7 @@
   DSP_EVENTS
 };
 
-#define DSP_TRIED_MAX 8 /**< tried endpoints remembered for each request */
+#define DSP_TRIED_MAX 8 /**< tried endpoints recorded for each request */
 
 struct dsp_pool;
 
@@ -66,8 +66,8 @@
                               generation */
   struct net_addr addr;
   bool same_zone;
-  bool listed;      /**< in the current list; else kept only until its
-                         requests end */
+  bool listed;      /**< in the current list; else kept only until its requests
+                         end */
   bool in_new_list; /**< named by the list that is being applied */
   bool accepting;
   unsigned capacity;
@@ -78,18 +78,18 @@
   uint32_t peer_requests; /**< requests of the other nodes, as last reported */
   uint32_t peer_streaming; /**< streams among these that have received an
                                 event */
-  double own_prefill;      /**< prompt tokens of this node's requests that
-                                are not yet processed */
-  double own_announced;    /**< part of `own_prefill` that was announced to
-                              the other nodes by notices */
-  double peer_prefill;
-  double peer_announced; /**< tokens announced in notices that have not
-                            expired */
-  clk_ms last_data_at;   /**< time of the last response bytes */
-  clk_ms no_room_until;  /**< end of the pause after the server reported that
-                           it had no room */
-  bool stalled;          /**< no response bytes arrive, though streams are
-                              open */
+  double own_prefill;      /**< prompt tokens of this node's requests that are
+                                not yet processed */
+  double own_announced;    /**< part of `own_prefill` that was announced to the
+                                other nodes by notices */
+  double peer_prefill;     /**< pending tokens in the peers' load reports */
+  double peer_announced;   /**< tokens announced in notices that have not
+                                expired */
+  clk_ms last_data_at;     /**< time of the last response bytes */
+  clk_ms no_room_until;    /**< end of the pause after the server reported that
+                                it had no room */
+  bool stalled;            /**< no response bytes arrive, though streams are
+                                open */
   clk_ms stalled_at;
   /** no requests are sent before this time, because this node has found that
       the process ended */
@@ -107,8 +107,8 @@
                              whether the endpoint works again */
 };
 
-/** Length of the retry budget's history, in seconds; longer windows are cut
-    to it. */
+/** Length of the retry budget's history, in seconds; longer windows are cut to
+    it. */
 #define DSP_BUDGET_SECONDS 32
 
 /** Requests and retries of a service in each second of a sliding window. */
@@ -149,8 +149,8 @@
   struct dsp_rate request_rates[DSP_PRIORITIES];
   struct dsp_rate rejection_rate; /**< rate of requests rejected because all
                                        endpoints are rate-limited */
-  clk_ms assigned_until; /**< latest retry time given to a rejected client;
-                              the next client gets a later one */
+  clk_ms assigned_until; /**< latest retry time given to a rejected client; the
+                              next client gets a later one */
 };
 
 /** An open request. */
@@ -179,13 +179,13 @@
   bool queued;
   bool streaming; /**< the current attempt has received its first event */
   clk_ms first_event_at;
-  bool partly_forwarded; /**< part of the response has been forwarded to the
-                            client */
-  bool is_trial;
+  bool partly_forwarded;   /**< part of the response has been forwarded to the
+                                client */
+  bool is_trial;           /**< the current attempt is a trial request */
   bool prefill_counted;    /**< its prompt is counted in the endpoint's
                                 `own_prefill` */
   bool prefill_announced;  /**< its prompt is counted in the endpoint's
-                              `own_noticed` */
+                                `own_announced` */
   bool awaits_first_event; /**< sent, and no event received yet */
   bool error_response;     /**< the current attempt's response is an error */
   uint64_t tried[DSP_TRIED_MAX];
@@ -217,7 +217,7 @@
 struct dsp_interruption
 {
   uint64_t endpoint; /**< 0: unused */
-  clk_ms first_at;   /**< time of the first */
+  clk_ms first_at;   /**< time of the first interruption */
   bool checked;      /**< `liveness` is valid */
   enum dsp_liveness liveness;
   struct psn_update runs[DSP_INTERRUPTED_RUNS_MAX]; /**< pending until the
@@ -232,8 +232,8 @@
   struct rng rng;
   clk_ms now;
   clk_ms ticked_at;     /**< time of the last tick */
-  clk_ms last_check_at; /**< last tick, or the time at which the first
-                             request was opened */
+  clk_ms last_check_at; /**< last tick, or the time at which the first request
+                             was opened */
   bool skipped_tick; /**< the last tick was too late and checked no timeouts */
   unsigned node_count;
   bool shutting_down;
@@ -275,8 +275,8 @@
 struct dsp_req *dsp_find_attempt (const struct dsp *d, uint64_t id,
                                   unsigned attempt);
 
-/** Ends the request with the error @p if_not_executed if it was certainly
-    not executed, else with @p if_executed.
+/** Ends the request with the error @p if_not_executed if it was certainly not
+    executed, else with @p if_executed.
     @param retry_ms delay after which the client may retry; sent only if the
     request was not executed; 0: not given */
 void dsp_give_up (struct dsp *d, struct dsp_req *q,
@@ -294,13 +294,11 @@
 /** The endpoint with that hash, or NULL. */
 struct dsp_endpoint_state *dsp_find_endpoint (const struct dsp *d,
                                               uint64_t hash);
-/** Sums the load reported by the peers again, after the list of endpoints has
-    changed. */
+/** Sums the peers' load reports again after a change of the endpoint list. */
 void dsp_load_sum_peers (struct dsp *d);
 /** Prompt tokens of all nodes' requests that the endpoint has not processed
     yet. */
 double dsp_load_pending_prefill (const struct dsp_endpoint_state *s);
-/** Drops notices that have expired. */
 void dsp_load_expire_prompt_notices (struct dsp *d);
 /** Adds the prompt of @p q to the pending tokens of its endpoint. */
 void dsp_load_prompt_sent (struct dsp *d, struct dsp_req *q);
@@ -327,12 +325,13 @@
 void dsp_health_failure (struct dsp *d, struct dsp_endpoint_state *s);
 void dsp_health_first_event (struct dsp *d, struct dsp_endpoint_state *s,
                              clk_ms ms);
+/** Whether requests other than trial requests may be sent to the endpoint. */
 bool dsp_health_usable (const struct dsp *d,
                         const struct dsp_endpoint_state *s);
 bool dsp_health_trial_due (const struct dsp *d,
                            const struct dsp_endpoint_state *s);
-/** Whether the endpoint's streams have received nothing for so long that
-    new requests should avoid it. */
+/** Whether the endpoint's streams have received nothing for so long that new
+    requests should avoid it. */
 bool dsp_health_streams_silent (const struct dsp *d,
                                 const struct dsp_endpoint_state *s);
 /** Detects stalled endpoints and moves their requests. */
@@ -356,8 +355,8 @@
                         const struct dsp_endpoint_state *s);
 /** Counts a new request in the pool's rate for its priority. */
 void dsp_limit_count_request (const struct dsp *d, const struct dsp_req *q);
-/** Whether requests of higher priority need all of the permitted rate, so
-    that @p q must wait. */
+/** Whether requests of higher priority need all of the permitted rate, so that
+    @p q must wait. */
 bool dsp_limit_used_by_higher_priority (const struct dsp *d,
                                         const struct dsp_pool *p,
                                         const struct dsp_req *q);
@@ -370,14 +369,14 @@
 /** Delay after which a client that is rejected by the rate limit may retry;
     counts the rejection. */
 clk_ms dsp_limit_reject (const struct dsp *d, struct dsp_pool *p);
-/** Estimated number of slots, at all nodes, that the rejected requests would
-    occupy. */
+/** Estimated number of slots that rejected requests of all nodes would use. */
 double dsp_limit_demand (const struct dsp *d, const struct dsp_pool *p);
 
 /* dispatch-crash.c */
 /** The run of @p q was interrupted. */
 void dsp_run_interrupted (struct dsp *d, const struct dsp_req *q);
-/** Whether the endpoint's process is known to have ended. */
+/** Whether this node or another one found, a short time ago, that the
+    endpoint's process ended. */
 bool dsp_process_ended (const struct dsp *d,
                         const struct dsp_endpoint_state *s);
 /** Another node has reported that the process ended. */
@@ -389,7 +388,7 @@
 struct dsp_retry_budget *dsp_get_budget (struct dsp *d, const char *service);
 void dsp_budget_count_request (struct dsp *d, struct dsp_pool *p);
 /** Uses up one retry.
-    @retval false  the retry budget of the service is exhausted */
+    @retval false the retry budget of the service is exhausted */
 bool dsp_budget_take_retry (struct dsp *d, struct dsp_pool *p);
 
 #endif
--- a/serve/dispatch-limit.c
+++ b/serve/dispatch-limit.c
@@ -119,8 +119,8 @@
 /* --- pools with only rate-limited endpoints ------------------------------ */
 
 /** Sum of the rate limits of the pool's usable endpoints, in requests per
-    second; 0 if at least one of them is not limited. @param exhausted receives
-    whether none of them has a permit left */
+    second; 0 if at least one of them is not limited.
+    @param exhausted receives whether none of them has a permit left */
 static double
 sum_of_limits (const struct dsp *d, const struct dsp_pool *p, bool *exhausted)
 {
--- a/serve/dispatch-place.c
+++ b/serve/dispatch-place.c
@@ -233,8 +233,8 @@
   return less_loaded (permitted, less_loaded (drawn[0], drawn[1]));
 }
 
-/** Finds an ejected or stalled endpoint that is due for a trial request, if
-    @p q can be retried after a failure. */
+/** Finds an ejected or stalled endpoint that is due for a trial request, if @p
+    q can be retried after a failure. */
 static bool
 find_trial_endpoint (const struct dsp *d, const struct dsp_pool *p,
                      const struct dsp_req *q, struct dsp_endpoint_state **out)
--- a/serve/dispatch-wait.c
+++ b/serve/dispatch-wait.c
@@ -74,8 +74,8 @@
   return a->arrived_at < b->arrived_at;
 }
 
-/** The queued request that comes first. @param untried_only skip requests
-    that have failed at an endpoint before */
+/** The queued request that comes first.
+    @param untried_only skip requests that have failed at an endpoint before */
 static struct dsp_req *
 next_queued (const struct dsp *d, const struct dsp_pool *p, bool untried_only)
 {
@@ -116,9 +116,9 @@
   a->addr = s->addr;
   a->server = str_from (s->server);
   a->duration_ms = q->deadline - d->now;
-  /* The backend server may have closed an idle connection, or the
-     connection may be dead without notice. A request that can't be retried
-     is therefore sent on a new one. */
+  /* The backend server may have closed an idle connection, or the connection
+     may be dead without notice. A request that can't be retried is therefore
+     sent on a new one. */
   a->new_connection = !q->retryable;
   a->resume = q->partly_forwarded;
   a->priority = server_priority (q);
--- a/serve/dispatch.c
+++ b/serve/dispatch.c
@@ -15,13 +15,13 @@
     delays of some hundred milliseconds. */
 #define TICK_INTERVAL_MS ((clk_ms)20)
 
-/** A tick that is later than this is skipped: the process was suspended,
-    and data that arrived meanwhile is still in the sockets, because timers
-    run before sockets are read. */
+/** A tick that is later than this is skipped: the process was suspended, and
+    data that arrived meanwhile is still in the sockets, because timers run
+    before sockets are read. */
 #define LATE_TICK_MS ((clk_ms)100)
 
-/** Failed connections after which a request is given up. If a third
-    endpoint can't be reached, the cause is on this node. */
+/** Failed connections after which a request is given up. If a third endpoint
+    can't be reached, the cause is on this node. */
 #define MAX_CONNECT_FAILURES 3
 
 /**
@@ -624,9 +624,9 @@
     }
 }
 
-/** Whether this tick is too late to check timeouts. The next tick checks
-    them even if it is late too; otherwise a node that is short of CPU time
-    would never time out a request. */
+/** Whether this tick is too late to check timeouts. The next tick checks them
+    even if it is late too; otherwise a node that is short of CPU time would
+    never time out a request. */
 static bool
 skip_late_tick (struct dsp *d, clk_ms now)
 {
