--- a/serve/dispatch-health.c
+++ b/serve/dispatch-health.c
@@ -256,7 +256,7 @@
                 : s->last_data_at);
 }
 
-/** Moves all requests away from a stalled endpoint. */
+/** Moves the retryable requests away from a stalled endpoint. */
 static void
 move_requests (struct dsp *d, struct dsp_endpoint_state *s)
 {
--- a/serve/dispatch-limit.c
+++ b/serve/dispatch-limit.c
@@ -196,7 +196,8 @@
 
 /**
  * If all rejected clients got the same retry delay, they would return at the
- * same moment and be rejected again. Each one gets the next free time slot.
+ * same moment and be rejected again. Each client therefore gets a later time
+ * than the one before.
  */
 clk_ms
 dsp_limit_reject (const struct dsp *d, struct dsp_pool *p)
