--- a/serve/form.c
+++ b/serve/form.c
@@ -7,7 +7,7 @@
 /**
  * The generations of one leader node start at its fencing token times this, so
  * that they are greater than those of all earlier leader nodes.  No leader
- * node assigns more during the time of its lease.
+ * node assigns more than that during its lease.
  */
 #define GENERATIONS_PER_FENCE 1000
 
