--- a/serve/dispatch-int.h
+++ b/serve/dispatch-int.h
@@ -55,7 +55,6 @@
 
 struct dsp_pool;
 
-/** State of an endpoint. */
 struct dsp_endpoint_state
 {
   struct dsp_pool *pool;
@@ -153,7 +152,6 @@
                               next client gets a later one */
 };
 
-/** An open request. */
 struct dsp_req
 {
   uint64_t id;
@@ -231,7 +229,7 @@
   char *zone;
   struct rng rng;
   clk_ms now;
-  clk_ms ticked_at;     /**< time of the last tick */
+  clk_ms ticked_at;
   clk_ms last_check_at; /**< last tick, or the time at which the first request
                              was opened */
   bool skipped_tick; /**< the last tick was too late and checked no timeouts */
@@ -291,7 +289,6 @@
 void dsp_send_queued (struct dsp *d, struct dsp_pool *p);
 
 /* dispatch-load.c */
-/** The endpoint with that hash, or NULL. */
 struct dsp_endpoint_state *dsp_find_endpoint (const struct dsp *d,
                                               uint64_t hash);
 /** Sums the peers' load reports again after a change of the endpoint list. */
@@ -312,7 +309,6 @@
                                struct str model);
 bool dsp_was_tried (const struct dsp_req *q,
                     const struct dsp_endpoint_state *s);
-/** Whether at least one endpoint of the pool is usable. */
 bool dsp_any_usable (const struct dsp *d, const struct dsp_pool *p);
 /** Endpoint to which @p q can be sent now, or NULL if it has to wait. */
 struct dsp_endpoint_state *dsp_choose_endpoint (struct dsp *d,
@@ -341,11 +337,9 @@
 /** Whether the rate limit of the endpoint permits one more request now. */
 bool dsp_limit_allows_request (const struct dsp *d,
                                const struct dsp_endpoint_state *s);
-/** Asks for a permit on behalf of @p q. */
 void dsp_limit_ask_permit (const struct dsp *d,
                            const struct dsp_endpoint_state *s,
                            const struct dsp_req *q);
-/** Uses up a permit for a request sent to the endpoint. */
 void dsp_limit_use_permit (const struct dsp *d,
                            const struct dsp_endpoint_state *s);
 bool dsp_has_rate_limit (const struct dsp *d,
@@ -373,13 +367,11 @@
 double dsp_limit_demand (const struct dsp *d, const struct dsp_pool *p);
 
 /* dispatch-crash.c */
-/** The run of @p q was interrupted. */
 void dsp_run_interrupted (struct dsp *d, const struct dsp_req *q);
 /** Whether this node or another one found, a short time ago, that the
     endpoint's process ended. */
 bool dsp_process_ended (const struct dsp *d,
                         const struct dsp_endpoint_state *s);
-/** Another node has reported that the process ended. */
 void dsp_peer_reported_ended (struct dsp *d, struct dsp_endpoint_state *s);
 /** Whether @p q must not be retried because it may crash servers. */
 bool dsp_is_suspect (const struct dsp *d, const struct dsp_req *q);
--- a/serve/dispatch.h
+++ b/serve/dispatch.h
@@ -41,7 +41,6 @@
   DSP_DEADLINE /**< 504: may have been executed; its deadline has passed */
 };
 
-/** A new request. */
 struct dsp_request
 {
   uint64_t id;
@@ -191,7 +190,6 @@
 /** Earliest time at which dsp_tick() may have something to do. */
 clk_ms dsp_wake (const struct dsp *d);
 
-/** Replaces the list of endpoints. */
 void dsp_set_endpoints (struct dsp *d, clk_ms now,
                         const struct dsp_endpoint *list, size_t n);
 
@@ -220,7 +218,6 @@
 
 void dsp_submit (struct dsp *d, clk_ms now, const struct dsp_request *in);
 
-/** The client has disconnected. */
 void dsp_client_disconnected (struct dsp *d, clk_ms now, uint64_t id);
 
 /** The request's bytes are about to be written to the socket.
--- a/serve/form-int.h
+++ b/serve/form-int.h
@@ -102,8 +102,8 @@
   char *model;
   int64_t generation;
   enum frm_phase phase;
-  clk_ms phase_since; /**< start of the phase */
-  bool adopted;       /**< formed by an earlier leader node */
+  clk_ms phase_since;
+  bool adopted; /**< formed by an earlier leader node */
   /** Warm spare: a single VM that loads a model and never opens. */
   bool warm_spare;
   bool force;       /**< close without waiting for running requests */
@@ -130,7 +130,6 @@
   clk_ms earliest_ready_at; /**< members can't be ready before this */
 };
 
-/** Demand for one model. */
 struct frm_demand
 {
   char *service;
@@ -214,7 +213,6 @@
  * otherwise after its leader has left it.
  */
 void frm_replica_end (struct frm *f, struct frm_replica *r);
-/** Releases the members, so that they can join other replicas. */
 void frm_replica_release (struct frm *f, struct frm_replica *r);
 
 /* form-group.c */
--- a/serve/form-yield.c
+++ b/serve/form-yield.c
@@ -87,7 +87,6 @@
   return n;
 }
 
-/** Counts members that could join a replica of that model without a load. */
 static unsigned
 count_members_with_weights (const struct frm *f, const struct frm_replica *r,
                             struct str model)
