--- a/serve/dispatch-health.c
+++ b/serve/dispatch-health.c
@@ -1,8 +1,8 @@
 #include "serve/dispatch-int.h"
 
 /*
- * Health of endpoints, derived from the outcome of regular requests; there are
- * no separate probe requests.
+ * Health of endpoints, derived from the outcome of client requests; trial
+ * requests are client requests too.
  */
 
 /** Consecutive failures that eject an endpoint. */
@@ -36,8 +36,8 @@
     requests, but avoiding the endpoint costs nothing. */
 #define SILENT_MS ((clk_ms)220)
 /** Stall timeout when no stream has received an event: a multiple of the
-    request's latency goal, and a minimum. Requests also wait for their first
-    event at a replica that is full. */
+    request's latency goal, but at least STALL_FIRST_EVENT_MS. First events are
+    also late at a replica that is full. */
 #define STALL_FIRST_EVENT_FACTOR 3
 #define STALL_FIRST_EVENT_MS ((clk_ms)1200)
 /** Time after which a stalled endpoint gets a trial request. */
@@ -76,7 +76,7 @@
   s->ejections++;
   s->ejected_until
       = d->now + (duration < EJECT_MAX_MS ? duration : EJECT_MAX_MS);
-  s->probing = false;
+  s->trial_in_flight = false;
   d->stats.ejections++;
 }
 
@@ -96,7 +96,7 @@
   s->failures_in_row = 0;
   s->failure_rate += SMOOTHING * (0 - s->failure_rate);
   s->samples++;
-  if (s->probing)
+  if (s->trial_in_flight)
     readmit (s);
   if (!s->ejected_until)
     s->ejections = 0;
@@ -109,7 +109,7 @@
   s->failures_in_row++;
   s->failure_rate += SMOOTHING * (1 - s->failure_rate);
   s->samples++;
-  if (s->probing
+  if (s->trial_in_flight
       || (!s->ejected_until && s->failures_in_row >= EJECT_FAILURES_IN_ROW)
       || (!s->ejected_until && s->samples >= EJECT_MIN_SAMPLES
           && s->failure_rate > EJECT_FAILURE_RATE))
@@ -132,13 +132,14 @@
 dsp_health_usable (const struct dsp *d, const struct dsp_endpoint_state *s)
 {
   return s->listed && s->accepting && !s->stalled && !s->ejected_until
-         && d->now >= s->full_until && !dsp_process_ended (d, s);
+         && d->now >= s->no_room_until && !dsp_process_ended (d, s);
 }
 
 bool
-dsp_health_probe_due (const struct dsp *d, const struct dsp_endpoint_state *s)
+dsp_health_trial_due (const struct dsp *d, const struct dsp_endpoint_state *s)
 {
-  if (!s->listed || !s->accepting || s->probing || dsp_process_ended (d, s))
+  if (!s->listed || !s->accepting || s->trial_in_flight
+      || dsp_process_ended (d, s))
     return false;
   if (s->stalled)
     return d->now - s->stalled_at >= STALL_TRIAL_MS;
@@ -198,7 +199,7 @@
     }
 }
 
-/** Silence of that many streams that indicates a stall. */
+/** Time without events after which that many streams indicate a stall. */
 static clk_ms
 stall_timeout (unsigned streaming)
 {
@@ -208,7 +209,8 @@
 }
 
 bool
-dsp_health_is_silent (const struct dsp *d, const struct dsp_endpoint_state *s)
+dsp_health_streams_silent (const struct dsp *d,
+                           const struct dsp_endpoint_state *s)
 {
   clk_ms last_event_at = s->last_data_at;
   unsigned streaming = 0;
@@ -239,8 +241,8 @@
          && s->last_data_at < m.oldest_sent_at;
 }
 
-/** Duration of the current silence. If the endpoint has sent nothing since the
-    oldest waiting request was sent, the silence is measured from that
+/** Time for which the endpoint has sent nothing. If it has sent nothing since
+    the oldest waiting request was sent, the time is measured from that
     request. */
 static clk_ms
 silence_duration (const struct dsp *d, const struct dsp_endpoint_state *s)
@@ -254,7 +256,7 @@
                 : s->last_data_at);
 }
 
-/** Moves all requests away from a stalled endpoint. */
+/** Moves the retryable requests away from a stalled endpoint. */
 static void
 move_requests (struct dsp *d, struct dsp_endpoint_state *s)
 {
--- a/serve/dispatch-int.h
+++ b/serve/dispatch-int.h
@@ -35,26 +35,26 @@
   DSP_STATES
 };
 
-/** Events of charts/forward.json. */
-enum dsp_transition
+/** Events of charts/forward.json, in the order of event_names in
+    dispatch.c. */
+enum dsp_event
 {
-  DSP_X_WAIT,
-  DSP_X_REFUSE,
-  DSP_X_CONNECT,
-  DSP_X_SENT,
-  DSP_X_UNRUN,
-  DSP_X_RETRY,
-  DSP_X_PASS,
-  DSP_X_WHOLE,
-  DSP_X_FAIL,
-  DSP_TRANSITIONS
+  DSP_EVENT_WAIT,
+  DSP_EVENT_REFUSE,
+  DSP_EVENT_CONNECT,
+  DSP_EVENT_SENT,
+  DSP_EVENT_UNRUN,
+  DSP_EVENT_RETRY,
+  DSP_EVENT_PASS,
+  DSP_EVENT_WHOLE,
+  DSP_EVENT_FAIL,
+  DSP_EVENTS
 };
 
-#define DSP_TRIED_MAX 8 /**< tried endpoints remembered for each request */
+#define DSP_TRIED_MAX 8 /**< tried endpoints recorded for each request */
 
 struct dsp_pool;
 
-/** State of an endpoint. */
 struct dsp_endpoint_state
 {
   struct dsp_pool *pool;
@@ -65,8 +65,8 @@
                               generation */
   struct net_addr addr;
   bool same_zone;
-  bool listed;      /**< in the current list; else kept only until its
-                         requests end */
+  bool listed;      /**< in the current list; else kept only until its requests
+                         end */
   bool in_new_list; /**< named by the list that is being applied */
   bool accepting;
   unsigned capacity;
@@ -77,34 +77,37 @@
   uint32_t peer_requests; /**< requests of the other nodes, as last reported */
   uint32_t peer_streaming; /**< streams among these that have received an
                                 event */
-  double own_prefill;      /**< prompt tokens of this node's requests that
-                                are not yet processed */
-  double own_noticed;      /**< part of `own_prefill` that was announced to
-                                the other nodes by notices */
-  double peer_prefill;
-  double peer_noticed; /**< tokens announced in notices that have not
-                            expired */
-  clk_ms last_data_at; /**< time of the last response bytes */
-  clk_ms full_until;   /**< end of the pause after the server reported that
-                            it had no room */
-  bool stalled;        /**< no response bytes arrive, though streams are
-                            open */
+  double own_prefill;      /**< prompt tokens of this node's requests that are
+                                not yet processed */
+  double own_announced;    /**< part of `own_prefill` that was announced to the
+                                other nodes by notices */
+  double peer_prefill;     /**< pending tokens in the peers' load reports */
+  double peer_announced;   /**< tokens announced in notices that have not
+                                expired */
+  clk_ms last_data_at;     /**< time of the last response bytes */
+  clk_ms no_room_until;    /**< end of the pause after the server reported that
+                                it had no room */
+  bool stalled;            /**< no response bytes arrive, though streams are
+                                open */
   clk_ms stalled_at;
   /** no requests are sent before this time, because this node has found that
       the process ended */
   clk_ms process_ended_until;
-  clk_ms reported_ended_until; /**< the same, because another node reported
-                                    it */
+  clk_ms reported_ended_until; /**< no requests are sent before this time,
+                                    because another node reported that the
+                                    process ended */
   unsigned failures_in_row;
   double failure_rate;   /**< moving average of failures, 0 to 1 */
   double first_event_ms; /**< moving average of the time to the first event */
   unsigned samples;
   clk_ms ejected_until; /**< 0: not ejected */
   unsigned ejections;   /**< consecutive ejections, for the backoff */
-  bool probing;         /**< ejected, and one trial request is in flight */
+  bool trial_in_flight; /**< one trial request is in flight, to find out
+                             whether the endpoint works again */
 };
 
-/** Seconds that the retry budget counts; longer windows don't fit. */
+/** Length of the retry budget's history, in seconds; longer windows are cut to
+    it. */
 #define DSP_BUDGET_SECONDS 32
 
 /** Requests and retries of a service in each second of a sliding window. */
@@ -139,16 +142,16 @@
   double first_event_ms;
   double response_ms; /**< moving average: from sending to the end of the
                            response */
-  struct dsp_retry_budget *budget; /**< shared by the pools of a service */
+  struct dsp_retry_budget
+      *retry_budget; /**< shared by the pools of a service */
   /** indexed by priority */
   struct dsp_rate request_rates[DSP_PRIORITIES];
   struct dsp_rate rejection_rate; /**< rate of requests rejected because all
                                        endpoints are rate-limited */
-  clk_ms assigned_until; /**< time up to which the permitted rate has been
-                              given to rejected clients as retry delays */
+  clk_ms assigned_until; /**< latest retry time given to a rejected client; the
+                              next client gets a later one */
 };
 
-/** An open request. */
 struct dsp_req
 {
   uint64_t id;
@@ -174,12 +177,13 @@
   bool queued;
   bool streaming; /**< the current attempt has received its first event */
   clk_ms first_event_at;
-  bool forwarded; /**< part of the response has been forwarded to the client */
-  bool probe;
+  bool partly_forwarded;   /**< part of the response has been forwarded to the
+                                client */
+  bool is_trial;           /**< the current attempt is a trial request */
   bool prefill_counted;    /**< its prompt is counted in the endpoint's
                                 `own_prefill` */
-  bool prefill_noticed;    /**< its prompt is counted in the endpoint's
-                                `own_noticed` */
+  bool prefill_announced;  /**< its prompt is counted in the endpoint's
+                                `own_announced` */
   bool awaits_first_event; /**< sent, and no event received yet */
   bool error_response;     /**< the current attempt's response is an error */
   uint64_t tried[DSP_TRIED_MAX];
@@ -211,7 +215,7 @@
 struct dsp_interruption
 {
   uint64_t endpoint; /**< 0: unused */
-  clk_ms first_at;   /**< time of the first */
+  clk_ms first_at;   /**< time of the first interruption */
   bool checked;      /**< `liveness` is valid */
   enum dsp_liveness liveness;
   struct psn_update runs[DSP_INTERRUPTED_RUNS_MAX]; /**< pending until the
@@ -225,9 +229,9 @@
   char *zone;
   struct rng rng;
   clk_ms now;
-  clk_ms ticked_at;     /**< time of the last tick */
-  clk_ms last_check_at; /**< last tick, or the time at which the first
-                             request was opened */
+  clk_ms ticked_at;
+  clk_ms last_check_at; /**< last tick, or the time at which the first request
+                             was opened */
   bool skipped_tick; /**< the last tick was too late and checked no timeouts */
   unsigned node_count;
   bool shutting_down;
@@ -258,9 +262,9 @@
 /** @param q NULL: the action concerns no request */
 struct dsp_action *dsp_add_action (struct dsp *d, enum dsp_action_kind kind,
                                    const struct dsp_req *q);
-/** Makes a transition of the chart; aborts the process if the chart doesn't
-    allow it. */
-void dsp_transition (struct dsp_req *q, enum dsp_transition x);
+/** Applies an event to the request's state; aborts the process if the chart
+    doesn't allow it. */
+void dsp_transition (struct dsp_req *q, enum dsp_event event);
 /** Ends the current attempt and queues the request for a retry, if that is
     allowed; else ends the request with @p code. */
 void dsp_attempt_failed (struct dsp *d, struct dsp_req *q, enum dsp_code code);
@@ -269,9 +273,9 @@
 struct dsp_req *dsp_find_attempt (const struct dsp *d, uint64_t id,
                                   unsigned attempt);
 
-/** Ends the request with the error @p if_not_executed, where this is certain,
-    else with @p if_executed.
-    @param retry_ms  delay after which the client may retry; sent only if the
+/** Ends the request with the error @p if_not_executed if it was certainly not
+    executed, else with @p if_executed.
+    @param retry_ms delay after which the client may retry; sent only if the
     request was not executed; 0: not given */
 void dsp_give_up (struct dsp *d, struct dsp_req *q,
                   enum dsp_code if_not_executed, enum dsp_code if_executed,
@@ -285,20 +289,18 @@
 void dsp_send_queued (struct dsp *d, struct dsp_pool *p);
 
 /* dispatch-load.c */
-/** The endpoint with that hash, or NULL. */
 struct dsp_endpoint_state *dsp_find_endpoint (const struct dsp *d,
                                               uint64_t hash);
-/** Sums the load reported by the peers again, after the list of endpoints has
-    changed. */
+/** Sums the peers' load reports again after a change of the endpoint list. */
 void dsp_load_sum_peers (struct dsp *d);
-/** Prompt tokens of all nodes' requests that the endpoint has yet to
-    process. */
+/** Prompt tokens of all nodes' requests that the endpoint has not processed
+    yet. */
 double dsp_load_pending_prefill (const struct dsp_endpoint_state *s);
-/** Drops notices that have expired. */
-void dsp_load_expire_notices (struct dsp *d);
+void dsp_load_expire_prompt_notices (struct dsp *d);
 /** Adds the prompt of @p q to the pending tokens of its endpoint. */
 void dsp_load_prompt_sent (struct dsp *d, struct dsp_req *q);
-/** Removes it: the prompt was processed, or the attempt has ended. */
+/** Subtracts the prompt of @p q again: it was processed, or the attempt has
+    ended. */
 void dsp_load_prompt_processed (struct dsp_req *q);
 void dsp_send_all_queued (struct dsp *d);
 
@@ -307,7 +309,6 @@
                                struct str model);
 bool dsp_was_tried (const struct dsp_req *q,
                     const struct dsp_endpoint_state *s);
-/** Whether at least one endpoint of the pool is usable. */
 bool dsp_any_usable (const struct dsp *d, const struct dsp_pool *p);
 /** Endpoint to which @p q can be sent now, or NULL if it has to wait. */
 struct dsp_endpoint_state *dsp_choose_endpoint (struct dsp *d,
@@ -320,57 +321,57 @@
 void dsp_health_failure (struct dsp *d, struct dsp_endpoint_state *s);
 void dsp_health_first_event (struct dsp *d, struct dsp_endpoint_state *s,
                              clk_ms ms);
+/** Whether requests other than trial requests may be sent to the endpoint. */
 bool dsp_health_usable (const struct dsp *d,
                         const struct dsp_endpoint_state *s);
-bool dsp_health_probe_due (const struct dsp *d,
-                           const struct dsp_endpoint_state *s);
-/** Whether its streams have been silent for long enough that new requests
-    should avoid it. */
-bool dsp_health_is_silent (const struct dsp *d,
+bool dsp_health_trial_due (const struct dsp *d,
                            const struct dsp_endpoint_state *s);
+/** Whether the endpoint's streams have received nothing for so long that new
+    requests should avoid it. */
+bool dsp_health_streams_silent (const struct dsp *d,
+                                const struct dsp_endpoint_state *s);
 /** Detects stalled endpoints and moves their requests. */
 void dsp_health_tick (struct dsp *d);
 
 /* dispatch-limit.c */
 /** Whether the rate limit of the endpoint permits one more request now. */
-bool dsp_limit_allows (const struct dsp *d,
-                       const struct dsp_endpoint_state *s);
-/** Asks for a permit on behalf of @p q. */
+bool dsp_limit_allows_request (const struct dsp *d,
+                               const struct dsp_endpoint_state *s);
 void dsp_limit_ask_permit (const struct dsp *d,
                            const struct dsp_endpoint_state *s,
                            const struct dsp_req *q);
-/** Uses up a permit, as a request is sent there. */
 void dsp_limit_use_permit (const struct dsp *d,
                            const struct dsp_endpoint_state *s);
-bool dsp_is_limited (const struct dsp *d, const struct dsp_endpoint_state *s);
+bool dsp_has_rate_limit (const struct dsp *d,
+                         const struct dsp_endpoint_state *s);
 /** Slots of the endpoint that can be used under its rate limit. */
 double dsp_limit_slots (const struct dsp *d,
                         const struct dsp_endpoint_state *s);
 /** Counts a new request in the pool's rate for its priority. */
 void dsp_limit_count_request (const struct dsp *d, const struct dsp_req *q);
-/** Whether @p q must leave the permitted rate to requests of higher priority,
-    because these need all of it. */
-bool dsp_limit_must_defer (const struct dsp *d, const struct dsp_pool *p,
-                           const struct dsp_req *q);
+/** Whether requests of higher priority need all of the permitted rate, so that
+    @p q must wait. */
+bool dsp_limit_used_by_higher_priority (const struct dsp *d,
+                                        const struct dsp_pool *p,
+                                        const struct dsp_req *q);
 /** Whether all usable endpoints of the pool are rate-limited. */
-bool dsp_limit_all (const struct dsp *d, const struct dsp_pool *p);
-/** Time after which the pool's queue can be sent, if all its usable endpoints
-    are rate-limited and have no permits left; else 0. */
+bool dsp_limit_on_all_endpoints (const struct dsp *d,
+                                 const struct dsp_pool *p);
+/** Time needed to send the pool's queue, if all its usable endpoints are
+    rate-limited and have no permits left; else 0. */
 clk_ms dsp_limit_wait_ms (const struct dsp *d, const struct dsp_pool *p);
 /** Delay after which a client that is rejected by the rate limit may retry;
     counts the rejection. */
 clk_ms dsp_limit_reject (const struct dsp *d, struct dsp_pool *p);
-/** Estimated number of slots, at all nodes, that the rejected requests would
-    occupy. */
+/** Estimated number of slots that rejected requests of all nodes would use. */
 double dsp_limit_demand (const struct dsp *d, const struct dsp_pool *p);
 
 /* dispatch-crash.c */
-/** The run of @p q was interrupted. */
 void dsp_run_interrupted (struct dsp *d, const struct dsp_req *q);
-/** Whether the endpoint's process is known to have ended. */
+/** Whether this node or another one found, a short time ago, that the
+    endpoint's process ended. */
 bool dsp_process_ended (const struct dsp *d,
                         const struct dsp_endpoint_state *s);
-/** Another node has reported that the process ended. */
 void dsp_peer_reported_ended (struct dsp *d, struct dsp_endpoint_state *s);
 /** Whether @p q must not be retried because it may crash servers. */
 bool dsp_is_suspect (const struct dsp *d, const struct dsp_req *q);
@@ -379,7 +380,7 @@
 struct dsp_retry_budget *dsp_get_budget (struct dsp *d, const char *service);
 void dsp_budget_count_request (struct dsp *d, struct dsp_pool *p);
 /** Uses up one retry.
-    @retval false  the retry budget of the service is exhausted */
+    @retval false the retry budget of the service is exhausted */
 bool dsp_budget_take_retry (struct dsp *d, struct dsp_pool *p);
 
 #endif
--- a/serve/dispatch-place.c
+++ b/serve/dispatch-place.c
@@ -3,18 +3,18 @@
 #include <stdlib.h>
 
 /**
- * Requests that an endpoint may be sent beyond its number of slots, if they
- * can still meet their latency goal: a slot becomes free there about every 60
- * ms, and the goals allow for a little more than one wait of this length.
+ * Number of requests that may be sent to an endpoint in addition to its slots,
+ * if they can still meet their latency goal. A slot becomes free there about
+ * every 60 ms, and the goals leave time for little more than that.
  */
 #define EXTRA_REQUESTS 1
 
 /**
- * Pending prompt processing, in ms, that weighs as much as all slots of an
- * endpoint. Long prompts that arrive together delay all streams of the
- * replica, while slots are rarely short. In tests over 20 days with failures
- * each, 20, 25, 40 and 80 ms gave the same served share within 0.003, and 170
- * ms gave 0.005 less.
+ * Processing time of pending prompts, in ms, that adds as much load as all
+ * slots of an endpoint in use. Long prompts that arrive together delay all
+ * streams of the replica, whereas all slots are seldom in use. In tests over
+ * 20 days with failures each, 20, 25, 40 and 80 ms gave the same served share
+ * within 0.003, and 170 ms gave 0.005 less.
  */
 #define PREFILL_WEIGHT_MS 25.0
 
@@ -42,7 +42,7 @@
   struct dsp_pool *p = xcalloc (1, sizeof *p);
   p->service = str_dup (service);
   p->model = str_dup (model);
-  p->budget = dsp_get_budget (d, p->service);
+  p->retry_budget = dsp_get_budget (d, p->service);
   d->pools = xrealloc (d->pools, (d->npools + 1) * sizeof *d->pools);
   d->pools[d->npools++] = p;
   return p;
@@ -150,7 +150,7 @@
   return false;
 }
 
-/** Requests that hold a slot or are queued for the next free ones. */
+/** Requests that hold a slot or wait at the server for one. */
 static uint32_t
 slots_taken (const struct dsp_endpoint_state *s)
 {
@@ -158,11 +158,10 @@
 }
 
 /**
- * Load of an endpoint as seen by a further request, in parts of its capacity:
- * the slots taken, plus the processing time of the pending prompts. A replica
- * processes all new prompts in one pass, and all its streams pause meanwhile.
- * Half a dozen long prompts take 200 ms, which makes each of these streams
- * late.
+ * Load of an endpoint as a fraction of its capacity: the slots taken, plus the
+ * processing time of the pending prompts. A replica processes all new prompts
+ * in one pass, and all its streams pause meanwhile. Half a dozen long prompts
+ * take 200 ms, which makes each of these streams late.
  */
 static double
 load_of (const struct dsp_endpoint_state *s)
@@ -181,7 +180,7 @@
               const struct dsp_req *q)
 {
   return dsp_health_usable (d, s) && !dsp_was_tried (q, s)
-         && !dsp_health_is_silent (d, s);
+         && !dsp_health_streams_silent (d, s);
 }
 
 static struct dsp_endpoint_state *
@@ -198,7 +197,7 @@
  * loaded endpoint, all of them would choose the same one until the next
  * report, and the requests sent in that time would queue there.
  *
- * Rate-limited endpoints for which this node has a permit are considered in
+ * Rate-limited endpoints for which this node has a permit are compared in
  * addition, because the permit is valid for this node only and expires if it
  * is not used.
  */
@@ -214,12 +213,12 @@
       struct dsp_endpoint_state *s = p->endpoints[i];
       if (!is_candidate (d, s, q) || slots_taken (s) >= s->capacity + extra)
         continue;
-      if (!dsp_limit_allows (d, s))
+      if (!dsp_limit_allows_request (d, s))
         {
           dsp_limit_ask_permit (d, s, q);
           continue;
         }
-      if (dsp_is_limited (d, s))
+      if (dsp_has_rate_limit (d, s))
         {
           permitted = less_loaded (permitted, s);
           continue;
@@ -234,20 +233,20 @@
   return less_loaded (permitted, less_loaded (drawn[0], drawn[1]));
 }
 
-/** Finds an ejected or stalled endpoint that is due for a trial, for a request
-    that can be retried after a failure. */
+/** Finds an ejected or stalled endpoint that is due for a trial request, if @p
+    q can be retried after a failure. */
 static bool
-find_probe (const struct dsp *d, const struct dsp_pool *p,
-            const struct dsp_req *q, struct dsp_endpoint_state **out)
+find_trial_endpoint (const struct dsp *d, const struct dsp_pool *p,
+                     const struct dsp_req *q, struct dsp_endpoint_state **out)
 {
-  if (!q->retryable || q->forwarded
+  if (!q->retryable || q->partly_forwarded
       || q->sent_attempts + 1 >= q->route->max_attempts)
     return false;
   for (size_t i = 0; i < p->n; i++)
     {
       *out = p->endpoints[i];
-      if (!dsp_was_tried (q, *out) && dsp_health_probe_due (d, *out)
-          && dsp_limit_allows (d, *out))
+      if (!dsp_was_tried (q, *out) && dsp_health_trial_due (d, *out)
+          && dsp_limit_allows_request (d, *out))
         return true;
     }
   return false;
@@ -264,8 +263,9 @@
     {
       struct dsp_endpoint_state *s = p->endpoints[i];
       if (!s->listed || !s->accepting || s->stalled || dsp_was_tried (q, s)
-          || d->now < s->full_until || dsp_process_ended (d, s)
-          || slots_taken (s) >= s->capacity || !dsp_limit_allows (d, s))
+          || d->now < s->no_room_until || dsp_process_ended (d, s)
+          || slots_taken (s) >= s->capacity
+          || !dsp_limit_allows_request (d, s))
         continue;
       if (!best || slots_taken (s) < slots_taken (best))
         best = s;
@@ -274,26 +274,25 @@
 }
 
 /*
- * When all slots are taken, a request waits in this queue for an eighth of its
- * latency goal and is then rejected as not executed. A backend server would
- * queue it behind all others. Under overload it would not be served there in
- * time, and it would take a slot just when a request arrives that could still
- * meet its goal. Queueing at the servers lowered the served share by 1.4
- * percentage points (20 days with failures and high load; 1.2 and 1.7 on 10
- * days of two other workloads), because a rejected request is retried when a
- * slot is free.
+ * If all slots are taken, the request stays in this node's queue for an eighth
+ * of its latency goal and is then rejected as not executed; its client retries
+ * it when a slot is free. A backend server would queue the request behind all
+ * others. Under overload it would not be served there in time, and would take
+ * a slot just when a request arrives that could still meet its goal. Queueing
+ * at the servers lowered the served share by 1.4 percentage points (20 days
+ * with failures and high load; 1.2 and 1.7 on 10 days of two other workloads).
  */
 struct dsp_endpoint_state *
 dsp_choose_endpoint (struct dsp *d, struct dsp_pool *p,
                      const struct dsp_req *q)
 {
-  bool late = d->now >= q->goal_at && !q->forwarded;
+  bool late = d->now >= q->goal_at && !q->partly_forwarded;
   struct dsp_endpoint_state *s;
 
-  dsp_load_expire_notices (d);
-  if (dsp_limit_must_defer (d, p, q))
+  dsp_load_expire_prompt_notices (d);
+  if (dsp_limit_used_by_higher_priority (d, p, q))
     return NULL;
-  if (find_probe (d, p, q, &s))
+  if (find_trial_endpoint (d, p, q, &s))
     return s;
   s = choose_of_two (d, p, q, late ? 0 : EXTRA_REQUESTS);
   return s || dsp_any_usable (d, p) ? s : choose_fallback (d, p, q);
--- a/serve/form-int.h
+++ b/serve/form-int.h
@@ -23,7 +23,7 @@
  * effect, because servers report a change at once.
  */
 #define FRM_REPORT_DELAY_MS ((clk_ms)1000)
-/** Joining or opening fails when it takes longer than expected by this. */
+/** Joining or opening fails when it takes this much longer than expected. */
 #define FRM_STEP_TIMEOUT_MS ((clk_ms)6000)
 
 /** State of one backend server, as this leader node has recorded it. */
@@ -50,7 +50,7 @@
   int64_t blocked_by;
   bool listed;       /**< in the last list; if not, it keeps its replica */
   bool seen_in_list; /**< in the list that is being processed */
-  bool unresponsive; /**< failed its probes; treated as missing */
+  bool unresponsive; /**< failed its probes; counts as removed */
   unsigned failed_probes; /**< consecutive probes without a response */
   clk_ms next_probe_at;
   clk_ms probe_ok_at;   /**< time of the last response to a probe */
@@ -102,15 +102,15 @@
   char *model;
   int64_t generation;
   enum frm_phase phase;
-  clk_ms phase_since; /**< start of the phase */
-  bool adopted;       /**< formed by an earlier leader node */
+  clk_ms phase_since;
+  bool adopted; /**< formed by an earlier leader node */
   /** Warm spare: a single VM that loads a model and never opens. */
-  bool spare;
+  bool warm_spare;
   bool force;       /**< close without waiting for running requests */
   bool may_be_open; /**< an order to open may have been sent to its leader */
   /**
-   * Reported for the first time during this leadership: unlisted members may
-   * have been assigned elsewhere, so they are not members.
+   * First reported during this leadership: unlisted members may have been
+   * assigned elsewhere, so they are not members.
    */
   bool appeared_late;
   bool member_lost;    /**< a member is permanently gone */
@@ -130,7 +130,6 @@
   clk_ms earliest_ready_at; /**< members can't be ready before this */
 };
 
-/** Demand for one model. */
 struct frm_demand
 {
   char *service;
@@ -147,9 +146,9 @@
 {
   struct frm_options opt;
   bool leading;
-  bool adopted; /**< the replicas that servers report have been taken over */
+  bool adopted;       /**< the reported replicas have been adopted */
   bool list_complete; /**< a server missing from the list is gone */
-  bool traffic;
+  bool had_traffic;   /**< clients have sent requests */
   int64_t fence;
   int64_t generation; /**< last one assigned */
   clk_ms now;
@@ -189,15 +188,19 @@
 };
 
 /* form.c */
-bool frm_is_usable (const struct frm *f, const struct frm_vm *vm);
-/** Whether it reports itself ready in the replica that it is assigned to. */
+/**
+ * Whether the VM may be a member: listed, responsive, not draining, not
+ * excluded and not blocked by the replica of its previous incarnation.
+ */
+bool frm_is_eligible (const struct frm *f, const struct frm_vm *vm);
+/** Whether the VM reports that it is ready in its assigned replica. */
 bool frm_is_ready (const struct frm_vm *vm);
 /**
- * Whether its last report names this replica and generation, and @p part or a
- * later stage.
+ * Whether the VM's last report names this replica and generation, and @p
+ * min_state or a later state.
  */
 bool frm_reports (const struct frm_vm *vm, const struct frm_replica *r,
-                  enum bks_member_state part);
+                  enum bks_member_state min_state);
 const struct tbl_service *frm_find_service (const struct frm *f,
                                             const char *name);
 struct frm_replica *frm_replica_add (struct frm *f, const char *service,
@@ -210,7 +213,6 @@
  * otherwise after its leader has left it.
  */
 void frm_replica_end (struct frm *f, struct frm_replica *r);
-/** Releases the members for other replicas. */
 void frm_replica_release (struct frm *f, struct frm_replica *r);
 
 /* form-group.c */
@@ -233,7 +235,7 @@
                         size_t model, unsigned n);
 
 /** Counts a replica that closes to free its VMs for another model. */
-void frm_count_reassigned (struct frm *f, const struct frm_replica *r);
+void frm_record_reassigned (struct frm *f, const struct frm_replica *r);
 
 /* form-yield.c */
 /** Closes replicas whose VMs another model needs more. */
@@ -256,9 +258,9 @@
 /** Model whose weights the VM holds, or empty. */
 struct str frm_loaded_model (const struct frm_vm *vm);
 /**
- * Whether the VM can join a replica of @p model without a load from the weight
- * store.
+ * Whether the VM or its host's memory holds the weights of @p model, so that
+ * no load from the weight store is needed.
  */
-bool frm_is_warm (const struct frm_vm *vm, struct str model);
+bool frm_has_weights (const struct frm_vm *vm, struct str model);
 
 #endif
--- a/serve/form-order.c
+++ b/serve/form-order.c
@@ -5,8 +5,8 @@
 
 /**
  * Share of the limit on loads that one leader node uses.  A new leader node
- * does not know which loads its predecessor started in the same window.  With
- * less than half each, both together stay below the limit.
+ * does not know which loads its predecessor started in the same window.  As
+ * each uses less than half, both together stay below the limit.
  */
 #define LOADS_SHARE 0.45
 
@@ -46,9 +46,9 @@
 }
 
 /**
- * Whether the VM accepted the same order and no list has been requested since
- * that would show its effect.  With thousands of servers the list is read only
- * every few seconds; if orders were repeated in between, each server would get
+ * Whether the VM accepted this order and the last list was requested too early
+ * to show its effect.  With thousands of servers the list is read only every
+ * few seconds; if orders were repeated in between, each server would get
  * several for each step.
  */
 static bool
@@ -112,7 +112,7 @@
 }
 
 bool
-frm_is_warm (const struct frm_vm *vm, struct str model)
+frm_has_weights (const struct frm_vm *vm, struct str model)
 {
   if (str_eq (frm_loaded_model (vm), model))
     return true;
@@ -130,7 +130,7 @@
       = f->now - (clk_ms)(f->opt.ceiling_window_s * (double)CLK_SECOND);
   double recent = n;
 
-  if (!f->traffic || s->loads_per_s <= 0)
+  if (!f->had_traffic || s->loads_per_s <= 0)
     return true;
   for (size_t i = 0; i < f->nloads && i < FRM_LOAD_RING; i++)
     recent += f->load_times[i] > from;
--- a/serve/form-place.c
+++ b/serve/form-place.c
@@ -4,21 +4,18 @@
 #include <string.h>
 
 /**
- * For this time after the last VM appeared, no warm spare is loaded: the free
- * VMs may still become part of a replica.
+ * No warm spare is loaded until this long after the last VM appeared, because
+ * the free VMs may still become part of a replica.
  */
 #define ARRIVAL_QUIET_MS ((clk_ms)1000)
 
 /**
  * Settle window at startup.  Servers that start together appear between some
- * milliseconds and a tenth of a second apart.  A list without a new VM that
- * was requested this long after the list with the last new VM therefore
- * contains all of them.
+ * milliseconds and a tenth of a second apart.  All have appeared once a list
+ * without a new VM was requested this long after the last list with one.
  */
 #define SETTLE_WINDOW_MS ((clk_ms)200)
-/**
- * If VMs keep appearing, replicas are formed from the listed ones after this.
- */
+/** Upper limit of that wait, if VMs keep appearing. */
 #define SETTLE_MAX_MS ((clk_ms)5000)
 
 /* --- forming a replica ------------------------------------------------- */
@@ -33,17 +30,16 @@
 /**
  * Selects the cheapest free VMs of the domain for a replica of @p m.
  *
- * All members come from one domain.  VMs left over from a replica that can't
- * be completed within their domain stay idle until a load has ended.  Replicas
- * formed from the remaining VMs of several domains, which communicate over a
- * slower network, reduced the revenue: without them, 0.005 more of the
- * possible revenue is earned (20 days with failures; 0.008 on 10 days of
- * another workload), and no day lost more than 0.009.  At a quarter of the
- * speed each request to these replicas is late, and their VMs are not
- * available when their own domain could use them.
+ * All members come from one domain.  VMs that can't complete a replica within
+ * their domain stay idle until another VM of the domain has loaded the model.
+ * Replicas across domains communicate over a slower network.  Without them
+ * revenue was higher by 0.005 of the possible revenue (20 days with failures;
+ * by 0.008 on 10 days of another workload), and lower by at most 0.009 on any
+ * day.  At a quarter of the speed each request to these replicas is late, and
+ * their VMs are not available when their own domain could use them.
  */
 static bool
-choose_members (const struct frm *f, const struct frm_domain *d,
+choose_members (const struct frm *f, const struct frm_fabric_domain *d,
                 const struct tbl_model *m, enum frm_cost max_cost,
                 struct choice *out)
 {
@@ -62,9 +58,9 @@
 }
 
 static struct str
-next_replica_name (struct frm *f, bool spare, char *text, size_t size)
+next_replica_name (struct frm *f, bool warm_spare, char *text, size_t size)
 {
-  int n = snprintf (text, size, "%c%lld", spare ? 's' : 'r',
+  int n = snprintf (text, size, "%c%lld", warm_spare ? 's' : 'r',
                     (long long)++f->generation);
 
   return str_make (text, (size_t)n);
@@ -72,8 +68,8 @@
 
 /**
  * Minimum time until the members of @p c are ready.  The list is polled at the
- * fast interval only after that: each read is a paid call, and during half of
- * a day with constant server crashes some replica is joining.
+ * fast interval only after that: each read is a paid call, and on a day with
+ * constant server crashes some replica is joining half of the time.
  */
 static clk_ms
 min_joining_ms (const struct frm *f, const struct tbl_model *m,
@@ -81,7 +77,7 @@
 {
   clk_ms ms = 0;
 
-  for (unsigned i = 0; f->traffic && i < c->n; i++)
+  for (unsigned i = 0; f->had_traffic && i < c->n; i++)
     if (frm_cost_of (c->members[i], m->name) != FRM_COST_LOADED)
       ms = m->warm_load_ms;
   return ms;
@@ -89,21 +85,21 @@
 
 static void
 form_replica (struct frm *f, const char *service, const struct tbl_model *m,
-              const struct choice *c, bool spare)
+              const struct choice *c, bool warm_spare)
 {
   char text[32];
-  struct str name = next_replica_name (f, spare, text, sizeof text);
+  struct str name = next_replica_name (f, warm_spare, text, sizeof text);
   struct frm_replica *r
       = frm_replica_add (f, service, name, m->name, f->generation);
 
-  r->spare = spare;
+  r->warm_spare = warm_spare;
   r->earliest_ready_at = f->now + min_joining_ms (f, m, c);
   r->nmembers = c->n;
   for (unsigned i = 0; i < c->n; i++)
     {
       struct frm_vm *vm = c->members[i];
       if (vm->replica)
-        frm_replica_release (f, vm->replica);
+        frm_replica_release (f, vm->replica); /* its warm spare */
       r->members[i] = vm;
       vm->replica = r;
       vm->next_order_at = f->now;
@@ -120,7 +116,7 @@
 static bool
 is_settling (const struct frm *f)
 {
-  return !f->traffic
+  return !f->had_traffic
          && f->list_requested_at - f->last_arrival_requested_at
                 < SETTLE_WINDOW_MS
          && f->now - f->first_arrival_at < SETTLE_MAX_MS;
@@ -134,9 +130,10 @@
  * or their host's memory, and other VMs load it individually as warm spares.
  */
 static bool
-form_next_replica (struct frm *f, struct frm_domain *d)
+form_next_replica (struct frm *f, struct frm_fabric_domain *d)
 {
-  enum frm_cost max_cost = f->traffic ? FRM_COST_HOST_MEMORY : FRM_COST_OTHER;
+  enum frm_cost max_cost
+      = f->had_traffic ? FRM_COST_HOST_MEMORY : FRM_COST_OTHER_MODEL;
 
   if (is_settling (f))
     return false;
@@ -156,20 +153,18 @@
 
 /* --- warm spares -------------------------------------------------------- */
 
-/**
- * Free VMs needed for the planned replicas of the model that don't exist yet.
- */
+/** VMs needed to form the planned but missing replicas of the model. */
 static unsigned
-missing_vms (const struct frm_domain *d, size_t k)
+missing_vms (const struct frm_fabric_domain *d, size_t k)
 {
   unsigned n = d->want[k] > d->have[k] ? d->want[k] - d->have[k] : 0;
 
   return n * d->s->models[k].size;
 }
 
-/** Model that lacks the most VMs, as a fraction of its replica size. */
+/** Model that lacks the most VMs, in multiples of its replica size. */
 static size_t
-most_missing_model (const struct frm_domain *d)
+most_missing_model (const struct frm_fabric_domain *d)
 {
   size_t best = d->s->nmodels;
   double max = 0;
@@ -177,9 +172,10 @@
   for (size_t k = 0; k < d->s->nmodels && k < FRM_MAX_MODELS; k++)
     {
       unsigned need = missing_vms (d, k);
-      double part = need > d->warm[k]
-                        ? (double)(need - d->warm[k]) / d->s->models[k].size
-                        : 0;
+      double part
+          = need > d->warm_or_loading[k]
+                ? (double)(need - d->warm_or_loading[k]) / d->s->models[k].size
+                : 0;
       if (part <= max)
         continue;
       best = k;
@@ -189,12 +185,13 @@
 }
 
 /**
- * Model with the fewest warm VMs beyond those needed, relative to its number
- * of members, any of which may fail.  Of two equal models, the one with more
+ * Model with the fewest surplus VMs, relative to the members of its planned
+ * replicas, any of which may fail.  Surplus VMs hold or load the model and are
+ * not needed for a missing replica.  Of two equal models, the one with more
  * members.
  */
 static size_t
-least_covered_model (const struct frm_domain *d)
+least_covered_model (const struct frm_fabric_domain *d)
 {
   size_t best = d->s->nmodels;
   double least = 0, members_best = 0;
@@ -202,8 +199,8 @@
   for (size_t k = 0; k < d->s->nmodels && k < FRM_MAX_MODELS; k++)
     {
       double members = (double)d->want[k] * d->s->models[k].size;
-      double spare = (double)d->warm[k] - missing_vms (d, k);
-      double x = members > 0 ? spare / members : 1e9;
+      double surplus = (double)d->warm_or_loading[k] - missing_vms (d, k);
+      double x = members > 0 ? surplus / members : 1e9;
       if (best < d->s->nmodels
           && (x > least || (x >= least && members <= members_best)))
         continue;
@@ -215,22 +212,23 @@
 }
 
 /**
- * Whether the VM may load model @p k: it holds no model, or at least two VMs
- * of the model that it holds are surplus and there is no surplus for @p k.
+ * Whether the VM may load model @p k: it holds no model, or the model that it
+ * holds has at least two surplus VMs and model @p k has none.
  */
 static bool
-may_load_model (const struct frm_domain *d, const struct frm_vm *vm, size_t k)
+may_load_model (const struct frm_fabric_domain *d, const struct frm_vm *vm,
+                size_t k)
 {
   size_t held = frm_loaded_model_index (vm, d->s);
 
   if (held == d->s->nmodels)
     return true;
-  return held != k && d->warm[held] > missing_vms (d, held) + 1
-         && d->warm[k] <= missing_vms (d, k);
+  return held != k && d->warm_or_loading[held] > missing_vms (d, held) + 1
+         && d->warm_or_loading[k] <= missing_vms (d, k);
 }
 
 static void
-load_spare (struct frm *f, struct frm_domain *d, struct frm_vm *vm)
+load_warm_spare (struct frm *f, struct frm_fabric_domain *d, struct frm_vm *vm)
 {
   struct choice c = { .members = { vm }, .n = 1 };
   size_t k = most_missing_model (d);
@@ -238,9 +236,9 @@
   if (k == d->s->nmodels)
     k = least_covered_model (d);
   if (k == d->s->nmodels || !may_load_model (d, vm, k)
-      || frm_is_warm (vm, d->s->models[k].name))
+      || frm_has_weights (vm, d->s->models[k].name))
     return;
-  c.loads = !frm_is_warm (vm, d->s->models[k].name);
+  c.loads = !frm_has_weights (vm, d->s->models[k].name);
   if (!frm_may_load (f, d->s, c.loads))
     return;
   form_replica (f, d->service, &d->s->models[k], &c, true);
@@ -248,7 +246,7 @@
 }
 
 static void
-load_domain_spares (struct frm *f, struct frm_domain *d)
+load_domain_warm_spares (struct frm *f, struct frm_fabric_domain *d)
 {
   frm_plan_domain (f, d);
   for (size_t i = 0; i < f->nvms; i++)
@@ -257,14 +255,14 @@
       if (frm_in_domain (vm, d) && frm_is_free (f, vm)
           && vm->entry.member_state != BKS_JOINING
           && (!vm->replica || frm_is_ready (vm)))
-        load_spare (f, d, vm);
+        load_warm_spare (f, d, vm);
     }
 }
 
 /* --- all domains ------------------------------------------------------- */
 
 static void
-form_domain_replicas (struct frm *f, struct frm_domain *d)
+form_domain_replicas (struct frm *f, struct frm_fabric_domain *d)
 {
   while (form_next_replica (f, d))
     ;
@@ -276,5 +274,5 @@
   frm_for_each_domain (f, form_domain_replicas);
   if (f->list_complete && !is_settling (f)
       && f->now - f->last_arrival_at >= ARRIVAL_QUIET_MS)
-    frm_for_each_domain (f, load_domain_spares);
+    frm_for_each_domain (f, load_domain_warm_spares);
 }
--- a/serve/form-stage.c
+++ b/serve/form-stage.c
@@ -7,12 +7,12 @@
  * not hold.  The VM then joins a replica of either model within one or two
  * seconds, compared with 12 to 16 s for a load.
  *
- * The hosts of replica members preload as long as there is no traffic, when it
+ * The hosts of replica members preload only before there is traffic, when this
  * delays no request.  If a replica later can't be completed, its remaining VMs
  * can serve the other model, and a surplus replica can give its VMs to a
- * replica that needs them.  In a domain that couldn't form its replicas after
- * a restart of all its VMs, the members' hosts preload nothing and keep the
- * model that the member serves.
+ * replica that needs them.  If the domain could then not form its replicas
+ * after a restart of all its VMs, the members' hosts preload nothing and keep
+ * the model that the member serves.
  */
 
 /** Delay after the last VM appeared, so that replicas are formed first. */
@@ -24,7 +24,7 @@
 #define PRELOAD_RETRY_MS ((clk_ms)5000)
 /**
  * Share of the service's simultaneous loads that preloads may use; the rest is
- * left to VMs that a replica waits for.
+ * kept for loads that a replica waits for.
  */
 #define PRELOAD_SHARE 0.5
 
@@ -45,7 +45,7 @@
   return best;
 }
 
-/** Whether its host holds a model other than the VM's. */
+/** Whether the host holds a model other than the VM's. */
 static bool
 has_preloaded_other (const struct frm_vm *vm)
 {
@@ -58,13 +58,13 @@
 static bool
 is_member (const struct frm_vm *vm)
 {
-  return vm->replica && !vm->replica->spare;
+  return vm->replica && !vm->replica->warm_spare;
 }
 
 static bool
 may_preload (const struct frm *f, const struct frm_vm *vm)
 {
-  return frm_is_usable (f, vm) && !vm->order_token
+  return frm_is_eligible (f, vm) && !vm->order_token
          && f->now >= vm->preload_until && vm->entry.domain.len > 0
          && frm_loaded_model (vm).len > 0 && !has_preloaded_other (vm)
          && (vm->replica ? frm_is_ready (vm)
@@ -77,12 +77,12 @@
  * no weights, so only the models in host memory count.
  */
 static bool
-survives_restart (const struct frm *f, const struct frm_domain *d)
+survives_restart (const struct frm *f, const struct frm_fabric_domain *d)
 {
   unsigned kept[FRM_MAX_MODELS] = { 0 };
 
   for (size_t i = 0; i < f->nvms; i++)
-    if (frm_in_domain (f->vms[i], d) && frm_is_usable (f, f->vms[i])
+    if (frm_in_domain (f->vms[i], d) && frm_is_eligible (f, f->vms[i])
         && frm_loaded_model (f->vms[i]).len > 0)
       {
         size_t k = model_to_preload (f->vms[i], d->s);
@@ -109,18 +109,19 @@
 is_forming_replica (const struct frm *f)
 {
   for (size_t i = 0; i < f->nreplicas; i++)
-    if (f->replicas[i]->phase <= FRM_PH_OPENING && !f->replicas[i]->spare)
+    if (f->replicas[i]->phase <= FRM_PH_OPENING && !f->replicas[i]->warm_spare)
       return true;
   return false;
 }
 
 /**
- * Whether the weight store has capacity for a load that no replica waits for.
+ * Whether the weight store has capacity for a preload, which no replica waits
+ * for.
  */
 static bool
 has_load_capacity (const struct frm *f, const struct tbl_service *s)
 {
-  if (!f->traffic)
+  if (!f->had_traffic)
     return !is_forming_replica (f);
   return frm_may_load (f, s, 1)
          && (s->loads_at_once == 0
@@ -128,14 +129,14 @@
 }
 
 static void
-preload_domain (struct frm *f, struct frm_domain *d)
+preload_domain (struct frm *f, struct frm_fabric_domain *d)
 {
   bool include_members;
 
   if (d->s->host_cache_models == 0 || d->s->nmodels < 2)
     return;
   frm_plan_domain (f, d);
-  include_members = !f->traffic && survives_restart (f, d);
+  include_members = !f->had_traffic && survives_restart (f, d);
   for (size_t i = 0; i < f->nvms; i++)
     {
       struct frm_vm *vm = f->vms[i];
--- a/serve/form.c
+++ b/serve/form.c
@@ -7,32 +7,32 @@
 /**
  * The generations of one leader node start at its fencing token times this, so
  * that they are greater than those of all earlier leader nodes.  No leader
- * node assigns more during the time of its lease.
+ * node assigns more than that during its lease.
  */
 #define GENERATIONS_PER_FENCE 1000
 
 /**
- * Delay before an order without a response is sent again.  The first one may
- * take effect only seconds later, and until every member is ready its replica
- * waits.
+ * Delay before an order without a response is sent again.  The unanswered
+ * order may take effect only seconds later, and the replica waits until every
+ * member is ready.
  */
 #define UNANSWERED_RETRY_MS ((clk_ms)50)
 
-/** Consecutive failed probes after which a VM is treated as missing. */
+/** Consecutive failed probes after which a VM counts as removed. */
 #define PROBE_FAILURES_MAX 2
 /**
- * Interval between the probes of a suspected VM.  Waiting for a response takes
- * 150 ms or more if the VM is dead, so it is treated as missing after 0.4 s.
+ * Interval between the probes of a VM that may have failed.  A probe of a dead
+ * VM takes 150 ms or more, so the VM counts as removed after 0.4 s.
  */
 #define PROBE_MS ((clk_ms)50)
 /**
  * Interval between the probes of a member that is not listed.  A repair takes
- * a second or more, so that half a second of delay before it starts matters
- * little; a disconnection from the store lasts some seconds, which makes ten
- * probes for each member.
+ * a second or more, so that starting it half a second later matters little.  A
+ * disconnection from the store lasts some seconds, which makes ten probes for
+ * each member.
  */
 #define PROBE_UNLISTED_MS ((clk_ms)500)
-/** Interval between the probes of a VM that is treated as missing. */
+/** Interval between the probes of an unresponsive VM. */
 #define PROBE_UNRESPONSIVE_MS ((clk_ms)2000)
 
 struct frm *
@@ -188,7 +188,7 @@
 void
 frm_replica_end (struct frm *f, struct frm_replica *r)
 {
-  if (r->may_be_open && !r->spare)
+  if (r->may_be_open && !r->warm_spare)
     frm_enter_phase (f, r, FRM_PH_LEAVING);
   else
     frm_replica_release (f, r);
@@ -241,7 +241,7 @@
 }
 
 bool
-frm_is_usable (const struct frm *f, const struct frm_vm *vm)
+frm_is_eligible (const struct frm *f, const struct frm_vm *vm)
 {
   return vm->listed && !vm->unresponsive && !vm->entry.draining
          && f->now >= vm->excluded_until && !is_blocked_by_old_replica (f, vm);
@@ -249,11 +249,11 @@
 
 bool
 frm_reports (const struct frm_vm *vm, const struct frm_replica *r,
-             enum bks_member_state part)
+             enum bks_member_state min_state)
 {
   return vm->listed && str_is (vm->entry.replica, r->name)
          && vm->entry.generation == r->generation
-         && vm->entry.member_state >= part;
+         && vm->entry.member_state >= min_state;
 }
 
 bool
@@ -291,7 +291,7 @@
  * it stops serving.  A replica of which it was a member no longer works, but
  * its leader may still be open.  A late order to join that replica could make
  * the new incarnation a member of it again, so the VM joins no other replica
- * until that one has ended.
+ * until the old one has ended.
  */
 static void
 reset_restarted_vm (struct frm *f, struct frm_vm *vm)
@@ -368,16 +368,16 @@
 /**
  * Whether the VM may still serve although its entry has expired: it may only
  * be disconnected from the store.  As long as it responds to probes it stays
- * in its replica.  When every expired entry closed a replica, disconnecting
- * one VM in eight closed half of the replicas, and their warm members were
- * lost.
+ * in its replica.  When replicas were closed for each expired entry,
+ * disconnecting one VM in eight closed half of the replicas, and their
+ * members' loaded weights were lost.
  */
 static bool
 may_still_serve (const struct frm_vm *vm)
 {
   const struct frm_replica *r = vm->replica;
 
-  return r && !r->spare && !vm->unresponsive && !vm->entry.draining
+  return r && !r->warm_spare && !vm->unresponsive && !vm->entry.draining
          && (r->phase == FRM_PH_OPEN || r->phase == FRM_PH_CLOSING
              || r->phase == FRM_PH_LEAVING);
 }
@@ -418,7 +418,7 @@
 /* --- adoption of existing replicas ------------------------------------- */
 
 static bool
-is_spare_name (struct str name)
+is_warm_spare_name (struct str name)
 {
   return name.len > 0 && name.ptr[0] == 's';
 }
@@ -437,10 +437,9 @@
 
 /**
  * Sets the replica's model from the report of a ready member.  A VM that is
- * not ready yet reports no model, or the one that it held before.  If that
- * were used, a leader adopted without its members could be taken for a
- * complete replica with fewer members, and open without the others.  A ready
- * VM reports the replica's model.
+ * not ready yet reports no model, or the model that it held before.  With that
+ * model, a leader adopted without its members could count as a complete
+ * replica with fewer members, and open without the others.
  */
 static void
 update_replica_model (const struct frm *f, struct frm_replica *r)
@@ -450,7 +449,7 @@
       set_model (f, r, r->members[i]->entry.model);
 }
 
-/** Adds a replica with the VMs that report the same one as @p first. */
+/** Adds the replica that @p first reports, with all VMs that report it. */
 static struct frm_replica *
 adopt_replica (struct frm *f, struct frm_vm *first)
 {
@@ -458,9 +457,9 @@
       = frm_replica_add (f, first->service, first->entry.replica, STR_EMPTY,
                          first->entry.generation);
 
-  r->spare = is_spare_name (first->entry.replica);
+  r->warm_spare = is_warm_spare_name (first->entry.replica);
   /* An earlier leader node may have sent the order to open. */
-  r->may_be_open = !r->spare;
+  r->may_be_open = !r->warm_spare;
   r->adopted = true;
   for (size_t i = 0; i < f->nvms; i++)
     {
@@ -475,7 +474,7 @@
       vm->replica = r;
     }
   update_replica_model (f, r);
-  if (r->spare && !r->members[0])
+  if (r->warm_spare && !r->members[0])
     frm_replica_release (f, r);
   else
     enter_adopted_phase (f, r);
@@ -496,7 +495,7 @@
     if (!f->vms[i]->replica && f->vms[i]->entry.member_state != BKS_NO_REPLICA)
       adopt_replica (f, f->vms[i]);
   for (size_t i = 0; i < f->nreplicas; i++)
-    f->traffic |= f->replicas[i]->phase == FRM_PH_OPEN;
+    f->had_traffic |= f->replicas[i]->phase == FRM_PH_OPEN;
   f->adopted = true;
 }
 
@@ -511,7 +510,7 @@
   return NULL;
 }
 
-/** Adds a member that was not yet known to an adopted replica. */
+/** Adds a member that appeared after its replica was adopted. */
 static void
 attach_member (struct frm *f, struct frm_replica *r, struct frm_vm *vm)
 {
@@ -526,10 +525,9 @@
 }
 
 /**
- * Releases members that were disconnected while their replica was closed, and
- * now report it again.  The replica has ended, so its leader is known not to
- * lead it any more, and these members need not wait until that leader must
- * have stopped serving.
+ * Releases VMs that were disconnected while their replica was closed, and
+ * still report that replica.  Its leader no longer leads it, so these VMs need
+ * not wait for stall_ms.
  */
 static void
 release_returned_members (struct frm *f)
@@ -547,10 +545,10 @@
 
 /**
  * Adopts replicas that this leader node has not ended and that VMs report for
- * the first time.  A leader among them may still be open, or open again after
- * a late order, and a member's leader may be listed soon.  Therefore they are
- * handled like any other replica, and their VMs are not used as spares
- * meanwhile.
+ * the first time.  The leader of one of them may still be open, or open again
+ * after a late order, or be listed only later than its members.  Therefore
+ * they are handled like any other replica, and their VMs are not used as
+ * spares meanwhile.
  */
 static void
 adopt_late_replicas (struct frm *f)
@@ -560,7 +558,7 @@
       struct frm_vm *vm = f->vms[i];
       if (vm->replica || vm->entry.member_state == BKS_NO_REPLICA
           || vm->entry.generation <= vm->released_generation
-          || is_spare_name (vm->entry.replica))
+          || is_warm_spare_name (vm->entry.replica))
         continue;
       struct frm_replica *r = find_replica (f, vm);
       if (r)
@@ -630,7 +628,7 @@
 void
 frm_traffic_started (struct frm *f)
 {
-  f->traffic = true;
+  f->had_traffic = true;
 }
 
 void
@@ -739,7 +737,7 @@
 {
   if (r->phase == FRM_PH_OPENING || r->phase == FRM_PH_CLOSING)
     return true;
-  return r->phase == FRM_PH_JOINING && !r->spare
+  return r->phase == FRM_PH_JOINING && !r->warm_spare
          && f->now >= r->earliest_ready_at
          && f->now - r->phase_since < FRM_STEP_TIMEOUT_MS;
 }
@@ -762,7 +760,7 @@
   for (size_t i = 0; i < f->nreplicas; i++)
     {
       const struct frm_replica *r = f->replicas[i];
-      if (r->spare)
+      if (r->warm_spare)
         x->warm++;
       else if (r->phase <= FRM_PH_OPENING)
         x->forming++;
@@ -773,6 +771,6 @@
     }
   for (size_t i = 0; i < f->nvms; i++)
     x->spares += f->vms[i]->listed
-                 && (!f->vms[i]->replica || f->vms[i]->replica->spare);
+                 && (!f->vms[i]->replica || f->vms[i]->replica->warm_spare);
   return x;
 }
--- a/t/t6101-form.c
+++ b/t/t6101-form.c
@@ -35,7 +35,7 @@
 {
   form_check ("lead 1\n vms a 6\n run 5000\n traffic\n kill a2\n run 1000\n"
               "show\n",
-              FORMED "close cut r1001 a1\n"
+              FORMED "force-close r1001 a1\n"
                      "leave r1001 a1\n"
                      "join r1004 big: a1 a3 a6\n"
                      "open r1004 a1\n"
@@ -52,7 +52,7 @@
 Test (form, late_order_to_open_is_rejected_after_leader_change)
 {
   form_check (
-      "lead 1\n vms a 4\n late-all open\n run 2600\n respond\n kill a2\n"
+      "lead 1\n vms a 4\n delay-all open\n run 2600\n respond\n kill a2\n"
       "lead-other 2\n apply-on-join\n run 1500\n show\n",
       "join r1001 big: a1 a2 a3\n"
       "join s1002 big: a4\n"
@@ -64,18 +64,18 @@
 }
 
 /*
- * The same under one leader node: the leader accepts the close, and then the
- * late order to open must not open it again.
+ * The same without a change of the leader node: after the replica leader has
+ * accepted the close, the late order must not open it again.
  */
 Test (form, late_order_to_open_is_rejected_after_close)
 {
-  form_check ("lead 1\n vms a 4\n late-all open\n run 2600\n respond\n"
+  form_check ("lead 1\n vms a 4\n delay-all open\n run 2600\n respond\n"
               "kill a2\n apply-on-join\n"
               "run 2000\n show\n",
               "join r1001 big: a1 a2 a3\n"
               "join s1002 big: a4\n"
               "open r1001 a1\n"
-              "close cut r1001 a1\n"
+              "force-close r1001 a1\n"
               "leave r1001 a1\n"
               "join r1003 big: a1 a3 a4\n"
               "open r1003 a1\n"
@@ -83,9 +83,9 @@
 }
 
 /*
- * A leader becomes unreachable while it may still accept requests.  Its
- * members leave it, and join another replica only after it must have stopped
- * serving.
+ * A replica leader becomes unreachable but may still accept requests.  Its
+ * members leave, and join another replica only after stall_ms, when it has
+ * stopped serving.
  */
 Test (form, members_of_unreachable_leader_wait_until_it_stopped)
 {
@@ -115,16 +115,16 @@
 
 /*
  * Requests at a replica make no progress.  Its members are probed; one without
- * a response is treated as missing although it is still listed.
+ * a response is replaced although it is still listed.
  */
 Test (form, a_stalled_replica_is_repaired_before_the_list_changes)
 {
   form_check ("lead 1\n vms a 4\n run 5000\n traffic\n hang a3\n"
-              "stalled a1\n run 1500\n show\n",
+              "report-stall a1\n run 1500\n show\n",
               "join r1001 big: a1 a2 a3\n"
               "join s1002 big: a4\n"
               "open r1001 a1\n"
-              "close cut r1001 a1\n"
+              "force-close r1001 a1\n"
               "leave r1001 a1\n"
               "join r1003 big: a1 a2 a4\n"
               "open r1003 a1\n"
@@ -138,7 +138,7 @@
 Test (form, a_returning_leader_is_closed_first)
 {
   form_check ("lead 1\n vms a 4\n run 3000\n disconnect a1\n run 3000\n"
-              "back a1\n run 3000\n show\n",
+              "restore a1\n run 3000\n show\n",
               "join r1001 big: a1 a2 a3\n"
               "join s1002 big: a4\n"
               "open r1001 a1\n"
@@ -146,7 +146,7 @@
               "leave r1001 a3\n"
               "join r1003 big: a2 a3 a4\n"
               "open r1003 a2\n"
-              "close cut r1001 a1\n"
+              "force-close r1001 a1\n"
               "leave r1001 a1\n"
               "r1003 big is open: a2 a3 a4\n");
 }
@@ -161,7 +161,7 @@
 {
   form_check ("lead 1\n vms a 6\n run 5000\n disconnect a1\n disconnect a2\n"
               "incomplete\n lead-other 2\n run 500\n complete\n run 500\n"
-              "back a2\n run 500\n back a1\n run 3000\n show\n",
+              "restore a2\n run 500\n restore a1\n run 3000\n show\n",
               FORMED "r1001 big is open: a1 a2 a3\n"
                      "r1002 small is open: a4 a5\n"
                      "a6 is warm for big\n");
@@ -175,7 +175,7 @@
 Test (form, a_serving_member_with_expired_entry_is_kept)
 {
   form_check ("lead 1\n vms a 6\n run 5000\n traffic\n expire a2\n run 5000\n"
-              "show\n back a2\n run 1000\n show\n",
+              "show\n restore a2\n run 1000\n show\n",
               FORMED "r1001 big is open: a1 a2 a3\n"
                      "r1002 small is open: a4 a5\n"
                      "a6 is warm for big\n"
@@ -185,8 +185,8 @@
 }
 
 /*
- * A member whose entry had expired stops without deregistering, as one that is
- * killed does, and streams stall.  The warm spare replaces it within a second.
+ * A member whose entry had expired is killed, so it doesn't deregister, and
+ * streams stall.  The warm spare replaces it within a second.
  */
 Test (form, a_stopped_member_with_expired_entry_is_replaced)
 {
@@ -195,7 +195,7 @@
               FORMED "r1001 big is open: a1 a2 a3\n"
                      "r1002 small is open: a4 a5\n"
                      "a6 is warm for big\n"
-                     "close cut r1001 a1\n"
+                     "force-close r1001 a1\n"
                      "leave r1001 a1\n"
                      "join r1004 big: a1 a3 a6\n"
                      "open r1004 a1\n"
@@ -204,10 +204,9 @@
 }
 
 /*
- * A leader's entry expires, so that it may get no new requests and its replica
- * is closed.  Running requests get some time, then the leader leaves.  It
- * responds to orders, so the members need not wait until it must have stopped
- * serving.
+ * A leader's entry expires.  It may get no new requests any more, so its
+ * replica is closed.  Running requests get some time, then the leader leaves.
+ * It responds to orders, so the members need not wait for stall_ms.
  */
 Test (form, a_leader_with_expired_entry_closes_and_leaves)
 {
@@ -230,12 +229,12 @@
 {
   form_check (
       "lead 1\n vms a 6\n run 5000\n traffic\n expire a2\n run 500\n"
-      "lead-other 2\n run 2000\n show\n kill a2\n stalled a1\n run 2000\n"
+      "lead-other 2\n run 2000\n show\n kill a2\n report-stall a1\n run 2000\n"
       "show\n",
       FORMED "r1001 big is open: a1 a2 a3\n"
              "r1002 small is open: a4 a5\n"
              "a6 is warm for big\n"
-             "close cut r1001 a1\n"
+             "force-close r1001 a1\n"
              "leave r1001 a1\n"
              "join r2001 big: a1 a3 a6\n"
              "open r2001 a1\n"
@@ -255,7 +254,7 @@
               "run 4000\n show\n",
               "join r1001 big: a1 a2 a3\n"
               "open r1001 a1\n"
-              "close cut r1001 a1\n"
+              "force-close r1001 a1\n"
               "leave r1001 a1\n"
               "join r1002 big: a1 a3 a2\n"
               "open r1002 a1\n"
@@ -279,20 +278,20 @@
 }
 
 /*
- * Guards against a late order to join.  It is delayed repeatedly, and its VM
- * restarts in the meantime, while the leader of the old replica can't be
- * closed.  If the new incarnation were used for another replica at once, the
- * late order could make it a member of the old replica while that one is open.
+ * Guards against a late order to join.  Its VM restarts before the order
+ * arrives, and the leader of the old replica can't be closed.  If the new
+ * incarnation were used for another replica at once, the late order could make
+ * it a member of the old replica while that one is open.
  */
 Test (form, a_restarted_member_waits_until_its_old_replica_ended)
 {
-  form_check ("lead 1\n vms a 6\n run 5000\n traffic\n late-all close\n"
+  form_check ("lead 1\n vms a 6\n run 5000\n traffic\n delay-all close\n"
               "restart a2\n run 1000\n show\n respond\n run 4000\n show\n",
-              FORMED "close cut r1001 a1\n"
+              FORMED "force-close r1001 a1\n"
                      "r1001 big is open: a1 a2 a3\n"
                      "r1002 small is open: a4 a5\n"
                      "a6 is warm for big\n"
-                     "close cut r1001 a1\n"
+                     "force-close r1001 a1\n"
                      "leave r1001 a1\n"
                      "join r1004 big: a1 a3 a6\n"
                      "join s1005 small: a2\n"
@@ -353,8 +352,8 @@
 
 /*
  * Servers register a few at a time over a second.  If replicas were formed
- * from the first ones, the small model would take the VMs of the large one,
- * whose requests would be rejected all day.
+ * from the first ones, the small model would take the VMs of the large model,
+ * and requests to the large model would be rejected all day.
  */
 Test (form, replicas_are_formed_after_all_servers_registered)
 {
@@ -392,7 +391,7 @@
   form_check ("host-memory\n lead 1\n vms a 6\n run 8000\n traffic\n kill a5\n"
               "run 1000\n show\n",
               FORMED "preload small a6\n"
-                     "close cut r1002 a4\n"
+                     "force-close r1002 a4\n"
                      "leave r1002 a4\n"
                      "join r1004 small: a4 a6\n"
                      "open r1004 a4\n"
@@ -422,8 +421,8 @@
               "open r1002 a4\n"
               "open r1003 b1\n"
               "open r1004 b4\n"
-              "close cut r1001 a1\n"
-              "close cut r1003 b1\n"
+              "force-close r1001 a1\n"
+              "force-close r1003 b1\n"
               "leave r1001 a1\n"
               "leave r1003 b1\n"
               "r1002 small is open: a4 a5\n"
@@ -447,7 +446,7 @@
   form_check (
       "lead 1\n vms a 6\n run 5000\n traffic\n incomplete\n lead-other 2\n"
       "run 200\n kill a2\n run 1500\n show\n",
-      FORMED "close cut r1001 a1\n"
+      FORMED "force-close r1001 a1\n"
              "leave r1001 a1\n"
              "join r2001 big: a1 a3 a6\n"
              "open r2001 a1\n"
@@ -464,9 +463,9 @@
 {
   form_check (
       "lead 1\n vms a 6\n run 5000\n traffic\n disconnect a1\n disconnect a2\n"
-      "disconnect a3\n incomplete\n lead-other 2\n run 500\n back a1\n run "
+      "disconnect a3\n incomplete\n lead-other 2\n run 500\n restore a1\n run "
       "500\n"
-      "back a2\n back a3\n run 200\n complete\n run 3000\n show\n",
+      "restore a2\n restore a3\n run 200\n complete\n run 3000\n show\n",
       FORMED "r1001 big is open: a1 a2 a3\n"
              "r1002 small is open: a4 a5\n"
              "a6 is warm for big\n");
@@ -474,14 +473,14 @@
 
 /*
  * A leader reported that it is draining, and its entry disappears while it is
- * being closed, so it has shut down.  It isn't probed first: its members leave
- * at once, because the wait until it must have stopped serving starts only
- * after that.
+ * being closed, so it has shut down.  Its members are ordered to leave at
+ * once, without a probe of the leader, because the wait of stall_ms starts
+ * only after that.
  */
 Test (form, a_drained_leader_is_not_probed)
 {
   form_check (
-      "lead 1\n vms a 6\n run 5000\n traffic\n lose-all close\n drain a1\n"
+      "lead 1\n vms a 6\n run 5000\n traffic\n drop-all close\n drain a1\n"
       "run 300\n expire a1\n run 200\n show\n",
       FORMED "close r1001 a1\n"
              "leave r1001 a2\n"
@@ -501,15 +500,15 @@
 {
   form_check (
       "lead 1\n vms a 4\n run 5000\n traffic\n disconnect a2\n run 3000\n"
-      "back a2\n run 300\n kill a3\n run 1500\n show\n",
+      "restore a2\n run 300\n kill a3\n run 1500\n show\n",
       "join r1001 big: a1 a2 a3\n"
       "join s1002 big: a4\n"
       "open r1001 a1\n"
-      "close cut r1001 a1\n"
+      "force-close r1001 a1\n"
       "leave r1001 a1\n"
       "join r1003 big: a1 a3 a4\n"
       "open r1003 a1\n"
-      "close cut r1003 a1\n"
+      "force-close r1003 a1\n"
       "leave r1003 a1\n"
       "join r1004 big: a1 a4 a2\n"
       "open r1004 a1\n"
@@ -517,13 +516,14 @@
 }
 
 /*
- * With thousands of servers the list is read every four seconds.  A replica
- * that had opened was closed again because the list didn't show it in time.
- * Each server gets one order for each step, and open replicas stay open.
+ * With thousands of servers the list is read every four seconds.  Guards
+ * against closing an open replica because the list doesn't show it in time,
+ * and against more than one order to a server for each step.
  */
 Test (form, a_slow_list_causes_no_repeated_orders)
 {
-  form_check ("lists 4000\n lead 1\n vms a 6\n run 30000\n orders\n show\n",
+  form_check ("list-interval 4000\n lead 1\n vms a 6\n run 30000\n "
+              "count-orders\n show\n",
               FORMED "8 orders\n"
                      "r1001 big is open: a1 a2 a3\n"
                      "r1002 small is open: a4 a5\n"
@@ -531,15 +531,15 @@
 }
 
 /*
- * Guards against a member that an intermediate leader node considered free:
- * its late order to join another replica removes the member from this replica
- * after it has opened.  A VM that has accepted an order of the new leader node
- * rejects the late one.
+ * Guards against a late order of an intermediate leader node, which considered
+ * a member free: the order to join another replica would remove the member
+ * from this one after it has opened.  A VM that has accepted an order of the
+ * new leader node rejects the late order.
  */
 Test (form, an_adopted_replica_opens_after_members_accepted_the_new_fence)
 {
-  form_check ("lead-other 1\n vms a 3\n lose-all open\n run 2600\n respond\n"
-              "lead 2\n run 1000\n orders\n show\n",
+  form_check ("lead-other 1\n vms a 3\n drop-all open\n run 2600\n respond\n"
+              "lead 2\n run 1000\n count-orders\n show\n",
               "join r1001 big: a1 a2 a3\n"
               "open r1001 a1\n"
               "4 orders\n"
