--- a/t/lib-latekv.c
+++ b/t/lib-latekv.c
@@ -7,14 +7,14 @@
 struct client
 {
   struct latekv *at;
-  struct answer *answers;
+  struct pending_response *responses;
 };
 
-struct answer
+struct pending_response
 {
   uv_timer_t timer; /* data: the answer */
   struct client *client;
-  struct answer *next;
+  struct pending_response *next;
   store_cb cb;
   void *ctx;
   struct store_result res;
@@ -34,9 +34,9 @@
 }
 
 static void
-free_answer (uv_handle_t *h)
+free_response (uv_handle_t *h)
 {
-  struct answer *a = h->data;
+  struct pending_response *a = h->data;
 
   free (a->key);
   free (a->end);
@@ -44,20 +44,20 @@
 }
 
 static void
-drop_answer (struct answer *a)
+drop_response (struct pending_response *a)
 {
-  struct answer **at = &a->client->answers;
+  struct pending_response **at = &a->client->responses;
 
   while (*at != a)
     at = &(*at)->next;
   *at = a->next;
-  uv_close ((uv_handle_t *)&a->timer, free_answer);
+  uv_close ((uv_handle_t *)&a->timer, free_response);
 }
 
 static void
-on_answer (uv_timer_t *t)
+on_response_timer (uv_timer_t *t)
 {
-  struct answer *a = t->data;
+  struct pending_response *a = t->data;
   struct store_kv kvs[MAX_KVS];
 
   a->res.kvs = kvs;
@@ -65,29 +65,29 @@
     a->res.nkvs = memkv_list (a->client->at->kv, str_from (a->key),
                               str_from (a->end), kvs, MAX_KVS);
   a->cb (a->ctx, &a->res);
-  drop_answer (a);
+  drop_response (a);
 }
 
-static struct answer *
-answer_later (struct client *c, store_cb cb, void *ctx)
+static struct pending_response *
+schedule_response (struct client *c, store_cb cb, void *ctx)
 {
-  struct answer *a = xcalloc (1, sizeof *a);
+  struct pending_response *a = xcalloc (1, sizeof *a);
 
-  *a = (struct answer){
-    .client = c, .next = c->answers, .cb = cb, .ctx = ctx
+  *a = (struct pending_response){
+    .client = c, .next = c->responses, .cb = cb, .ctx = ctx
   };
-  c->answers = a;
+  c->responses = a;
   a->res.status = c->at->down ? STORE_UNAVAILABLE : STORE_OK;
   uv_timer_init (c->at->loop, &a->timer);
   a->timer.data = a;
-  uv_timer_start (&a->timer, on_answer, 1, 0);
+  uv_timer_start (&a->timer, on_response_timer, 1, 0);
   return a;
 }
 
 static void
 late_range (void *self, struct str key, struct str end, store_cb cb, void *ctx)
 {
-  struct answer *a = answer_later (self, cb, ctx);
+  struct pending_response *a = schedule_response (self, cb, ctx);
 
   a->key = str_dup (key);
   a->end = str_dup (end);
@@ -96,7 +96,7 @@
 static void
 late_txn (void *self, const struct store_txn *txn, store_cb cb, void *ctx)
 {
-  struct answer *a = answer_later (self, cb, ctx);
+  struct pending_response *a = schedule_response (self, cb, ctx);
   struct latekv *at = a->client->at;
 
   if (at->down)
@@ -112,7 +112,7 @@
 static void
 late_grant (void *self, clk_ms ttl, store_cb cb, void *ctx)
 {
-  struct answer *a = answer_later (self, cb, ctx);
+  struct pending_response *a = schedule_response (self, cb, ctx);
 
   if (a->res.status == STORE_OK)
     a->res.lease = ++a->client->at->lease;
@@ -121,7 +121,7 @@
 static void
 late_keep (void *self, int64_t lease, store_cb cb, void *ctx)
 {
-  struct answer *a = answer_later (self, cb, ctx);
+  struct pending_response *a = schedule_response (self, cb, ctx);
   struct latekv *at = a->client->at;
 
   if (a->res.status == STORE_OK && at->taken)
@@ -133,7 +133,7 @@
 static void
 late_revoke (void *self, int64_t lease, store_cb cb, void *ctx)
 {
-  struct answer *a = answer_later (self, cb, ctx);
+  struct pending_response *a = schedule_response (self, cb, ctx);
 
   if (a->res.status == STORE_OK)
     memkv_revoke (a->client->at->kv, lease);
@@ -144,8 +144,8 @@
 {
   struct client *c = self;
 
-  while (c->answers != NULL)
-    drop_answer (c->answers);
+  while (c->responses != NULL)
+    drop_response (c->responses);
   free (c);
 }
 
--- a/t/lib-rack.c
+++ b/t/lib-rack.c
@@ -9,13 +9,13 @@
 
 #include "base/json.h"
 
-#define TURN_US 50000
-#define TURNS 300 /* 15 s */
+#define RETRY_INTERVAL_US 50000
+#define MAX_RETRIES 300 /* 15 s */
 
 static int drain_ms = 2000;
 
 void
-rack_drain_ms (int ms)
+rack_set_drain_ms (int ms)
 {
   drain_ms = ms;
 }
@@ -55,24 +55,26 @@
 }
 
 void
-rack_up_many (struct rack *r, int engines, int nodes,
-              const char *(*last) (const char *at))
+rack_prepare_nodes (struct rack *r, int engines, int nodes,
+                    const char *(*last) (const char *at))
 {
   char n[8];
 
   memset (r, 0, sizeof *r);
   snprintf (n, sizeof n, "%d", engines);
   r->platform = PROC_UP ("standin", "rack", "--engines", n);
-  r->at = proc_addr (r->platform, "http");
+  r->platform_addr = proc_addr (r->platform, "http");
   for (int i = 0; i < nodes; i++)
-    write_settings (r, i, last && i + 1 == nodes ? last (r->at) : r->at,
+    write_settings (r, i,
+                    last && i + 1 == nodes ? last (r->platform_addr)
+                                           : r->platform_addr,
                     nodes > RACK_NODES);
 }
 
 void
-rack_up (struct rack *r, int engines)
+rack_start_platform (struct rack *r, int engines)
 {
-  rack_up_many (r, engines, RACK_NODES, NULL);
+  rack_prepare_nodes (r, engines, RACK_NODES, NULL);
 }
 
 void
@@ -87,13 +89,13 @@
   snprintf (path, sizeof path, "%s/node-%d.log", r->logs ? r->logs : "",
             node + 1);
   r->node[node] = r->logs ? proc_start_to (argv, path) : proc_start (argv);
-  for (int i = 0; i < TURNS; i++)
+  for (int i = 0; i < MAX_RETRIES; i++)
     {
       bool ok = web_call (r->ready[node], "GET", "/ready", NULL, NULL, &a);
       web_free (&a);
       if (ok)
         return;
-      usleep (TURN_US);
+      usleep (RETRY_INTERVAL_US);
     }
   cr_assert (false, "node %d does not listen", node);
 }
@@ -108,7 +110,8 @@
   va_start (args, fmt);
   vsnprintf (text, sizeof text, fmt, args);
   va_end (args);
-  cr_assert (web_call (r->at, "POST", "/control/set", NULL, text, &a));
+  cr_assert (
+      web_call (r->platform_addr, "POST", "/control/set", NULL, text, &a));
   web_free (&a);
 }
 
@@ -144,17 +147,18 @@
 void
 rack_serve (struct rack *r, int engines)
 {
-  char leads[64];
+  char has_leader[64];
 
-  rack_up (r, engines);
+  rack_start_platform (r, engines);
   rack_configure (r, 1, "k1", "");
   for (int i = 0; i < RACK_NODES; i++)
     rack_start_node (r, i);
   for (int i = 0; i < RACK_NODES; i++)
-    cr_assert (rack_until (r, i, "/stream/x", rack_headers ("warm"), 200));
+    cr_assert (
+        rack_call_until (r, i, "/stream/x", rack_headers ("warm"), 200));
   /* Each domain of four has formed its replica. */
-  snprintf (leads, sizeof leads, "\"leads\": true");
-  cr_assert (rack_counts_until (r, leads));
+  snprintf (has_leader, sizeof has_leader, "\"leads\": true");
+  cr_assert (rack_wait_for_counts (r, has_leader));
 }
 
 const char *
@@ -200,36 +204,37 @@
 }
 
 bool
-rack_until (const struct rack *r, int node, const char *path,
-            const char *headers, int status)
+rack_call_until (const struct rack *r, int node, const char *path,
+                 const char *headers, int status)
 {
   char *copy = xstrdup (headers);
   bool ok = false;
 
-  for (int i = 0; i < TURNS && !ok; i++)
+  for (int i = 0; i < MAX_RETRIES && !ok; i++)
     {
       ok = rack_call (r, node, path, "", copy, NULL) == status;
       if (!ok)
-        usleep (TURN_US);
+        usleep (RETRY_INTERVAL_US);
     }
   free (copy);
   return ok;
 }
 
 bool
-rack_counts_until (const struct rack *r, const char *text)
+rack_wait_for_counts (const struct rack *r, const char *text)
 {
-  return web_until (r->at, "/control/counts", NULL, text, PROC_WAIT_MS);
+  return web_until (r->platform_addr, "/control/counts", NULL, text,
+                    PROC_WAIT_MS);
 }
 
 int
-rack_count (const struct rack *r, const char *server, const char *what)
+rack_get_count (const struct rack *r, const char *server, const char *what)
 {
   struct web_answer a = { 0 };
   struct json_object *o;
   int n;
 
-  web_call (r->at, "GET", "/control/counts", NULL, NULL, &a);
+  web_call (r->platform_addr, "GET", "/control/counts", NULL, NULL, &a);
   o = jsn_parse (buf_str (&a.body));
   n = (int)jsn_int (jsn_object (o, server), what);
   json_object_put (o);
@@ -238,7 +243,7 @@
 }
 
 bool
-rack_whole (struct buf *body, int n)
+rack_is_complete (struct buf *body, int n)
 {
   struct buf expected = BUF_INIT;
   bool same;
--- a/t/lib-rack.h
+++ b/t/lib-rack.h
@@ -13,33 +13,33 @@
 
 #define RACK_NODES 2
 /** Nodes of a test with more of them than are linked each to each. */
-#define RACK_MANY 18
-#define RACK_MOST 80 /**< of those that rack_up_many() starts */
+#define RACK_MANY_NODES 18
+#define RACK_MAX_NODES 80 /**< of those that rack_prepare_nodes() starts */
 
 struct rack
 {
   struct proc *platform;
-  struct proc *node[RACK_MOST];
-  const char *at;   /**< the platform's address */
+  struct proc *node[RACK_MAX_NODES];
+  const char *platform_addr; /**< the platform's address */
   const char *logs; /**< folder for the nodes' output; NULL: as of proc.h */
-  char settings[RACK_MOST][256]; /**< paths */
-  char front[RACK_MOST][32];
-  char ready[RACK_MOST][32];
-  char address[RACK_MOST][32];
+  char settings[RACK_MAX_NODES][256]; /**< paths */
+  char front[RACK_MAX_NODES][32];
+  char ready[RACK_MAX_NODES][32];
+  char address[RACK_MAX_NODES][32];
 };
 
 /** Start the platform with so many engine servers; nothing is configured. */
-void rack_up (struct rack *r, int engines);
+void rack_start_platform (struct rack *r, int engines);
 
 /** The same with settings for @p nodes that start for the first time, of which
    the last one reaches the platform by way of @p last, "127.0.0.1:PORT",
    unless that is NULL. */
-void rack_up_many (struct rack *r, int engines, int nodes,
-                   const char *(*last) (const char *at));
+void rack_prepare_nodes (struct rack *r, int engines, int nodes,
+                         const char *(*last) (const char *at));
 
 /** Time in which a leaving server may still get requests, of nodes whose
     settings are written from now on; 2,000 unless set. */
-void rack_drain_ms (int ms);
+void rack_set_drain_ms (int ms);
 
 /** Start a node, also one that was ended. */
 void rack_start_node (struct rack *r, int node);
@@ -70,15 +70,16 @@
                const char *id, const char *headers, struct buf *body);
 
 /** Repeat a call until it is answered so; false when it never is. */
-bool rack_until (const struct rack *r, int node, const char *path,
-                 const char *headers, int status);
+bool rack_call_until (const struct rack *r, int node, const char *path,
+                      const char *headers, int status);
 
 /** Wait until GET /control/counts holds @p text. */
-bool rack_counts_until (const struct rack *r, const char *text);
+bool rack_wait_for_counts (const struct rack *r, const char *text);
 /** A number of a server's counts. */
-int rack_count (const struct rack *r, const char *server, const char *what);
+int rack_get_count (const struct rack *r, const char *server,
+                    const char *what);
 
 /** Whether the body is the events 1 to @p n, each once and in order. */
-bool rack_whole (struct buf *body, int n);
+bool rack_is_complete (struct buf *body, int n);
 
 #endif
--- a/t/lib-relay.c
+++ b/t/lib-relay.c
@@ -16,7 +16,7 @@
 struct pair
 {
   int a, b;
-  bool forgotten;
+  bool blackholed;
 };
 
 struct relay
@@ -26,8 +26,8 @@
   struct net_addr to[2];
   struct pair pairs[MAX_PAIRS];
   size_t n;
-  atomic_bool forget;
-  atomic_bool forgot;
+  atomic_bool blackhole;
+  atomic_bool blackholed;
   atomic_bool refuse;
 };
 
@@ -66,12 +66,12 @@
 
 /** Pass on what one end sent; false when it has closed. */
 static bool
-pass (const struct pair *p, int from, int to)
+forward_bytes (const struct pair *p, int from, int to)
 {
   char bytes[16384];
   ssize_t n = read (from, bytes, sizeof bytes);
 
-  if (p->forgotten)
+  if (p->blackholed)
     return true;
   for (ssize_t done = 0; done < n;)
     {
@@ -84,17 +84,17 @@
 }
 
 static void
-serve_pairs (struct relay *r, const struct pollfd *fds)
+forward_pairs (struct relay *r, const struct pollfd *fds)
 {
   for (size_t i = r->n; i > 0; i--)
     {
       struct pair *p = &r->pairs[i - 1];
-      bool up = true;
+      bool is_open = true;
       if (fds[2 * i].revents)
-        up = pass (p, p->a, p->b);
-      if (up && fds[2 * i + 1].revents)
-        up = pass (p, p->b, p->a);
-      if (up)
+        is_open = forward_bytes (p, p->a, p->b);
+      if (is_open && fds[2 * i + 1].revents)
+        is_open = forward_bytes (p, p->b, p->a);
+      if (is_open)
         continue;
       close (p->a);
       close (p->b);
@@ -113,7 +113,7 @@
 }
 
 static void *
-run (void *arg)
+run_relay (void *arg)
 {
   struct relay *r = arg;
   static struct pollfd fds[2 + 2 * MAX_PAIRS];
@@ -126,20 +126,20 @@
       for (size_t i = 0; i < n; i++)
         {
           /* A forgotten one stays open and is not looked at any more. */
-          short ev = r->pairs[i].forgotten ? 0 : POLLIN;
+          short ev = r->pairs[i].blackholed ? 0 : POLLIN;
           int a = ev ? r->pairs[i].a : -1, b = ev ? r->pairs[i].b : -1;
           fds[2 + 2 * i] = (struct pollfd){ a, ev, 0 };
           fds[3 + 2 * i] = (struct pollfd){ b, ev, 0 };
         }
       poll (fds, 2 + 2 * n, 5);
-      if (atomic_exchange (&r->forget, false))
+      if (atomic_exchange (&r->blackhole, false))
         {
           for (size_t i = 0; i < r->n; i++)
-            r->pairs[i].forgotten = true;
-          atomic_store (&r->forgot, true);
+            r->pairs[i].blackholed = true;
+          atomic_store (&r->blackholed, true);
           continue;
         }
-      serve_pairs (r, fds);
+      forward_pairs (r, fds);
       if (atomic_load (&r->refuse))
         close_pairs (r);
       for (int i = 0; i < 2; i++)
@@ -159,7 +159,7 @@
   net_addr_parse (str_from (to1), false, &r->to[1]);
   for (int i = 0; i < 2; i++)
     listen_at (r, i);
-  cr_assert_eq (pthread_create (&thread, NULL, run, r), 0);
+  cr_assert_eq (pthread_create (&thread, NULL, run_relay, r), 0);
   pthread_detach (thread);
   return r;
 }
@@ -173,14 +173,14 @@
 void
 relay_forget (struct relay *r)
 {
-  atomic_store (&r->forgot, false);
-  atomic_store (&r->forget, true);
-  while (!atomic_load (&r->forgot))
+  atomic_store (&r->blackholed, false);
+  atomic_store (&r->blackhole, true);
+  while (!atomic_load (&r->blackholed))
     usleep (1000);
 }
 
 void
-relay_refuse (struct relay *r)
+relay_close_connections (struct relay *r)
 {
   atomic_store (&r->refuse, true);
 }
--- a/t/lib-relay.h
+++ b/t/lib-relay.h
@@ -16,6 +16,6 @@
 void relay_forget (struct relay *r);
 
 /** From now on close every connection, old and new. */
-void relay_refuse (struct relay *r);
+void relay_close_connections (struct relay *r);
 
 #endif
--- a/t/lib-soak.c
+++ b/t/lib-soak.c
@@ -7,10 +7,10 @@
 #include <unistd.h>
 
 /** Lines that a run prints of broken promises. */
-#define WRONG_MOST 40
+#define MAX_VIOLATION_LINES 40
 
 uint64_t
-soak_number (const char *name, uint64_t usual)
+soak_env_number (const char *name, uint64_t usual)
 {
   const char *text = getenv (name);
 
@@ -28,9 +28,10 @@
 void
 soak_finish (struct soak *s)
 {
-  cr_expect_eq (s->nwrong, 0, "seed %llu, %u times:\n%s",
-                (unsigned long long)s->seed, s->nwrong, buf_c (&s->wrong));
-  buf_free (&s->wrong);
+  cr_expect_eq (s->nviolations, 0, "seed %llu, %u times:\n%s",
+                (unsigned long long)s->seed, s->nviolations,
+                buf_c (&s->violations));
+  buf_free (&s->violations);
 }
 
 static void *
@@ -38,8 +39,8 @@
 {
   struct soak_thread *t = ctx;
 
-  for (; clk_now () < t->s->until; t->turns++)
-    t->turn (t);
+  for (; clk_now () < t->s->ends_at; t->steps++)
+    t->step (t);
   return NULL;
 }
 
@@ -49,8 +50,8 @@
 {
   pthread_t threads[SOAK_THREADS];
 
-  s->began = clk_now ();
-  s->until = s->began + (clk_ms)seconds * CLK_SECOND;
+  s->started_at = clk_now ();
+  s->ends_at = s->started_at + (clk_ms)seconds * CLK_SECOND;
   for (unsigned i = 0; i < n; i++)
     {
       t[i].s = s;
@@ -65,14 +66,14 @@
 }
 
 void
-soak_note (struct soak *s, const char *text)
+soak_add_violation (struct soak *s, const char *text)
 {
-  if (s->nwrong++ < WRONG_MOST)
-    buf_addf (&s->wrong, "%s\n", text);
+  if (s->nviolations++ < MAX_VIOLATION_LINES)
+    buf_addf (&s->violations, "%s\n", text);
 }
 
 void
-soak_wrong (struct soak *s, const char *fmt, ...)
+soak_report_violation (struct soak *s, const char *fmt, ...)
 {
   char text[512];
   va_list args;
@@ -81,12 +82,12 @@
   vsnprintf (text, sizeof text, fmt, args);
   va_end (args);
   pthread_mutex_lock (&s->lock);
-  soak_note (s, text);
+  soak_add_violation (s, text);
   pthread_mutex_unlock (&s->lock);
 }
 
 void
-soak_rest (struct rng *rng, clk_ms most)
+soak_random_sleep (struct rng *rng, clk_ms most)
 {
   usleep ((useconds_t)rng_below (rng, (uint64_t)most * 1000));
 }
@@ -94,21 +95,21 @@
 /* --- nodes ------------------------------------------------------------- */
 
 static void
-touch (struct soak *s, int node)
+mark_disturbed (struct soak *s, int node)
 {
-  s->node[node].touched = clk_now ();
-  s->disturbed++;
+  s->node[node].disturbed_at = clk_now ();
+  s->disturbances++;
 }
 
 void
-soak_end (struct soak *s, const int *nodes, int n, int sig)
+soak_signal_exit (struct soak *s, const int *nodes, int n, int sig)
 {
   pthread_mutex_lock (&s->lock);
   for (int i = 0; i < n; i++)
     {
-      s->node[nodes[i]].away = true;
-      s->node[nodes[i]].stopped = false;
-      touch (s, nodes[i]);
+      s->node[nodes[i]].restarting = true;
+      s->node[nodes[i]].paused = false;
+      mark_disturbed (s, nodes[i]);
       proc_signal (s->r.node[nodes[i]], sig);
       proc_signal (s->r.node[nodes[i]], SIGCONT);
     }
@@ -116,27 +117,27 @@
 }
 
 static void
-start_one (struct soak *s, int node)
+restart_node (struct soak *s, int node)
 {
   struct soak_node *d = &s->node[node];
 
   proc_wait (s->r.node[node], PROC_WAIT_MS);
   pthread_mutex_lock (&s->lock);
-  d->life++;
-  touch (s, node);
+  d->incarnation++;
+  mark_disturbed (s, node);
   pthread_mutex_unlock (&s->lock);
   rack_start_node (&s->r, node);
   pthread_mutex_lock (&s->lock);
-  d->away = false;
-  touch (s, node);
+  d->restarting = false;
+  mark_disturbed (s, node);
   pthread_mutex_unlock (&s->lock);
 }
 
 void
-soak_start (struct soak *s, const int *nodes, int n)
+soak_restart (struct soak *s, const int *nodes, int n)
 {
   for (int i = 0; i < n; i++)
-    start_one (s, nodes[i]);
+    restart_node (s, nodes[i]);
 }
 
 void
@@ -146,19 +147,19 @@
   for (int i = 0; i < n; i++)
     {
       struct soak_node *d = &s->node[nodes[i]];
-      if (d->away || (sig == SIGCONT && !d->stopped))
+      if (d->restarting || (sig == SIGCONT && !d->paused))
         continue;
-      touch (s, nodes[i]);
-      d->stopped = sig == SIGSTOP;
+      mark_disturbed (s, nodes[i]);
+      d->paused = sig == SIGSTOP;
       if (sig == SIGSTOP || sig == SIGCONT)
-        d->stood_at = d->touched;
+        d->paused_at = d->disturbed_at;
       proc_signal (s->r.node[nodes[i]], sig);
     }
   pthread_mutex_unlock (&s->lock);
 }
 
 void
-soak_stop (struct soak *s, const int *nodes, int n, clk_ms ms)
+soak_pause (struct soak *s, const int *nodes, int n, clk_ms ms)
 {
   soak_signal (s, nodes, n, SIGSTOP);
   usleep ((useconds_t)ms * 1000);
@@ -168,24 +169,24 @@
 /* --- the store --------------------------------------------------------- */
 
 static void
-mark_store (struct soak *s, bool fails)
+record_store_fault (struct soak *s, bool fails)
 {
   pthread_mutex_lock (&s->lock);
-  s->store_fails = fails;
-  s->store_failed = clk_now ();
+  s->store_faulty = fails;
+  s->store_fault_at = clk_now ();
   pthread_mutex_unlock (&s->lock);
 }
 
 void
-soak_fail_store (struct soak *s, struct rng *rng, unsigned kinds)
+soak_inject_store_fault (struct soak *s, struct rng *rng, unsigned kinds)
 {
-  static const char *const faults[SOAK_STORE_KINDS]
+  static const char *const faults[SOAK_STORE_FAULTS]
       = { "\"silent\": true", "\"refuse\": true", "\"lose_next\": 3",
           "\"compact\": true", "\"lapse\": true" };
 
-  mark_store (s, true);
+  record_store_fault (s, true);
   rack_set (&s->r, "{\"store\": {%s}}", faults[rng_below (rng, kinds)]);
-  soak_rest (rng, 2000);
+  soak_random_sleep (rng, 2000);
   rack_set (&s->r, "{\"store\": {\"silent\": false, \"refuse\": false}}");
-  mark_store (s, false);
+  record_store_fault (s, false);
 }
--- a/t/lib-versions.h
+++ b/t/lib-versions.h
@@ -15,51 +15,52 @@
 #include "base/rng.h"
 #include "base/str.h"
 
-#define VER_MOST 1000
+#define VER_MAX 1000
 
 struct version
 {
-  clk_ms sent;  /**< to the store */
-  clk_ms acked; /**< by the store; 0: not yet */
+  clk_ms sent_at;  /**< to the store */
+  clk_ms acked_at; /**< by the store; 0: not yet */
   /** Version that took this one's item away; 0: none. */
-  unsigned removed;
+  unsigned removed_by;
 };
 
 struct versions
 {
   struct rng rng;
   unsigned newest;
-  struct version v[VER_MOST + 1]; /**< by number */
+  struct version v[VER_MAX + 1]; /**< by number */
 };
 
 /** A request for an item, or for what all versions allow, and its answer. */
-struct ver_asked
+struct ver_request
 {
   unsigned item; /**< 0: what all versions allow */
   bool by_key;   /**< a request with the item's key; else to its route */
-  clk_ms sent, answered;
+  clk_ms sent_at, answered_at;
   bool denied; /**< as an unknown key or route; else it was served */
 };
 
 /** Draw the next version, which is sent now. @return its number */
-unsigned ver_send (struct versions *vs, clk_ms now);
+unsigned ver_next (struct versions *vs, clk_ms now);
 
 /** Keys and routes of the newest version, as rack_configure() takes them. */
-void ver_text (const struct versions *vs, struct buf *key, struct buf *routes);
+void ver_format (const struct versions *vs, struct buf *key,
+                 struct buf *routes);
 
 /** Draw what to ask for: mostly what came or went a moment ago. */
-void ver_draw (const struct versions *vs, struct rng *rng,
-               struct ver_asked *a);
+void ver_pick_request (const struct versions *vs, struct rng *rng,
+                       struct ver_request *a);
 
 /** The newest version that was acknowledged by @p at; 0: none. */
-unsigned ver_acked (const struct versions *vs, clk_ms at);
+unsigned ver_newest_acked (const struct versions *vs, clk_ms at);
 
 /**
  * By which version the answer may have been given.
  * @return the least from @p from on that was sent before the answer came, or
  * 0: only older ones handle the request so
  */
-unsigned ver_least (const struct versions *vs, const struct ver_asked *a,
-                    unsigned from);
+unsigned ver_oldest_match (const struct versions *vs,
+                           const struct ver_request *a, unsigned from);
 
 #endif
--- a/t/t0901-versions.c
+++ b/t/t0901-versions.c
@@ -9,47 +9,50 @@
 TestSuite (versions, .timeout = 60);
 
 /** Version 2 brings its item, 3 takes it away. */
-static struct versions vs = { .newest = 3,
-                              .v = { [1] = { .sent = 1, .acked = 10 },
-                                     [2] = { 100, 110, .removed = 3 },
-                                     [3] = { .sent = 200, .acked = 210 } } };
+static struct versions vs
+    = { .newest = 3,
+        .v = { [1] = { .sent_at = 1, .acked_at = 10 },
+               [2] = { 100, 110, .removed_by = 3 },
+               [3] = { .sent_at = 200, .acked_at = 210 } } };
 
 static unsigned
-least (unsigned item, bool denied, clk_ms answered, unsigned from)
+oldest_match (unsigned item, bool denied, clk_ms answered, unsigned from)
 {
-  struct ver_asked a
-      = { .item = item, .denied = denied, .answered = answered };
+  struct ver_request a
+      = { .item = item, .denied = denied, .answered_at = answered };
 
-  return ver_least (&vs, &a, from);
+  return ver_oldest_match (&vs, &a, from);
 }
 
 Test (versions, acknowledged_by_a_time)
 {
-  cr_expect_eq (ver_acked (&vs, 9), 0);
-  cr_expect_eq (ver_acked (&vs, 109), 1);
-  cr_expect_eq (ver_acked (&vs, 110), 2);
-  cr_expect_eq (ver_acked (&vs, 1000), 3);
+  cr_expect_eq (ver_newest_acked (&vs, 9), 0);
+  cr_expect_eq (ver_newest_acked (&vs, 109), 1);
+  cr_expect_eq (ver_newest_acked (&vs, 110), 2);
+  cr_expect_eq (ver_newest_acked (&vs, 1000), 3);
 }
 
 Test (versions, an_item_is_served_only_by_versions_that_have_it)
 {
-  cr_expect_eq (least (2, false, 300, 1), 2);
-  cr_expect_eq (least (2, false, 300, 2), 2);
-  cr_expect_eq (least (2, false, 300, 3), 0, "run with a removed key");
+  cr_expect_eq (oldest_match (2, false, 300, 1), 2);
+  cr_expect_eq (oldest_match (2, false, 300, 2), 2);
+  cr_expect_eq (oldest_match (2, false, 300, 3), 0, "run with a removed key");
 }
 
 Test (versions, an_item_is_denied_only_by_versions_without_it)
 {
-  cr_expect_eq (least (2, true, 150, 1), 1);
-  cr_expect_eq (least (2, true, 150, 2), 0, "denied though it is there");
-  cr_expect_eq (least (2, true, 199, 2), 0, "the next was not yet sent");
-  cr_expect_eq (least (2, true, 200, 2), 3);
+  cr_expect_eq (oldest_match (2, true, 150, 1), 1);
+  cr_expect_eq (oldest_match (2, true, 150, 2), 0,
+                "denied though it is there");
+  cr_expect_eq (oldest_match (2, true, 199, 2), 0,
+                "the next was not yet sent");
+  cr_expect_eq (oldest_match (2, true, 200, 2), 3);
 }
 
 Test (versions, what_all_allow_is_never_denied)
 {
-  cr_expect_eq (least (0, false, 300, 3), 3);
-  cr_expect_eq (least (0, true, 300, 0), 0);
+  cr_expect_eq (oldest_match (0, false, 300, 3), 3);
+  cr_expect_eq (oldest_match (0, true, 300, 0), 0);
 }
 
 Test (versions, same_seed_same_versions)
@@ -60,9 +63,9 @@
   rng_seed (&b.rng, 7);
   for (int i = 0; i < 100; i++)
     {
-      ver_send (&a, 10 * i);
-      ver_send (&b, 20 * i);
+      ver_next (&a, 10 * i);
+      ver_next (&b, 20 * i);
     }
   for (int i = 1; i <= 100; i++)
-    cr_expect_eq (a.v[i].removed, b.v[i].removed, "version %d", i);
+    cr_expect_eq (a.v[i].removed_by, b.v[i].removed_by, "version %d", i);
 }
--- a/t/t9301-serve.c
+++ b/t/t9301-serve.c
@@ -21,7 +21,7 @@
   struct buf body = BUF_INIT;
   struct web_answer a = { 0 };
 
-  rack_up (&r, 4);
+  rack_start_platform (&r, 4);
   rack_start_node (&r, 0);
   web_call (r.front[0], "POST", "/stream/x", rack_headers ("a"), "x", &a);
   cr_expect_eq (a.status, 503);
@@ -32,9 +32,9 @@
   web_free (&a);
   rack_configure (&r, 1, "k1", "");
   rack_start_node (&r, 1);
-  cr_assert (rack_until (&r, 0, "/stream/x", rack_headers ("b"), 200));
+  cr_assert (rack_call_until (&r, 0, "/stream/x", rack_headers ("b"), 200));
   cr_expect_eq (rack_stream (&r, 1, "c", &body), 200);
-  cr_expect (rack_whole (&body, 10));
+  cr_expect (rack_is_complete (&body, 10));
   buf_clear (&body);
   cr_expect_eq (rack_call (&r, 0, "/once/x", "d", NULL, &body), 200);
   cr_expect_not_null (strstr (buf_c (&body), "\"account\":\"acc\""));
@@ -97,16 +97,16 @@
   rack_set (&r, "{\"events\": 60, \"event_ms\": 40}");
   w = web_open (r.front[0], "POST", "/stream/x", rack_headers ("long"), "x");
   cr_assert (web_read_until (w, &body, "w5\n", PROC_WAIT_MS));
-  member = rack_count (&r, "e1", "open") ? "e2" : "e6";
+  member = rack_get_count (&r, "e1", "open") ? "e2" : "e6";
   rack_set (&r, "{\"server\": \"%s\", \"dead\": true}", member);
   while (web_read (w, &body, PROC_WAIT_MS) == WEB_BYTES)
     ;
-  cr_expect (rack_whole (&body, 60));
+  cr_expect (rack_is_complete (&body, 60));
   web_close (w);
   buf_clear (&body);
   rack_set (&r, "{\"events\": 10}");
   cr_expect_eq (rack_stream (&r, 0, "after", &body), 200);
-  cr_expect (rack_whole (&body, 10));
+  cr_expect (rack_is_complete (&body, 10));
   buf_free (&body);
 }
 
@@ -126,7 +126,7 @@
                 i < 2 ? "e1" : "e5");
       buf_clear (&body);
       cr_expect_eq (rack_stream (&r, i % 2, "cut", &body), 200);
-      cr_expect (rack_whole (&body, 10));
+      cr_expect (rack_is_complete (&body, 10));
     }
   buf_free (&body);
 }
@@ -147,7 +147,7 @@
                 i < 2 ? "e1" : "e5");
       buf_clear (&body);
       cr_expect_eq (rack_stream (&r, i % 2, "cut", &body), 200);
-      cr_expect (rack_whole (&body, 10));
+      cr_expect (rack_is_complete (&body, 10));
     }
   buf_free (&body);
 }
@@ -164,10 +164,10 @@
   rack_serve (&r, 4);
   rack_set (&r, "{\"server\": \"p1\", \"draining\": true}");
   usleep (1800000);
-  runs = rack_count (&r, "p1", "runs");
+  runs = rack_get_count (&r, "p1", "runs");
   for (int i = 0; i < 20; i++)
     cr_expect_eq (rack_call (&r, i % 2, "/safe/x", "a", NULL, NULL), 200);
-  cr_expect_eq (rack_count (&r, "p1", "runs"), runs);
+  cr_expect_eq (rack_get_count (&r, "p1", "runs"), runs);
 }
 
 /*
@@ -185,7 +185,8 @@
   rack_set (&r, "{\"server\": \"p2\", \"dark\": true}");
   status = rack_call (&r, 0, "/once/x", "once", NULL, NULL);
   cr_expect_eq (status, 504, "%d", status);
-  cr_expect_eq (rack_count (&r, "p1", "runs") + rack_count (&r, "p2", "runs"),
+  cr_expect_eq (rack_get_count (&r, "p1", "runs")
+                    + rack_get_count (&r, "p2", "runs"),
                 0);
 }
 
@@ -226,11 +227,11 @@
                 " \"compact\": true, \"lose_next\": 2}}");
   rack_configure (&r, 7, "k9", "");
   for (int i = 0; i < RACK_NODES; i++)
-    cr_expect (rack_until (&r, i, "/safe/x", rack_headers ("c"), 401));
-  cr_expect (rack_until (&r, 0, "/stream/x",
-                         "Host: h\r\nX-Lapisline-Request-Id: d\r\n"
-                         "X-Lapisline-Model: big\r\nX-Api-Key: k9\r\n",
-                         200));
+    cr_expect (rack_call_until (&r, i, "/safe/x", rack_headers ("c"), 401));
+  cr_expect (rack_call_until (&r, 0, "/stream/x",
+                              "Host: h\r\nX-Lapisline-Request-Id: d\r\n"
+                              "X-Lapisline-Model: big\r\nX-Api-Key: k9\r\n",
+                              200));
 }
 
 /*
@@ -260,7 +261,7 @@
   web_free (&a);
   while (web_read (w, &body, PROC_WAIT_MS) == WEB_BYTES)
     ;
-  cr_expect (rack_whole (&body, 50));
+  cr_expect (rack_is_complete (&body, 50));
   web_close (w);
   cr_expect_eq (proc_wait (r.node[0], 12000), 0);
   buf_free (&body);
@@ -277,7 +278,7 @@
   int leads;
 
   rack_serve (&r, 4);
-  leads = rack_count (&r, "e1", "leads");
+  leads = rack_get_count (&r, "e1", "leads");
   for (int i = 0; i < RACK_NODES; i++)
     {
       proc_signal (r.node[i], SIGKILL);
@@ -285,12 +286,12 @@
     }
   for (int i = 0; i < RACK_NODES; i++)
     rack_start_node (&r, i);
-  cr_assert (rack_until (&r, 0, "/stream/x", rack_headers ("a"), 200));
-  cr_assert (rack_until (&r, 1, "/stream/x", rack_headers ("b"), 200));
+  cr_assert (rack_call_until (&r, 0, "/stream/x", rack_headers ("a"), 200));
+  cr_assert (rack_call_until (&r, 1, "/stream/x", rack_headers ("b"), 200));
   usleep (4000000);
-  cr_expect_eq (rack_count (&r, "e1", "leads"), leads);
+  cr_expect_eq (rack_get_count (&r, "e1", "leads"), leads);
   cr_expect_eq (rack_stream (&r, 1, "c", &body), 200);
-  cr_expect (rack_whole (&body, 10));
+  cr_expect (rack_is_complete (&body, 10));
   buf_free (&body);
 }
 
@@ -311,8 +312,10 @@
       rack_set (&r, "{\"server\": \"%s\", \"dead\": true}", lost[i]);
       usleep (2100000);
       proc_signal (r.node[i], SIGCONT);
-      cr_expect (rack_until (&r, 0, "/stream/x", rack_headers ("a"), 200));
-      cr_expect (rack_until (&r, 1, "/stream/x", rack_headers ("b"), 200));
+      cr_expect (
+          rack_call_until (&r, 0, "/stream/x", rack_headers ("a"), 200));
+      cr_expect (
+          rack_call_until (&r, 1, "/stream/x", rack_headers ("b"), 200));
     }
   for (int i = 0; i < RACK_NODES; i++)
     proc_signal (r.node[i], SIGTERM);
@@ -336,9 +339,10 @@
   cr_assert (web_read_until (w, &body, "w2\n", PROC_WAIT_MS));
   web_close (w);
   usleep (500000);
-  cr_expect_eq (rack_count (&r, "e1", "open") + rack_count (&r, "e2", "open")
-                    + rack_count (&r, "e3", "open")
-                    + rack_count (&r, "e4", "open"),
+  cr_expect_eq (rack_get_count (&r, "e1", "open")
+                    + rack_get_count (&r, "e2", "open")
+                    + rack_get_count (&r, "e3", "open")
+                    + rack_get_count (&r, "e4", "open"),
                 0);
   buf_free (&body);
 }
--- a/t/t9302-walk.c
+++ b/t/t9302-walk.c
@@ -69,7 +69,8 @@
   rack_serve (&r, 4);
   rack_set (&r, "{\"server\": \"e4\", \"dead\": true}");
   rack_set (&r, "{\"server\": \"e3\", \"dead\": true}");
-  cr_assert (rack_until (&r, 0, "/stream/x", rack_headers ("walk-1"), 503));
+  cr_assert (
+      rack_call_until (&r, 0, "/stream/x", rack_headers ("walk-1"), 503));
   end_node (&r, 0);
   const char *line = expect_line (&r, 0, "request_failed", "id=\"walk-1\"");
   expect_text (line, "code=\"no-server\"");
--- a/t/t9303-late-list.c
+++ b/t/t9303-late-list.c
@@ -19,7 +19,7 @@
 
 /** Value of a key of the store; release it. */
 static char *
-stored (const struct rack *r, const char *key)
+read_store_key (const struct rack *r, const char *key)
 {
   struct web_answer a = { 0 };
   struct buf path = BUF_INIT;
@@ -28,7 +28,8 @@
   char *value;
 
   buf_addf (&path, "/kv-key?key=lapisline/%s", key);
-  cr_assert (web_call (r->at, "GET", buf_c (&path), NULL, NULL, &a));
+  cr_assert (
+      web_call (r->platform_addr, "GET", buf_c (&path), NULL, NULL, &a));
   o = jsn_parse (buf_str (&a.body));
   value = str_dup (jsn_str (o, "value"));
   g_base64_decode_inplace (value, &n);
@@ -41,20 +42,20 @@
 
 /** Number of the node that forms replicas. */
 static int
-find_owner (const struct rack *r)
+find_leader (const struct rack *r)
 {
-  char *duty = stored (r, "duty");
-  int owner = strstr (duty, "node-2") ? 1 : 0;
+  char *lease = read_store_key (r, "duty");
+  int leader = strstr (lease, "node-2") ? 1 : 0;
 
-  free (duty);
-  return owner;
+  free (lease);
+  return leader;
 }
 
-struct late
+struct stale_peer
 {
   uv_loop_t loop;
   struct link *link;
-  bool greeted; /* by the node */
+  bool hello_received; /* by the node */
 };
 
 static void
@@ -72,7 +73,7 @@
 
 /** Of all servers this one is told, and of none another. */
 static void
-send_list (struct link *l)
+send_empty_list (struct link *l)
 {
   Lapis__ServerList list = LAPIS__SERVER_LIST__INIT;
   Lapis__Frame f = LAPIS__FRAME__INIT;
@@ -86,7 +87,7 @@
 static void
 on_state (void *ctx, struct link *l, enum link_state state)
 {
-  struct late *t = ctx;
+  struct stale_peer *t = ctx;
 
   t->link = state == LINK_UP ? l : NULL;
   if (t->link)
@@ -96,14 +97,14 @@
 static void
 on_frame (void *ctx, struct link *l, const Lapis__Frame *f)
 {
-  struct late *t = ctx;
+  struct stale_peer *t = ctx;
 
-  t->greeted |= f->body_case == LAPIS__FRAME__BODY_HELLO;
+  t->hello_received |= f->body_case == LAPIS__FRAME__BODY_HELLO;
 }
 
 /** Turn the loop for a while. */
 static void
-turn (struct late *t, clk_ms ms)
+run_loop (struct stale_peer *t, clk_ms ms)
 {
   clk_ms until = clk_now () + ms;
 
@@ -113,26 +114,26 @@
 
 /** Link to the node as another one. */
 static void
-link_to (struct late *t, const struct rack *r, int node)
+link_to (struct stale_peer *t, const struct rack *r, int node)
 {
   static const struct link_callbacks cb = { on_state, on_frame };
   struct link_secret secret;
   struct net_addr at;
   clk_ms until = clk_now () + WAIT_MS;
   char key[32];
-  char *hex = stored (r, "secret"), *entry;
+  char *hex = read_store_key (r, "secret"), *entry;
   struct json_object *o;
 
   snprintf (key, sizeof key, "nodes/node-%d", node + 1);
-  entry = stored (r, key);
+  entry = read_store_key (r, key);
   o = jsn_parse (str_from (entry));
   cr_assert (net_addr_parse (jsn_str (o, "peer"), false, &at));
   cr_assert (str_to_bytes (str_from (hex), secret.key, SECRET_BYTES));
   uv_loop_init (&t->loop);
   link_connect (&t->loop, &at, &secret, &cb, t);
-  while (!t->greeted && clk_now () < until)
+  while (!t->hello_received && clk_now () < until)
     uv_run (&t->loop, UV_RUN_ONCE);
-  cr_assert (t->greeted);
+  cr_assert (t->hello_received);
   json_object_put (o);
   free (entry);
   free (hex);
@@ -146,21 +147,22 @@
  */
 Test (late_list, the_owner_goes_by_its_own_reading)
 {
-  static struct late t;
+  static struct stale_peer t;
   struct rack r;
-  int owner, refused = 0;
+  int leader, refused = 0;
 
   rack_serve (&r, 4);
   sleep (3); /* from then on what a list lacks counts as gone */
-  owner = find_owner (&r);
-  link_to (&t, &r, owner);
+  leader = find_leader (&r);
+  link_to (&t, &r, leader);
   for (int i = 0; i < 40; i++)
     {
       cr_assert (t.link);
-      send_list (t.link);
-      turn (&t, 10);
-      refused += rack_call (&r, owner, "/safe/x", "a", NULL, NULL) != 200;
+      send_empty_list (t.link);
+      run_loop (&t, 10);
+      refused += rack_call (&r, leader, "/safe/x", "a", NULL, NULL) != 200;
     }
   cr_expect_eq (refused, 0, "%d calls of 40 were refused", refused);
-  cr_expect (rack_until (&r, owner, "/stream/x", rack_headers ("b"), 200));
+  cr_expect (
+      rack_call_until (&r, leader, "/stream/x", rack_headers ("b"), 200));
 }
--- a/t/t9304-many.c
+++ b/t/t9304-many.c
@@ -13,13 +13,13 @@
 
 TestSuite (many, .fini = proc_stop_all, .timeout = 120);
 
-static struct relay *relay;
+static struct relay *tcp_relay;
 
 static const char *
-by_relay (const char *at)
+connect_by_relay (const char *at)
 {
-  relay = relay_new (at, at);
-  return relay_addr (relay, 0);
+  tcp_relay = relay_new (at, at);
+  return relay_addr (tcp_relay, 0);
 }
 
 /*
@@ -31,20 +31,20 @@
 Test (many, a_node_that_the_store_refuses_hears_of_the_next_configuration)
 {
   struct rack r;
-  const int last = RACK_MANY - 1;
+  const int last = RACK_MANY_NODES - 1;
 
-  rack_up_many (&r, 4, RACK_MANY, by_relay);
+  rack_prepare_nodes (&r, 4, RACK_MANY_NODES, connect_by_relay);
   rack_configure (&r, 1, "k1", "");
-  for (int i = 0; i < RACK_MANY; i++)
+  for (int i = 0; i < RACK_MANY_NODES; i++)
     rack_start_node (&r, i);
-  for (int i = 0; i < RACK_MANY; i++)
-    cr_assert (rack_until (&r, i, "/once/x", rack_headers ("warm"), 200));
+  for (int i = 0; i < RACK_MANY_NODES; i++)
+    cr_assert (rack_call_until (&r, i, "/once/x", rack_headers ("warm"), 200));
   /* All have been told by the node that forms replicas. */
   usleep (3000000);
-  relay_refuse (relay);
+  relay_close_connections (tcp_relay);
   rack_configure (&r, 2, "k2", "");
   usleep (2000000);
-  for (int i = 0; i < RACK_MANY; i++)
+  for (int i = 0; i < RACK_MANY_NODES; i++)
     cr_expect_eq (rack_call (&r, i, "/once/x", "a", NULL, NULL), 401,
                   "node %d", i);
   cr_expect_eq (rack_call (&r, last, "/once/x", "",
@@ -57,26 +57,26 @@
 /** The node that comes last in the order of hubs: all have the same size, so
     that their names decide. */
 static int
-last_in_order (void)
+find_last_relay_candidate (void)
 {
   char name[16];
-  uint64_t most = 0;
+  uint64_t highest = 0;
   int last = 0;
 
-  for (int i = 0; i < RACK_MANY; i++)
+  for (int i = 0; i < RACK_MANY_NODES; i++)
     {
       snprintf (name, sizeof name, "node-%d", i + 1);
       uint64_t hash = str_hash (str_from (name), 0);
-      if (hash >= most)
+      if (hash >= highest)
         last = i;
-      if (hash >= most)
-        most = hash;
+      if (hash >= highest)
+        highest = hash;
     }
   return last;
 }
 
 static bool
-metric_until (const struct rack *r, int node, const char *line)
+wait_for_metric (const struct rack *r, int node, const char *line)
 {
   return web_until (r->ready[node], "/metrics", NULL, line, PROC_WAIT_MS);
 }
@@ -84,13 +84,13 @@
 /** Start all nodes, one of them before the others, so that it forms replicas.
  */
 static void
-up_after (struct rack *r, int first)
+start_with_first (struct rack *r, int first)
 {
-  rack_up_many (r, 4, RACK_MANY, NULL);
+  rack_prepare_nodes (r, 4, RACK_MANY_NODES, NULL);
   rack_configure (r, 1, "k1", "");
   rack_start_node (r, first);
-  cr_assert (metric_until (r, first, "lapisline_serve_duty 1"));
-  for (int i = 0; i < RACK_MANY; i++)
+  cr_assert (wait_for_metric (r, first, "lapisline_serve_duty 1"));
+  for (int i = 0; i < RACK_MANY_NODES; i++)
     if (i != first)
       rack_start_node (r, i);
 }
@@ -106,10 +106,10 @@
 Test (many, who_leads_links_to_all_others)
 {
   struct rack r;
-  const int first = last_in_order ();
+  const int first = find_last_relay_candidate ();
 
-  up_after (&r, first);
-  cr_expect (metric_until (&r, first, "lapisline_serve_nodes 18"));
+  start_with_first (&r, first);
+  cr_expect (wait_for_metric (&r, first, "lapisline_serve_nodes 18"));
 }
 
 /* Guards against a node that others go by and that itself goes by one that
@@ -117,13 +117,13 @@
 Test (many, who_leads_watches_the_configuration)
 {
   struct rack r;
-  const int first = last_in_order ();
+  const int first = find_last_relay_candidate ();
 
-  up_after (&r, first);
-  cr_assert (metric_until (&r, first, "lapisline_serve_nodes 18"));
+  start_with_first (&r, first);
+  cr_assert (wait_for_metric (&r, first, "lapisline_serve_nodes 18"));
   usleep (3000000);
   rack_configure (&r, 2, "k2", "");
-  cr_expect (metric_until (&r, first, "lapisline_serve_config_version 2"));
+  cr_expect (wait_for_metric (&r, first, "lapisline_serve_config_version 2"));
   proc_signal (r.node[first], SIGKILL);
   proc_wait (r.node[first], PROC_WAIT_MS);
   char *log = str_dup (proc_output (r.node[first]));
--- a/t/t9305-crash.c
+++ b/t/t9305-crash.c
@@ -16,7 +16,7 @@
 #define ENGINES 32
 #define REPLICAS (ENGINES / 4)
 /** Time for what one node has seen to reach the others. */
-#define SPREAD_US 400000
+#define PROPAGATION_US 400000
 
 /** How many servers lead a replica that takes requests. */
 static int
@@ -28,13 +28,13 @@
   for (int i = 0; i < ENGINES; i++)
     {
       snprintf (id, sizeof id, "e%d", i + 1);
-      n += rack_count (r, id, "leads") != 0;
+      n += rack_get_count (r, id, "leads") != 0;
     }
   return n;
 }
 
 static void
-until_leaders (const struct rack *r, int n)
+wait_for_leaders (const struct rack *r, int n)
 {
   for (int i = 0; i < 200 && count_leaders (r) < n; i++)
     usleep (50000);
@@ -48,7 +48,7 @@
   struct json_object *o;
   int n;
 
-  web_call (r->at, "GET", "/control/counts", NULL, NULL, &a);
+  web_call (r->platform_addr, "GET", "/control/counts", NULL, NULL, &a);
   o = jsn_parse (buf_str (&a.body));
   n = (int)jsn_int (o, "crashed");
   json_object_put (o);
@@ -58,23 +58,24 @@
 
 /** Ask with that body; the answer is left in @p a. */
 static void
-ask (const struct rack *r, int node, const char *path, const char *body,
-     struct web_answer *a)
+send_request (const struct rack *r, int node, const char *path,
+              const char *body, struct web_answer *a)
 {
-  static int asked;
+  static int nrequests;
   char id[16];
 
-  snprintf (id, sizeof id, "q%d", ++asked);
+  snprintf (id, sizeof id, "q%d", ++nrequests);
   web_call (r->front[node], "POST", path, rack_headers (id), body, a);
 }
 
 static int
-ask_status (const struct rack *r, int node, const char *path, const char *body)
+request_status (const struct rack *r, int node, const char *path,
+                const char *body)
 {
   struct web_answer a = { 0 };
   int status;
 
-  ask (r, node, path, body, &a);
+  send_request (r, node, path, body, &a);
   status = a.whole ? a.status : -a.status;
   web_free (&a);
   return status;
@@ -88,46 +89,46 @@
   struct web_answer a = { 0 };
 
   rack_serve (&r, ENGINES);
-  until_leaders (&r, REPLICAS);
+  wait_for_leaders (&r, REPLICAS);
   rack_set (&r, "{\"crash_body\": \"bad\", \"crash_ms\": 10}");
   for (int i = 0; i < 12; i++)
     {
-      ask_status (&r, i % RACK_NODES, "/stream/x", "bad");
-      usleep (SPREAD_US);
+      request_status (&r, i % RACK_NODES, "/stream/x", "bad");
+      usleep (PROPAGATION_US);
     }
   cr_expect_eq (count_crashed (&r), 3, "%d ended", count_crashed (&r));
   for (int i = 0; i < RACK_NODES; i++)
     {
-      ask (&r, i, "/stream/x", "bad", &a);
+      send_request (&r, i, "/stream/x", "bad", &a);
       cr_expect_eq (a.status, 503);
       cr_expect_eq (web_header (&a, "retry-after").len, 0);
       web_free (&a);
-      cr_expect_eq (ask_status (&r, i, "/stream/x", "good"), 200);
+      cr_expect_eq (request_status (&r, i, "/stream/x", "good"), 200);
     }
 }
 
 /** Ask until it is known that the request ends servers. */
 static void
-until_blocked (const struct rack *r)
+crash_until_blocked (const struct rack *r)
 {
   for (int i = 0; i < 12; i++)
     {
-      ask_status (r, i % RACK_NODES, "/stream/x", "bad");
-      usleep (SPREAD_US);
+      request_status (r, i % RACK_NODES, "/stream/x", "bad");
+      usleep (PROPAGATION_US);
     }
   cr_assert_eq (count_crashed (r), 3, "%d ended", count_crashed (r));
 }
 
 static void
-serve_crashing (struct rack *r)
+start_with_crash_body (struct rack *r)
 {
   rack_serve (r, ENGINES);
-  until_leaders (r, REPLICAS);
+  wait_for_leaders (r, REPLICAS);
   rack_set (r, "{\"crash_body\": \"bad\", \"crash_ms\": 10}");
 }
 
 static void
-stop_node (struct rack *r, int node)
+kill_node (struct rack *r, int node)
 {
   proc_signal (r->node[node], SIGKILL);
   proc_wait (r->node[node], PROC_WAIT_MS);
@@ -139,9 +140,10 @@
 expect_refused (struct rack *r)
 {
   for (int i = 0; i < RACK_NODES; i++)
-    cr_assert (rack_until (r, i, "/stream/x", rack_headers ("usual"), 200));
+    cr_assert (
+        rack_call_until (r, i, "/stream/x", rack_headers ("usual"), 200));
   for (int i = 0; i < RACK_NODES; i++)
-    cr_expect_eq (ask_status (r, i, "/stream/x", "bad"), 503);
+    cr_expect_eq (request_status (r, i, "/stream/x", "bad"), 503);
   cr_expect_eq (count_crashed (r), 3);
 }
 
@@ -151,13 +153,13 @@
 {
   struct rack r;
 
-  serve_crashing (&r);
-  until_blocked (&r);
-  stop_node (&r, 0);
+  start_with_crash_body (&r);
+  crash_until_blocked (&r);
+  kill_node (&r, 0);
   rack_start_node (&r, 0);
   expect_refused (&r);
   for (int i = 0; i < RACK_NODES; i++)
-    stop_node (&r, i);
+    kill_node (&r, i);
   for (int i = 0; i < RACK_NODES; i++)
     rack_start_node (&r, i);
   expect_refused (&r);
@@ -169,13 +171,13 @@
 {
   struct rack r;
 
-  serve_crashing (&r);
+  start_with_crash_body (&r);
   rack_set (&r, "{\"store\": {\"refuse\": true}}");
-  until_blocked (&r);
+  crash_until_blocked (&r);
   rack_set (&r, "{\"store\": {\"refuse\": false}}");
   usleep (4000000);
   for (int i = 0; i < RACK_NODES; i++)
-    stop_node (&r, i);
+    kill_node (&r, i);
   for (int i = 0; i < RACK_NODES; i++)
     rack_start_node (&r, i);
   expect_refused (&r);
@@ -192,7 +194,7 @@
     {
       rack_set (&r, "{\"server\": \"e1\", \"cut_after\": 1}");
       rack_set (&r, "{\"server\": \"e5\", \"cut_after\": 1}");
-      ask_status (&r, i % RACK_NODES, "/stream/x", "same");
+      request_status (&r, i % RACK_NODES, "/stream/x", "same");
     }
   rack_set (&r, "{\"server\": \"e1\", \"cut_after\": 0}");
   rack_set (&r, "{\"server\": \"e5\", \"cut_after\": 0}");
@@ -201,7 +203,7 @@
       cr_expect (web_until (r.ready[i], "/metrics", NULL,
                             "lapisline_serve_requests_blocked 0",
                             PROC_WAIT_MS));
-      cr_expect_eq (ask_status (&r, i, "/stream/x", "same"), 200);
+      cr_expect_eq (request_status (&r, i, "/stream/x", "same"), 200);
     }
 }
 
@@ -215,7 +217,7 @@
 
   for (int i = 0; i < 100 && n == 0; i++)
     {
-      web_call (r->at, "GET",
+      web_call (r->platform_addr, "GET",
                 PLT_KV_RANGE "?prefix=" PLT_PREFIX_OWN "blocked/", NULL, NULL,
                 &a);
       o = jsn_parse (buf_str (&a.body));
@@ -236,10 +238,10 @@
 {
   struct rack r;
 
-  serve_crashing (&r);
+  start_with_crash_body (&r);
   rack_set (&r, "{\"store\": {\"no_writes\": true}}");
-  until_blocked (&r);
-  stop_node (&r, 0);
+  crash_until_blocked (&r);
+  kill_node (&r, 0);
   rack_start_node (&r, 0);
   cr_expect (web_until (r.ready[0], "/metrics", NULL,
                         "lapisline_serve_requests_blocked 1", PROC_WAIT_MS));
@@ -254,8 +256,8 @@
   struct web_answer a = { 0 };
   char key[128], text[256];
 
-  serve_crashing (&r);
-  until_blocked (&r);
+  start_with_crash_body (&r);
+  crash_until_blocked (&r);
   find_blocked_key (&r, key, sizeof key);
   rack_set (&r, "{\"store\": {\"lapse\": true}}");
   usleep (500000);
@@ -267,15 +269,15 @@
             "{\"expected\":[],\"writes\":[{\"key\":\"%s\",\"value\":"
             "\"eyJjbGVhcmVkIjp0cnVlfQ==\",\"lease\":0}],\"remove\":[]}",
             key);
-  cr_assert (web_call (r.at, "POST", PLT_KV_TXN, NULL, text, &a));
+  cr_assert (web_call (r.platform_addr, "POST", PLT_KV_TXN, NULL, text, &a));
   cr_assert_eq (a.status, 200, "%s", buf_c (&a.body));
   web_free (&a);
   usleep (1500000);
   for (int i = 0; i < RACK_NODES; i++)
-    cr_expect_eq (ask_status (&r, i, "/stream/x", "bad"), 200);
+    cr_expect_eq (request_status (&r, i, "/stream/x", "bad"), 200);
 }
 
-#define BYSTANDERS 12
+#define CONCURRENT_STREAMS 12
 
 /* Guards against a request that is free again as the store has come back from
    a copy that lacks its key. */
@@ -284,9 +286,9 @@
   struct rack r;
   char key[64];
 
-  serve_crashing (&r);
+  start_with_crash_body (&r);
   rack_set (&r, "{\"store\": {\"copy\": true, \"skip\": 1000}}");
-  until_blocked (&r);
+  crash_until_blocked (&r);
   find_blocked_key (&r, key, sizeof key);
   rack_set (&r, "{\"store\": {\"restore\": true}}");
   find_blocked_key (&r, key, sizeof key);
@@ -297,13 +299,13 @@
 Test (crash, bystanders_are_served)
 {
   struct rack r;
-  struct web_stream *w[BYSTANDERS];
-  char body[BYSTANDERS][8];
+  struct web_stream *w[CONCURRENT_STREAMS];
+  char body[CONCURRENT_STREAMS][8];
   struct buf got = BUF_INIT;
 
-  serve_crashing (&r);
+  start_with_crash_body (&r);
   rack_set (&r, "{\"events\": 120}");
-  for (int i = 0; i < BYSTANDERS; i++)
+  for (int i = 0; i < CONCURRENT_STREAMS; i++)
     {
       snprintf (body[i], sizeof body[i], "by%d", i);
       w[i] = web_open (r.front[i % RACK_NODES], "POST", "/stream/x",
@@ -311,20 +313,20 @@
     }
   for (int i = 0; i < 4; i++)
     {
-      ask_status (&r, i % RACK_NODES, "/stream/x", "bad");
-      usleep (SPREAD_US);
+      request_status (&r, i % RACK_NODES, "/stream/x", "bad");
+      usleep (PROPAGATION_US);
     }
   rack_set (&r, "{\"events\": 5}");
-  for (int i = 0; i < BYSTANDERS; i++)
+  for (int i = 0; i < CONCURRENT_STREAMS; i++)
     {
       while (web_read (w[i], &got, PROC_WAIT_MS) == WEB_BYTES)
         ;
       web_close (w[i]);
     }
-  for (int i = 0; i < BYSTANDERS; i++)
-    cr_expect_eq (ask_status (&r, i % RACK_NODES, "/stream/x", body[i]), 200,
-                  "%s", body[i]);
-  cr_expect_eq (ask_status (&r, 0, "/stream/x", "bad"), 503);
+  for (int i = 0; i < CONCURRENT_STREAMS; i++)
+    cr_expect_eq (request_status (&r, i % RACK_NODES, "/stream/x", body[i]),
+                  200, "%s", body[i]);
+  cr_expect_eq (request_status (&r, 0, "/stream/x", "bad"), 503);
   buf_free (&got);
 }
 
@@ -336,7 +338,7 @@
   struct web_stream *w[RACK_NODES];
   struct buf got = BUF_INIT;
 
-  serve_crashing (&r);
+  start_with_crash_body (&r);
   for (int n = 0; n < 10; n++)
     {
       for (int i = 0; i < RACK_NODES; i++)
@@ -352,7 +354,7 @@
     }
   /* Three, and what was under way at the other node by then. */
   cr_expect_leq (count_crashed (&r), 6, "%d ended", count_crashed (&r));
-  cr_expect_eq (ask_status (&r, 0, "/stream/x", "bad"), 503);
+  cr_expect_eq (request_status (&r, 0, "/stream/x", "bad"), 503);
   buf_free (&got);
 }
 
@@ -362,16 +364,16 @@
 {
   struct rack r;
 
-  serve_crashing (&r);
-  until_blocked (&r);
+  start_with_crash_body (&r);
+  crash_until_blocked (&r);
   for (int round = 0; round < 6; round++)
     {
-      bool away = round % 2;
-      if (away)
+      bool store_down = round % 2;
+      if (store_down)
         rack_set (&r, "{\"store\": {\"refuse\": true}}");
-      stop_node (&r, round % RACK_NODES);
+      kill_node (&r, round % RACK_NODES);
       usleep (200000);
-      if (away)
+      if (store_down)
         rack_set (&r, "{\"store\": {\"refuse\": false}}");
       rack_start_node (&r, round % RACK_NODES);
       expect_refused (&r);
@@ -384,20 +386,22 @@
 {
   struct rack r;
 
-  rack_up_many (&r, ENGINES, RACK_MANY, NULL);
+  rack_prepare_nodes (&r, ENGINES, RACK_MANY_NODES, NULL);
   rack_configure (&r, 1, "k1", "");
-  for (int i = 0; i < RACK_MANY; i++)
+  for (int i = 0; i < RACK_MANY_NODES; i++)
     rack_start_node (&r, i);
-  for (int i = 0; i < RACK_MANY; i++)
-    cr_assert (rack_until (&r, i, "/stream/x", rack_headers ("warm"), 200));
-  until_leaders (&r, REPLICAS);
+  for (int i = 0; i < RACK_MANY_NODES; i++)
+    cr_assert (
+        rack_call_until (&r, i, "/stream/x", rack_headers ("warm"), 200));
+  wait_for_leaders (&r, REPLICAS);
   rack_set (&r, "{\"crash_body\": \"bad\", \"crash_ms\": 10}");
-  for (int i = 0; i < RACK_MANY; i++)
+  for (int i = 0; i < RACK_MANY_NODES; i++)
     {
-      ask_status (&r, i, "/stream/x", "bad");
-      usleep (SPREAD_US);
+      request_status (&r, i, "/stream/x", "bad");
+      usleep (PROPAGATION_US);
     }
   cr_expect_eq (count_crashed (&r), 3, "%d ended", count_crashed (&r));
-  for (int i = 0; i < RACK_MANY; i++)
-    cr_expect_eq (ask_status (&r, i, "/stream/x", "bad"), 503, "node %d", i);
+  for (int i = 0; i < RACK_MANY_NODES; i++)
+    cr_expect_eq (request_status (&r, i, "/stream/x", "bad"), 503, "node %d",
+                  i);
 }
--- a/t/t9306-limit.c
+++ b/t/t9306-limit.c
@@ -15,25 +15,26 @@
 
 /** What may reach a server in 4 s: one and a half times what it takes in them,
     and 5. */
-#define MOST(per_s) ((int)(1.5 * (per_s)*4) + 5)
+#define MAX_REQUESTS(per_s) ((int)(1.5 * (per_s)*4) + 5)
 #define PAUSE_US 20000
 
 /** Call the plain service at @p nodes nodes in turn.
     @return  how many calls were not served */
 static int
-call_for (const struct rack *r, int nodes, clk_ms ms)
+call_for_duration (const struct rack *r, int nodes, clk_ms ms)
 {
   clk_ms end = clk_now () + ms;
-  static int asked;
+  static int nrequests;
   char id[16];
-  int bad = 0;
+  int failures = 0;
 
   for (; clk_now () < end; usleep (PAUSE_US))
     {
-      snprintf (id, sizeof id, "q%d", ++asked);
-      bad += rack_call (r, asked % nodes, "/safe/x", id, NULL, NULL) != 200;
+      snprintf (id, sizeof id, "q%d", ++nrequests);
+      failures += rack_call (r, nrequests % nodes, "/safe/x", id, NULL, NULL)
+                  != 200;
     }
-  return bad;
+  return failures;
 }
 
 /* Guards against nodes that go on sending to a server what it has told them
@@ -41,15 +42,15 @@
 Test (rate_limit, a_server_gets_no_more_than_it_names)
 {
   struct rack r;
-  int most;
+  int max;
 
   rack_serve (&r, 4);
   rack_set (&r, "{\"server\": \"p1\", \"limit\": \"2\"}");
-  cr_expect_eq (call_for (&r, RACK_NODES, 8000), 0);
-  most = rack_count (&r, "p1", "limited_most");
-  cr_expect_leq (most, MOST (2), "%d requests in 4 s", most);
+  cr_expect_eq (call_for_duration (&r, RACK_NODES, 8000), 0);
+  max = rack_get_count (&r, "p1", "limited_most");
+  cr_expect_leq (max, MAX_REQUESTS (2), "%d requests in 4 s", max);
   /* It is limited, not gone. */
-  cr_expect_geq (rack_count (&r, "p1", "limited_arrived"), 8);
+  cr_expect_geq (rack_get_count (&r, "p1", "limited_arrived"), 8);
 }
 
 static void
@@ -59,15 +60,16 @@
 }
 
 static void
-expect_kept (const struct rack *r, const char *server, double per_s)
+expect_limit_respected (const struct rack *r, const char *server, double per_s)
 {
-  int most = rack_count (r, server, "limited_most");
+  int max = rack_get_count (r, server, "limited_most");
 
-  cr_expect_leq (most, MOST (per_s), "%s: %d requests in 4 s", server, most);
+  cr_expect_leq (max, MAX_REQUESTS (per_s), "%s: %d requests in 4 s", server,
+                 max);
 }
 
 static void
-stop_node (struct rack *r, int node)
+kill_node (struct rack *r, int node)
 {
   proc_signal (r->node[node], SIGKILL);
   proc_wait (r->node[node], PROC_WAIT_MS);
@@ -79,16 +81,16 @@
 {
   struct rack r;
 
-  rack_up_many (&r, 4, RACK_MANY, NULL);
+  rack_prepare_nodes (&r, 4, RACK_MANY_NODES, NULL);
   rack_configure (&r, 1, "k1", "");
-  for (int i = 0; i < RACK_MANY; i++)
+  for (int i = 0; i < RACK_MANY_NODES; i++)
     rack_start_node (&r, i);
-  for (int i = 0; i < RACK_MANY; i++)
-    cr_assert (rack_until (&r, i, "/safe/x", rack_headers ("warm"), 200));
+  for (int i = 0; i < RACK_MANY_NODES; i++)
+    cr_assert (rack_call_until (&r, i, "/safe/x", rack_headers ("warm"), 200));
   limit_server (&r, "p1", "2");
-  cr_expect_eq (call_for (&r, RACK_MANY, 8000), 0);
-  expect_kept (&r, "p1", 2);
-  cr_expect_geq (rack_count (&r, "p1", "limited_arrived"), 8);
+  cr_expect_eq (call_for_duration (&r, RACK_MANY_NODES, 8000), 0);
+  expect_limit_respected (&r, "p1", 2);
+  cr_expect_geq (rack_get_count (&r, "p1", "limited_arrived"), 8);
 }
 
 /* Guards against callers who wait, though nothing can serve them: where all
@@ -103,7 +105,7 @@
   rack_serve (&r, 4);
   limit_server (&r, "p1", "3");
   limit_server (&r, "p2", "3");
-  call_for (&r, RACK_NODES, 3000);
+  call_for_duration (&r, RACK_NODES, 3000);
   for (int i = 0; i < 200; i++)
     {
       clk_ms since = clk_now ();
@@ -120,10 +122,10 @@
       usleep (PAUSE_US);
     }
   cr_expect_gt (refused, 100);
-  expect_kept (&r, "p1", 3);
-  expect_kept (&r, "p2", 3);
-  cr_expect_geq (rack_count (&r, "p1", "limited_arrived"), 10);
-  cr_expect_geq (rack_count (&r, "p2", "limited_arrived"), 10);
+  expect_limit_respected (&r, "p1", 3);
+  expect_limit_respected (&r, "p2", 3);
+  cr_expect_geq (rack_get_count (&r, "p1", "limited_arrived"), 10);
+  cr_expect_geq (rack_get_count (&r, "p2", "limited_arrived"), 10);
 }
 
 /* Guards against a rate that is forgotten, or doubled, as nodes end and start,
@@ -137,21 +139,22 @@
   for (int round = 0; round < 2 * RACK_NODES; round++)
     {
       int node = round % RACK_NODES;
-      stop_node (&r, node);
+      kill_node (&r, node);
       rack_start_node (&r, node);
-      cr_assert (rack_until (&r, node, "/safe/x", rack_headers ("up"), 200));
-      call_for (&r, RACK_NODES, 1500);
+      cr_assert (
+          rack_call_until (&r, node, "/safe/x", rack_headers ("up"), 200));
+      call_for_duration (&r, RACK_NODES, 1500);
       proc_signal (r.node[node], SIGSTOP);
       usleep (1500000);
       proc_signal (r.node[node], SIGCONT);
-      call_for (&r, RACK_NODES, 1500);
+      call_for_duration (&r, RACK_NODES, 1500);
     }
-  expect_kept (&r, "p1", 2);
+  expect_limit_respected (&r, "p1", 2);
 }
 
 /** Call a node without a pause. @return  how many calls had an answer */
 static int
-call_often (const struct rack *r, int node, int n)
+call_repeatedly (const struct rack *r, int node, int n)
 {
   int answered = 0;
   char id[16];
@@ -173,13 +176,14 @@
   rack_serve (&r, 4);
   limit_server (&r, "p1", "1");
   limit_server (&r, "p2", "1");
-  call_for (&r, RACK_NODES, 2000);
+  call_for_duration (&r, RACK_NODES, 2000);
   for (int node = 0; node < RACK_NODES; node++)
     {
-      stop_node (&r, node);
-      cr_expect_eq (call_often (&r, 1 - node, 100), 100);
+      kill_node (&r, node);
+      cr_expect_eq (call_repeatedly (&r, 1 - node, 100), 100);
       rack_start_node (&r, node);
-      cr_assert (rack_until (&r, node, "/safe/x", rack_headers ("up"), 200));
+      cr_assert (
+          rack_call_until (&r, node, "/safe/x", rack_headers ("up"), 200));
     }
 }
 
@@ -192,19 +196,19 @@
 
   rack_serve (&r, 4);
   limit_server (&r, "p1", "1");
-  call_for (&r, RACK_NODES, 2000);
+  call_for_duration (&r, RACK_NODES, 2000);
   limit_server (&r, "p1", "");
-  call_for (&r, RACK_NODES, 3000);
-  before = rack_count (&r, "p1", "runs");
-  call_for (&r, RACK_NODES, 2000);
-  cr_expect_gt (rack_count (&r, "p1", "runs") - before, 20);
+  call_for_duration (&r, RACK_NODES, 3000);
+  before = rack_get_count (&r, "p1", "runs");
+  call_for_duration (&r, RACK_NODES, 2000);
+  cr_expect_gt (rack_get_count (&r, "p1", "runs") - before, 20);
   limit_server (&r, "p1", "0");
   limit_server (&r, "p2", "0");
-  call_for (&r, RACK_NODES, 2000);
-  cr_expect_gt (call_for (&r, RACK_NODES, 500), 0);
+  call_for_duration (&r, RACK_NODES, 2000);
+  cr_expect_gt (call_for_duration (&r, RACK_NODES, 500), 0);
   rack_set (&r, "{\"server\": \"p1\", \"reborn\": true}");
   usleep (1000000);
-  cr_expect_eq (call_for (&r, RACK_NODES, 2000), 0);
+  cr_expect_eq (call_for_duration (&r, RACK_NODES, 2000), 0);
 }
 
 /* Guards against a rate that nodes share by way of the store alone. */
@@ -215,7 +219,7 @@
   rack_serve (&r, 4);
   rack_set (&r, "{\"store\": {\"silent\": true}}");
   limit_server (&r, "p1", "2");
-  cr_expect_eq (call_for (&r, RACK_NODES, 8000), 0);
-  expect_kept (&r, "p1", 2);
-  cr_expect_geq (rack_count (&r, "p1", "limited_arrived"), 8);
+  cr_expect_eq (call_for_duration (&r, RACK_NODES, 8000), 0);
+  expect_limit_respected (&r, "p1", 2);
+  cr_expect_geq (rack_get_count (&r, "p1", "limited_arrived"), 8);
 }
--- a/t/t9307-config.c
+++ b/t/t9307-config.c
@@ -14,28 +14,28 @@
 TestSuite (config, .fini = proc_stop_all, .timeout = 120);
 
 /** Within this a configuration is in force at all nodes; of the settings. */
-#define APPLY_MS ((clk_ms)2000)
+#define CONFIG_APPLY_MS ((clk_ms)2000)
 /** Nodes that were linked so long have been told by another what is new. */
 #define SETTLED_US 3000000
 /** Links that are not needed once all nodes run are closed after so long. */
-#define UNWANTED_US 4000000
+#define LINK_IDLE_US 4000000
 
 static void
-up_many (struct rack *r)
+start_many (struct rack *r)
 {
-  rack_up_many (r, 4, RACK_MANY, NULL);
+  rack_prepare_nodes (r, 4, RACK_MANY_NODES, NULL);
   rack_configure (r, 1, "k1", "");
-  for (int i = 0; i < RACK_MANY; i++)
+  for (int i = 0; i < RACK_MANY_NODES; i++)
     rack_start_node (r, i);
-  for (int i = 0; i < RACK_MANY; i++)
-    cr_assert (rack_until (r, i, "/once/x", rack_headers ("warm"), 200));
+  for (int i = 0; i < RACK_MANY_NODES; i++)
+    cr_assert (rack_call_until (r, i, "/once/x", rack_headers ("warm"), 200));
   usleep (SETTLED_US);
 }
 
 static void
 signal_all (struct rack *r, int sig)
 {
-  for (int i = 0; i < RACK_MANY; i++)
+  for (int i = 0; i < RACK_MANY_NODES; i++)
     proc_signal (r->node[i], sig);
 }
 
@@ -46,25 +46,25 @@
     the bound, and go on.  Each has to answer so, or 503.  The list of backend
     servers is not too old for that, so that no request waits for it. */
 static void
-ask_stopped (struct rack *r, const char *headers, int expected)
+request_paused_nodes (struct rack *r, const char *headers, int expected)
 {
-  struct web_stream *asked[RACK_MANY];
+  struct web_stream *streams[RACK_MANY_NODES];
 
-  rack_drain_ms (20000);
-  up_many (r);
+  rack_set_drain_ms (20000);
+  start_many (r);
   signal_all (r, SIGSTOP);
   rack_configure (r, 2, "k2", "");
-  usleep ((useconds_t)(APPLY_MS + 300) * 1000);
-  for (int i = 0; i < RACK_MANY; i++)
-    asked[i] = web_open (r->front[i], "POST", "/once/x", headers, "hello");
+  usleep ((useconds_t)(CONFIG_APPLY_MS + 300) * 1000);
+  for (int i = 0; i < RACK_MANY_NODES; i++)
+    streams[i] = web_open (r->front[i], "POST", "/once/x", headers, "hello");
   usleep (500000);
   signal_all (r, SIGCONT);
-  for (int i = 0; i < RACK_MANY; i++)
+  for (int i = 0; i < RACK_MANY_NODES; i++)
     {
-      int status = web_status (asked[i], PROC_WAIT_MS);
+      int status = web_status (streams[i], PROC_WAIT_MS);
       cr_expect (status == expected || status == 503, "node %d: %d", i + 1,
                  status);
-      web_close (asked[i]);
+      web_close (streams[i]);
     }
 }
 
@@ -74,9 +74,9 @@
 {
   struct rack r;
 
-  ask_stopped (&r, k2_headers, 200);
-  for (int i = 0; i < RACK_MANY; i++)
-    cr_expect (rack_until (&r, i, "/once/x", k2_headers, 200), "node %d",
+  request_paused_nodes (&r, k2_headers, 200);
+  for (int i = 0; i < RACK_MANY_NODES; i++)
+    cr_expect (rack_call_until (&r, i, "/once/x", k2_headers, 200), "node %d",
                i + 1);
 }
 
@@ -84,18 +84,18 @@
    that comes within milliseconds. */
 Test (config, who_waited_for_a_node_that_stood_still_is_served)
 {
-  struct web_stream *asked;
+  struct web_stream *streams;
   struct rack r;
 
   rack_serve (&r, 4);
   proc_signal (r.node[0], SIGSTOP);
   rack_configure (&r, 2, "k2", "");
-  usleep ((useconds_t)(APPLY_MS + 1000) * 1000);
-  asked = web_open (r.front[0], "POST", "/once/x", k2_headers, "hello");
+  usleep ((useconds_t)(CONFIG_APPLY_MS + 1000) * 1000);
+  streams = web_open (r.front[0], "POST", "/once/x", k2_headers, "hello");
   usleep (300000);
   proc_signal (r.node[0], SIGCONT);
-  cr_expect_eq (web_status (asked, PROC_WAIT_MS), 200);
-  web_close (asked);
+  cr_expect_eq (web_status (streams, PROC_WAIT_MS), 200);
+  web_close (streams);
 }
 
 /** How often nodes have logged the loss of a link since they last stood still;
@@ -125,14 +125,14 @@
 {
   struct rack r;
 
-  up_many (&r);
-  usleep (UNWANTED_US);
+  start_many (&r);
+  usleep (LINK_IDLE_US);
   signal_all (&r, SIGSTOP);
   usleep (4000000);
   signal_all (&r, SIGCONT);
   usleep (1000000);
   signal_all (&r, SIGSTOP);
-  cr_expect_eq (count_lost_links (&r, RACK_MANY), 0);
+  cr_expect_eq (count_lost_links (&r, RACK_MANY_NODES), 0);
 }
 
 /* Guards against a request that waited for a stopped process and then runs
@@ -141,7 +141,7 @@
 {
   struct rack r;
 
-  ask_stopped (&r, rack_headers ("a"), 401);
+  request_paused_nodes (&r, rack_headers ("a"), 401);
 }
 
 /* Guards against a final refusal while nobody can say whether there is a newer
@@ -153,7 +153,7 @@
   rack_serve (&r, 4);
   cr_expect_eq (rack_call (&r, 0, "/once/x", "", k2_headers, NULL), 401);
   rack_set (&r, "{\"store\": {\"silent\": true}}");
-  usleep ((useconds_t)(APPLY_MS + 500) * 1000);
+  usleep ((useconds_t)(CONFIG_APPLY_MS + 500) * 1000);
   cr_expect_eq (rack_call (&r, 0, "/once/x", "", k2_headers, NULL), 503);
   cr_expect_eq (rack_call (&r, 0, "/once/x", "a", NULL, NULL), 200);
 }
@@ -164,14 +164,14 @@
 {
   struct rack r;
 
-  up_many (&r);
+  start_many (&r);
   rack_configure (&r, 2, "k1", "");
   usleep (1000000);
   rack_set (&r, "{\"store\": {\"back\": 30}}");
   usleep (500000);
   rack_configure (&r, 3, "k2", "");
-  usleep ((useconds_t)APPLY_MS * 1000);
-  for (int i = 0; i < RACK_MANY; i++)
+  usleep ((useconds_t)CONFIG_APPLY_MS * 1000);
+  for (int i = 0; i < RACK_MANY_NODES; i++)
     {
       int by_new = rack_call (&r, i, "/once/x", "", k2_headers, NULL);
       int by_old = rack_call (&r, i, "/once/x", "c", NULL, NULL);
--- a/t/t9308-era.c
+++ b/t/t9308-era.c
@@ -13,25 +13,26 @@
 
 /** Revisions between the copy and the first change of the nodes: those that
    are given out after the return stay below these. */
-#define SKIPPED 100000
+#define REVISION_GAP 100000
 #define NODES 3
 
 /** Nodes of which the last is not started, before a store with a copy from the
     time before them. */
 static void
-up (struct rack *r, int engines)
+start_with_backup (struct rack *r, int engines)
 {
-  rack_up_many (r, engines, NODES, NULL);
+  rack_prepare_nodes (r, engines, NODES, NULL);
   rack_configure (r, 1, "k1", "");
-  rack_set (r, "{\"store\": {\"copy\": true, \"skip\": %d}}", SKIPPED);
+  rack_set (r, "{\"store\": {\"copy\": true, \"skip\": %d}}", REVISION_GAP);
   for (int i = 0; i < NODES - 1; i++)
     rack_start_node (r, i);
   for (int i = 0; i < NODES - 1; i++)
-    cr_assert (rack_until (r, i, "/stream/x", rack_headers ("warm"), 200));
+    cr_assert (
+        rack_call_until (r, i, "/stream/x", rack_headers ("warm"), 200));
 }
 
 static void
-come_back (struct rack *r)
+restore_store (struct rack *r)
 {
   rack_set (r, "{\"store\": {\"refuse\": true}}");
   usleep (500000);
@@ -44,11 +45,11 @@
 {
   struct rack r;
 
-  up (&r, 4);
-  come_back (&r);
+  start_with_backup (&r, 4);
+  restore_store (&r);
   rack_set (&r, "{\"server\": \"e1\", \"dead\": true}");
   usleep (1000000);
-  cr_expect (rack_until (&r, 0, "/stream/x", rack_headers ("a"), 200));
+  cr_expect (rack_call_until (&r, 0, "/stream/x", rack_headers ("a"), 200));
 }
 
 /* Guards against a second secret in place of the one that is gone: a node that
@@ -57,8 +58,8 @@
 {
   struct rack r;
 
-  up (&r, 4);
-  come_back (&r);
+  start_with_backup (&r, 4);
+  restore_store (&r);
   rack_start_node (&r, NODES - 1);
   for (int i = 0; i < NODES; i++)
     cr_expect (web_until (r.ready[i], "/metrics", NULL,
@@ -75,13 +76,13 @@
 {
   struct rack r;
 
-  up (&r, 4);
+  start_with_backup (&r, 4);
   rack_configure (&r, 2, "k2", "");
   for (int i = 0; i < NODES - 1; i++)
-    cr_assert (rack_until (&r, i, "/once/x", k2_headers, 200));
-  come_back (&r);
+    cr_assert (rack_call_until (&r, i, "/once/x", k2_headers, 200));
+  restore_store (&r);
   rack_start_node (&r, NODES - 1);
-  cr_expect (rack_until (&r, NODES - 1, "/once/x", k2_headers, 200));
+  cr_expect (rack_call_until (&r, NODES - 1, "/once/x", k2_headers, 200));
   for (int i = 0; i < NODES; i++)
     cr_expect_eq (rack_call (&r, i, "/once/x", "c", NULL, NULL), 401,
                   "node %d", i + 1);
@@ -93,13 +94,13 @@
 {
   struct rack r;
 
-  up (&r, 4);
-  come_back (&r);
+  start_with_backup (&r, 4);
+  restore_store (&r);
   usleep (200000);
-  come_back (&r);
+  restore_store (&r);
   rack_set (&r, "{\"server\": \"e1\", \"dead\": true}");
   usleep (1000000);
-  cr_expect (rack_until (&r, 0, "/stream/x", rack_headers ("a"), 200));
+  cr_expect (rack_call_until (&r, 0, "/stream/x", rack_headers ("a"), 200));
   rack_start_node (&r, NODES - 1);
   cr_expect (web_until (r.ready[0], "/metrics", NULL,
                         "lapisline_serve_nodes 3", PROC_WAIT_MS));
--- a/t/t9309-paused.c
+++ b/t/t9309-paused.c
@@ -15,7 +15,7 @@
 #define STREAMS 6
 
 static void
-stand_still (struct rack *r, int node, int ms)
+pause_node (struct rack *r, int node, int ms)
 {
   proc_signal (r->node[node], SIGSTOP);
   usleep ((useconds_t)ms * 1000);
@@ -32,7 +32,7 @@
   int n = 0;
 
   snprintf (name, sizeof name, "\"%s\": ", id);
-  web_call (r->at, "GET", "/control/runs", NULL, NULL, &a);
+  web_call (r->platform_addr, "GET", "/control/runs", NULL, NULL, &a);
   at = strstr (buf_c (&a.body), name);
   if (at)
     sscanf (at + strlen (name), "%d", &n);
@@ -41,7 +41,7 @@
 }
 
 static void
-streams_over_a_pause (int ms)
+expect_streams_survive_pause (int ms)
 {
   struct web_stream *w[STREAMS];
   struct buf body = BUF_INIT;
@@ -57,12 +57,12 @@
           = web_open (r.front[0], "POST", "/stream/x", rack_headers (id), "x");
     }
   usleep (500000);
-  stand_still (&r, 0, ms);
+  pause_node (&r, 0, ms);
   for (int i = 0; i < STREAMS; i++)
     {
       while (web_read (w[i], &body, PROC_WAIT_MS) == WEB_BYTES)
         ;
-      cr_expect (rack_whole (&body, 200), "stream %d", i);
+      cr_expect (rack_is_complete (&body, 200), "stream %d", i);
       snprintf (id, sizeof id, "s%d", i);
       cr_expect_eq (count_runs (&r, id), 1);
       web_close (w[i]);
@@ -75,12 +75,12 @@
    pause, moves its streams, and cuts those that find no place. */
 Test (paused, streams_outlive_a_pause_of_their_node)
 {
-  streams_over_a_pause (1000);
+  expect_streams_survive_pause (1000);
 }
 
 Test (paused, streams_outlive_a_long_pause_of_their_node)
 {
-  streams_over_a_pause (4000);
+  expect_streams_survive_pause (4000);
 }
 
 /* Guards against a second run of a request whose answer came while its node
@@ -91,7 +91,7 @@
   struct rack r;
 
   rack_serve (&r, 4);
-  cr_assert (rack_until (&r, 0, "/safe/x", rack_headers ("warm"), 200));
+  cr_assert (rack_call_until (&r, 0, "/safe/x", rack_headers ("warm"), 200));
   proc_signal (r.platform, SIGSTOP);
   w = web_open (r.front[0], "POST", "/safe/x", rack_headers ("asked"), "x");
   usleep (100000);
@@ -144,31 +144,31 @@
     cr_expect (!has_logged (&r, i, "store_lost"), "node %d", i + 1);
 }
 
-#define ASKED 8
+#define WAITING_REQUESTS 8
 
 /* Guards against requests that waited for a node that stood still and go to a
    server that has said meanwhile that it leaves. */
 Test (paused, who_waited_is_not_sent_to_a_server_that_leaves)
 {
-  struct web_stream *w[ASKED];
+  struct web_stream *w[WAITING_REQUESTS];
   struct rack r;
   int before;
 
   rack_serve (&r, 4);
-  cr_assert (rack_until (&r, 0, "/safe/x", rack_headers ("warm"), 200));
+  cr_assert (rack_call_until (&r, 0, "/safe/x", rack_headers ("warm"), 200));
   signal_nodes (&r, SIGSTOP);
-  before = rack_count (&r, "p1", "runs");
+  before = rack_get_count (&r, "p1", "runs");
   rack_set (&r, "{\"server\": \"p1\", \"draining\": true}");
   usleep (2600000);
-  for (int i = 0; i < ASKED; i++)
+  for (int i = 0; i < WAITING_REQUESTS; i++)
     w[i] = web_open (r.front[0], "POST", "/safe/x", rack_headers ("asked"),
                      "x");
   usleep (200000);
   signal_nodes (&r, SIGCONT);
-  for (int i = 0; i < ASKED; i++)
+  for (int i = 0; i < WAITING_REQUESTS; i++)
     {
       cr_expect_eq (web_status (w[i], PROC_WAIT_MS), 200);
       web_close (w[i]);
     }
-  cr_expect_eq (rack_count (&r, "p1", "runs"), before);
+  cr_expect_eq (rack_get_count (&r, "p1", "runs"), before);
 }
