--- a/t/t0901-versions.c
+++ b/t/t0901-versions.c
@@ -24,7 +24,7 @@
   return ver_oldest_match (&vs, &a, from);
 }
 
-Test (versions, acknowledged_by_a_time)
+Test (versions, newest_acked_by_time)
 {
   cr_expect_eq (ver_newest_acked (&vs, 9), 0);
   cr_expect_eq (ver_newest_acked (&vs, 109), 1);
@@ -32,14 +32,14 @@
   cr_expect_eq (ver_newest_acked (&vs, 1000), 3);
 }
 
-Test (versions, an_item_is_served_only_by_versions_that_have_it)
+Test (versions, served_only_by_versions_with_item)
 {
   cr_expect_eq (oldest_match (2, false, 300, 1), 2);
   cr_expect_eq (oldest_match (2, false, 300, 2), 2);
   cr_expect_eq (oldest_match (2, false, 300, 3), 0, "run with a removed key");
 }
 
-Test (versions, an_item_is_denied_only_by_versions_without_it)
+Test (versions, denied_only_by_versions_without_item)
 {
   cr_expect_eq (oldest_match (2, true, 150, 1), 1);
   cr_expect_eq (oldest_match (2, true, 150, 2), 0,
@@ -49,7 +49,7 @@
   cr_expect_eq (oldest_match (2, true, 200, 2), 3);
 }
 
-Test (versions, what_all_allow_is_never_denied)
+Test (versions, always_allowed_is_never_denied)
 {
   cr_expect_eq (oldest_match (0, false, 300, 3), 3);
   cr_expect_eq (oldest_match (0, true, 300, 0), 0);
--- a/t/t9301-serve.c
+++ b/t/t9301-serve.c
@@ -15,7 +15,7 @@
  * that there is no such route.  Once there is a configuration, all kinds of
  * request are served; a key reaches no backend server, the account does.
  */
-Test (serve, from_nothing_to_all_kinds)
+Test (serve, all_request_kinds_after_first_configuration)
 {
   struct rack r;
   struct buf body = BUF_INIT;
@@ -58,7 +58,7 @@
  * time of the settings, and an older version that is written later changes
  * nothing.
  */
-Test (serve, a_configuration_is_in_force_everywhere)
+Test (serve, configuration_is_applied_at_all_nodes)
 {
   struct rack r;
   const char *with_k2 = "Host: h\r\nX-Lapisline-Request-Id: n\r\n"
@@ -86,7 +86,7 @@
  * the stream stands still, goes on at the other replica within its answer, and
  * the caller has each event once.  The replica is formed again with the spare.
  */
-Test (serve, a_stream_goes_on_when_a_member_dies)
+Test (serve, stream_resumes_when_a_member_dies)
 {
   struct rack r;
   struct buf body = BUF_INIT;
@@ -114,7 +114,7 @@
  * A replica breaks off in the middle of an event.  The caller sees neither the
  * broken event nor a gap.
  */
-Test (serve, a_broken_event_is_not_passed_on)
+Test (serve, truncated_event_is_not_forwarded)
 {
   struct rack r;
   struct buf body = BUF_INIT;
@@ -135,7 +135,7 @@
  * The same, but the answer ends as if it were whole, within an event.  It is
  * not: the stream goes on at the other replica.
  */
-Test (serve, an_answer_that_ends_in_an_event_is_not_whole)
+Test (serve, response_ending_inside_an_event_is_incomplete)
 {
   struct rack r;
   struct buf body = BUF_INIT;
@@ -156,7 +156,7 @@
  * A plain server says that it leaves.  Within the drain time no node sends it
  * anything.
  */
-Test (serve, a_draining_server_gets_nothing_new)
+Test (serve, draining_server_gets_no_new_requests)
 {
   struct rack r;
   int runs;
@@ -175,7 +175,7 @@
  * The caller learns at the deadline that the outcome is not known; the call
  * is not given to the other server.
  */
-Test (serve, a_call_that_may_have_run_is_not_repeated)
+Test (serve, possibly_executed_call_is_not_retried)
 {
   struct rack r;
   int status;
@@ -194,7 +194,7 @@
  * An idempotent call meets one server that fails and one that answers without
  * its signature: the first is tried elsewhere, the second is no success.
  */
-Test (serve, an_answer_without_signature_is_no_success)
+Test (serve, response_without_signature_is_a_failure)
 {
   struct rack r;
 
@@ -212,7 +212,7 @@
  * history and ends all leases.  Callers are served all the while, and the
  * next configuration is in force soon after the return.
  */
-Test (serve, callers_don_t_notice_that_the_store_is_away)
+Test (serve, requests_succeed_during_store_outage)
 {
   struct rack r;
 
@@ -239,7 +239,7 @@
  * not ready any more and is named no more by the other, and it ends by itself.
  * SIGHUP before changes nothing.
  */
-Test (serve, a_stop_cuts_nothing)
+Test (serve, shutdown_completes_open_streams)
 {
   struct rack r;
   struct buf body = BUF_INIT;
@@ -271,7 +271,7 @@
  * All nodes are killed at once.  They find the replicas as they are and serve
  * again; nothing is loaded or formed anew.
  */
-Test (serve, replicas_outlive_all_nodes)
+Test (serve, replicas_survive_restart_of_all_nodes)
 {
   struct rack r;
   struct buf body = BUF_INIT;
@@ -300,7 +300,7 @@
  * takes over.  Callers of both nodes are served on, and both end by
  * themselves. Each node stands still once, as either may be the owner.
  */
-Test (serve, callers_outlive_an_owner_that_stands_still)
+Test (serve, requests_succeed_after_leader_pause)
 {
   struct rack r;
   const char *const lost[RACK_NODES] = { "e7", "e8" };
@@ -327,7 +327,7 @@
  * A caller leaves in the middle of a stream: the backend server sees it within
  * half a second and stops.
  */
-Test (serve, a_caller_that_leaves_reaches_the_server)
+Test (serve, client_disconnect_reaches_the_server)
 {
   struct rack r;
   struct buf body = BUF_INIT;
@@ -351,7 +351,7 @@
  * Bad input is refused with its reason, and the node goes on: a body that is
  * too large, a head that is no HTTP, a request without an id or a model.
  */
-Test (serve, bad_input_is_refused)
+Test (serve, invalid_requests_are_rejected)
 {
   struct rack r;
   struct web_answer a = { 0 };
@@ -377,7 +377,7 @@
  * A settings file with several faults: all of them are told at once with their
  * place, and the exit code says that the input is bad.
  */
-Test (serve, settings_are_checked_as_a_whole)
+Test (serve, all_settings_errors_are_reported)
 {
   const char *path = proc_file ("bad.json", "{\"node_name\": \"n\","
                                             " \"listen\": {\"front\": 5}}");
@@ -408,7 +408,7 @@
 
 /* Guards against a list that looks old in logs and metrics, as nothing in it
    has changed. */
-Test (serve, an_unchanged_list_is_not_old)
+Test (serve, unchanged_server_list_stays_fresh)
 {
   struct rack r;
 
--- a/t/t9302-walk.c
+++ b/t/t9302-walk.c
@@ -9,7 +9,7 @@
 
 #include "t/lib-rack.h"
 
-TestSuite (walk, .fini = proc_stop_all, .timeout = 90);
+TestSuite (diagnosis, .fini = proc_stop_all, .timeout = 90);
 
 /** The last line of node @p n that holds both texts, or NULL. */
 static const char *
@@ -62,7 +62,7 @@
  * was known, and the last line on places before it that the model has none:
  * a member of its only replica leaves, and no spare is left.
  */
-Test (walk, refused_while_servers_are_there)
+Test (diagnosis, refused_without_complete_replica)
 {
   struct rack r;
 
@@ -83,7 +83,7 @@
  * A stream was cut.  Its lines name the servers of both attempts and how each
  * was lost.
  */
-Test (walk, a_stream_that_was_cut)
+Test (diagnosis, truncated_stream)
 {
   struct rack r;
   struct buf body = BUF_INIT;
@@ -108,7 +108,7 @@
  * A call's outcome is not known.  Its line says that it was given to one
  * server, which one, and that no answer came to the deadline.
  */
-Test (walk, a_call_whose_outcome_is_unknown)
+Test (diagnosis, call_with_unknown_outcome)
 {
   struct rack r;
 
--- a/t/t9303-late-list.c
+++ b/t/t9303-late-list.c
@@ -12,7 +12,7 @@
 #include "net/link.h"
 #include "t/lib-rack.h"
 
-TestSuite (late_list, .fini = proc_stop_all, .timeout = 90);
+TestSuite (stale_list, .fini = proc_stop_all, .timeout = 90);
 
 #define SECRET_BYTES 32
 #define WAIT_MS ((clk_ms)5000)
@@ -145,7 +145,7 @@
  * all callers until its next reading, and the core that forms replicas would
  * go on with entries that are no more.  It goes by what it reads itself.
  */
-Test (late_list, the_owner_goes_by_its_own_reading)
+Test (stale_list, leader_ignores_lists_from_peers)
 {
   static struct stale_peer t;
   struct rack r;
--- a/t/t9304-many.c
+++ b/t/t9304-many.c
@@ -11,7 +11,7 @@
 #include "t/lib-rack.h"
 #include "t/lib-relay.h"
 
-TestSuite (many, .fini = proc_stop_all, .timeout = 120);
+TestSuite (many_nodes, .fini = proc_stop_all, .timeout = 120);
 
 static struct relay *tcp_relay;
 
@@ -28,7 +28,7 @@
  * configuration like all others within the time of the settings: the node that
  * forms replicas hands it on.
  */
-Test (many, a_node_that_the_store_refuses_hears_of_the_next_configuration)
+Test (many_nodes, configuration_reaches_node_without_store)
 {
   struct rack r;
   const int last = RACK_MANY_NODES - 1;
@@ -103,7 +103,7 @@
  * like these, callers at all others would be refused until each has read the
  * list by itself.
  */
-Test (many, who_leads_links_to_all_others)
+Test (many_nodes, leader_links_to_all_nodes)
 {
   struct rack r;
   const int first = find_last_relay_candidate ();
@@ -114,7 +114,7 @@
 
 /* Guards against a node that others go by and that itself goes by one that
    watches: each new version would be read once more before it is handed on. */
-Test (many, who_leads_watches_the_configuration)
+Test (many_nodes, leader_watches_the_configuration)
 {
   struct rack r;
   const int first = find_last_relay_candidate ();
--- a/t/t9305-crash.c
+++ b/t/t9305-crash.c
@@ -83,7 +83,7 @@
 
 /* Guards against a caller that returns with such a request to node after node
    and ends server after server. */
-Test (crash, a_request_is_not_run_once_three_servers_have_ended_under_it)
+Test (crash, request_is_blocked_after_three_crashes)
 {
   struct rack r;
   struct web_answer a = { 0 };
@@ -149,7 +149,7 @@
 
 /* Guards against a node that starts again, or all of them, and runs what was
    known to end servers. */
-Test (crash, nodes_that_start_again_refuse_it_too)
+Test (crash, restarted_nodes_keep_the_block)
 {
   struct rack r;
 
@@ -167,7 +167,7 @@
 
 /* Guards against a verdict that needs the store: it is away, and has the
    verdict once it is back. */
-Test (crash, the_store_is_away)
+Test (crash, block_survives_store_outage)
 {
   struct rack r;
 
@@ -185,7 +185,7 @@
 
 /* Guards against a block of requests whose connections broke while their
    servers lived. */
-Test (crash, broken_connections_are_no_crash)
+Test (crash, broken_connections_are_not_crashes)
 {
   struct rack r;
 
@@ -234,7 +234,7 @@
 
 /* Guards against a node that starts, finds nothing in the store, and takes
    what the others refuse: it is told as it is linked. */
-Test (crash, a_node_that_starts_is_told_over_its_link)
+Test (crash, starting_node_receives_block_from_peer)
 {
   struct rack r;
 
@@ -250,7 +250,7 @@
 
 /* Guards against a block that goes with a lease that the store has ended
    early, and against one that operators can't end. */
-Test (crash, the_store_loses_leases_and_operators_lift_a_block)
+Test (crash, block_survives_lease_loss_until_operators_clear_it)
 {
   struct rack r;
   struct web_answer a = { 0 };
@@ -281,7 +281,7 @@
 
 /* Guards against a request that is free again as the store has come back from
    a copy that lacks its key. */
-Test (crash, the_key_outlives_a_return_from_a_copy)
+Test (crash, block_key_survives_store_restore)
 {
   struct rack r;
   char key[64];
@@ -296,7 +296,7 @@
 
 /* Guards against the refusal of streams that were running at the servers that
    ended: each is served, by itself or when its caller asks again. */
-Test (crash, bystanders_are_served)
+Test (crash, concurrent_streams_are_served)
 {
   struct rack r;
   struct web_stream *w[CONCURRENT_STREAMS];
@@ -332,7 +332,7 @@
 
 /* Guards against more ends by a caller that asks all nodes at once, without
    waiting for answers. */
-Test (crash, asked_at_all_nodes_at_once)
+Test (crash, concurrent_requests_at_all_nodes)
 {
   struct rack r;
   struct web_stream *w[RACK_NODES];
--- a/t/t9306-limit.c
+++ b/t/t9306-limit.c
@@ -39,7 +39,7 @@
 
 /* Guards against nodes that go on sending to a server what it has told them
    that it can't take. */
-Test (rate_limit, a_server_gets_no_more_than_it_names)
+Test (rate_limit, server_receives_at_most_its_limit)
 {
   struct rack r;
   int max;
@@ -130,7 +130,7 @@
 
 /* Guards against a rate that is forgotten, or doubled, as nodes end and start,
    and as they freeze. */
-Test (rate_limit, nodes_end_and_freeze_in_turn)
+Test (rate_limit, nodes_restart_and_pause_in_turn)
 {
   struct rack r;
 
@@ -169,7 +169,7 @@
 
 /* Guards against a node that ends as it asks for a permit just after the link
    to the node that grants has gone down. */
-Test (rate_limit, asking_a_node_that_has_just_ended)
+Test (rate_limit, permit_request_after_leader_exit)
 {
   struct rack r;
 
@@ -189,7 +189,7 @@
 
 /* Guards against a limit that outlives what its server says, or its process.
  */
-Test (rate_limit, it_ends_with_the_word_and_with_the_process)
+Test (rate_limit, limit_ends_with_announcement_or_process)
 {
   struct rack r;
   int before;
@@ -212,7 +212,7 @@
 }
 
 /* Guards against a rate that nodes share by way of the store alone. */
-Test (rate_limit, the_store_is_away)
+Test (rate_limit, limit_holds_during_store_outage)
 {
   struct rack r;
 
--- a/t/t9307-config.c
+++ b/t/t9307-config.c
@@ -70,7 +70,7 @@
 
 /* Guards against a final refusal by a configuration from before a pause of the
    process: callers don't come back after it. */
-Test (config, nodes_that_stood_still_deny_nothing_by_an_old_version)
+Test (config, paused_nodes_deny_nothing_by_old_version)
 {
   struct rack r;
 
@@ -82,7 +82,7 @@
 
 /* Guards against callers who are refused for want of an answer of the store
    that comes within milliseconds. */
-Test (config, who_waited_for_a_node_that_stood_still_is_served)
+Test (config, request_to_paused_node_is_served)
 {
   struct web_stream *streams;
   struct rack r;
@@ -121,7 +121,7 @@
 
 /* Guards against nodes that drop their links when they go on after a pause, as
    their timers run before what came meanwhile is read. */
-Test (config, links_outlive_a_pause_of_all_nodes)
+Test (config, links_survive_pause_of_all_nodes)
 {
   struct rack r;
 
@@ -137,7 +137,7 @@
 
 /* Guards against a request that waited for a stopped process and then runs
    with a key that has been taken away meanwhile. */
-Test (config, nodes_that_stood_still_run_nothing_by_an_old_version)
+Test (config, paused_nodes_run_nothing_by_old_version)
 {
   struct rack r;
 
@@ -146,7 +146,7 @@
 
 /* Guards against a final refusal while nobody can say whether there is a newer
    configuration. */
-Test (config, nothing_is_final_while_the_store_is_silent)
+Test (config, no_final_denial_during_store_outage)
 {
   struct rack r;
 
@@ -160,7 +160,7 @@
 
 /* Guards against nodes that compare revisions of the store, which begin lower
    when it has come back from a copy: they took what was announced for old. */
-Test (config, a_version_after_the_store_went_back_comes_into_force)
+Test (config, version_after_store_restore_is_applied)
 {
   struct rack r;
 
--- a/t/t9308-era.c
+++ b/t/t9308-era.c
@@ -9,7 +9,7 @@
 
 #include "t/lib-rack.h"
 
-TestSuite (era, .fini = proc_stop_all, .timeout = 120);
+TestSuite (store_restore, .fini = proc_stop_all, .timeout = 120);
 
 /** Revisions between the copy and the first change of the nodes: those that
    are given out after the return stay below these. */
@@ -41,7 +41,7 @@
 
 /* Guards against a new owner whose fencing number is lower than one that
    backend servers have seen: they refuse its orders for good. */
-Test (era, replicas_are_mended_after_the_store_went_back)
+Test (store_restore, replicas_are_repaired_after_restore)
 {
   struct rack r;
 
@@ -54,7 +54,7 @@
 
 /* Guards against a second secret in place of the one that is gone: a node that
    starts then would never be linked. */
-Test (era, a_node_that_starts_after_the_return_is_linked)
+Test (store_restore, node_started_after_restore_is_linked)
 {
   struct rack r;
 
@@ -72,7 +72,7 @@
 
 /* Guards against a configuration that goes back where the store shows an older
    one, also at a node that starts then. */
-Test (era, no_node_goes_by_the_configuration_of_the_copy)
+Test (store_restore, restored_old_configuration_is_ignored)
 {
   struct rack r;
 
@@ -90,7 +90,7 @@
 
 /* Guards against a second return while nodes still write again what the first
    one lost. */
-Test (era, twice_in_a_row)
+Test (store_restore, two_restores_in_a_row)
 {
   struct rack r;
 
--- a/t/t9309-paused.c
+++ b/t/t9309-paused.c
@@ -73,19 +73,19 @@
 
 /* Guards against a node that finds all replicas silent as it goes on after a
    pause, moves its streams, and cuts those that find no place. */
-Test (paused, streams_outlive_a_pause_of_their_node)
+Test (paused, streams_survive_node_pause)
 {
   expect_streams_survive_pause (1000);
 }
 
-Test (paused, streams_outlive_a_long_pause_of_their_node)
+Test (paused, streams_survive_long_node_pause)
 {
   expect_streams_survive_pause (4000);
 }
 
 /* Guards against a second run of a request whose answer came while its node
    stood still. */
-Test (paused, an_answer_that_waits_is_passed_on)
+Test (paused, response_received_during_pause_is_forwarded)
 {
   struct web_stream *w;
   struct rack r;
@@ -128,7 +128,7 @@
 
 /* Guards against a node that takes the store for lost, and holds back further
    calls, as its answers came while the node stood still. */
-Test (paused, answers_of_the_store_that_wait_are_read)
+Test (paused, store_responses_received_during_pause_are_read)
 {
   struct rack r;
 
@@ -148,7 +148,7 @@
 
 /* Guards against requests that waited for a node that stood still and go to a
    server that has said meanwhile that it leaves. */
-Test (paused, who_waited_is_not_sent_to_a_server_that_leaves)
+Test (paused, queued_requests_avoid_draining_server)
 {
   struct web_stream *w[WAITING_REQUESTS];
   struct rack r;
--- a/t/t9401-soak.c
+++ b/t/t9401-soak.c
@@ -316,7 +316,7 @@
 }
 
 /* Seeds that once failed are played again, unless another was asked for. */
-Test (soak, cut_at_the_end)
+Test (soak, stream_cut_after_last_event)
 {
   if (!getenv ("SOAK_SEED"))
     run_two_nodes (SEED_CUT_AT_THE_END, SECONDS_CUT_AT_THE_END);
