--- a/t/lib-latekv.c
+++ b/t/lib-latekv.c
@@ -12,13 +12,13 @@
 
 struct pending_response
 {
-  uv_timer_t timer; /* data: the answer */
+  uv_timer_t timer; /* data: this struct */
   struct client *client;
   struct pending_response *next;
   store_cb cb;
   void *ctx;
   struct store_result res;
-  char *key, *end; /* of a range, read when it is answered; or NULL */
+  char *key, *end; /* of a range, read when the timer fires; or NULL */
 };
 
 void
--- a/t/lib-latekv.h
+++ b/t/lib-latekv.h
@@ -1,7 +1,7 @@
 /**
  * @file
- * A store behind store/store.h, in memory: each call is answered in a later
- * turn of the loop, and the test says what is wrong with the store.
+ * In-memory store behind store/store.h that responds asynchronously, in a
+ * later iteration of the loop, with faults set by the test.
  */
 #ifndef LAPISLINE_T_LIB_LATEKV_H
 #define LAPISLINE_T_LIB_LATEKV_H
@@ -15,16 +15,16 @@
   uv_loop_t *loop;
   struct memkv *kv;
   bool down;         /**< calls have no effect and end as unavailable */
-  bool loses_answer; /**< the next txn has its effect, its end is uncertain */
+  bool loses_answer; /**< the next txn takes effect but ends as uncertain */
   bool taken;        /**< each txn conflicts, each lease is gone */
-  clk_ms kept_at;    /**< last renewal that succeeded, of any lease */
-  int64_t lease;     /**< last one granted */
+  clk_ms kept_at;    /**< last successful renewal of any lease */
+  int64_t lease;     /**< last lease granted */
 };
 
 void latekv_init (struct latekv *k, uv_loop_t *loop);
 void latekv_end (struct latekv *k);
 
-/** One process's client; released by store_free(). */
+/** Store client of one process; released by store_free(). */
 struct store *latekv_store (struct latekv *k);
 
 #endif
--- a/t/lib-many.c
+++ b/t/lib-many.c
@@ -6,19 +6,21 @@
 #include <time.h>
 #include <unistd.h>
 
-/** What a version needs to be in force, of the settings. */
+/** Time limit for a stored version to be in force; config_apply_ms in the
+   settings. */
 #define CONFIG_APPLY_MS ((clk_ms)2000)
-/** What it may need beyond, where the store failed a moment ago. */
+/** Added to the limit after a recent store failure. */
 #define STORE_FAULT_EXTRA_MS ((clk_ms)5000)
-/** Who was disturbed so lately is out of touch. */
+/** Nodes and the store count as disturbed for this long after a fault. */
 #define RECOVERY_MS ((clk_ms)3000)
-/** A node goes back if it does so later than this after it showed a version.
- */
+/** Requests sent this soon after a node first showed a version may still be
+   handled by an older one. */
 #define ROLLBACK_GRACE_MS ((clk_ms)250)
-/** Of a checker between two requests, for each node. */
+/** Mean pause of a client between requests, per node. */
 #define REQUEST_INTERVAL_MS 4
 #define ENGINES 4
-/** Requests for what was added that make a share of them. */
+/** Fewest requests for added items from which their success ratio is
+   checked. */
 #define MIN_SAMPLES 20
 
 /* --- operators --------------------------------------------------------- */
@@ -45,9 +47,12 @@
   pthread_mutex_unlock (&m->operator_lock);
 }
 
-/* --- a caller at each node --------------------------------------------- */
+/* --- one client per node ----------------------------------------------- */
 
-/** Ask over the connection that is kept, or a new one; the status, or 0. */
+/**
+ * Sends a request over the open connection or a new one.
+ * @return the status, or 0
+ */
 static int
 send_request (struct checker *c, const struct ver_request *a, const char *id)
 {
@@ -77,7 +82,7 @@
   return status;
 }
 
-/** What was told of a node, and how far it was disturbed meanwhile. */
+/** A response together with the version that was required for it. */
 struct observation
 {
   const struct checker *c;
@@ -86,7 +91,7 @@
   unsigned required;
 };
 
-/** Since the run began, for the lines of findings. */
+/** Milliseconds since the soak started, for violation lines. */
 static int
 ms_since_start (const struct many *m, clk_ms at)
 {
@@ -130,7 +135,8 @@
   buf_free (&text);
 }
 
-/** Whether it was in touch from @p sent on, and CONTACT_MS before. */
+/** Whether the node was undisturbed from RECOVERY_MS before @p sent until
+   now. */
 static bool
 was_reachable (const struct soak_node *d, clk_ms sent)
 {
@@ -143,8 +149,8 @@
   return d->paused || (d->paused_at && d->paused_at >= sent - RECOVERY_MS);
 }
 
-/** Whether only a version from before the one that is due by @p bound handles
-    the request so. */
+/** Whether the response agrees only with versions older than the one required
+   @p bound after its acknowledgement. */
 static bool
 is_stale (struct observation *f, clk_ms bound)
 {
@@ -154,8 +160,8 @@
   return f->required && ver_oldest_match (vs, f->a, f->required) == 0;
 }
 
-/** What is final for callers is refused by no node later than the bound, in
-    touch or not. */
+/** Clients don't retry a denial, so no node may deny by an outdated version,
+   not even a disturbed one. */
 static void
 check_denial (const struct many *m, struct observation *f)
 {
@@ -172,7 +178,7 @@
   return !s->store_faulty && s->store_fault_at < sent - RECOVERY_MS;
 }
 
-/** A node in touch has each version in force within the bound. */
+/** An undisturbed node applies each version within the bound. */
 static void
 check_deadline (struct many *m, struct observation *f)
 {
@@ -190,8 +196,8 @@
     report_violation (f, "late");
 }
 
-/** What nodes in touch serve of that which was there from the first, and of
-    that which was added. */
+/** Counts the success ratio of undisturbed nodes, separately for items of the
+   first version and added ones. */
 static void
 count_success (struct many *m, const struct checker *c,
                const struct ver_request *a, bool served)
@@ -207,7 +213,7 @@
   counter->served += served;
 }
 
-/** A node never goes back within the life of its process. */
+/** One process never returns to an older version. */
 static void
 check_no_rollback (struct checker *c, const struct observation *f)
 {
@@ -237,7 +243,8 @@
     return;
   check_denial (m, &f);
   check_deadline (m, &f);
-  /* An answer that came while the node went may be of either life. */
+  /* A response received while the node restarted may come from either
+     process. */
   if (incarnation == c->incarnation)
     check_no_rollback (c, &f);
 }
@@ -276,7 +283,7 @@
   soak_random_sleep (&t->rng, 2 * REQUEST_INTERVAL_MS * m->s.nodes);
 }
 
-/* --- begin and end ----------------------------------------------------- */
+/* --- start and finish -------------------------------------------------- */
 
 static uint64_t
 name_hash (int node)
@@ -287,7 +294,8 @@
   return str_hash (str_from (name), 0);
 }
 
-/** All nodes have the same size, so that their names decide. */
+/** The nodes have equal size, so the hashes of their names decide the
+   order. */
 static int
 compare_relay_order (const void *a, const void *b)
 {
@@ -322,7 +330,7 @@
         rack_call_until (&m->s.r, i, "/safe/x", rack_headers ("warm"), 200));
 }
 
-/** Nodes are in touch once again by the end of the wait. */
+/** Waits until the node serves the newest version's route. */
 static void
 expect_newest (struct many *m, int node)
 {
--- a/t/lib-many.h
+++ b/t/lib-many.h
@@ -1,7 +1,8 @@
 /**
  * @file
- * A soak of many nodes at which operators put versions in force: the versions,
- * and a caller at each node that checks by which one it is answered.
+ * Soak of many nodes while operators store new configuration versions. One
+ * client per node checks that each response agrees with a version that may be
+ * in force there.
  */
 #ifndef LAPISLINE_T_LIB_MANY_H
 #define LAPISLINE_T_LIB_MANY_H
@@ -9,7 +10,7 @@
 #include "t/lib-soak.h"
 #include "t/lib-versions.h"
 
-/** Nodes that all others link to. */
+/** Relays: the nodes that all other nodes link to. */
 #define RELAYS 4
 
 struct many_success
@@ -20,47 +21,49 @@
 struct many
 {
   struct soak s;
-  struct versions vs;            /**< under the lock of @p s */
-  pthread_mutex_t operator_lock; /**< versions are sent one after the other */
-  int relay_order[RACK_MAX_NODES]; /**< of nodes: relays first */
-  unsigned requests;               /**< requests */
-  unsigned conclusive;             /**< whose answers tell of the version */
-  unsigned served;                 /**< of these */
-  unsigned bound_checked;          /**< told, and held to the bound */
-  struct many_success
-      initial;               /**< what all versions allow, at nodes in touch */
-  struct many_success added; /**< what versions in force brought */
+  struct versions vs;              /**< protected by the lock of @p s */
+  pthread_mutex_t operator_lock;   /**< held until a version is acknowledged */
+  int relay_order[RACK_MAX_NODES]; /**< nodes by preference as relays */
+  unsigned requests;
+  unsigned conclusive;         /**< requests that were served or denied */
+  unsigned served;             /**< conclusive requests that were served */
+  unsigned bound_checked;      /**< conclusive, checked against the limit */
+  struct many_success initial; /**< for items in all versions */
+  struct many_success added;   /**< for items of versions in force */
 };
 
-/** A caller with a connection that it keeps, and what it knows of its node. */
+/** Client of one node with a persistent connection. */
 struct checker
 {
   struct many *m;
   int node;
   struct web_stream *conn;
-  unsigned incarnation;  /**< of the node; what follows is of this */
-  unsigned min_version;  /**< the node has shown this version, */
-  clk_ms min_version_at; /**< by then */
+  unsigned incarnation;  /**< process that the fields below refer to */
+  unsigned min_version;  /**< oldest version that the responses allow */
+  clk_ms min_version_at; /**< when min_version was last raised */
 };
 
-/** The platform, and settings for so many nodes. */
+/** Starts the platform and writes settings for @p nodes nodes. */
 void many_init (struct many *m, uint64_t seed, int nodes);
-/** All nodes; waits until they serve. */
+/** Starts all nodes and waits until they serve. */
 void many_start_nodes (struct many *m);
 
-/** The next version, which is sent now; no other one until
-   many_version_acked().
-    @param key     out, as rack_configure() takes it
-    @param routes  out, as well */
+/**
+ * Prepares the next version and locks out further ones until
+ * many_version_acked().
+ * @param key  out, for rack_configure()
+ * @param routes  out, for rack_configure()
+ */
 unsigned many_next_version (struct many *m, struct buf *key,
                             struct buf *routes);
-/** It was acknowledged. */
+/** Records that the store acknowledged the version. */
 void many_version_acked (struct many *m, unsigned version);
 
-/** A turn of a checker, which is the context: ask once. */
+/** Step of a soak thread whose context is a checker: sends one request and
+   checks the response. */
 void many_check_request (struct soak_thread *t);
 
-/** Expect the newest version at all nodes, and that nothing was wrong. */
+/** Expects the newest version at all nodes and no violations. */
 void many_finish (struct many *m, struct checker *c);
 
 #endif
--- a/t/lib-rack.h
+++ b/t/lib-rack.h
@@ -1,10 +1,10 @@
 /**
  * @file
- * A stand-in of the users' platform and nodes before it, as real processes.
- *
- * The service "lm" has the model "big" of 3 VMs in domains of 4, the service
- * "app" two plain servers.  Hosts, paths and the key of the only account are
- * below.
+ * Starts the stand-in for the users' platform and lapisline nodes as
+ * processes.
+ * The service "lm" has the model "big" of 3 VMs in domains of 4; the service
+ * "app" has two plain servers. rack_configure() sets the hosts, the paths and
+ * the key of the only account.
  */
 #ifndef LAPISLINE_T_LIB_RACK_H
 #define LAPISLINE_T_LIB_RACK_H
@@ -12,74 +12,84 @@
 #include "t/lib-proc.h"
 
 #define RACK_NODES 2
-/** Nodes of a test with more of them than are linked each to each. */
+/** Node count above the limit for a full mesh of links. */
 #define RACK_MANY_NODES 18
-#define RACK_MAX_NODES 80 /**< of those that rack_prepare_nodes() starts */
+#define RACK_MAX_NODES 80 /**< most nodes that rack_prepare_nodes() takes */
 
 struct rack
 {
   struct proc *platform;
   struct proc *node[RACK_MAX_NODES];
-  const char *platform_addr; /**< the platform's address */
-  const char *logs; /**< folder for the nodes' output; NULL: as of proc.h */
-  char settings[RACK_MAX_NODES][256]; /**< paths */
+  const char *platform_addr; /**< host and port */
+  const char *logs;          /**< output folder; NULL: pipes of lib-proc.h */
+  char settings[RACK_MAX_NODES][256]; /**< paths of settings files */
   char front[RACK_MAX_NODES][32];
   char ready[RACK_MAX_NODES][32];
   char address[RACK_MAX_NODES][32];
 };
 
-/** Start the platform with so many engine servers; nothing is configured. */
+/** Starts the platform with @p engines engine servers and writes settings for
+   RACK_NODES nodes; no configuration is set. */
 void rack_start_platform (struct rack *r, int engines);
 
-/** The same with settings for @p nodes that start for the first time, of which
-   the last one reaches the platform by way of @p last, "127.0.0.1:PORT",
-   unless that is NULL. */
+/** Same for @p nodes nodes that start for the first time. @p last, unless
+   NULL, returns the address "127.0.0.1:PORT" at which the last node reaches
+   the platform. */
 void rack_prepare_nodes (struct rack *r, int engines, int nodes,
                          const char *(*last) (const char *at));
 
-/** Time in which a leaving server may still get requests, of nodes whose
-    settings are written from now on; 2,000 unless set. */
+/** Sets drain_ms of settings written from now on; the default is 2,000. */
 void rack_set_drain_ms (int ms);
 
-/** Start a node, also one that was ended. */
+/** Starts or restarts a node and waits until it listens. */
 void rack_start_node (struct rack *r, int node);
 
 /** POST /control/set. */
 void rack_set (const struct rack *r, const char *fmt, ...)
     __attribute__ ((format (printf, 2, 3)));
 
-/** Put the configuration in force that this file tells of, as @p version.
-    @param key  of the account
-    @param more  further routes, each with a comma before it, or "" */
+/**
+ * Stores this file's configuration as @p version.
+ * @param key  API key of the account
+ * @param more  further routes, each preceded by a comma, or ""
+ */
 void rack_configure (const struct rack *r, int version, const char *key,
                      const char *more);
 
-/** Platform, configuration and both nodes; waits until a stream is served. */
+/** Starts the platform and both nodes with a configuration; waits until each
+   node serves a stream. */
 void rack_serve (struct rack *r, int engines);
 
-/** Headers of a request: id, key "k1", model. */
+/** Request headers with this id, the key "k1" and the model; valid until the
+   next call. */
 const char *rack_headers (const char *id);
 
-/** Ask for a stream at a node; the answer's status, its body appended. */
+/**
+ * Requests a stream and appends its body.
+ * @return the response status, negative if the response is incomplete
+ */
 int rack_stream (const struct rack *r, int node, const char *id,
                  struct buf *body);
 
-/** One call of the plain service: its status.  @param path "/once/x" or
-    "/safe/x" */
+/**
+ * Calls the plain service.
+ * @param path  "/once/x" or "/safe/x"
+ * @return as rack_stream()
+ */
 int rack_call (const struct rack *r, int node, const char *path,
                const char *id, const char *headers, struct buf *body);
 
-/** Repeat a call until it is answered so; false when it never is. */
+/** Repeats a call until its status is @p status; false after 15 s. */
 bool rack_call_until (const struct rack *r, int node, const char *path,
                       const char *headers, int status);
 
-/** Wait until GET /control/counts holds @p text. */
+/** Polls GET /control/counts until it contains @p text. */
 bool rack_wait_for_counts (const struct rack *r, const char *text);
-/** A number of a server's counts. */
+/** Number @p what of a server in GET /control/counts. */
 int rack_get_count (const struct rack *r, const char *server,
                     const char *what);
 
-/** Whether the body is the events 1 to @p n, each once and in order. */
+/** Whether the body holds exactly the events 1 to @p n, in order. */
 bool rack_is_complete (struct buf *body, int n);
 
 #endif
--- a/t/lib-relay.c
+++ b/t/lib-relay.c
@@ -64,7 +64,7 @@
   r->pairs[r->n++] = (struct pair){ a, b, false };
 }
 
-/** Pass on what one end sent; false when it has closed. */
+/** Forwards the data of one side; false once that side has closed. */
 static bool
 forward_bytes (const struct pair *p, int from, int to)
 {
@@ -125,7 +125,7 @@
         fds[i] = (struct pollfd){ r->listener[i], POLLIN, 0 };
       for (size_t i = 0; i < n; i++)
         {
-          /* A forgotten one stays open and is not looked at any more. */
+          /* Blackholed connections stay open but are no longer polled. */
           short ev = r->pairs[i].blackholed ? 0 : POLLIN;
           int a = ev ? r->pairs[i].a : -1, b = ev ? r->pairs[i].b : -1;
           fds[2 + 2 * i] = (struct pollfd){ a, ev, 0 };
--- a/t/lib-relay.h
+++ b/t/lib-relay.h
@@ -1,21 +1,22 @@
 /**
  * @file
- * A TCP relay on a thread of the test: what a middlebox does to connections.
+ * TCP relay in a thread of the test; imitates the faults of a middlebox.
  */
 #ifndef LAPISLINE_T_LIB_RELAY_H
 #define LAPISLINE_T_LIB_RELAY_H
 
 struct relay;
 
-/** Relay two ports to two addresses; it lives until the test ends. */
+/** Forwards two listening ports to two addresses until the test process
+   exits. */
 struct relay *relay_new (const char *to0, const char *to1);
 const char *relay_addr (struct relay *r, int which);
 
-/** From now on swallow what comes over the connections that are open;
-    neither end is told.  New ones work. */
+/** Discards all further data of the open connections without closing them. New
+   connections work. */
 void relay_forget (struct relay *r);
 
-/** From now on close every connection, old and new. */
+/** Closes all connections, and new ones as soon as they are accepted. */
 void relay_close_connections (struct relay *r);
 
 #endif
--- a/t/lib-soak.c
+++ b/t/lib-soak.c
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 #include <unistd.h>
 
-/** Lines that a run prints of broken promises. */
+/** Most violations that are printed. */
 #define MAX_VIOLATION_LINES 40
 
 uint64_t
--- a/t/lib-soak.h
+++ b/t/lib-soak.h
@@ -1,7 +1,7 @@
 /**
  * @file
- * What soaks share: series of faults on threads beside each other, and a
- * record of what was disturbed when.
+ * Soak framework: threads that run clients and fault injectors concurrently,
+ * and a record of which node or store was disturbed when.
  */
 #ifndef LAPISLINE_T_LIB_SOAK_H
 #define LAPISLINE_T_LIB_SOAK_H
@@ -14,15 +14,14 @@
 
 #define SOAK_THREADS (RACK_MAX_NODES + 8)
 
-/** What was done to a node. */
+/** Faults injected into a node. */
 struct soak_node
 {
-  unsigned incarnation; /**< grows once a process is gone */
-  bool restarting;      /**< being ended and started again */
+  unsigned incarnation; /**< incremented when its process has exited */
+  bool restarting;      /**< stopped for a restart */
   bool paused;          /**< by SIGSTOP */
-  clk_ms
-      disturbed_at; /**< when it was last ended, started, stopped or woken */
-  clk_ms paused_at; /**< when it was last stopped or woken */
+  clk_ms disturbed_at;  /**< last exit, start, pause or resume */
+  clk_ms paused_at;     /**< last pause or resume */
 };
 
 struct soak
@@ -32,63 +31,63 @@
   uint64_t seed;
   clk_ms started_at, ends_at;
   pthread_mutex_t lock;
-  struct buf violations; /**< a line for each promise that was broken */
+  struct buf violations; /**< one line per violated guarantee */
   unsigned nviolations;
-  unsigned
-      disturbances; /**< times that a node was ended, stopped or started */
+  unsigned disturbances; /**< exits, starts, pauses, other signals */
   struct soak_node node[RACK_MAX_NODES];
   bool store_faulty;
-  clk_ms
-      store_fault_at; /**< when the store was last made to fail, or mended */
+  clk_ms store_fault_at; /**< start or end of the last store fault */
 };
 
-/** A series of calls or faults. */
+/** Thread that repeats calls or faults. */
 struct soak_thread
 {
   struct soak *s;
   unsigned number;
-  unsigned steps; /**< begun */
+  unsigned steps; /**< steps begun */
   struct rng rng;
   void (*step) (struct soak_thread *t);
-  void *ctx; /**< of the turns */
+  void *ctx; /**< argument of the step function */
 };
 
-/** A number of the environment. */
+/** Integer value of an environment variable, or @p usual. */
 uint64_t soak_env_number (const char *name, uint64_t usual);
 
 void soak_init (struct soak *s, uint64_t seed, int nodes);
 
-/** Expect that nothing was wrong. */
+/** Expects that no violations were recorded. */
 void soak_finish (struct soak *s);
 
-/** Run each thread's turns until the time is over, those of @p own in the
-    thread of the caller.  That one alone starts processes: these are killed
-    with the thread that started them. */
+/** Runs each thread's steps until the time is over. The steps of thread @p own
+   run in the calling thread. Only that thread may start processes, because a
+   process is killed when the thread that started it exits. */
 void soak_run (struct soak *s, struct soak_thread *t, unsigned n, unsigned own,
                uint64_t seconds);
 
-/** Note a promise that was broken; the lock is held. */
+/** Records a violated guarantee; the caller holds the lock. */
 void soak_add_violation (struct soak *s, const char *text);
-/** The same; the lock is free. */
+/** Same; the caller doesn't hold the lock. */
 void soak_report_violation (struct soak *s, const char *fmt, ...)
     __attribute__ ((format (printf, 2, 3)));
 
-/** Sleep up to so long. */
+/** Sleeps for a random time below @p most. */
 void soak_random_sleep (struct rng *rng, clk_ms most);
 
-/** End nodes by a signal, all at once. */
+/** Sends a signal that ends the nodes' processes, to all at once. */
 void soak_signal_exit (struct soak *s, const int *nodes, int n, int sig);
-/** Wait until they are gone, and start them again. */
+/** Waits until the processes have exited and restarts them. */
 void soak_restart (struct soak *s, const int *nodes, int n);
-/** Send a signal that ends nobody to nodes that are not being ended. */
+/** Sends a signal that doesn't end the process; skips nodes being
+   restarted. */
 void soak_signal (struct soak *s, const int *nodes, int n, int sig);
-/** Stop nodes for a while, all at once. */
+/** Pauses nodes by SIGSTOP for @p ms, all at once. */
 void soak_pause (struct soak *s, const int *nodes, int n, clk_ms ms);
 
-/** Make the store fail in one of @p kinds ways for a while. */
+/** Makes the store fail for a random time, in one of the first @p kinds
+   ways. */
 void soak_inject_store_fault (struct soak *s, struct rng *rng, unsigned kinds);
 #define SOAK_STORE_FAULTS 5
-/** Those without the loss of all leases. */
+/** Excludes the last way, the loss of all leases. */
 #define SOAK_STORE_FAULTS_NO_LAPSE 4
 
 #endif
--- a/t/lib-versions.c
+++ b/t/lib-versions.c
@@ -1,12 +1,12 @@
 #include "t/lib-versions.h"
 
-/** Items of one version. */
+/** Most items in one version. */
 #define MAX_ITEMS 8
-/** An item goes with one version in so many. */
+/** Chance, one in so many, that a version removes an item. */
 #define REMOVAL_ONE_IN 4
-/** Versions that are asked after. */
+/** Requests refer to one of so many newest versions. */
 #define RECENT_VERSIONS 3
-/** One request in so many is for what all versions allow. */
+/** One in so many requests is allowed by all versions. */
 #define ALWAYS_ALLOWED_ONE_IN 6
 
 static bool
@@ -52,7 +52,7 @@
     }
 }
 
-/** One of the items that the version took away, or 0. */
+/** A random item that the version removed, or 0. */
 static unsigned
 pick_removed_item (const struct versions *vs, struct rng *rng,
                    unsigned version)
--- a/t/lib-versions.h
+++ b/t/lib-versions.h
@@ -1,10 +1,9 @@
 /**
  * @file
- * Versions of a configuration that operators put in force one after the other,
- * and what an answer tells of the version by which it was given.
- *
- * From the second on, each version brings a client key and a route of its own,
- * both an item of its number, and may take away those of versions before.
+ * Sequence of configuration versions that operators store one after the other,
+ * and which of them agree with a response.
+ * Each version from the second on adds one item, a client key and a route with
+ * the version's number, and may remove items of earlier versions.
  */
 #ifndef LAPISLINE_T_LIB_VERSIONS_H
 #define LAPISLINE_T_LIB_VERSIONS_H
@@ -21,7 +20,7 @@
 {
   clk_ms sent_at;  /**< to the store */
   clk_ms acked_at; /**< by the store; 0: not yet */
-  /** Version that took this one's item away; 0: none. */
+  /** Version that removed this version's item; 0: none. */
   unsigned removed_by;
 };
 
@@ -29,36 +28,39 @@
 {
   struct rng rng;
   unsigned newest;
-  struct version v[VER_MAX + 1]; /**< by number */
+  struct version v[VER_MAX + 1]; /**< indexed by version number */
 };
 
-/** A request for an item, or for what all versions allow, and its answer. */
+/** A request for an item, or for what all versions allow, and its response. */
 struct ver_request
 {
-  unsigned item; /**< 0: what all versions allow */
-  bool by_key;   /**< a request with the item's key; else to its route */
+  unsigned item; /**< 0: allowed by all versions */
+  bool by_key;   /**< uses the item's key; else its route */
   clk_ms sent_at, answered_at;
-  bool denied; /**< as an unknown key or route; else it was served */
+  bool denied; /**< rejected for an unknown key or route; else served */
 };
 
-/** Draw the next version, which is sent now. @return its number */
+/**
+ * Generates the next version, sent to the store at @p now.
+ * @return its number
+ */
 unsigned ver_next (struct versions *vs, clk_ms now);
 
-/** Keys and routes of the newest version, as rack_configure() takes them. */
+/** Formats keys and routes of the newest version for rack_configure(). */
 void ver_format (const struct versions *vs, struct buf *key,
                  struct buf *routes);
 
-/** Draw what to ask for: mostly what came or went a moment ago. */
+/** Picks a random request, mostly for a recently added or removed item. */
 void ver_pick_request (const struct versions *vs, struct rng *rng,
                        struct ver_request *a);
 
-/** The newest version that was acknowledged by @p at; 0: none. */
+/** Newest version that the store acknowledged by @p at; 0: none. */
 unsigned ver_newest_acked (const struct versions *vs, clk_ms at);
 
 /**
- * By which version the answer may have been given.
- * @return the least from @p from on that was sent before the answer came, or
- * 0: only older ones handle the request so
+ * Finds which version may have produced a response.
+ * @return the oldest version, from @p from on and sent before the response
+ * came, that handles the request this way; 0: only older versions do
  */
 unsigned ver_oldest_match (const struct versions *vs,
                            const struct ver_request *a, unsigned from);
--- a/t/t0901-versions.c
+++ b/t/t0901-versions.c
@@ -1,6 +1,6 @@
 /*
- * What the soak concludes from answers; a check that takes old versions for
- * new ones sees nothing.
+ * Tests the soak's deduction of versions from responses. If it accepted
+ * responses of old versions, the soak would miss every outdated configuration.
  */
 #include <criterion/criterion.h>
 
@@ -8,7 +8,7 @@
 
 TestSuite (versions, .timeout = 60);
 
-/** Version 2 brings its item, 3 takes it away. */
+/** Version 2 adds its item, version 3 removes it. */
 static struct versions vs
     = { .newest = 3,
         .v = { [1] = { .sent_at = 1, .acked_at = 10 },
