--- a/t/lib-many.c
+++ b/t/lib-many.c
@@ -119,18 +119,22 @@
   struct buf text = BUF_INIT;
 
   add_timestamp (&text);
-  buf_addf (&text, " %s: node-%d, %s of version %u, removed by %u: %d;", what,
+  buf_addf (&text,
+            " %s: node-%d, %s of version %u (removed by %u): status %d;", what,
             f->c->node + 1, a->by_key ? "key" : "route", a->item,
             m->vs.v[a->item].removed_by, f->status);
-  buf_addf (&text, " sent %d, answered %d; due %u, acknowledged %d;",
+  buf_addf (&text,
+            " sent at %d ms, answered at %d ms; required version %u,"
+            " acknowledged at %d ms;",
             ms_since_start (m, a->sent_at), ms_since_start (m, a->answered_at),
             f->required, ms_since_start (m, m->vs.v[f->required].acked_at));
-  buf_addf (&text, " shown %u by %d; newest %u;", f->c->min_version,
-            ms_since_start (m, f->c->min_version_at), m->vs.newest);
-  buf_addf (&text, " node touched %d, stood %d; store failed %d",
-            ms_since_start (m, d->disturbed_at),
-            ms_since_start (m, d->paused_at),
-            ms_since_start (m, m->s.store_fault_at));
+  buf_addf (&text, " node had version %u at %d ms; newest %u;",
+            f->c->min_version, ms_since_start (m, f->c->min_version_at),
+            m->vs.newest);
+  buf_addf (
+      &text, " node disturbed at %d ms, paused at %d ms; store fault at %d ms",
+      ms_since_start (m, d->disturbed_at), ms_since_start (m, d->paused_at),
+      ms_since_start (m, m->s.store_fault_at));
   soak_add_violation (&m->s, buf_c (&text));
   buf_free (&text);
 }
@@ -168,8 +172,9 @@
   const struct soak_node *d = &m->s.node[f->c->node];
 
   if (f->a->denied && is_stale (f, CONFIG_APPLY_MS))
-    report_violation (f, was_paused (d, f->a->sent_at) ? "denied after a stop"
-                                                       : "denied late");
+    report_violation (f, was_paused (d, f->a->sent_at)
+                             ? "denied by an outdated version after a pause"
+                             : "denied by an outdated version");
 }
 
 static bool
@@ -193,7 +198,7 @@
   late = is_stale (f, bound);
   m->bound_checked += f->required > 0;
   if (late)
-    report_violation (f, "late");
+    report_violation (f, "version not applied in time");
 }
 
 /** Counts the success ratio of undisturbed nodes, separately for items of the
@@ -221,7 +226,7 @@
   unsigned oldest = ver_oldest_match (vs, f->a, c->min_version);
 
   if (oldest == 0 && f->a->sent_at > c->min_version_at + ROLLBACK_GRACE_MS)
-    report_violation (f, "went back");
+    report_violation (f, "returned to an older version");
   if (oldest <= c->min_version)
     return;
   c->min_version = oldest;
@@ -238,7 +243,7 @@
   m->conclusive++;
   m->served += !a->denied;
   if (a->item == 0 && a->denied)
-    report_violation (&f, "denied what all versions allow");
+    report_violation (&f, "denied a request that all versions allow");
   if (a->item == 0)
     return;
   check_denial (m, &f);
@@ -350,20 +355,20 @@
       expect_newest (m, i);
       web_close (c[i].conn);
     }
-  cr_log_info ("seed %llu: %u versions; %u asked, %u told, %u served,"
-               " %u held to the bound; of what was added %u of %u served",
+  cr_log_info ("seed %llu: %u versions; %u requests, %u conclusive, %u served,"
+               " %u checked against the limit; added items: %u of %u served",
                (unsigned long long)m->s.seed, m->vs.newest, m->requests,
                m->conclusive, m->served, m->bound_checked, m->added.served,
                m->added.requests);
-  cr_expect_gt (m->conclusive, m->requests / 4, "told %u of %u", m->conclusive,
-                m->requests);
+  cr_expect_gt (m->conclusive, m->requests / 4, "%u of %u requests conclusive",
+                m->conclusive, m->requests);
   cr_expect_gt (m->served, m->requests / 10, "served %u of %u", m->served,
                 m->requests);
   cr_expect (m->added.requests < MIN_SAMPLES
                  || 4 * m->added.served * m->initial.requests
                         >= m->initial.served * m->added.requests,
-             "nodes in touch serve %u of %u for what was added, and %u of %u"
-             " for what was there",
+             "undisturbed nodes served %u of %u requests for added items,"
+             " but %u of %u for initial ones",
              m->added.served, m->added.requests, m->initial.served,
              m->initial.requests);
   soak_finish (&m->s);
--- a/t/lib-rack.c
+++ b/t/lib-rack.c
@@ -97,7 +97,7 @@
         return;
       usleep (RETRY_INTERVAL_US);
     }
-  cr_assert (false, "node %d does not listen", node);
+  cr_assert (false, "node %d doesn't listen on its ready port", node);
 }
 
 void
@@ -252,7 +252,7 @@
     buf_addf (&expected, "id: %d\ndata: w%d\n\n", i, i);
   same = str_eq (buf_str (body), buf_str (&expected));
   if (!same)
-    cr_log_warn ("got:\n%s", buf_c (body));
+    cr_log_warn ("unexpected body:\n%s", buf_c (body));
   buf_free (&expected);
   return same;
 }
--- a/t/lib-soak.c
+++ b/t/lib-soak.c
@@ -28,7 +28,7 @@
 void
 soak_finish (struct soak *s)
 {
-  cr_expect_eq (s->nviolations, 0, "seed %llu, %u times:\n%s",
+  cr_expect_eq (s->nviolations, 0, "seed %llu, %u violations:\n%s",
                 (unsigned long long)s->seed, s->nviolations,
                 buf_c (&s->violations));
   buf_free (&s->violations);
