--- a/t/t9301-serve.c
+++ b/t/t9301-serve.c
@@ -1,6 +1,6 @@
 /*
- * Nodes before a stand-in of the users' platform, over real processes: the
- * whole path, and each failure of it that callers may meet.
+ * Requests through nodes to the stand-in for the users' platform, with real
+ * processes: normal operation and each failure that clients may encounter.
  */
 #include <criterion/criterion.h>
 #include <string.h>
@@ -11,9 +11,9 @@
 TestSuite (serve, .fini = proc_stop_all, .timeout = 90);
 
 /*
- * Callers come before anything is configured: they are told to come back, not
- * that there is no such route.  Once there is a configuration, all kinds of
- * request are served; a key reaches no backend server, the account does.
+ * Guards against nodes without a configuration that respond 404 instead of 503
+ * with Retry-After. Once a configuration is stored, every kind of request is
+ * served; backend servers receive the account but no API key.
  */
 Test (serve, all_request_kinds_after_first_configuration)
 {
@@ -54,9 +54,9 @@
 }
 
 /*
- * A key is taken away and a route is added: both hold at both nodes within the
- * time of the settings, and an older version that is written later changes
- * nothing.
+ * Guards against a node that applies a removed key or an added route later
+ * than config_apply_ms, or replaces a configuration by an older version that
+ * is written afterwards.
  */
 Test (serve, configuration_is_applied_at_all_nodes)
 {
@@ -82,9 +82,10 @@
 }
 
 /*
- * A caller reads a stream when a member of its replica dies.  Nobody is told;
- * the stream stands still, goes on at the other replica within its answer, and
- * the caller has each event once.  The replica is formed again with the spare.
+ * Guards against lost or repeated events when a member of the replica dies
+ * during a stream. The platform doesn't report the death; the stream stalls
+ * and resumes at the other replica within the same response. A spare server
+ * then completes the first replica.
  */
 Test (serve, stream_resumes_when_a_member_dies)
 {
@@ -111,8 +112,8 @@
 }
 
 /*
- * A replica breaks off in the middle of an event.  The caller sees neither the
- * broken event nor a gap.
+ * Guards against forwarding a partial event, or skipping it, when the replica
+ * closes the connection in the middle of an event.
  */
 Test (serve, truncated_event_is_not_forwarded)
 {
@@ -132,8 +133,8 @@
 }
 
 /*
- * The same, but the answer ends as if it were whole, within an event.  It is
- * not: the stream goes on at the other replica.
+ * Guards against accepting a response that ends correctly in HTTP but in the
+ * middle of an event. The stream has to resume at the other replica.
  */
 Test (serve, response_ending_inside_an_event_is_incomplete)
 {
@@ -153,8 +154,8 @@
 }
 
 /*
- * A plain server says that it leaves.  Within the drain time no node sends it
- * anything.
+ * Guards against requests sent to a plain server after drain_ms since it
+ * announced that it is draining.
  */
 Test (serve, draining_server_gets_no_new_requests)
 {
@@ -171,9 +172,9 @@
 }
 
 /*
- * A call that must run once meets a server that reads it and never answers.
- * The caller learns at the deadline that the outcome is not known; the call
- * is not given to the other server.
+ * Guards against retrying a non-idempotent call at another server after the
+ * first one read it and didn't respond. At the deadline the client receives
+ * 504, because the outcome is unknown.
  */
 Test (serve, possibly_executed_call_is_not_retried)
 {
@@ -191,8 +192,9 @@
 }
 
 /*
- * An idempotent call meets one server that fails and one that answers without
- * its signature: the first is tried elsewhere, the second is no success.
+ * Guards against accepting a response without the server's signature. An
+ * idempotent call that fails at one server is retried at the other; with both
+ * signatures missing the response is 502.
  */
 Test (serve, response_without_signature_is_a_failure)
 {
@@ -208,9 +210,9 @@
 }
 
 /*
- * The store answers nothing for some seconds, then refuses, then forgets its
- * history and ends all leases.  Callers are served all the while, and the
- * next configuration is in force soon after the return.
+ * Guards against failed requests during a store outage: the store doesn't
+ * respond for seconds, then refuses calls, then loses its history and all
+ * leases. The next configuration is applied soon after the outage.
  */
 Test (serve, requests_succeed_during_store_outage)
 {
@@ -235,9 +237,9 @@
 }
 
 /*
- * SIGTERM comes while a stream is open.  The stream ends whole, the node is
- * not ready any more and is named no more by the other, and it ends by itself.
- * SIGHUP before changes nothing.
+ * Guards against a shutdown that interrupts open streams. After SIGTERM the
+ * node isn't ready, the other node's directory omits it, and it exits once its
+ * stream is complete. A preceding SIGHUP has no effect.
  */
 Test (serve, shutdown_completes_open_streams)
 {
@@ -268,8 +270,8 @@
 }
 
 /*
- * All nodes are killed at once.  They find the replicas as they are and serve
- * again; nothing is loaded or formed anew.
+ * Guards against reloading models and forming replicas again after all nodes
+ * were killed at once. The restarted nodes find the replicas and use them.
  */
 Test (serve, replicas_survive_restart_of_all_nodes)
 {
@@ -296,9 +298,9 @@
 }
 
 /*
- * The node that forms replicas stands still while a server goes, and the other
- * takes over.  Callers of both nodes are served on, and both end by
- * themselves. Each node stands still once, as either may be the owner.
+ * Guards against failing requests when the leader node is paused while a
+ * server dies and the other node takes over leadership. Each node is paused
+ * once, because either may be the leader; both exit cleanly afterwards.
  */
 Test (serve, requests_succeed_after_leader_pause)
 {
@@ -324,8 +326,8 @@
 }
 
 /*
- * A caller leaves in the middle of a stream: the backend server sees it within
- * half a second and stops.
+ * Guards against a backend server that keeps generating a stream whose client
+ * has disconnected; it has to notice within 500 ms.
  */
 Test (serve, client_disconnect_reaches_the_server)
 {
@@ -348,8 +350,8 @@
 }
 
 /*
- * Bad input is refused with its reason, and the node goes on: a body that is
- * too large, a head that is no HTTP, a request without an id or a model.
+ * Guards against a node that fails on invalid input: a body above the limit, a
+ * malformed HTTP head, a request without id or model.
  */
 Test (serve, invalid_requests_are_rejected)
 {
@@ -374,8 +376,8 @@
 }
 
 /*
- * A settings file with several faults: all of them are told at once with their
- * place, and the exit code says that the input is bad.
+ * Guards against reporting only the first error of a settings file. The exit
+ * code for invalid settings is 3, for a wrong argument 2.
  */
 Test (serve, all_settings_errors_are_reported)
 {
@@ -390,7 +392,7 @@
   buf_free (&out);
 }
 
-/** A figure of a node's metrics. */
+/** Value of a metric of the node, or -1. */
 static double
 read_metric (const struct rack *r, int node, const char *name)
 {
@@ -406,8 +408,8 @@
   return x;
 }
 
-/* Guards against a list that looks old in logs and metrics, as nothing in it
-   has changed. */
+/* Guards against a server list whose age grows in logs and metrics because the
+   list hasn't changed. */
 Test (serve, unchanged_server_list_stays_fresh)
 {
   struct rack r;
--- a/t/t9302-walk.c
+++ b/t/t9302-walk.c
@@ -1,6 +1,6 @@
 /*
- * From a failed request's id to its cause, by the lines that the node wrote
- * and by nothing else: the walks of docs/OPERATIONS.md.
+ * Finds the cause of a failed request by its id from the node's log alone,
+ * following the procedures of docs/OPERATIONS.md.
  */
 #include <criterion/criterion.h>
 #include <stdio.h>
@@ -11,7 +11,7 @@
 
 TestSuite (diagnosis, .fini = proc_stop_all, .timeout = 90);
 
-/** The last line of node @p n that holds both texts, or NULL. */
+/** Last log line of node @p n that contains both texts, or NULL. */
 static const char *
 find_line (const struct rack *r, int n, const char *a, const char *b)
 {
@@ -34,7 +34,7 @@
   return found ? line : NULL;
 }
 
-/** The node's lines are complete once it has ended. */
+/** Kills the node; its log is complete then. */
 static void
 end_node (const struct rack *r, int n)
 {
@@ -58,9 +58,10 @@
 }
 
 /*
- * A caller was refused though servers are there.  Its line says that no place
- * was known, and the last line on places before it that the model has none:
- * a member of its only replica leaves, and no spare is left.
+ * A request is refused although servers are running: a member of the only
+ * replica dies and there is no spare. The request's line has the code
+ * no-server, and the last line with endpoint counts before it lists none for
+ * the model.
  */
 Test (diagnosis, refused_without_complete_replica)
 {
@@ -80,8 +81,8 @@
 }
 
 /*
- * A stream was cut.  Its lines name the servers of both attempts and how each
- * was lost.
+ * A stream is truncated. The log lines name the servers of both attempts and
+ * the reason each one was lost.
  */
 Test (diagnosis, truncated_stream)
 {
@@ -105,8 +106,8 @@
 }
 
 /*
- * A call's outcome is not known.  Its line says that it was given to one
- * server, which one, and that no answer came to the deadline.
+ * The outcome of a call is unknown. Its line names the only server that
+ * received it and the expired deadline.
  */
 Test (diagnosis, call_with_unknown_outcome)
 {
--- a/t/t9303-late-list.c
+++ b/t/t9303-late-list.c
@@ -1,6 +1,6 @@
 /*
- * A node that linked once, and led, as the owner after it sees it: its frames
- * arrive late.  This test is that node.
+ * A former leader whose frames arrive late at the current leader. The test
+ * process acts as the former leader.
  */
 #include <criterion/criterion.h>
 #include <glib.h>
@@ -17,7 +17,7 @@
 #define SECRET_BYTES 32
 #define WAIT_MS ((clk_ms)5000)
 
-/** Value of a key of the store; release it. */
+/** Value of a store key; the caller frees it. */
 static char *
 read_store_key (const struct rack *r, const char *key)
 {
@@ -40,7 +40,7 @@
   return value;
 }
 
-/** Number of the node that forms replicas. */
+/** Index of the node that holds leadership. */
 static int
 find_leader (const struct rack *r)
 {
@@ -55,7 +55,7 @@
 {
   uv_loop_t loop;
   struct link *link;
-  bool hello_received; /* by the node */
+  bool hello_received; /* Hello frame received from the node */
 };
 
 static void
@@ -71,7 +71,7 @@
   cr_assert (link_send (l, &f));
 }
 
-/** Of all servers this one is told, and of none another. */
+/** Reports a complete server list without servers. */
 static void
 send_empty_list (struct link *l)
 {
@@ -102,7 +102,7 @@
   t->hello_received |= f->body_case == LAPIS__FRAME__BODY_HELLO;
 }
 
-/** Turn the loop for a while. */
+/** Runs the event loop for @p ms. */
 static void
 run_loop (struct stale_peer *t, clk_ms ms)
 {
@@ -112,7 +112,7 @@
     uv_run (&t->loop, UV_RUN_NOWAIT);
 }
 
-/** Link to the node as another one. */
+/** Connects to the node as a peer node. */
 static void
 link_to (struct stale_peer *t, const struct rack *r, int node)
 {
@@ -140,10 +140,10 @@
 }
 
 /*
- * Callers are served, and a list that an earlier owner sent is only now
- * delivered: by it there are no servers.  Taken by the owner it would refuse
- * all callers until its next reading, and the core that forms replicas would
- * go on with entries that are no more.  It goes by what it reads itself.
+ * Guards against a leader that accepts a server list from a former leader.
+ * This list is empty; the leader would refuse all requests until it reads the
+ * store again, and replica formation would use removed entries. The leader has
+ * to use only the lists that it reads itself.
  */
 Test (stale_list, leader_ignores_lists_from_peers)
 {
@@ -152,7 +152,7 @@
   int leader, refused = 0;
 
   rack_serve (&r, 4);
-  sleep (3); /* from then on what a list lacks counts as gone */
+  sleep (3); /* after startup, servers missing from a list are removed */
   leader = find_leader (&r);
   link_to (&t, &r, leader);
   for (int i = 0; i < 40; i++)
--- a/t/t9304-many.c
+++ b/t/t9304-many.c
@@ -1,6 +1,6 @@
 /*
- * More nodes than are linked each to each, over real processes: most of them
- * are told by a few what the store would tell them.
+ * More nodes than a full mesh of links allows, with real processes. Most nodes
+ * receive from a few others what they would otherwise read from the store.
  */
 #include <criterion/criterion.h>
 #include <stdio.h>
@@ -23,10 +23,10 @@
 }
 
 /*
- * The store turns one of 18 nodes away, and then the operators take a key from
- * its account and give it another.  Callers at that node are held to the new
- * configuration like all others within the time of the settings: the node that
- * forms replicas hands it on.
+ * Guards against a node without access to the store that keeps an old
+ * configuration. The store refuses one of 18 nodes before operators replace a
+ * key; the leader has to forward the new configuration to that node within
+ * config_apply_ms.
  */
 Test (many_nodes, configuration_reaches_node_without_store)
 {
@@ -39,7 +39,7 @@
     rack_start_node (&r, i);
   for (int i = 0; i < RACK_MANY_NODES; i++)
     cr_assert (rack_call_until (&r, i, "/once/x", rack_headers ("warm"), 200));
-  /* All have been told by the node that forms replicas. */
+  /* All nodes have received the leader's reports by now. */
   usleep (3000000);
   relay_close_connections (tcp_relay);
   rack_configure (&r, 2, "k2", "");
@@ -54,8 +54,8 @@
                 200);
 }
 
-/** The node that comes last in the order of hubs: all have the same size, so
-    that their names decide. */
+/** The node that is last in the order of relays. All nodes have the same size,
+   so the hashes of their names decide. */
 static int
 find_last_relay_candidate (void)
 {
@@ -81,8 +81,8 @@
   return web_until (r->ready[node], "/metrics", NULL, line, PROC_WAIT_MS);
 }
 
-/** Start all nodes, one of them before the others, so that it forms replicas.
- */
+/** Starts all nodes, @p first before the others so that it becomes the
+   leader. */
 static void
 start_with_first (struct rack *r, int first)
 {
@@ -96,12 +96,12 @@
 }
 
 /*
- * A small node comes seconds before all others and takes the lease by which it
- * forms replicas.  The others push their loads to the hubs and hear from it
- * alone which places there are: it has to know each of them, though as one of
- * many that come after the hubs it would not look for them.  Were it to rest
- * like these, callers at all others would be refused until each has read the
- * list by itself.
+ * Guards against a leader without links to all nodes. A small node starts
+ * seconds before the others and takes the leader's lease. The others send
+ * their loads to the relays and receive the endpoints only from the leader,
+ * which therefore has to link to every node although it comes after the relays
+ * in the order. Otherwise the other nodes would refuse requests until each has
+ * read the list itself.
  */
 Test (many_nodes, leader_links_to_all_nodes)
 {
@@ -112,8 +112,9 @@
   cr_expect (wait_for_metric (&r, first, "lapisline_serve_nodes 18"));
 }
 
-/* Guards against a node that others go by and that itself goes by one that
-   watches: each new version would be read once more before it is handed on. */
+/* Guards against a leader that follows another node's watch of the
+   configuration: each new version would be read once more before the leader
+   forwards it. */
 Test (many_nodes, leader_watches_the_configuration)
 {
   struct rack r;
--- a/t/t9305-crash.c
+++ b/t/t9305-crash.c
@@ -1,6 +1,6 @@
 /*
- * Requests that end the process of each backend server that runs them, over
- * real processes.
+ * Requests that crash every backend server that runs them (poison requests),
+ * with real processes.
  */
 #include <criterion/criterion.h>
 #include <stdio.h>
@@ -15,10 +15,10 @@
 
 #define ENGINES 32
 #define REPLICAS (ENGINES / 4)
-/** Time for what one node has seen to reach the others. */
+/** Time for a crash seen by one node to be reported to the others. */
 #define PROPAGATION_US 400000
 
-/** How many servers lead a replica that takes requests. */
+/** Number of servers that lead a replica ready for requests. */
 static int
 count_leaders (const struct rack *r)
 {
@@ -56,7 +56,7 @@
   return n;
 }
 
-/** Ask with that body; the answer is left in @p a. */
+/** Sends a request with @p body; the response is stored in @p a. */
 static void
 send_request (const struct rack *r, int node, const char *path,
               const char *body, struct web_answer *a)
@@ -81,8 +81,8 @@
   return status;
 }
 
-/* Guards against a caller that returns with such a request to node after node
-   and ends server after server. */
+/* Guards against a client that repeats a poison request at node after node and
+   crashes one server after another. */
 Test (crash, request_is_blocked_after_three_crashes)
 {
   struct rack r;
@@ -107,7 +107,7 @@
     }
 }
 
-/** Ask until it is known that the request ends servers. */
+/** Sends the poison request until the nodes block it. */
 static void
 crash_until_blocked (const struct rack *r)
 {
@@ -134,8 +134,8 @@
   proc_wait (r->node[node], PROC_WAIT_MS);
 }
 
-/** Wait for a usual request to be served, then ask for the one that ends
-    servers: nobody runs it. */
+/** Waits until a normal request is served, then sends the poison request to
+   each node: all of them refuse it without running it. */
 static void
 expect_refused (struct rack *r)
 {
@@ -147,8 +147,8 @@
   cr_expect_eq (count_crashed (r), 3);
 }
 
-/* Guards against a node that starts again, or all of them, and runs what was
-   known to end servers. */
+/* Guards against restarted nodes, one or all of them, that run a blocked
+   request. */
 Test (crash, restarted_nodes_keep_the_block)
 {
   struct rack r;
@@ -165,8 +165,8 @@
   expect_refused (&r);
 }
 
-/* Guards against a verdict that needs the store: it is away, and has the
-   verdict once it is back. */
+/* Guards against a block that depends on the store: the block is set during an
+   outage and has to be stored after it. */
 Test (crash, block_survives_store_outage)
 {
   struct rack r;
@@ -183,8 +183,8 @@
   expect_refused (&r);
 }
 
-/* Guards against a block of requests whose connections broke while their
-   servers lived. */
+/* Guards against blocking requests whose connections broke while their servers
+   kept running. */
 Test (crash, broken_connections_are_not_crashes)
 {
   struct rack r;
@@ -207,7 +207,7 @@
     }
 }
 
-/** The key of the blocked request, below the project's prefix. */
+/** Store key of the blocked request, below the project's prefix. */
 static void
 find_blocked_key (const struct rack *r, char *key, size_t size)
 {
@@ -232,8 +232,8 @@
   cr_assert_gt (n, 0);
 }
 
-/* Guards against a node that starts, finds nothing in the store, and takes
-   what the others refuse: it is told as it is linked. */
+/* Guards against a starting node that finds no block in the store and runs the
+   request. Another node reports the block once the two are linked. */
 Test (crash, starting_node_receives_block_from_peer)
 {
   struct rack r;
@@ -248,8 +248,8 @@
   expect_refused (&r);
 }
 
-/* Guards against a block that goes with a lease that the store has ended
-   early, and against one that operators can't end. */
+/* Guards against a block that is lost with a lease that the store ended early,
+   and against a block that operators can't clear. */
 Test (crash, block_survives_lease_loss_until_operators_clear_it)
 {
   struct rack r;
@@ -279,8 +279,8 @@
 
 #define CONCURRENT_STREAMS 12
 
-/* Guards against a request that is free again as the store has come back from
-   a copy that lacks its key. */
+/* Guards against a request that is unblocked because the store was restored
+   from a copy without its key. */
 Test (crash, block_key_survives_store_restore)
 {
   struct rack r;
@@ -294,8 +294,9 @@
   find_blocked_key (&r, key, sizeof key);
 }
 
-/* Guards against the refusal of streams that were running at the servers that
-   ended: each is served, by itself or when its caller asks again. */
+/* Guards against refusing streams that were running at the crashed servers.
+   Each is served, either by a retry of the node or when its client sends it
+   again. */
 Test (crash, concurrent_streams_are_served)
 {
   struct rack r;
@@ -330,8 +331,8 @@
   buf_free (&got);
 }
 
-/* Guards against more ends by a caller that asks all nodes at once, without
-   waiting for answers. */
+/* Guards against further crashes when a client sends the poison request to all
+   nodes at once, without waiting for responses. */
 Test (crash, concurrent_requests_at_all_nodes)
 {
   struct rack r;
@@ -352,14 +353,14 @@
           web_close (w[i]);
         }
     }
-  /* Three, and what was under way at the other node by then. */
+  /* 3 crashes, and those of requests already running at the other node. */
   cr_expect_leq (count_crashed (&r), 6, "%d ended", count_crashed (&r));
   cr_expect_eq (request_status (&r, 0, "/stream/x", "bad"), 503);
   buf_free (&got);
 }
 
-/* Guards against a verdict that is lost as nodes end and start in turn, while
-   the store is away half of the time. */
+/* Guards against losing the block when nodes are restarted in turn, with the
+   store down at every second restart. */
 Test (crash, nodes_restart_in_turn)
 {
   struct rack r;
@@ -380,8 +381,8 @@
     }
 }
 
-/* Guards against nodes that don't hear of it where not all are linked to each
-   other: the crashes are seen by three of those that are no hubs, or any. */
+/* Guards against nodes that don't receive the block in a fleet without a full
+   mesh, where any three nodes, relays or others, see the crashes. */
 Test (crash, many_nodes)
 {
   struct rack r;
--- a/t/t9306-limit.c
+++ b/t/t9306-limit.c
@@ -1,6 +1,6 @@
 /*
- * Backend servers that name the request rate that they take, over real
- * processes.  The judge is the platform's own count of what reaches them.
+ * Backend servers that announce a request rate limit, with real processes. The
+ * checks use the platform's count of requests that reach each server.
  */
 #include <criterion/criterion.h>
 #include <stdio.h>
@@ -13,13 +13,15 @@
 
 TestSuite (rate_limit, .fini = proc_stop_all, .timeout = 120);
 
-/** What may reach a server in 4 s: one and a half times what it takes in them,
-    and 5. */
+/** Most requests to a server in 4 s: 1.5 times its rate over that time, plus
+   5. */
 #define MAX_REQUESTS(per_s) ((int)(1.5 * (per_s)*4) + 5)
 #define PAUSE_US 20000
 
-/** Call the plain service at @p nodes nodes in turn.
-    @return  how many calls were not served */
+/**
+ * Calls the plain service at @p nodes nodes in turn.
+ * @return number of calls that weren't served
+ */
 static int
 call_for_duration (const struct rack *r, int nodes, clk_ms ms)
 {
@@ -37,8 +39,7 @@
   return failures;
 }
 
-/* Guards against nodes that go on sending to a server what it has told them
-   that it can't take. */
+/* Guards against nodes that ignore the limit that a server announced. */
 Test (rate_limit, server_receives_at_most_its_limit)
 {
   struct rack r;
@@ -49,7 +50,7 @@
   cr_expect_eq (call_for_duration (&r, RACK_NODES, 8000), 0);
   max = rack_get_count (&r, "p1", "limited_most");
   cr_expect_leq (max, MAX_REQUESTS (2), "%d requests in 4 s", max);
-  /* It is limited, not gone. */
+  /* The server still receives requests. */
   cr_expect_geq (rack_get_count (&r, "p1", "limited_arrived"), 8);
 }
 
@@ -75,8 +76,8 @@
   proc_wait (r->node[node], PROC_WAIT_MS);
 }
 
-/* Guards against one rate for each of many nodes, where not all are linked to
-   each other. */
+/* Guards against nodes that each use the whole rate, in a fleet without a full
+   mesh. */
 Test (rate_limit, many_nodes)
 {
   struct rack r;
@@ -93,9 +94,9 @@
   cr_expect_geq (rack_get_count (&r, "p1", "limited_arrived"), 8);
 }
 
-/* Guards against callers who wait, though nothing can serve them: where all
-   servers are limited, what they take is used and the rest is refused at once,
-   with a time to come back. */
+/* Guards against clients that wait although nothing can serve them. When all
+   servers are limited, the nodes use the available rate and refuse the rest at
+   once with Retry-After. */
 Test (rate_limit, all_servers_are_limited)
 {
   struct rack r;
@@ -128,8 +129,8 @@
   cr_expect_geq (rack_get_count (&r, "p2", "limited_arrived"), 10);
 }
 
-/* Guards against a rate that is forgotten, or doubled, as nodes end and start,
-   and as they freeze. */
+/* Guards against a limit that is lost, or applied twice, when nodes restart
+   and pause. */
 Test (rate_limit, nodes_restart_and_pause_in_turn)
 {
   struct rack r;
@@ -152,7 +153,10 @@
   expect_limit_respected (&r, "p1", 2);
 }
 
-/** Call a node without a pause. @return  how many calls had an answer */
+/**
+ * Calls a node without pauses.
+ * @return number of calls that got a response
+ */
 static int
 call_repeatedly (const struct rack *r, int node, int n)
 {
@@ -167,8 +171,8 @@
   return answered;
 }
 
-/* Guards against a node that ends as it asks for a permit just after the link
-   to the node that grants has gone down. */
+/* Guards against a node that crashes when it requests a permit just after the
+   link to the granting node was lost. */
 Test (rate_limit, permit_request_after_leader_exit)
 {
   struct rack r;
@@ -187,8 +191,8 @@
     }
 }
 
-/* Guards against a limit that outlives what its server says, or its process.
- */
+/* Guards against a limit that stays after the server has withdrawn it, or
+   after the server's process was replaced. */
 Test (rate_limit, limit_ends_with_announcement_or_process)
 {
   struct rack r;
@@ -211,7 +215,8 @@
   cr_expect_eq (call_for_duration (&r, RACK_NODES, 2000), 0);
 }
 
-/* Guards against a rate that nodes share by way of the store alone. */
+/* Guards against sharing the rate through the store only: the limit has to
+   hold during a store outage. */
 Test (rate_limit, limit_holds_during_store_outage)
 {
   struct rack r;
--- a/t/t9307-config.c
+++ b/t/t9307-config.c
@@ -1,6 +1,7 @@
 /*
- * A configuration that operators have put in force, at nodes that were about
- * to be told of it, over real processes.
+ * Propagation of a stored configuration to nodes that are paused, or
+ * during faults of the store,
+ * with real processes.
  */
 #include <criterion/criterion.h>
 #include <stdio.h>
@@ -13,11 +14,13 @@
 
 TestSuite (config, .fini = proc_stop_all, .timeout = 120);
 
-/** Within this a configuration is in force at all nodes; of the settings. */
+/** Time limit for a configuration to be in force at all nodes; config_apply_ms
+   in the settings. */
 #define CONFIG_APPLY_MS ((clk_ms)2000)
-/** Nodes that were linked so long have been told by another what is new. */
+/** After this long all linked nodes have received the newest state from
+   another node. */
 #define SETTLED_US 3000000
-/** Links that are not needed once all nodes run are closed after so long. */
+/** Unneeded links are closed this long after all nodes have started. */
 #define LINK_IDLE_US 4000000
 
 static void
@@ -42,9 +45,10 @@
 static const char k2_headers[]
     = "Host: h\r\nX-Lapisline-Request-Id: b\r\nX-Api-Key: k2\r\n";
 
-/** All nodes stand still as key k2 takes the place of k1, are asked later than
-    the bound, and go on.  Each has to answer so, or 503.  The list of backend
-    servers is not too old for that, so that no request waits for it. */
+/** Pauses all nodes while key k2 replaces k1, sends requests after the time
+   limit and resumes the nodes. Each has to respond with @p expected or 503.
+   The drain time is long enough that no request waits for a newer server
+   list. */
 static void
 request_paused_nodes (struct rack *r, const char *headers, int expected)
 {
@@ -68,8 +72,8 @@
     }
 }
 
-/* Guards against a final refusal by a configuration from before a pause of the
-   process: callers don't come back after it. */
+/* Guards against a final denial by a configuration from before the process was
+   paused: clients don't retry a denial. */
 Test (config, paused_nodes_deny_nothing_by_old_version)
 {
   struct rack r;
@@ -80,8 +84,8 @@
                i + 1);
 }
 
-/* Guards against callers who are refused for want of an answer of the store
-   that comes within milliseconds. */
+/* Guards against refusing requests for lack of a store response that arrives
+   within milliseconds. */
 Test (config, request_to_paused_node_is_served)
 {
   struct web_stream *streams;
@@ -98,8 +102,8 @@
   web_close (streams);
 }
 
-/** How often nodes have logged the loss of a link since they last stood still;
-    ends them. */
+/** Counts the lost links that nodes have logged since their last pause; kills
+   the nodes. */
 static int
 count_lost_links (struct rack *r, int nodes)
 {
@@ -119,8 +123,8 @@
   return n;
 }
 
-/* Guards against nodes that drop their links when they go on after a pause, as
-   their timers run before what came meanwhile is read. */
+/* Guards against nodes that close their links after a pause because their
+   timers run before the received data is read. */
 Test (config, links_survive_pause_of_all_nodes)
 {
   struct rack r;
@@ -135,8 +139,8 @@
   cr_expect_eq (count_lost_links (&r, RACK_MANY_NODES), 0);
 }
 
-/* Guards against a request that waited for a stopped process and then runs
-   with a key that has been taken away meanwhile. */
+/* Guards against a request that waited for a paused process and runs by a key
+   that was removed during the pause. */
 Test (config, paused_nodes_run_nothing_by_old_version)
 {
   struct rack r;
@@ -144,8 +148,8 @@
   request_paused_nodes (&r, rack_headers ("a"), 401);
 }
 
-/* Guards against a final refusal while nobody can say whether there is a newer
-   configuration. */
+/* Guards against a final denial while no node can determine whether there is a
+   newer configuration. */
 Test (config, no_final_denial_during_store_outage)
 {
   struct rack r;
@@ -158,8 +162,9 @@
   cr_expect_eq (rack_call (&r, 0, "/once/x", "a", NULL, NULL), 200);
 }
 
-/* Guards against nodes that compare revisions of the store, which begin lower
-   when it has come back from a copy: they took what was announced for old. */
+/* Guards against nodes that compare store revisions across a restore:
+   revisions start lower afterwards, so new versions would be ignored as
+   old. */
 Test (config, version_after_store_restore_is_applied)
 {
   struct rack r;
--- a/t/t9308-era.c
+++ b/t/t9308-era.c
@@ -1,7 +1,6 @@
 /*
- * The store comes back from an older copy of its data, over real processes:
- * what was written since is gone, leases too, and its revisions are given out
- * again.
+ * Restore of the store from an older copy, with real processes. Later writes
+ * and leases are lost, and their revision numbers are assigned again.
  */
 #include <criterion/criterion.h>
 #include <stdio.h>
@@ -11,13 +10,13 @@
 
 TestSuite (store_restore, .fini = proc_stop_all, .timeout = 120);
 
-/** Revisions between the copy and the first change of the nodes: those that
-   are given out after the return stay below these. */
+/** Gap between the copy's revision and the nodes' first write. Revisions
+   assigned after the restore stay below it. */
 #define REVISION_GAP 100000
 #define NODES 3
 
-/** Nodes of which the last is not started, before a store with a copy from the
-    time before them. */
+/** Starts all nodes but the last. The store has a copy made before the nodes
+   started. */
 static void
 start_with_backup (struct rack *r, int engines)
 {
@@ -39,8 +38,8 @@
   rack_set (r, "{\"store\": {\"refuse\": false, \"restore\": true}}");
 }
 
-/* Guards against a new owner whose fencing number is lower than one that
-   backend servers have seen: they refuse its orders for good. */
+/* Guards against a new leader with a lower fencing number than the backend
+   servers have seen; they would refuse its orders permanently. */
 Test (store_restore, replicas_are_repaired_after_restore)
 {
   struct rack r;
@@ -52,8 +51,8 @@
   cr_expect (rack_call_until (&r, 0, "/stream/x", rack_headers ("a"), 200));
 }
 
-/* Guards against a second secret in place of the one that is gone: a node that
-   starts then would never be linked. */
+/* Guards against replacing the lost secret by a new one: a node that starts
+   afterwards could never link. */
 Test (store_restore, node_started_after_restore_is_linked)
 {
   struct rack r;
@@ -70,8 +69,8 @@
 static const char k2_headers[]
     = "Host: h\r\nX-Lapisline-Request-Id: b\r\nX-Api-Key: k2\r\n";
 
-/* Guards against a configuration that goes back where the store shows an older
-   one, also at a node that starts then. */
+/* Guards against applying an older configuration that the restored store
+   returns, also at a node that starts afterwards. */
 Test (store_restore, restored_old_configuration_is_ignored)
 {
   struct rack r;
@@ -88,8 +87,8 @@
                   "node %d", i + 1);
 }
 
-/* Guards against a second return while nodes still write again what the first
-   one lost. */
+/* Guards against a second restore while nodes are still rewriting what the
+   first one lost. */
 Test (store_restore, two_restores_in_a_row)
 {
   struct rack r;
--- a/t/t9309-paused.c
+++ b/t/t9309-paused.c
@@ -1,6 +1,5 @@
 /*
- * Nodes that stand still for a while, as their VM may, and go on, over real
- * processes.
+ * Nodes that are paused, as their VM may be, and resume, with real processes.
  */
 #include <criterion/criterion.h>
 #include <stdio.h>
@@ -22,7 +21,7 @@
   proc_signal (r->node[node], SIGCONT);
 }
 
-/** How often the request has run. */
+/** Number of times that the request has run. */
 static int
 count_runs (const struct rack *r, const char *id)
 {
@@ -71,8 +70,8 @@
   buf_free (&body);
 }
 
-/* Guards against a node that finds all replicas silent as it goes on after a
-   pause, moves its streams, and cuts those that find no place. */
+/* Guards against a node that resumes, treats all replicas as stalled, moves
+   its streams, and truncates those for which no endpoint is left. */
 Test (paused, streams_survive_node_pause)
 {
   expect_streams_survive_pause (1000);
@@ -83,8 +82,8 @@
   expect_streams_survive_pause (4000);
 }
 
-/* Guards against a second run of a request whose answer came while its node
-   stood still. */
+/* Guards against running a request twice when its response arrived while the
+   node was paused. */
 Test (paused, response_received_during_pause_is_forwarded)
 {
   struct web_stream *w;
@@ -111,7 +110,7 @@
     proc_signal (r->node[i], sig);
 }
 
-/** Whether a node has logged @p text; ends it. */
+/** Kills the node and returns whether its log contains @p text. */
 static bool
 has_logged (struct rack *r, int node, const char *text)
 {
@@ -126,8 +125,8 @@
   return found;
 }
 
-/* Guards against a node that takes the store for lost, and holds back further
-   calls, as its answers came while the node stood still. */
+/* Guards against a node that reports the store as lost and delays further
+   calls although responses arrived while the node was paused. */
 Test (paused, store_responses_received_during_pause_are_read)
 {
   struct rack r;
@@ -146,8 +145,8 @@
 
 #define WAITING_REQUESTS 8
 
-/* Guards against requests that waited for a node that stood still and go to a
-   server that has said meanwhile that it leaves. */
+/* Guards against sending requests that waited for a paused node to a server
+   that announced its drain during the pause. */
 Test (paused, queued_requests_avoid_draining_server)
 {
   struct web_stream *w[WAITING_REQUESTS];
--- a/t/t9401-soak.c
+++ b/t/t9401-soak.c
@@ -1,10 +1,10 @@
 /*
- * A soak of nodes before the stand-in of the platform: callers ask all the
- * while, and processes, the store and backend servers fail in series that
- * overlap.  What callers see is checked as they see it; what ran, at the end.
- *
- * SOAK_SEED and SOAK_SECONDS choose another run, SOAK_NODES how many nodes a
- * soak of versions has; tools/soak.sh plays many.
+ * Soak of nodes with the stand-in for the users' platform. Clients send
+ * requests all the time while processes, the store and backend servers fail in
+ * overlapping series. Responses are checked as they arrive; the requests that
+ * ran are checked at the end.
+ * SOAK_SEED and SOAK_SECONDS select another run, SOAK_NODES the node count of
+ * the soak of versions; tools/soak.sh runs many seeds.
  */
 #include <criterion/criterion.h>
 #include <stdio.h>
@@ -20,28 +20,28 @@
 #define ENGINES 8
 #define PLAIN_SERVERS 2
 #define FAULT_SERIES 5
-/** Bounds of a run in CI. */
+/** Default seeds and duration, for CI. */
 #define SEED 1
 #define SEED_MANY 6
 #define SECONDS 8
-/** A stream was cut right after its last event: what goes on there brings no
-    event, and ends as whole. */
+/** Cuts a stream right after its last event. The resumed stream has no further
+   events and has to end as complete. */
 #define SEED_CUT_AT_THE_END 314
 #define SECONDS_CUT_AT_THE_END 10
 
 TestSuite (soak, .fini = proc_stop_all, .timeout = 900);
 
-/** Callers and faults before two nodes. */
+/** Soak of two nodes. */
 struct two
 {
   struct soak s;
   unsigned asked, served;
-  struct buf refused; /* ids that were told "not run", one a line */
+  struct buf refused; /* ids refused as "not run", one per line */
 };
 
-/* --- callers ----------------------------------------------------------- */
+/* --- clients ----------------------------------------------------------- */
 
-/** Events from 1 on, each once and in order; how many. */
+/** Counts the events, which have to start at 1, each once and in order. */
 static int
 count_events (struct str body, bool *ok)
 {
@@ -129,7 +129,7 @@
 
 /* --- faults ------------------------------------------------------------ */
 
-/** A series of faults rests between two of them. */
+/** Most time between two faults of a series. */
 #define FAULT_INTERVAL_MS 800
 
 static void
@@ -192,8 +192,8 @@
   return n;
 }
 
-/** A server names a rate for a while, and gets no more unless nodes that were
-    ended or frozen meanwhile had to learn of it anew. */
+/** Sets the rate limit of a server for a while and checks it, unless nodes
+   that restarted or paused meanwhile had to learn the limit again. */
 static void
 limit_server (struct soak_thread *t)
 {
@@ -217,7 +217,7 @@
   soak_random_sleep (&t->rng, FAULT_INTERVAL_MS);
 }
 
-/** The store goes back to a copy up to some seconds old. */
+/** Restores the store from a copy that is up to 3 s old. */
 static void
 restore_store (struct soak_thread *t)
 {
@@ -227,7 +227,7 @@
   soak_random_sleep (&t->rng, 3000);
 }
 
-/* --- what ran ---------------------------------------------------------- */
+/* --- requests that ran ------------------------------------------------- */
 
 static void
 check_runs (struct soak *s)
@@ -247,7 +247,7 @@
   web_free (&a);
 }
 
-/** No request that was told "not run" has run. */
+/** Checks that no request refused as "not run" has run. */
 static void
 check_refused (struct two *two)
 {
@@ -315,7 +315,7 @@
                  soak_env_number ("SOAK_SECONDS", SECONDS));
 }
 
-/* Seeds that once failed are played again, unless another was asked for. */
+/* Runs seeds that failed before again, unless SOAK_SEED is set. */
 Test (soak, stream_cut_after_last_event)
 {
   if (!getenv ("SOAK_SEED"))
@@ -336,7 +336,7 @@
   buf_free (&routes);
 }
 
-/** A version goes out a moment before or after what the caller does next. */
+/** Stores a version shortly before or after the caller's next step. */
 static void
 configure_and_wait (struct soak_thread *t)
 {
@@ -352,14 +352,15 @@
   soak_random_sleep (&t->rng, 600);
 }
 
-/** How many nodes are relays, and come after them as such. */
+/** Number of relays; with @p times 2, the nodes that replace them included. */
 static int
 relay_candidates (const struct many *m, int times)
 {
   return times * RELAYS < m->s.nodes ? times * RELAYS : m->s.nodes;
 }
 
-/** The relays end around a version, and those that come after them, too. */
+/** Stops the relays shortly before or after a new version is stored, then the
+   nodes that replace them. */
 static void
 stop_relays (struct soak_thread *t)
 {
@@ -397,7 +398,7 @@
     }
 }
 
-/** Stop and wake nodes by turns, which run a part of the time. */
+/** Pauses and resumes nodes repeatedly, so that they run part of the time. */
 static void
 pause_repeatedly (struct soak_thread *t, const int *nodes, int n)
 {
@@ -456,19 +457,18 @@
   soak_inject_store_fault (t->s, &t->rng, SOAK_STORE_FAULTS_NO_LAPSE);
 }
 
-/** Threads of a run: series of faults, operators, and a caller at each node.
- */
+/** Threads of a run: fault series, the operator, and one client per node. */
 enum
 {
-  SERIES_STOPS, /* in the thread of the test */
+  SERIES_STOPS, /* in the test's own thread */
   SERIES_PAUSES,
   SERIES_STORE,
   OPERATOR,
   CHECKERS
 };
 
-/** A fault of a series; by the seed the series rests up to so long after it,
-    or there is none. */
+/** Injects one fault of a series. The seed selects the longest pause after it,
+   or disables the series. */
 static void
 fail_many (struct soak_thread *t)
 {
@@ -509,8 +509,8 @@
   many_finish (&m, c);
 }
 
-/* Guards against a configuration that is late at nodes, or that goes back,
-   while operators put the next ones in force and nodes and the store fail. */
+/* Guards against nodes that apply a configuration late, or return to an older
+   one, while operators store new versions and nodes and the store fail. */
 Test (soak, versions_are_in_force_under_faults)
 {
   run_many_nodes (soak_env_number ("SOAK_SEED", SEED_MANY),
