--- a/t/t0901-versions.c
+++ b/t/t0901-versions.c
@@ -36,16 +36,17 @@
 {
   cr_expect_eq (oldest_match (2, false, 300, 1), 2);
   cr_expect_eq (oldest_match (2, false, 300, 2), 2);
-  cr_expect_eq (oldest_match (2, false, 300, 3), 0, "run with a removed key");
+  cr_expect_eq (oldest_match (2, false, 300, 3), 0,
+                "served with a removed key");
 }
 
 Test (versions, denied_only_by_versions_without_item)
 {
   cr_expect_eq (oldest_match (2, true, 150, 1), 1);
   cr_expect_eq (oldest_match (2, true, 150, 2), 0,
-                "denied though it is there");
+                "denied although the item exists");
   cr_expect_eq (oldest_match (2, true, 199, 2), 0,
-                "the next was not yet sent");
+                "next version not sent yet");
   cr_expect_eq (oldest_match (2, true, 200, 2), 3);
 }
 
--- a/t/t9302-walk.c
+++ b/t/t9302-walk.c
@@ -47,14 +47,14 @@
 {
   const char *line = find_line (r, n, a, b);
 
-  cr_assert_not_null (line, "no line with %s and %s", a, b);
+  cr_assert_not_null (line, "no log line contains %s and %s", a, b);
   return line;
 }
 
 static void
 expect_text (const char *line, const char *text)
 {
-  cr_expect_not_null (strstr (line, text), "no %s in: %s", text, line);
+  cr_expect_not_null (strstr (line, text), "%s is missing in: %s", text, line);
 }
 
 /*
--- a/t/t9305-crash.c
+++ b/t/t9305-crash.c
@@ -96,7 +96,8 @@
       request_status (&r, i % RACK_NODES, "/stream/x", "bad");
       usleep (PROPAGATION_US);
     }
-  cr_expect_eq (count_crashed (&r), 3, "%d ended", count_crashed (&r));
+  cr_expect_eq (count_crashed (&r), 3, "%d servers crashed",
+                count_crashed (&r));
   for (int i = 0; i < RACK_NODES; i++)
     {
       send_request (&r, i, "/stream/x", "bad", &a);
@@ -116,7 +117,7 @@
       request_status (r, i % RACK_NODES, "/stream/x", "bad");
       usleep (PROPAGATION_US);
     }
-  cr_assert_eq (count_crashed (r), 3, "%d ended", count_crashed (r));
+  cr_assert_eq (count_crashed (r), 3, "%d servers crashed", count_crashed (r));
 }
 
 static void
@@ -354,7 +355,8 @@
         }
     }
   /* 3 crashes, and those of requests already running at the other node. */
-  cr_expect_leq (count_crashed (&r), 6, "%d ended", count_crashed (&r));
+  cr_expect_leq (count_crashed (&r), 6, "%d servers crashed",
+                 count_crashed (&r));
   cr_expect_eq (request_status (&r, 0, "/stream/x", "bad"), 503);
   buf_free (&got);
 }
@@ -401,7 +403,8 @@
       request_status (&r, i, "/stream/x", "bad");
       usleep (PROPAGATION_US);
     }
-  cr_expect_eq (count_crashed (&r), 3, "%d ended", count_crashed (&r));
+  cr_expect_eq (count_crashed (&r), 3, "%d servers crashed",
+                count_crashed (&r));
   for (int i = 0; i < RACK_MANY_NODES; i++)
     cr_expect_eq (request_status (&r, i, "/stream/x", "bad"), 503, "node %d",
                   i);
--- a/t/t9401-soak.c
+++ b/t/t9401-soak.c
@@ -32,7 +32,7 @@
 TestSuite (soak, .fini = proc_stop_all, .timeout = 900);
 
 /** Soak of two nodes. */
-struct two
+struct two_nodes
 {
   struct soak s;
   unsigned asked, served;
@@ -65,7 +65,7 @@
 }
 
 static void
-record_refused (struct two *two, const char *id)
+record_refused (struct two_nodes *two, const char *id)
 {
   pthread_mutex_lock (&two->s.lock);
   buf_addf (&two->refused, "%s\n", id);
@@ -73,7 +73,7 @@
 }
 
 static void
-check_answer (struct two *two, const char *id, bool stream,
+check_answer (struct two_nodes *two, const char *id, bool stream,
               const struct web_answer *a)
 {
   struct soak *s = &two->s;
@@ -89,20 +89,20 @@
   if (!stream)
     {
       if (a->whole && !strstr (a->body.ptr ? a->body.ptr : "", "\"acc\""))
-        soak_report_violation (s, "%s: not its whole answer", id);
+        soak_report_violation (s, "%s: incomplete response body", id);
       return;
     }
   n = count_events (buf_str (&a->body), &ok);
   if (!ok && a->whole)
-    soak_report_violation (s, "%s: wrong after event %d", id, n);
+    soak_report_violation (s, "%s: wrong bytes after event %d", id, n);
   else if (a->whole && n != EVENTS)
-    soak_report_violation (s, "%s: ends whole after event %d", id, n);
+    soak_report_violation (s, "%s: marked complete after event %d", id, n);
 }
 
 static void
 send_request (struct soak_thread *t)
 {
-  struct two *two = t->ctx;
+  struct two_nodes *two = t->ctx;
   struct soak *s = t->s;
   struct web_answer a = { 0 };
   bool stream = rng_below (&t->rng, 2);
@@ -249,7 +249,7 @@
 
 /** Checks that no request refused as "not run" has run. */
 static void
-check_refused (struct two *two)
+check_refused (struct two_nodes *two)
 {
   struct soak *s = &two->s;
   struct str left = buf_str (&two->refused);
@@ -262,8 +262,8 @@
     {
       char *id = str_dup (str_head (left, str_chr (left, '\n')));
       if (jsn_int (o, id) > 0)
-        soak_report_violation (s, "%s: told not run, ran %d times", id,
-                               (int)jsn_int (o, id));
+        soak_report_violation (s, "%s: refused as not run, but ran %d times",
+                               id, (int)jsn_int (o, id));
       left = str_skip (left, strlen (id) + 1);
       free (id);
     }
@@ -274,7 +274,7 @@
 static void
 run_two_nodes (uint64_t seed, uint64_t seconds)
 {
-  static struct two two;
+  static struct two_nodes two;
   struct soak *s = &two.s;
   static void (*const series[]) (struct soak_thread *)
       = { fail_node, fail_store, fail_server, limit_server, restore_store };
