--- a/t/t9307-config.c
+++ b/t/t9307-config.c
@@ -1,7 +1,6 @@
 /*
- * Propagation of a stored configuration to nodes that are paused, or
- * during faults of the store,
- * with real processes.
+ * Propagation of a stored configuration to nodes that are paused, and during
+ * faults of the store, with real processes.
  */
 #include <criterion/criterion.h>
 #include <stdio.h>
