--- a/t/lib-many.c
+++ b/t/lib-many.c
@@ -6,21 +6,18 @@
 #include <time.h>
 #include <unistd.h>
 
-/** Time limit for a stored version to be in force; config_apply_ms in the
-   settings. */
+/** Limit for applying a stored version; config_apply_ms of the settings. */
 #define CONFIG_APPLY_MS ((clk_ms)2000)
 /** Added to the limit after a recent store failure. */
 #define STORE_FAULT_EXTRA_MS ((clk_ms)5000)
 /** Nodes and the store count as disturbed for this long after a fault. */
 #define RECOVERY_MS ((clk_ms)3000)
-/** Requests sent this soon after a node first showed a version may still be
-   handled by an older one. */
+/** An older version may still respond this long after a newer one was seen. */
 #define ROLLBACK_GRACE_MS ((clk_ms)250)
 /** Mean pause of a client between requests, per node. */
 #define REQUEST_INTERVAL_MS 4
 #define ENGINES 4
-/** Fewest requests for added items from which their success ratio is
-   checked. */
+/** Fewest requests for added items for a check of their success ratio. */
 #define MIN_SAMPLES 20
 
 /* --- operators --------------------------------------------------------- */
@@ -49,10 +46,7 @@
 
 /* --- one client per node ----------------------------------------------- */
 
-/**
- * Sends a request over the open connection or a new one.
- * @return the status, or 0
- */
+/** Sends a request over the open or a new connection; its status, or 0. */
 static int
 send_request (struct checker *c, const struct ver_request *a, const char *id)
 {
@@ -139,8 +133,7 @@
   buf_free (&text);
 }
 
-/** Whether the node was undisturbed from RECOVERY_MS before @p sent until
-   now. */
+/** Whether the node was undisturbed since RECOVERY_MS before @p sent. */
 static bool
 was_reachable (const struct soak_node *d, clk_ms sent)
 {
@@ -201,8 +194,7 @@
     report_violation (f, "version not applied in time");
 }
 
-/** Counts the success ratio of undisturbed nodes, separately for items of the
-   first version and added ones. */
+/** Counts successes of undisturbed nodes, by initial and added items. */
 static void
 count_success (struct many *m, const struct checker *c,
                const struct ver_request *a, bool served)
@@ -248,8 +240,7 @@
     return;
   check_denial (m, &f);
   check_deadline (m, &f);
-  /* A response received while the node restarted may come from either
-     process. */
+  /* Either process may have sent a response received during a restart. */
   if (incarnation == c->incarnation)
     check_no_rollback (c, &f);
 }
@@ -299,8 +290,7 @@
   return str_hash (str_from (name), 0);
 }
 
-/** The nodes have equal size, so the hashes of their names decide the
-   order. */
+/** All nodes have equal size, so the hashes of their names decide. */
 static int
 compare_relay_order (const void *a, const void *b)
 {
--- a/t/lib-many.h
+++ b/t/lib-many.h
@@ -48,12 +48,8 @@
 /** Starts all nodes and waits until they serve. */
 void many_start_nodes (struct many *m);
 
-/**
- * Prepares the next version and locks out further ones until
- * many_version_acked().
- * @param key  out, for rack_configure()
- * @param routes  out, for rack_configure()
- */
+/** Creates the next version and formats its @p key and @p routes for
+   rack_configure(). Locks out others until many_version_acked(). */
 unsigned many_next_version (struct many *m, struct buf *key,
                             struct buf *routes);
 /** Records that the store acknowledged the version. */
--- a/t/lib-rack.h
+++ b/t/lib-rack.h
@@ -1,10 +1,9 @@
 /**
  * @file
- * Starts the stand-in for the users' platform and lapisline nodes as
- * processes.
- * The service "lm" has the model "big" of 3 VMs in domains of 4; the service
- * "app" has two plain servers. rack_configure() sets the hosts, the paths and
- * the key of the only account.
+ * Starts the stand-in for the users' platform and nodes as processes.
+ * Service "lm" has the model "big" of 3 VMs in domains of 4, service "app" two
+ * plain servers. rack_configure() sets hosts, paths and the only account's
+ * key.
  */
 #ifndef LAPISLINE_T_LIB_RACK_H
 #define LAPISLINE_T_LIB_RACK_H
@@ -48,11 +47,8 @@
 void rack_set (const struct rack *r, const char *fmt, ...)
     __attribute__ ((format (printf, 2, 3)));
 
-/**
- * Stores this file's configuration as @p version.
- * @param key  API key of the account
- * @param more  further routes, each preceded by a comma, or ""
- */
+/** Stores this file's configuration as @p version, with the account's @p key
+   and the further routes @p more, each preceded by a comma. */
 void rack_configure (const struct rack *r, int version, const char *key,
                      const char *more);
 
@@ -60,22 +56,16 @@
    node serves a stream. */
 void rack_serve (struct rack *r, int engines);
 
-/** Request headers with this id, the key "k1" and the model; valid until the
-   next call. */
+/** Headers with this id, key "k1" and the model; overwritten by the next
+   call. */
 const char *rack_headers (const char *id);
 
-/**
- * Requests a stream and appends its body.
- * @return the response status, negative if the response is incomplete
- */
+/** Requests a stream and appends its body; returns the status, negated if the
+   response is incomplete. */
 int rack_stream (const struct rack *r, int node, const char *id,
                  struct buf *body);
 
-/**
- * Calls the plain service.
- * @param path  "/once/x" or "/safe/x"
- * @return as rack_stream()
- */
+/** Calls the plain service at "/once/x" or "/safe/x"; see rack_stream(). */
 int rack_call (const struct rack *r, int node, const char *path,
                const char *id, const char *headers, struct buf *body);
 
--- a/t/lib-relay.h
+++ b/t/lib-relay.h
@@ -7,8 +7,7 @@
 
 struct relay;
 
-/** Forwards two listening ports to two addresses until the test process
-   exits. */
+/** Forwards two ports to two addresses until the test process exits. */
 struct relay *relay_new (const char *to0, const char *to1);
 const char *relay_addr (struct relay *r, int which);
 
--- a/t/lib-soak.h
+++ b/t/lib-soak.h
@@ -77,14 +77,12 @@
 void soak_signal_exit (struct soak *s, const int *nodes, int n, int sig);
 /** Waits until the processes have exited and restarts them. */
 void soak_restart (struct soak *s, const int *nodes, int n);
-/** Sends a signal that doesn't end the process; skips nodes being
-   restarted. */
+/** Sends a signal that ends no process; skips nodes being restarted. */
 void soak_signal (struct soak *s, const int *nodes, int n, int sig);
 /** Pauses nodes by SIGSTOP for @p ms, all at once. */
 void soak_pause (struct soak *s, const int *nodes, int n, clk_ms ms);
 
-/** Makes the store fail for a random time, in one of the first @p kinds
-   ways. */
+/** Makes the store fail for a while in one of the first @p kinds ways. */
 void soak_inject_store_fault (struct soak *s, struct rng *rng, unsigned kinds);
 #define SOAK_STORE_FAULTS 5
 /** Excludes the last way, the loss of all leases. */
--- a/t/lib-versions.h
+++ b/t/lib-versions.h
@@ -40,10 +40,7 @@
   bool denied; /**< rejected for an unknown key or route; else served */
 };
 
-/**
- * Generates the next version, sent to the store at @p now.
- * @return its number
- */
+/** Generates the next version, sent at @p now; returns its number. */
 unsigned ver_next (struct versions *vs, clk_ms now);
 
 /** Formats keys and routes of the newest version for rack_configure(). */
--- a/t/t9306-limit.c
+++ b/t/t9306-limit.c
@@ -18,10 +18,7 @@
 #define MAX_REQUESTS(per_s) ((int)(1.5 * (per_s)*4) + 5)
 #define PAUSE_US 20000
 
-/**
- * Calls the plain service at @p nodes nodes in turn.
- * @return number of calls that weren't served
- */
+/** Calls the plain service at @p nodes nodes in turn; returns failed calls. */
 static int
 call_for_duration (const struct rack *r, int nodes, clk_ms ms)
 {
@@ -153,10 +150,7 @@
   expect_limit_respected (&r, "p1", 2);
 }
 
-/**
- * Calls a node without pauses.
- * @return number of calls that got a response
- */
+/** Calls a node without pauses; returns the number of responses. */
 static int
 call_repeatedly (const struct rack *r, int node, int n)
 {
--- a/t/t9307-config.c
+++ b/t/t9307-config.c
@@ -13,13 +13,11 @@
 
 TestSuite (config, .fini = proc_stop_all, .timeout = 120);
 
-/** Time limit for a configuration to be in force at all nodes; config_apply_ms
-   in the settings. */
+/** Limit for applying a configuration at all nodes; config_apply_ms. */
 #define CONFIG_APPLY_MS ((clk_ms)2000)
-/** After this long all linked nodes have received the newest state from
-   another node. */
+/** Nodes linked for this long have received the newest state. */
 #define SETTLED_US 3000000
-/** Unneeded links are closed this long after all nodes have started. */
+/** Unneeded links are closed this long after the last node has started. */
 #define LINK_IDLE_US 4000000
 
 static void
@@ -101,8 +99,7 @@
   web_close (streams);
 }
 
-/** Counts the lost links that nodes have logged since their last pause; kills
-   the nodes. */
+/** Counts lost links logged since the last pause; kills the nodes. */
 static int
 count_lost_links (struct rack *r, int nodes)
 {
