--- a/t/lib-soak.c
+++ b/t/lib-soak.c
@@ -10,11 +10,11 @@
 #define MAX_VIOLATION_LINES 40
 
 uint64_t
-soak_env_number (const char *name, uint64_t usual)
+soak_env_number (const char *name, uint64_t default_value)
 {
   const char *text = getenv (name);
 
-  return text ? strtoull (text, NULL, 10) : usual;
+  return text ? strtoull (text, NULL, 10) : default_value;
 }
 
 void
@@ -45,8 +45,8 @@
 }
 
 void
-soak_run (struct soak *s, struct soak_thread *t, unsigned n, unsigned own,
-          uint64_t seconds)
+soak_run (struct soak *s, struct soak_thread *t, unsigned n,
+          unsigned caller_thread, uint64_t seconds)
 {
   pthread_t threads[SOAK_THREADS];
 
@@ -56,12 +56,12 @@
     {
       t[i].s = s;
       rng_seed (&t[i].rng, s->seed * 1000 + i);
-      if (i != own)
+      if (i != caller_thread)
         pthread_create (&threads[i], NULL, run_thread, &t[i]);
     }
-  run_thread (&t[own]);
+  run_thread (&t[caller_thread]);
   for (unsigned i = 0; i < n; i++)
-    if (i != own)
+    if (i != caller_thread)
       pthread_join (threads[i], NULL);
 }
 
@@ -87,9 +87,9 @@
 }
 
 void
-soak_random_sleep (struct rng *rng, clk_ms most)
+soak_random_sleep (struct rng *rng, clk_ms max)
 {
-  usleep ((useconds_t)rng_below (rng, (uint64_t)most * 1000));
+  usleep ((useconds_t)rng_below (rng, (uint64_t)max * 1000));
 }
 
 /* --- nodes ------------------------------------------------------------- */
--- a/t/lib-soak.h
+++ b/t/lib-soak.h
@@ -50,19 +50,19 @@
   void *ctx; /**< argument of the step function */
 };
 
-/** Integer value of an environment variable, or @p usual. */
-uint64_t soak_env_number (const char *name, uint64_t usual);
+/** Integer value of an environment variable, or the default. */
+uint64_t soak_env_number (const char *name, uint64_t default_value);
 
 void soak_init (struct soak *s, uint64_t seed, int nodes);
 
 /** Expects that no violations were recorded. */
 void soak_finish (struct soak *s);
 
-/** Runs each thread's steps until the time is over. The steps of thread @p own
-   run in the calling thread. Only that thread may start processes, because a
-   process is killed when the thread that started it exits. */
-void soak_run (struct soak *s, struct soak_thread *t, unsigned n, unsigned own,
-               uint64_t seconds);
+/** Runs each thread's steps until the time is over, those of @p caller_thread
+   in the calling thread. Only the calling thread may start processes, because
+   a process is killed when the thread that started it exits. */
+void soak_run (struct soak *s, struct soak_thread *t, unsigned n,
+               unsigned caller_thread, uint64_t seconds);
 
 /** Records a violated guarantee; the caller holds the lock. */
 void soak_add_violation (struct soak *s, const char *text);
@@ -70,8 +70,8 @@
 void soak_report_violation (struct soak *s, const char *fmt, ...)
     __attribute__ ((format (printf, 2, 3)));
 
-/** Sleeps for a random time below @p most. */
-void soak_random_sleep (struct rng *rng, clk_ms most);
+/** Sleeps for a random time below @p max. */
+void soak_random_sleep (struct rng *rng, clk_ms max);
 
 /** Sends a signal that ends the nodes' processes, to all at once. */
 void soak_signal_exit (struct soak *s, const int *nodes, int n, int sig);
--- a/t/lib-versions.c
+++ b/t/lib-versions.c
@@ -69,8 +69,8 @@
 ver_pick_request (const struct versions *vs, struct rng *rng,
                   struct ver_request *a)
 {
-  unsigned back = (unsigned)rng_below (rng, RECENT_VERSIONS);
-  unsigned version = vs->newest > back ? vs->newest - back : 0;
+  unsigned age = (unsigned)rng_below (rng, RECENT_VERSIONS);
+  unsigned version = vs->newest > age ? vs->newest - age : 0;
   bool removed = rng_below (rng, 2);
 
   a->item = 0;
--- a/t/t9306-limit.c
+++ b/t/t9306-limit.c
@@ -106,7 +106,7 @@
   call_for_duration (&r, RACK_NODES, 3000);
   for (int i = 0; i < 200; i++)
     {
-      clk_ms since = clk_now ();
+      clk_ms started_at = clk_now ();
       web_call (r.front[i % RACK_NODES], "POST", "/safe/x",
                 rack_headers ("all"), "hello", &a);
       if (a.status != 200)
@@ -114,7 +114,7 @@
           refused++;
           cr_expect_eq (a.status, 503);
           cr_expect_gt (web_header (&a, "retry-after").len, 0);
-          cr_expect_lt (clk_now () - since, 150);
+          cr_expect_lt (clk_now () - started_at, 150);
         }
       web_free (&a);
       usleep (PAUSE_US);
--- a/t/t9401-soak.c
+++ b/t/t9401-soak.c
@@ -15,7 +15,7 @@
 #include "base/json.h"
 #include "t/lib-many.h"
 
-#define CALLERS 4
+#define CLIENTS 4
 #define EVENTS 20
 #define ENGINES 8
 #define PLAIN_SERVERS 2
@@ -278,18 +278,18 @@
   struct soak *s = &two.s;
   static void (*const series[]) (struct soak_thread *)
       = { fail_node, fail_store, fail_server, limit_server, restore_store };
-  struct soak_thread threads[CALLERS + FAULT_SERIES] = { 0 };
+  struct soak_thread threads[CLIENTS + FAULT_SERIES] = { 0 };
 
   soak_init (s, seed, RACK_NODES);
   rack_serve (&s->r, ENGINES);
   rack_set (&s->r, "{\"events\": %d, \"event_ms\": 15}", EVENTS);
-  for (unsigned i = 0; i < CALLERS + FAULT_SERIES; i++)
+  for (unsigned i = 0; i < CLIENTS + FAULT_SERIES; i++)
     threads[i]
         = (struct soak_thread){ .number = i,
-                                .step = i < CALLERS ? send_request
-                                                    : series[i - CALLERS],
+                                .step = i < CLIENTS ? send_request
+                                                    : series[i - CLIENTS],
                                 .ctx = &two };
-  soak_run (s, threads, CALLERS + FAULT_SERIES, CALLERS, seconds);
+  soak_run (s, threads, CLIENTS + FAULT_SERIES, CLIENTS, seconds);
   check_runs (s);
   check_refused (&two);
   for (int i = 0; i < RACK_NODES; i++)
@@ -336,7 +336,7 @@
   buf_free (&routes);
 }
 
-/** Stores a version shortly before or after the caller's next step. */
+/** Stores a version shortly before or after the calling thread's next step. */
 static void
 configure_and_wait (struct soak_thread *t)
 {
@@ -402,9 +402,9 @@
 static void
 pause_repeatedly (struct soak_thread *t, const int *nodes, int n)
 {
-  int turns = 5 + (int)rng_below (&t->rng, 20);
+  int rounds = 5 + (int)rng_below (&t->rng, 20);
 
-  for (int i = 0; i < turns; i++)
+  for (int i = 0; i < rounds; i++)
     {
       soak_pause (t->s, nodes, n, 20 + (clk_ms)rng_below (&t->rng, 200));
       soak_random_sleep (&t->rng, 60);
