--- a/t/t9307-config.c
+++ b/t/t9307-config.c
@@ -85,18 +85,18 @@
    within milliseconds. */
 Test (config, request_to_paused_node_is_served)
 {
-  struct web_stream *streams;
+  struct web_stream *stream;
   struct rack r;
 
   rack_serve (&r, 4);
   proc_signal (r.node[0], SIGSTOP);
   rack_configure (&r, 2, "k2", "");
   usleep ((useconds_t)(CONFIG_APPLY_MS + 1000) * 1000);
-  streams = web_open (r.front[0], "POST", "/once/x", k2_headers, "hello");
+  stream = web_open (r.front[0], "POST", "/once/x", k2_headers, "hello");
   usleep (300000);
   proc_signal (r.node[0], SIGCONT);
-  cr_expect_eq (web_status (streams, PROC_WAIT_MS), 200);
-  web_close (streams);
+  cr_expect_eq (web_status (stream, PROC_WAIT_MS), 200);
+  web_close (stream);
 }
 
 /** Counts lost links logged since the last pause; kills the nodes. */
