--- a/t/t9301-serve.c
+++ b/t/t9301-serve.c
@@ -376,10 +376,10 @@
 }
 
 /*
- * Guards against reporting only the first error of a settings file. The exit
- * code for invalid settings is 3, for a wrong argument 2.
+ * Guards against a node that starts with several errors in its settings file
+ * or without the file (exit code 3), or with a wrong argument (exit code 2).
  */
-Test (serve, all_settings_errors_are_reported)
+Test (serve, invalid_settings_set_the_exit_code)
 {
   const char *path = proc_file ("bad.json", "{\"node_name\": \"n\","
                                             " \"listen\": {\"front\": 5}}");
