--- a/t/lib-many.h
+++ b/t/lib-many.h
@@ -1,7 +1,8 @@
 /**
  * @file
- * A soak of many nodes at which operators put versions in force: the versions,
- * and a caller at each node that checks by which one it is answered.
+ * Soak of many nodes while operators store new configuration versions. One
+ * client per node checks that each response agrees with a version that may be
+ * in force there.
  */
 #ifndef LAPISLINE_T_LIB_MANY_H
 #define LAPISLINE_T_LIB_MANY_H
@@ -9,55 +10,56 @@
 #include "t/lib-soak.h"
 #include "t/lib-versions.h"
 
-/** Nodes that all others link to. */
+/** Relays: the nodes that all other nodes link to. */
 #define RELAYS 4
 
-struct many_share
+struct many_success
 {
-  unsigned asked, served;
+  unsigned requests, served;
 };
 
 struct many
 {
   struct soak s;
-  struct versions vs;       /**< under the lock of @p s */
-  pthread_mutex_t operator; /**< versions are sent one after the other */
-  int order[RACK_MOST];     /**< of nodes: relays first */
-  unsigned asked;           /**< requests */
-  unsigned told;            /**< whose answers tell of the version */
-  unsigned served;          /**< of these */
-  unsigned in_time;         /**< told, and held to the bound */
-  struct many_share first;  /**< what all versions allow, at nodes in touch */
-  struct many_share added;  /**< what versions in force brought */
+  struct versions vs;              /**< protected by the lock of @p s */
+  pthread_mutex_t operator_lock;   /**< held until a version is acknowledged */
+  int relay_order[RACK_MAX_NODES]; /**< nodes by preference as relays */
+  unsigned requests;
+  unsigned conclusive;         /**< requests that were served or denied */
+  unsigned served;             /**< conclusive requests that were served */
+  unsigned bound_checked;      /**< conclusive, checked against the limit */
+  struct many_success initial; /**< for items in all versions */
+  struct many_success added;   /**< for items of versions in force */
 };
 
-/** A caller with a connection that it keeps, and what it knows of its node. */
+/** Client of one node with a persistent connection. */
 struct checker
 {
   struct many *m;
   int node;
-  struct web_stream *open;
-  unsigned life;   /**< of the node; what follows is of this */
-  unsigned floor;  /**< the node has shown this version, */
-  clk_ms floor_at; /**< by then */
+  struct web_stream *conn;
+  unsigned incarnation;  /**< process that the fields below refer to */
+  unsigned min_version;  /**< oldest version that the responses allow */
+  clk_ms min_version_at; /**< when min_version was last raised */
 };
 
-/** The platform, and settings for so many nodes. */
-void many_up (struct many *m, uint64_t seed, int nodes);
-/** All nodes; waits until they serve. */
-void many_start (struct many *m);
+/** Starts the platform and writes settings for @p nodes nodes. */
+void many_init (struct many *m, uint64_t seed, int nodes);
+/** Starts all nodes and waits until they serve. */
+void many_start_nodes (struct many *m);
 
-/** The next version, which is sent now; no other one until many_acked().
-    @param key     out, as rack_configure() takes it
-    @param routes  out, as well */
-unsigned many_send (struct many *m, struct buf *key, struct buf *routes);
-/** It was acknowledged. */
-void many_acked (struct many *m, unsigned version);
+/** Creates the next version and formats its @p key and @p routes for
+   rack_configure(). Locks out others until many_version_acked(). */
+unsigned many_next_version (struct many *m, struct buf *key,
+                            struct buf *routes);
+/** Records that the store acknowledged the version. */
+void many_version_acked (struct many *m, unsigned version);
 
-/** A turn of a checker, which is the context: ask once. */
-void many_check (struct soak_thread *t);
+/** Step of a soak thread whose context is a checker: sends one request and
+   checks the response. */
+void many_check_request (struct soak_thread *t);
 
-/** Expect the newest version at all nodes, and that nothing was wrong. */
-void many_end (struct many *m, struct checker *c);
+/** Expects the newest version at all nodes and no violations. */
+void many_finish (struct many *m, struct checker *c);
 
 #endif
--- a/t/lib-soak.c
+++ b/t/lib-soak.c
@@ -6,15 +6,15 @@
 #include <stdlib.h>
 #include <unistd.h>
 
-/** Lines that a run prints of broken promises. */
-#define WRONG_MOST 40
+/** Most violations that are printed. */
+#define MAX_VIOLATION_LINES 40
 
 uint64_t
-soak_number (const char *name, uint64_t usual)
+soak_env_number (const char *name, uint64_t default_value)
 {
   const char *text = getenv (name);
 
-  return text ? strtoull (text, NULL, 10) : usual;
+  return text ? strtoull (text, NULL, 10) : default_value;
 }
 
 void
@@ -28,9 +28,10 @@
 void
 soak_finish (struct soak *s)
 {
-  cr_expect_eq (s->nwrong, 0, "seed %llu, %u times:\n%s",
-                (unsigned long long)s->seed, s->nwrong, buf_c (&s->wrong));
-  buf_free (&s->wrong);
+  cr_expect_eq (s->nviolations, 0, "seed %llu, %u violations:\n%s",
+                (unsigned long long)s->seed, s->nviolations,
+                buf_c (&s->violations));
+  buf_free (&s->violations);
 }
 
 static void *
@@ -38,41 +39,41 @@
 {
   struct soak_thread *t = ctx;
 
-  for (; clk_now () < t->s->until; t->turns++)
-    t->turn (t);
+  for (; clk_now () < t->s->ends_at; t->steps++)
+    t->step (t);
   return NULL;
 }
 
 void
-soak_run (struct soak *s, struct soak_thread *t, unsigned n, unsigned own,
-          uint64_t seconds)
+soak_run (struct soak *s, struct soak_thread *t, unsigned n,
+          unsigned caller_thread, uint64_t seconds)
 {
   pthread_t threads[SOAK_THREADS];
 
-  s->began = clk_now ();
-  s->until = s->began + (clk_ms)seconds * CLK_SECOND;
+  s->started_at = clk_now ();
+  s->ends_at = s->started_at + (clk_ms)seconds * CLK_SECOND;
   for (unsigned i = 0; i < n; i++)
     {
       t[i].s = s;
       rng_seed (&t[i].rng, s->seed * 1000 + i);
-      if (i != own)
+      if (i != caller_thread)
         pthread_create (&threads[i], NULL, run_thread, &t[i]);
     }
-  run_thread (&t[own]);
+  run_thread (&t[caller_thread]);
   for (unsigned i = 0; i < n; i++)
-    if (i != own)
+    if (i != caller_thread)
       pthread_join (threads[i], NULL);
 }
 
 void
-soak_note (struct soak *s, const char *text)
+soak_add_violation (struct soak *s, const char *text)
 {
-  if (s->nwrong++ < WRONG_MOST)
-    buf_addf (&s->wrong, "%s\n", text);
+  if (s->nviolations++ < MAX_VIOLATION_LINES)
+    buf_addf (&s->violations, "%s\n", text);
 }
 
 void
-soak_wrong (struct soak *s, const char *fmt, ...)
+soak_report_violation (struct soak *s, const char *fmt, ...)
 {
   char text[512];
   va_list args;
@@ -81,34 +82,34 @@
   vsnprintf (text, sizeof text, fmt, args);
   va_end (args);
   pthread_mutex_lock (&s->lock);
-  soak_note (s, text);
+  soak_add_violation (s, text);
   pthread_mutex_unlock (&s->lock);
 }
 
 void
-soak_rest (struct rng *rng, clk_ms most)
+soak_random_sleep (struct rng *rng, clk_ms max)
 {
-  usleep ((useconds_t)rng_below (rng, (uint64_t)most * 1000));
+  usleep ((useconds_t)rng_below (rng, (uint64_t)max * 1000));
 }
 
 /* --- nodes ------------------------------------------------------------- */
 
 static void
-touch (struct soak *s, int node)
+mark_disturbed (struct soak *s, int node)
 {
-  s->node[node].touched = clk_now ();
-  s->disturbed++;
+  s->node[node].disturbed_at = clk_now ();
+  s->disturbances++;
 }
 
 void
-soak_end (struct soak *s, const int *nodes, int n, int sig)
+soak_signal_exit (struct soak *s, const int *nodes, int n, int sig)
 {
   pthread_mutex_lock (&s->lock);
   for (int i = 0; i < n; i++)
     {
-      s->node[nodes[i]].away = true;
-      s->node[nodes[i]].stopped = false;
-      touch (s, nodes[i]);
+      s->node[nodes[i]].restarting = true;
+      s->node[nodes[i]].paused = false;
+      mark_disturbed (s, nodes[i]);
       proc_signal (s->r.node[nodes[i]], sig);
       proc_signal (s->r.node[nodes[i]], SIGCONT);
     }
@@ -116,27 +117,27 @@
 }
 
 static void
-start_one (struct soak *s, int node)
+restart_node (struct soak *s, int node)
 {
   struct soak_node *d = &s->node[node];
 
   proc_wait (s->r.node[node], PROC_WAIT_MS);
   pthread_mutex_lock (&s->lock);
-  d->life++;
-  touch (s, node);
+  d->incarnation++;
+  mark_disturbed (s, node);
   pthread_mutex_unlock (&s->lock);
   rack_start_node (&s->r, node);
   pthread_mutex_lock (&s->lock);
-  d->away = false;
-  touch (s, node);
+  d->restarting = false;
+  mark_disturbed (s, node);
   pthread_mutex_unlock (&s->lock);
 }
 
 void
-soak_start (struct soak *s, const int *nodes, int n)
+soak_restart (struct soak *s, const int *nodes, int n)
 {
   for (int i = 0; i < n; i++)
-    start_one (s, nodes[i]);
+    restart_node (s, nodes[i]);
 }
 
 void
@@ -146,19 +147,19 @@
   for (int i = 0; i < n; i++)
     {
       struct soak_node *d = &s->node[nodes[i]];
-      if (d->away || (sig == SIGCONT && !d->stopped))
+      if (d->restarting || (sig == SIGCONT && !d->paused))
         continue;
-      touch (s, nodes[i]);
-      d->stopped = sig == SIGSTOP;
+      mark_disturbed (s, nodes[i]);
+      d->paused = sig == SIGSTOP;
       if (sig == SIGSTOP || sig == SIGCONT)
-        d->stood_at = d->touched;
+        d->paused_at = d->disturbed_at;
       proc_signal (s->r.node[nodes[i]], sig);
     }
   pthread_mutex_unlock (&s->lock);
 }
 
 void
-soak_stop (struct soak *s, const int *nodes, int n, clk_ms ms)
+soak_pause (struct soak *s, const int *nodes, int n, clk_ms ms)
 {
   soak_signal (s, nodes, n, SIGSTOP);
   usleep ((useconds_t)ms * 1000);
@@ -168,24 +169,24 @@
 /* --- the store --------------------------------------------------------- */
 
 static void
-mark_store (struct soak *s, bool fails)
+record_store_fault (struct soak *s, bool fails)
 {
   pthread_mutex_lock (&s->lock);
-  s->store_fails = fails;
-  s->store_failed = clk_now ();
+  s->store_faulty = fails;
+  s->store_fault_at = clk_now ();
   pthread_mutex_unlock (&s->lock);
 }
 
 void
-soak_fail_store (struct soak *s, struct rng *rng, unsigned kinds)
+soak_inject_store_fault (struct soak *s, struct rng *rng, unsigned kinds)
 {
-  static const char *const faults[SOAK_STORE_KINDS]
+  static const char *const faults[SOAK_STORE_FAULTS]
       = { "\"silent\": true", "\"refuse\": true", "\"lose_next\": 3",
           "\"compact\": true", "\"lapse\": true" };
 
-  mark_store (s, true);
+  record_store_fault (s, true);
   rack_set (&s->r, "{\"store\": {%s}}", faults[rng_below (rng, kinds)]);
-  soak_rest (rng, 2000);
+  soak_random_sleep (rng, 2000);
   rack_set (&s->r, "{\"store\": {\"silent\": false, \"refuse\": false}}");
-  mark_store (s, false);
+  record_store_fault (s, false);
 }
--- a/t/t9301-serve.c
+++ b/t/t9301-serve.c
@@ -1,6 +1,6 @@
 /*
- * Nodes before a stand-in of the users' platform, over real processes: the
- * whole path, and each failure of it that callers may meet.
+ * Requests through nodes to the stand-in for the users' platform, with real
+ * processes: normal operation and each failure that clients may encounter.
  */
 #include <criterion/criterion.h>
 #include <string.h>
@@ -11,17 +11,17 @@
 TestSuite (serve, .fini = proc_stop_all, .timeout = 90);
 
 /*
- * Callers come before anything is configured: they are told to come back, not
- * that there is no such route.  Once there is a configuration, all kinds of
- * request are served; a key reaches no backend server, the account does.
+ * Guards against nodes without a configuration that respond 404 instead of 503
+ * with Retry-After. Once a configuration is stored, every kind of request is
+ * served; backend servers receive the account but no API key.
  */
-Test (serve, from_nothing_to_all_kinds)
+Test (serve, all_request_kinds_after_first_configuration)
 {
   struct rack r;
   struct buf body = BUF_INIT;
   struct web_answer a = { 0 };
 
-  rack_up (&r, 4);
+  rack_start_platform (&r, 4);
   rack_start_node (&r, 0);
   web_call (r.front[0], "POST", "/stream/x", rack_headers ("a"), "x", &a);
   cr_expect_eq (a.status, 503);
@@ -32,9 +32,9 @@
   web_free (&a);
   rack_configure (&r, 1, "k1", "");
   rack_start_node (&r, 1);
-  cr_assert (rack_until (&r, 0, "/stream/x", rack_headers ("b"), 200));
+  cr_assert (rack_call_until (&r, 0, "/stream/x", rack_headers ("b"), 200));
   cr_expect_eq (rack_stream (&r, 1, "c", &body), 200);
-  cr_expect (rack_whole (&body, 10));
+  cr_expect (rack_is_complete (&body, 10));
   buf_clear (&body);
   cr_expect_eq (rack_call (&r, 0, "/once/x", "d", NULL, &body), 200);
   cr_expect_not_null (strstr (buf_c (&body), "\"account\":\"acc\""));
@@ -54,11 +54,11 @@
 }
 
 /*
- * A key is taken away and a route is added: both hold at both nodes within the
- * time of the settings, and an older version that is written later changes
- * nothing.
+ * Guards against a node that applies a removed key or an added route later
+ * than config_apply_ms, or replaces a configuration by an older version that
+ * is written afterwards.
  */
-Test (serve, a_configuration_is_in_force_everywhere)
+Test (serve, configuration_is_applied_at_all_nodes)
 {
   struct rack r;
   const char *with_k2 = "Host: h\r\nX-Lapisline-Request-Id: n\r\n"
@@ -82,11 +82,12 @@
 }
 
 /*
- * A caller reads a stream when a member of its replica dies.  Nobody is told;
- * the stream stands still, goes on at the other replica within its answer, and
- * the caller has each event once.  The replica is formed again with the spare.
+ * Guards against lost or repeated events when a member of the replica dies
+ * during a stream. The platform doesn't report the death; the stream stalls
+ * and resumes at the other replica within the same response. A spare server
+ * then completes the first replica.
  */
-Test (serve, a_stream_goes_on_when_a_member_dies)
+Test (serve, stream_resumes_when_a_member_dies)
 {
   struct rack r;
   struct buf body = BUF_INIT;
@@ -97,24 +98,24 @@
   rack_set (&r, "{\"events\": 60, \"event_ms\": 40}");
   w = web_open (r.front[0], "POST", "/stream/x", rack_headers ("long"), "x");
   cr_assert (web_read_until (w, &body, "w5\n", PROC_WAIT_MS));
-  member = rack_count (&r, "e1", "open") ? "e2" : "e6";
+  member = rack_get_count (&r, "e1", "open") ? "e2" : "e6";
   rack_set (&r, "{\"server\": \"%s\", \"dead\": true}", member);
   while (web_read (w, &body, PROC_WAIT_MS) == WEB_BYTES)
     ;
-  cr_expect (rack_whole (&body, 60));
+  cr_expect (rack_is_complete (&body, 60));
   web_close (w);
   buf_clear (&body);
   rack_set (&r, "{\"events\": 10}");
   cr_expect_eq (rack_stream (&r, 0, "after", &body), 200);
-  cr_expect (rack_whole (&body, 10));
+  cr_expect (rack_is_complete (&body, 10));
   buf_free (&body);
 }
 
 /*
- * A replica breaks off in the middle of an event.  The caller sees neither the
- * broken event nor a gap.
+ * Guards against forwarding a partial event, or skipping it, when the replica
+ * closes the connection in the middle of an event.
  */
-Test (serve, a_broken_event_is_not_passed_on)
+Test (serve, truncated_event_is_not_forwarded)
 {
   struct rack r;
   struct buf body = BUF_INIT;
@@ -126,16 +127,16 @@
                 i < 2 ? "e1" : "e5");
       buf_clear (&body);
       cr_expect_eq (rack_stream (&r, i % 2, "cut", &body), 200);
-      cr_expect (rack_whole (&body, 10));
+      cr_expect (rack_is_complete (&body, 10));
     }
   buf_free (&body);
 }
 
 /*
- * The same, but the answer ends as if it were whole, within an event.  It is
- * not: the stream goes on at the other replica.
+ * Guards against accepting a response that ends correctly in HTTP but in the
+ * middle of an event. The stream has to resume at the other replica.
  */
-Test (serve, an_answer_that_ends_in_an_event_is_not_whole)
+Test (serve, response_ending_inside_an_event_is_incomplete)
 {
   struct rack r;
   struct buf body = BUF_INIT;
@@ -147,16 +148,16 @@
                 i < 2 ? "e1" : "e5");
       buf_clear (&body);
       cr_expect_eq (rack_stream (&r, i % 2, "cut", &body), 200);
-      cr_expect (rack_whole (&body, 10));
+      cr_expect (rack_is_complete (&body, 10));
     }
   buf_free (&body);
 }
 
 /*
- * A plain server says that it leaves.  Within the drain time no node sends it
- * anything.
+ * Guards against requests sent to a plain server after drain_ms since it
+ * announced that it is draining.
  */
-Test (serve, a_draining_server_gets_nothing_new)
+Test (serve, draining_server_gets_no_new_requests)
 {
   struct rack r;
   int runs;
@@ -164,18 +165,18 @@
   rack_serve (&r, 4);
   rack_set (&r, "{\"server\": \"p1\", \"draining\": true}");
   usleep (1800000);
-  runs = rack_count (&r, "p1", "runs");
+  runs = rack_get_count (&r, "p1", "runs");
   for (int i = 0; i < 20; i++)
     cr_expect_eq (rack_call (&r, i % 2, "/safe/x", "a", NULL, NULL), 200);
-  cr_expect_eq (rack_count (&r, "p1", "runs"), runs);
+  cr_expect_eq (rack_get_count (&r, "p1", "runs"), runs);
 }
 
 /*
- * A call that must run once meets a server that reads it and never answers.
- * The caller learns at the deadline that the outcome is not known; the call
- * is not given to the other server.
+ * Guards against retrying a non-idempotent call at another server after the
+ * first one read it and didn't respond. At the deadline the client receives
+ * 504, because the outcome is unknown.
  */
-Test (serve, a_call_that_may_have_run_is_not_repeated)
+Test (serve, possibly_executed_call_is_not_retried)
 {
   struct rack r;
   int status;
@@ -185,15 +186,17 @@
   rack_set (&r, "{\"server\": \"p2\", \"dark\": true}");
   status = rack_call (&r, 0, "/once/x", "once", NULL, NULL);
   cr_expect_eq (status, 504, "%d", status);
-  cr_expect_eq (rack_count (&r, "p1", "runs") + rack_count (&r, "p2", "runs"),
+  cr_expect_eq (rack_get_count (&r, "p1", "runs")
+                    + rack_get_count (&r, "p2", "runs"),
                 0);
 }
 
 /*
- * An idempotent call meets one server that fails and one that answers without
- * its signature: the first is tried elsewhere, the second is no success.
+ * Guards against accepting a response without the server's signature. An
+ * idempotent call that fails at one server is retried at the other; with both
+ * signatures missing the response is 502.
  */
-Test (serve, an_answer_without_signature_is_no_success)
+Test (serve, response_without_signature_is_a_failure)
 {
   struct rack r;
 
@@ -207,11 +210,11 @@
 }
 
 /*
- * The store answers nothing for some seconds, then refuses, then forgets its
- * history and ends all leases.  Callers are served all the while, and the
- * next configuration is in force soon after the return.
+ * Guards against failed requests during a store outage: the store doesn't
+ * respond for seconds, then refuses calls, then loses its history and all
+ * leases. The next configuration is applied soon after the outage.
  */
-Test (serve, callers_don_t_notice_that_the_store_is_away)
+Test (serve, requests_succeed_during_store_outage)
 {
   struct rack r;
 
@@ -226,19 +229,19 @@
                 " \"compact\": true, \"lose_next\": 2}}");
   rack_configure (&r, 7, "k9", "");
   for (int i = 0; i < RACK_NODES; i++)
-    cr_expect (rack_until (&r, i, "/safe/x", rack_headers ("c"), 401));
-  cr_expect (rack_until (&r, 0, "/stream/x",
-                         "Host: h\r\nX-Lapisline-Request-Id: d\r\n"
-                         "X-Lapisline-Model: big\r\nX-Api-Key: k9\r\n",
-                         200));
+    cr_expect (rack_call_until (&r, i, "/safe/x", rack_headers ("c"), 401));
+  cr_expect (rack_call_until (&r, 0, "/stream/x",
+                              "Host: h\r\nX-Lapisline-Request-Id: d\r\n"
+                              "X-Lapisline-Model: big\r\nX-Api-Key: k9\r\n",
+                              200));
 }
 
 /*
- * SIGTERM comes while a stream is open.  The stream ends whole, the node is
- * not ready any more and is named no more by the other, and it ends by itself.
- * SIGHUP before changes nothing.
+ * Guards against a shutdown that interrupts open streams. After SIGTERM the
+ * node isn't ready, the other node's directory omits it, and it exits once its
+ * stream is complete. A preceding SIGHUP has no effect.
  */
-Test (serve, a_stop_cuts_nothing)
+Test (serve, shutdown_completes_open_streams)
 {
   struct rack r;
   struct buf body = BUF_INIT;
@@ -260,24 +263,24 @@
   web_free (&a);
   while (web_read (w, &body, PROC_WAIT_MS) == WEB_BYTES)
     ;
-  cr_expect (rack_whole (&body, 50));
+  cr_expect (rack_is_complete (&body, 50));
   web_close (w);
   cr_expect_eq (proc_wait (r.node[0], 12000), 0);
   buf_free (&body);
 }
 
 /*
- * All nodes are killed at once.  They find the replicas as they are and serve
- * again; nothing is loaded or formed anew.
+ * Guards against reloading models and forming replicas again after all nodes
+ * were killed at once. The restarted nodes find the replicas and use them.
  */
-Test (serve, replicas_outlive_all_nodes)
+Test (serve, replicas_survive_restart_of_all_nodes)
 {
   struct rack r;
   struct buf body = BUF_INIT;
   int leads;
 
   rack_serve (&r, 4);
-  leads = rack_count (&r, "e1", "leads");
+  leads = rack_get_count (&r, "e1", "leads");
   for (int i = 0; i < RACK_NODES; i++)
     {
       proc_signal (r.node[i], SIGKILL);
@@ -285,21 +288,21 @@
     }
   for (int i = 0; i < RACK_NODES; i++)
     rack_start_node (&r, i);
-  cr_assert (rack_until (&r, 0, "/stream/x", rack_headers ("a"), 200));
-  cr_assert (rack_until (&r, 1, "/stream/x", rack_headers ("b"), 200));
+  cr_assert (rack_call_until (&r, 0, "/stream/x", rack_headers ("a"), 200));
+  cr_assert (rack_call_until (&r, 1, "/stream/x", rack_headers ("b"), 200));
   usleep (4000000);
-  cr_expect_eq (rack_count (&r, "e1", "leads"), leads);
+  cr_expect_eq (rack_get_count (&r, "e1", "leads"), leads);
   cr_expect_eq (rack_stream (&r, 1, "c", &body), 200);
-  cr_expect (rack_whole (&body, 10));
+  cr_expect (rack_is_complete (&body, 10));
   buf_free (&body);
 }
 
 /*
- * The node that forms replicas stands still while a server goes, and the other
- * takes over.  Callers of both nodes are served on, and both end by
- * themselves. Each node stands still once, as either may be the owner.
+ * Guards against failing requests when the leader node is paused while a
+ * server dies and the other node takes over leadership. Each node is paused
+ * once, because either may be the leader; both exit cleanly afterwards.
  */
-Test (serve, callers_outlive_an_owner_that_stands_still)
+Test (serve, requests_succeed_after_leader_pause)
 {
   struct rack r;
   const char *const lost[RACK_NODES] = { "e7", "e8" };
@@ -311,8 +314,10 @@
       rack_set (&r, "{\"server\": \"%s\", \"dead\": true}", lost[i]);
       usleep (2100000);
       proc_signal (r.node[i], SIGCONT);
-      cr_expect (rack_until (&r, 0, "/stream/x", rack_headers ("a"), 200));
-      cr_expect (rack_until (&r, 1, "/stream/x", rack_headers ("b"), 200));
+      cr_expect (
+          rack_call_until (&r, 0, "/stream/x", rack_headers ("a"), 200));
+      cr_expect (
+          rack_call_until (&r, 1, "/stream/x", rack_headers ("b"), 200));
     }
   for (int i = 0; i < RACK_NODES; i++)
     proc_signal (r.node[i], SIGTERM);
@@ -321,10 +326,10 @@
 }
 
 /*
- * A caller leaves in the middle of a stream: the backend server sees it within
- * half a second and stops.
+ * Guards against a backend server that keeps generating a stream whose client
+ * has disconnected; it has to notice within 500 ms.
  */
-Test (serve, a_caller_that_leaves_reaches_the_server)
+Test (serve, client_disconnect_reaches_the_server)
 {
   struct rack r;
   struct buf body = BUF_INIT;
@@ -336,18 +341,19 @@
   cr_assert (web_read_until (w, &body, "w2\n", PROC_WAIT_MS));
   web_close (w);
   usleep (500000);
-  cr_expect_eq (rack_count (&r, "e1", "open") + rack_count (&r, "e2", "open")
-                    + rack_count (&r, "e3", "open")
-                    + rack_count (&r, "e4", "open"),
+  cr_expect_eq (rack_get_count (&r, "e1", "open")
+                    + rack_get_count (&r, "e2", "open")
+                    + rack_get_count (&r, "e3", "open")
+                    + rack_get_count (&r, "e4", "open"),
                 0);
   buf_free (&body);
 }
 
 /*
- * Bad input is refused with its reason, and the node goes on: a body that is
- * too large, a head that is no HTTP, a request without an id or a model.
+ * Guards against a node that fails on invalid input: a body above the limit, a
+ * malformed HTTP head, a request without id or model.
  */
-Test (serve, bad_input_is_refused)
+Test (serve, invalid_requests_are_rejected)
 {
   struct rack r;
   struct web_answer a = { 0 };
@@ -370,10 +376,10 @@
 }
 
 /*
- * A settings file with several faults: all of them are told at once with their
- * place, and the exit code says that the input is bad.
+ * Guards against a node that starts with several errors in its settings file
+ * or without the file (exit code 3), or with a wrong argument (exit code 2).
  */
-Test (serve, settings_are_checked_as_a_whole)
+Test (serve, invalid_settings_set_the_exit_code)
 {
   const char *path = proc_file ("bad.json", "{\"node_name\": \"n\","
                                             " \"listen\": {\"front\": 5}}");
@@ -386,7 +392,7 @@
   buf_free (&out);
 }
 
-/** A figure of a node's metrics. */
+/** Value of a metric of the node, or -1. */
 static double
 read_metric (const struct rack *r, int node, const char *name)
 {
@@ -402,9 +408,9 @@
   return x;
 }
 
-/* Guards against a list that looks old in logs and metrics, as nothing in it
-   has changed. */
-Test (serve, an_unchanged_list_is_not_old)
+/* Guards against a server list whose age grows in logs and metrics because the
+   list hasn't changed. */
+Test (serve, unchanged_server_list_stays_fresh)
 {
   struct rack r;
 
--- a/t/t9302-walk.c
+++ b/t/t9302-walk.c
@@ -1,6 +1,6 @@
 /*
- * From a failed request's id to its cause, by the lines that the node wrote
- * and by nothing else: the walks of docs/OPERATIONS.md.
+ * Finds the cause of a failed request by its id from the node's log alone,
+ * following the procedures of docs/OPERATIONS.md.
  */
 #include <criterion/criterion.h>
 #include <stdio.h>
@@ -9,9 +9,9 @@
 
 #include "t/lib-rack.h"
 
-TestSuite (walk, .fini = proc_stop_all, .timeout = 90);
+TestSuite (diagnosis, .fini = proc_stop_all, .timeout = 90);
 
-/** The last line of node @p n that holds both texts, or NULL. */
+/** Last log line of node @p n that contains both texts, or NULL. */
 static const char *
 find_line (const struct rack *r, int n, const char *a, const char *b)
 {
@@ -34,7 +34,7 @@
   return found ? line : NULL;
 }
 
-/** The node's lines are complete once it has ended. */
+/** Kills the node; its log is complete then. */
 static void
 end_node (const struct rack *r, int n)
 {
@@ -47,29 +47,31 @@
 {
   const char *line = find_line (r, n, a, b);
 
-  cr_assert_not_null (line, "no line with %s and %s", a, b);
+  cr_assert_not_null (line, "no log line contains %s and %s", a, b);
   return line;
 }
 
 static void
 expect_text (const char *line, const char *text)
 {
-  cr_expect_not_null (strstr (line, text), "no %s in: %s", text, line);
+  cr_expect_not_null (strstr (line, text), "%s is missing in: %s", text, line);
 }
 
 /*
- * A caller was refused though servers are there.  Its line says that no place
- * was known, and the last line on places before it that the model has none:
- * a member of its only replica leaves, and no spare is left.
+ * A request is refused although servers are running: a member of the only
+ * replica dies and there is no spare. The request's line has the code
+ * no-server, and the last line with endpoint counts before it lists none for
+ * the model.
  */
-Test (walk, refused_while_servers_are_there)
+Test (diagnosis, refused_without_complete_replica)
 {
   struct rack r;
 
   rack_serve (&r, 4);
   rack_set (&r, "{\"server\": \"e4\", \"dead\": true}");
   rack_set (&r, "{\"server\": \"e3\", \"dead\": true}");
-  cr_assert (rack_until (&r, 0, "/stream/x", rack_headers ("walk-1"), 503));
+  cr_assert (
+      rack_call_until (&r, 0, "/stream/x", rack_headers ("walk-1"), 503));
   end_node (&r, 0);
   const char *line = expect_line (&r, 0, "request_failed", "id=\"walk-1\"");
   expect_text (line, "code=\"no-server\"");
@@ -79,10 +81,10 @@
 }
 
 /*
- * A stream was cut.  Its lines name the servers of both attempts and how each
- * was lost.
+ * A stream is truncated. The log lines name the servers of both attempts and
+ * the reason each one was lost.
  */
-Test (walk, a_stream_that_was_cut)
+Test (diagnosis, truncated_stream)
 {
   struct rack r;
   struct buf body = BUF_INIT;
@@ -104,10 +106,10 @@
 }
 
 /*
- * A call's outcome is not known.  Its line says that it was given to one
- * server, which one, and that no answer came to the deadline.
+ * The outcome of a call is unknown. Its line names the only server that
+ * received it and the expired deadline.
  */
-Test (walk, a_call_whose_outcome_is_unknown)
+Test (diagnosis, call_with_unknown_outcome)
 {
   struct rack r;
 
--- a/t/t9304-many.c
+++ b/t/t9304-many.c
@@ -1,6 +1,6 @@
 /*
- * More nodes than are linked each to each, over real processes: most of them
- * are told by a few what the store would tell them.
+ * More nodes than a full mesh of links allows, with real processes. Most nodes
+ * receive from a few others what they would otherwise read from the store.
  */
 #include <criterion/criterion.h>
 #include <stdio.h>
@@ -11,40 +11,40 @@
 #include "t/lib-rack.h"
 #include "t/lib-relay.h"
 
-TestSuite (many, .fini = proc_stop_all, .timeout = 120);
+TestSuite (many_nodes, .fini = proc_stop_all, .timeout = 120);
 
-static struct relay *relay;
+static struct relay *tcp_relay;
 
 static const char *
-by_relay (const char *at)
+connect_by_relay (const char *at)
 {
-  relay = relay_new (at, at);
-  return relay_addr (relay, 0);
+  tcp_relay = relay_new (at, at);
+  return relay_addr (tcp_relay, 0);
 }
 
 /*
- * The store turns one of 18 nodes away, and then the operators take a key from
- * its account and give it another.  Callers at that node are held to the new
- * configuration like all others within the time of the settings: the node that
- * forms replicas hands it on.
+ * Guards against a node without access to the store that keeps an old
+ * configuration. The store refuses one of 18 nodes before operators replace a
+ * key; the leader has to forward the new configuration to that node within
+ * config_apply_ms.
  */
-Test (many, a_node_that_the_store_refuses_hears_of_the_next_configuration)
+Test (many_nodes, configuration_reaches_node_without_store)
 {
   struct rack r;
-  const int last = RACK_MANY - 1;
+  const int last = RACK_MANY_NODES - 1;
 
-  rack_up_many (&r, 4, RACK_MANY, by_relay);
+  rack_prepare_nodes (&r, 4, RACK_MANY_NODES, connect_by_relay);
   rack_configure (&r, 1, "k1", "");
-  for (int i = 0; i < RACK_MANY; i++)
+  for (int i = 0; i < RACK_MANY_NODES; i++)
     rack_start_node (&r, i);
-  for (int i = 0; i < RACK_MANY; i++)
-    cr_assert (rack_until (&r, i, "/once/x", rack_headers ("warm"), 200));
-  /* All have been told by the node that forms replicas. */
+  for (int i = 0; i < RACK_MANY_NODES; i++)
+    cr_assert (rack_call_until (&r, i, "/once/x", rack_headers ("warm"), 200));
+  /* All nodes have received the leader's reports by now. */
   usleep (3000000);
-  relay_refuse (relay);
+  relay_close_connections (tcp_relay);
   rack_configure (&r, 2, "k2", "");
   usleep (2000000);
-  for (int i = 0; i < RACK_MANY; i++)
+  for (int i = 0; i < RACK_MANY_NODES; i++)
     cr_expect_eq (rack_call (&r, i, "/once/x", "a", NULL, NULL), 401,
                   "node %d", i);
   cr_expect_eq (rack_call (&r, last, "/once/x", "",
@@ -54,76 +54,77 @@
                 200);
 }
 
-/** The node that comes last in the order of hubs: all have the same size, so
-    that their names decide. */
+/** The node that is last in the order of relays. All nodes have the same size,
+   so the hashes of their names decide. */
 static int
-last_in_order (void)
+find_last_relay_candidate (void)
 {
   char name[16];
-  uint64_t most = 0;
+  uint64_t highest = 0;
   int last = 0;
 
-  for (int i = 0; i < RACK_MANY; i++)
+  for (int i = 0; i < RACK_MANY_NODES; i++)
     {
       snprintf (name, sizeof name, "node-%d", i + 1);
       uint64_t hash = str_hash (str_from (name), 0);
-      if (hash >= most)
+      if (hash >= highest)
         last = i;
-      if (hash >= most)
-        most = hash;
+      if (hash >= highest)
+        highest = hash;
     }
   return last;
 }
 
 static bool
-metric_until (const struct rack *r, int node, const char *line)
+wait_for_metric (const struct rack *r, int node, const char *line)
 {
   return web_until (r->ready[node], "/metrics", NULL, line, PROC_WAIT_MS);
 }
 
-/** Start all nodes, one of them before the others, so that it forms replicas.
- */
+/** Starts all nodes, @p first before the others so that it becomes the
+   leader. */
 static void
-up_after (struct rack *r, int first)
+start_with_first (struct rack *r, int first)
 {
-  rack_up_many (r, 4, RACK_MANY, NULL);
+  rack_prepare_nodes (r, 4, RACK_MANY_NODES, NULL);
   rack_configure (r, 1, "k1", "");
   rack_start_node (r, first);
-  cr_assert (metric_until (r, first, "lapisline_serve_duty 1"));
-  for (int i = 0; i < RACK_MANY; i++)
+  cr_assert (wait_for_metric (r, first, "lapisline_serve_duty 1"));
+  for (int i = 0; i < RACK_MANY_NODES; i++)
     if (i != first)
       rack_start_node (r, i);
 }
 
 /*
- * A small node comes seconds before all others and takes the lease by which it
- * forms replicas.  The others push their loads to the hubs and hear from it
- * alone which places there are: it has to know each of them, though as one of
- * many that come after the hubs it would not look for them.  Were it to rest
- * like these, callers at all others would be refused until each has read the
- * list by itself.
+ * Guards against a leader without links to all nodes. A small node starts
+ * seconds before the others and takes the leader's lease. The others send
+ * their loads to the relays and receive the endpoints only from the leader,
+ * which therefore has to link to every node although it comes after the relays
+ * in the order. Otherwise the other nodes would refuse requests until each has
+ * read the list itself.
  */
-Test (many, who_leads_links_to_all_others)
+Test (many_nodes, leader_links_to_all_nodes)
 {
   struct rack r;
-  const int first = last_in_order ();
+  const int first = find_last_relay_candidate ();
 
-  up_after (&r, first);
-  cr_expect (metric_until (&r, first, "lapisline_serve_nodes 18"));
+  start_with_first (&r, first);
+  cr_expect (wait_for_metric (&r, first, "lapisline_serve_nodes 18"));
 }
 
-/* Guards against a node that others go by and that itself goes by one that
-   watches: each new version would be read once more before it is handed on. */
-Test (many, who_leads_watches_the_configuration)
+/* Guards against a leader that follows another node's watch of the
+   configuration: each new version would be read once more before the leader
+   forwards it. */
+Test (many_nodes, leader_watches_the_configuration)
 {
   struct rack r;
-  const int first = last_in_order ();
+  const int first = find_last_relay_candidate ();
 
-  up_after (&r, first);
-  cr_assert (metric_until (&r, first, "lapisline_serve_nodes 18"));
+  start_with_first (&r, first);
+  cr_assert (wait_for_metric (&r, first, "lapisline_serve_nodes 18"));
   usleep (3000000);
   rack_configure (&r, 2, "k2", "");
-  cr_expect (metric_until (&r, first, "lapisline_serve_config_version 2"));
+  cr_expect (wait_for_metric (&r, first, "lapisline_serve_config_version 2"));
   proc_signal (r.node[first], SIGKILL);
   proc_wait (r.node[first], PROC_WAIT_MS);
   char *log = str_dup (proc_output (r.node[first]));
