--- a/t/lib-dispatch.c
+++ b/t/lib-dispatch.c
@@ -92,7 +92,7 @@
 {
   struct dsp_action a;
 
-  while (dsp_next (b->d, &a))
+  while (dsp_next_action (b->d, &a))
     switch (a.kind)
       {
       case DSP_ACT_SEND:
--- a/t/lib-latekv.h
+++ b/t/lib-latekv.h
@@ -14,15 +14,15 @@
 {
   uv_loop_t *loop;
   struct memkv *kv;
-  bool down;         /**< calls have no effect and end as unavailable */
-  bool loses_answer; /**< the next txn takes effect but ends as uncertain */
-  bool taken;        /**< each txn conflicts, each lease is gone */
-  clk_ms kept_at;    /**< last successful renewal of any lease */
-  int64_t lease;     /**< last lease granted */
+  bool unavailable;    /**< calls have no effect and end as unavailable */
+  bool loses_response; /**< the next txn takes effect but ends as uncertain */
+  bool lease_lost;     /**< each txn conflicts, each lease is gone */
+  clk_ms renewed_at;   /**< last successful renewal of any lease */
+  int64_t last_lease;  /**< last lease granted */
 };
 
 void latekv_init (struct latekv *k, uv_loop_t *loop);
-void latekv_end (struct latekv *k);
+void latekv_destroy (struct latekv *k);
 
 /** Store client of one process; released by store_free(). */
 struct store *latekv_store (struct latekv *k);
--- a/t/lib-rack.h
+++ b/t/lib-rack.h
@@ -54,7 +54,7 @@
 
 /** Starts the platform and both nodes with a configuration; waits until each
    node serves a stream. */
-void rack_serve (struct rack *r, int engines);
+void rack_start_all (struct rack *r, int engines);
 
 /** Headers with this id, key "k1" and the model; overwritten by the next
    call. */
--- a/t/lib-relay.h
+++ b/t/lib-relay.h
@@ -13,7 +13,7 @@
 
 /** Discards all further data of the open connections without closing them. New
    connections work. */
-void relay_forget (struct relay *r);
+void relay_blackhole (struct relay *r);
 
 /** Closes all connections, and new ones as soon as they are accepted. */
 void relay_close_connections (struct relay *r);
--- a/t/t8101-peers.c
+++ b/t/t8101-peers.c
@@ -323,8 +323,8 @@
   *args++ = '\0';
   if (strcmp (line, "store") == 0)
     {
-      w.store.down = strcmp (args, "down") == 0;
-      w.store.loses_answer = strcmp (args, "loses-answer") == 0;
+      w.store.unavailable = strcmp (args, "down") == 0;
+      w.store.loses_response = strcmp (args, "loses-answer") == 0;
     }
   else if (strcmp (line, "start") == 0)
     start (args);
@@ -377,7 +377,7 @@
   for (int i = 0; i < 100 && uv_loop_alive (&w.loop); i++)
     uv_run (&w.loop, UV_RUN_NOWAIT);
   cr_expect_eq (uv_loop_close (&w.loop), 0, "handles are left");
-  latekv_end (&w.store);
+  latekv_destroy (&w.store);
 }
 
 static void
--- a/t/t9301-serve.c
+++ b/t/t9301-serve.c
@@ -64,7 +64,7 @@
   const char *with_k2 = "Host: h\r\nX-Lapisline-Request-Id: n\r\n"
                         "X-Api-Key: k2\r\n";
 
-  rack_serve (&r, 4);
+  rack_start_all (&r, 4);
   rack_configure (&r, 5, "k2",
                   ",{\"name\": \"n\", \"host\": \"h\", \"prefix\": \"/new/\","
                   " \"kind\": \"idempotent\", \"timeout_ms\": 3000,"
@@ -94,7 +94,7 @@
   struct web_stream *w;
   const char *member;
 
-  rack_serve (&r, 8);
+  rack_start_all (&r, 8);
   rack_set (&r, "{\"events\": 60, \"event_ms\": 40}");
   w = web_open (r.front[0], "POST", "/stream/x", rack_headers ("long"), "x");
   cr_assert (web_read_until (w, &body, "w5\n", PROC_WAIT_MS));
@@ -120,7 +120,7 @@
   struct rack r;
   struct buf body = BUF_INIT;
 
-  rack_serve (&r, 8);
+  rack_start_all (&r, 8);
   for (int i = 0; i < 4; i++)
     {
       rack_set (&r, "{\"server\": \"%s\", \"cut_after\": 4}",
@@ -141,7 +141,7 @@
   struct rack r;
   struct buf body = BUF_INIT;
 
-  rack_serve (&r, 8);
+  rack_start_all (&r, 8);
   for (int i = 0; i < 4; i++)
     {
       rack_set (&r, "{\"server\": \"%s\", \"end_after\": 4}",
@@ -162,7 +162,7 @@
   struct rack r;
   int runs;
 
-  rack_serve (&r, 4);
+  rack_start_all (&r, 4);
   rack_set (&r, "{\"server\": \"p1\", \"draining\": true}");
   usleep (1800000);
   runs = rack_get_count (&r, "p1", "runs");
@@ -181,7 +181,7 @@
   struct rack r;
   int status;
 
-  rack_serve (&r, 4);
+  rack_start_all (&r, 4);
   rack_set (&r, "{\"server\": \"p1\", \"dark\": true}");
   rack_set (&r, "{\"server\": \"p2\", \"dark\": true}");
   status = rack_call (&r, 0, "/once/x", "once", NULL, NULL);
@@ -200,7 +200,7 @@
 {
   struct rack r;
 
-  rack_serve (&r, 4);
+  rack_start_all (&r, 4);
   rack_set (&r, "{\"server\": \"p1\", \"fail\": 500}");
   for (int i = 0; i < 4; i++)
     cr_expect_eq (rack_call (&r, 0, "/safe/x", "f", NULL, NULL), 200);
@@ -218,7 +218,7 @@
 {
   struct rack r;
 
-  rack_serve (&r, 4);
+  rack_start_all (&r, 4);
   rack_set (&r, "{\"store\": {\"silent\": true}}");
   for (int i = 0; i < 30; i++, usleep (100000))
     cr_expect_eq (rack_call (&r, i % 2, "/safe/x", "a", NULL, NULL), 200);
@@ -248,7 +248,7 @@
   struct web_answer a = { 0 };
   struct web_stream *w;
 
-  rack_serve (&r, 4);
+  rack_start_all (&r, 4);
   proc_signal (r.node[0], SIGHUP);
   rack_set (&r, "{\"events\": 50, \"event_ms\": 50}");
   w = web_open (r.front[0], "POST", "/stream/x", rack_headers ("long"), "x");
@@ -279,7 +279,7 @@
   struct buf body = BUF_INIT;
   int leads;
 
-  rack_serve (&r, 4);
+  rack_start_all (&r, 4);
   leads = rack_get_count (&r, "e1", "leads");
   for (int i = 0; i < RACK_NODES; i++)
     {
@@ -307,7 +307,7 @@
   struct rack r;
   const char *const lost[RACK_NODES] = { "e7", "e8" };
 
-  rack_serve (&r, 8);
+  rack_start_all (&r, 8);
   for (int i = 0; i < RACK_NODES; i++)
     {
       proc_signal (r.node[i], SIGSTOP);
@@ -335,7 +335,7 @@
   struct buf body = BUF_INIT;
   struct web_stream *w;
 
-  rack_serve (&r, 4);
+  rack_start_all (&r, 4);
   rack_set (&r, "{\"events\": 200, \"event_ms\": 50}");
   w = web_open (r.front[0], "POST", "/stream/x", rack_headers ("go"), "x");
   cr_assert (web_read_until (w, &body, "w2\n", PROC_WAIT_MS));
@@ -359,7 +359,7 @@
   struct web_answer a = { 0 };
   char *large = xcalloc (1, 10002);
 
-  rack_serve (&r, 4);
+  rack_start_all (&r, 4);
   memset (large, 'x', 10001);
   web_call (r.front[0], "POST", "/once/x", rack_headers ("a"), large, &a);
   cr_expect_eq (a.status, 413);
@@ -414,7 +414,7 @@
 {
   struct rack r;
 
-  rack_serve (&r, 4);
+  rack_start_all (&r, 4);
   usleep (4000000);
   for (int i = 0; i < RACK_NODES; i++)
     {
--- a/t/t9302-walk.c
+++ b/t/t9302-walk.c
@@ -67,7 +67,7 @@
 {
   struct rack r;
 
-  rack_serve (&r, 4);
+  rack_start_all (&r, 4);
   rack_set (&r, "{\"server\": \"e4\", \"dead\": true}");
   rack_set (&r, "{\"server\": \"e3\", \"dead\": true}");
   cr_assert (
@@ -89,7 +89,7 @@
   struct rack r;
   struct buf body = BUF_INIT;
 
-  rack_serve (&r, 4);
+  rack_start_all (&r, 4);
   rack_set (&r, "{\"server\": \"e1\", \"cut_after\": 3}");
   rack_set (&r, "{\"server\": \"e2\", \"cut_after\": 3}");
   rack_set (&r, "{\"server\": \"e3\", \"cut_after\": 3}");
@@ -113,7 +113,7 @@
 {
   struct rack r;
 
-  rack_serve (&r, 4);
+  rack_start_all (&r, 4);
   rack_set (&r, "{\"server\": \"p1\", \"dark\": true}");
   rack_set (&r, "{\"server\": \"p2\", \"dark\": true}");
   cr_expect_eq (rack_call (&r, 0, "/once/x", "walk-3", NULL, NULL), 504);
--- a/t/t9303-late-list.c
+++ b/t/t9303-late-list.c
@@ -151,7 +151,7 @@
   struct rack r;
   int leader, refused = 0;
 
-  rack_serve (&r, 4);
+  rack_start_all (&r, 4);
   sleep (3); /* after startup, servers missing from a list are removed */
   leader = find_leader (&r);
   link_to (&t, &r, leader);
--- a/t/t9305-crash.c
+++ b/t/t9305-crash.c
@@ -88,7 +88,7 @@
   struct rack r;
   struct web_answer a = { 0 };
 
-  rack_serve (&r, ENGINES);
+  rack_start_all (&r, ENGINES);
   wait_for_leaders (&r, REPLICAS);
   rack_set (&r, "{\"crash_body\": \"bad\", \"crash_ms\": 10}");
   for (int i = 0; i < 12; i++)
@@ -123,7 +123,7 @@
 static void
 start_with_crash_body (struct rack *r)
 {
-  rack_serve (r, ENGINES);
+  rack_start_all (r, ENGINES);
   wait_for_leaders (r, REPLICAS);
   rack_set (r, "{\"crash_body\": \"bad\", \"crash_ms\": 10}");
 }
@@ -190,7 +190,7 @@
 {
   struct rack r;
 
-  rack_serve (&r, 8);
+  rack_start_all (&r, 8);
   for (int i = 0; i < 8; i++)
     {
       rack_set (&r, "{\"server\": \"e1\", \"cut_after\": 1}");
--- a/t/t9306-limit.c
+++ b/t/t9306-limit.c
@@ -41,7 +41,7 @@
   struct rack r;
   int max;
 
-  rack_serve (&r, 4);
+  rack_start_all (&r, 4);
   rack_set (&r, "{\"server\": \"p1\", \"limit\": \"2\"}");
   cr_expect_eq (call_for_duration (&r, RACK_NODES, 8000), 0);
   max = rack_get_count (&r, "p1", "limited_most");
@@ -99,7 +99,7 @@
   struct web_answer a = { 0 };
   int refused = 0;
 
-  rack_serve (&r, 4);
+  rack_start_all (&r, 4);
   limit_server (&r, "p1", "3");
   limit_server (&r, "p2", "3");
   call_for_duration (&r, RACK_NODES, 3000);
@@ -131,7 +131,7 @@
 {
   struct rack r;
 
-  rack_serve (&r, 4);
+  rack_start_all (&r, 4);
   limit_server (&r, "p1", "2");
   for (int round = 0; round < 2 * RACK_NODES; round++)
     {
@@ -170,7 +170,7 @@
 {
   struct rack r;
 
-  rack_serve (&r, 4);
+  rack_start_all (&r, 4);
   limit_server (&r, "p1", "1");
   limit_server (&r, "p2", "1");
   call_for_duration (&r, RACK_NODES, 2000);
@@ -191,7 +191,7 @@
   struct rack r;
   int before;
 
-  rack_serve (&r, 4);
+  rack_start_all (&r, 4);
   limit_server (&r, "p1", "1");
   call_for_duration (&r, RACK_NODES, 2000);
   limit_server (&r, "p1", "");
@@ -214,7 +214,7 @@
 {
   struct rack r;
 
-  rack_serve (&r, 4);
+  rack_start_all (&r, 4);
   rack_set (&r, "{\"store\": {\"silent\": true}}");
   limit_server (&r, "p1", "2");
   cr_expect_eq (call_for_duration (&r, RACK_NODES, 8000), 0);
--- a/t/t9307-config.c
+++ b/t/t9307-config.c
@@ -88,7 +88,7 @@
   struct web_stream *stream;
   struct rack r;
 
-  rack_serve (&r, 4);
+  rack_start_all (&r, 4);
   proc_signal (r.node[0], SIGSTOP);
   rack_configure (&r, 2, "k2", "");
   usleep ((useconds_t)(CONFIG_APPLY_MS + 1000) * 1000);
@@ -150,7 +150,7 @@
 {
   struct rack r;
 
-  rack_serve (&r, 4);
+  rack_start_all (&r, 4);
   cr_expect_eq (rack_call (&r, 0, "/once/x", "", k2_headers, NULL), 401);
   rack_set (&r, "{\"store\": {\"silent\": true}}");
   usleep ((useconds_t)(CONFIG_APPLY_MS + 500) * 1000);
--- a/t/t9309-paused.c
+++ b/t/t9309-paused.c
@@ -47,7 +47,7 @@
   struct rack r;
   char id[16];
 
-  rack_serve (&r, 8);
+  rack_start_all (&r, 8);
   rack_set (&r, "{\"events\": 200, \"event_ms\": 40}");
   for (int i = 0; i < STREAMS; i++)
     {
@@ -89,7 +89,7 @@
   struct web_stream *w;
   struct rack r;
 
-  rack_serve (&r, 4);
+  rack_start_all (&r, 4);
   cr_assert (rack_call_until (&r, 0, "/safe/x", rack_headers ("warm"), 200));
   proc_signal (r.platform, SIGSTOP);
   w = web_open (r.front[0], "POST", "/safe/x", rack_headers ("asked"), "x");
@@ -131,7 +131,7 @@
 {
   struct rack r;
 
-  rack_serve (&r, 4);
+  rack_start_all (&r, 4);
   proc_signal (r.platform, SIGSTOP);
   usleep (500000);
   signal_nodes (&r, SIGSTOP);
@@ -153,7 +153,7 @@
   struct rack r;
   int before;
 
-  rack_serve (&r, 4);
+  rack_start_all (&r, 4);
   cr_assert (rack_call_until (&r, 0, "/safe/x", rack_headers ("warm"), 200));
   signal_nodes (&r, SIGSTOP);
   before = rack_get_count (&r, "p1", "runs");
