--- a/serve/address.c
+++ b/serve/address.c
@@ -36,7 +36,7 @@
   struct srv *s = ctx;
   struct str path = httpd_get (req)->path;
 
-  if (str_is (path, s->ad->ready_path))
+  if (str_is (path, s->adapter->ready_path))
     answer_empty (req, srv_is_ready (s) ? 200 : 503);
   else if (str_is (path, SRV_METRICS_PATH))
     answer_metrics (s, req);
@@ -52,11 +52,12 @@
   struct srv *s = ctx;
   struct net_addr list[ADDRESSES_MAX];
   struct buf body = BUF_INIT;
-  clk_ms ttl = s->set.address_ttl_ms < ANSWER_TTL_MS ? s->set.address_ttl_ms
-                                                     : ANSWER_TTL_MS;
+  clk_ms ttl = s->settings.address_ttl_ms < ANSWER_TTL_MS
+                   ? s->settings.address_ttl_ms
+                   : ANSWER_TTL_MS;
   size_t n;
 
-  if (!str_is (httpd_get (req)->path, s->ad->address_path))
+  if (!str_is (httpd_get (req)->path, s->adapter->address_path))
     {
       answer_empty (req, 404);
       return;
@@ -67,7 +68,7 @@
       srv_send_error (s, req, 503, "no-node", 0);
       return;
     }
-  s->ad->format_addresses (list, n, ttl, &body);
+  s->adapter->format_addresses (list, n, ttl, &body);
   httpd_answer (req, 200, json, 1, buf_str (&body));
   buf_free (&body);
 }
@@ -79,10 +80,11 @@
                                  .max_connections = CONNECTIONS_MAX,
                                  .request_ms = IDLE_MS };
 
-  s->ready = httpd_listen (&s->loop, &s->set.ready, &limits, on_ready, s, err);
-  if (!s->ready)
+  s->ready_listener
+      = httpd_listen (&s->loop, &s->settings.ready, &limits, on_ready, s, err);
+  if (!s->ready_listener)
     return false;
-  s->address
-      = httpd_listen (&s->loop, &s->set.address, &limits, on_address, s, err);
-  return s->address != NULL;
+  s->address_listener = httpd_listen (&s->loop, &s->settings.address, &limits,
+                                      on_address, s, err);
+  return s->address_listener != NULL;
 }
--- a/serve/backends.c
+++ b/serve/backends.c
@@ -424,9 +424,9 @@
 }
 
 clk_ms
-bks_fallback_poll_ms (clk_ms drain_ms, bool large_fleet)
+bks_fallback_poll_ms (clk_ms drain_ms, bool is_leaf)
 {
-  if (large_fleet)
+  if (is_leaf)
     return (clk_ms)((double)drain_ms * LARGE_FLEET_DRAIN_PART);
   return drain_ms / READS_PER_DRAIN;
 }
--- a/serve/backends.h
+++ b/serve/backends.h
@@ -165,9 +165,9 @@
 /**
  * Interval between reads of the list at a node that receives it from no other
  * node.
- * @param large_fleet  the leader sends the list to many nodes
+ * @param is_leaf  the leader sends the list to many nodes
  */
-clk_ms bks_fallback_poll_ms (clk_ms drain_ms, bool large_fleet);
+clk_ms bks_fallback_poll_ms (clk_ms drain_ms, bool is_leaf);
 
 /** Whether the list was read or received at least once. */
 bool bks_has_list (const struct bks *b);
--- a/serve/check.c
+++ b/serve/check.c
@@ -70,10 +70,10 @@
 {
   static const struct httpc_callbacks cb = { NULL, on_head, on_body, on_end };
   struct check *c = xcalloc (1, sizeof *c);
-  struct http_header h = { str_from (s->ad->expect_header), a->server };
+  struct http_header h = { str_from (s->adapter->expect_header), a->server };
   struct httpc_request r = { .to = a->addr,
                              .method = STR ("GET"),
-                             .path = str_from (s->ad->report_path),
+                             .path = str_from (s->adapter->report_path),
                              .headers = &h,
                              .nheaders = 1,
                              .connect_ms = CONNECT_MS,
--- a/serve/config.c
+++ b/serve/config.c
@@ -74,8 +74,8 @@
   buf_clear (&c->document);
   if (kv->value.len + FRAME_OVERHEAD <= LINK_MAX_FRAME)
     buf_add (&c->document, kv->value);
-  tbl_unref (s->table);
-  s->table = t;
+  tbl_unref (s->active_config);
+  s->active_config = t;
   cur_set_version (&c->fresh, t->version);
   srv_endpoints_changed (s);
 }
@@ -93,16 +93,16 @@
   struct fnd_list findings = { 0 };
   struct tbl *t;
 
-  if (!str_is (kv->key, s->ad->config_key))
+  if (!str_is (kv->key, s->adapter->config_key))
     return true;
-  t = s->ad->parse_config (kv->value, &findings);
+  t = s->adapter->parse_config (kv->value, &findings);
   if (!t)
     {
       log_findings (&findings, kv->mod_rev);
       return false;
     }
   fnd_free (&findings);
-  if (s->table && t->version <= s->table->version)
+  if (s->active_config && t->version <= s->active_config->version)
     tbl_unref (t);
   else
     activate (c, t, kv, from);
@@ -143,7 +143,7 @@
   struct srv *s = c->s;
 
   c->watch
-      = store_watch (s->store, str_from (s->ad->config_key),
+      = store_watch (s->store, str_from (s->adapter->config_key),
                      buf_str (&c->range_end), c->seen_revision + 1, &cb, c);
 }
 
@@ -152,8 +152,8 @@
 static bool
 relies_on_announcements (const struct srv_config *c, clk_ms now)
 {
-  return cur_is_announced (&c->fresh, now) && !srv_peers_is_announcer (c->s)
-         && srv_is_leaf (c->s);
+  return cur_has_announcements (&c->fresh, now)
+         && !srv_peers_is_announcer (c->s) && srv_is_leaf (c->s);
 }
 
 static void
@@ -203,7 +203,7 @@
 
   cur_read_sent (&c->fresh, now);
   pau_call_started (&s->store_backoff);
-  store_range (s->store, STORE_CONFIG, str_from (s->ad->config_key),
+  store_range (s->store, STORE_CONFIG, str_from (s->adapter->config_key),
                buf_str (&c->range_end), on_config, c);
 }
 
@@ -228,16 +228,17 @@
   double ms = 0;
 
   *text = buf_str (&c->document);
-  if (s->set.link_bytes_per_s > 0)
+  if (s->settings.link_bytes_per_s > 0)
     ms = (double)(text->len * nodes) * (double)CLK_SECOND
-         / s->set.link_bytes_per_s;
+         / s->settings.link_bytes_per_s;
   return text->len > 0 && ms <= (double)PUSH_MAX_MS;
 }
 
 void
 srv_config_pushed (struct srv *s, int64_t version, struct str text)
 {
-  struct store_kv kv = { .key = str_from (s->ad->config_key), .value = text };
+  struct store_kv kv
+      = { .key = str_from (s->adapter->config_key), .value = text };
 
   if (version > srv_config_version (s))
     apply_config (s->config, &kv, SOURCE_NODE);
@@ -281,8 +282,8 @@
   struct srv_config *c = xcalloc (1, sizeof *c);
 
   c->s = s;
-  cur_init (&c->fresh, s->set.config_apply_ms);
-  store_prefix_end (str_from (s->ad->config_key), &c->range_end);
+  cur_init (&c->fresh, s->settings.config_apply_ms);
+  store_prefix_end (str_from (s->adapter->config_key), &c->range_end);
   s->config = c;
   srv_config_tick (s, clk_now ());
 }
--- a/serve/currency.c
+++ b/serve/currency.c
@@ -158,7 +158,7 @@
 }
 
 bool
-cur_is_announced (const struct cur *f, clk_ms now)
+cur_has_announcements (const struct cur *f, clk_ms now)
 {
   return f->announced_at
          && now - f->announced_at < f->apply_ms / REREAD_DIVISOR;
@@ -182,6 +182,6 @@
   if (age (f, now) <= f->apply_ms)
     return CUR_CONFIRMED;
   return f->resumed_at && now - f->resumed_at < RESUME_WAIT_MS
-             ? CUR_RESUMED
+             ? CUR_AWAITING_STORE
              : CUR_UNCONFIRMED;
 }
--- a/serve/currency.h
+++ b/serve/currency.h
@@ -38,11 +38,11 @@
 /** Freshness of the configuration in force. */
 enum cur_state
 {
-  CUR_CONFIRMED,   /**< confirmed to be the newest within the limit */
-  CUR_UNCONFIRMED, /**< there may be a newer version */
-  CUR_RESUMED      /**< as CUR_UNCONFIRMED, because this process was
-                          suspended; an answer of the store is due soon and
-                          requests are deferred until then */
+  CUR_CONFIRMED,     /**< confirmed to be the newest within the limit */
+  CUR_UNCONFIRMED,   /**< there may be a newer version */
+  CUR_AWAITING_STORE /**< as CUR_UNCONFIRMED, because this process was
+                     suspended; an answer of the store is due soon and
+                     requests are deferred until then */
 };
 
 struct cur
@@ -105,7 +105,7 @@
 bool cur_should_read (const struct cur *f, clk_ms now, bool announces);
 
 /** Whether this node receives announcements that confirm its version. */
-bool cur_is_announced (const struct cur *f, clk_ms now);
+bool cur_has_announcements (const struct cur *f, clk_ms now);
 
 /** The watch was stopped in favour of announcements.  The next watch starts
     only after a read. */
--- a/serve/duty-plan.c
+++ b/serve/duty-plan.c
@@ -12,7 +12,7 @@
 {
   uint64_t model; /**< hash of the service and model names; 0: unused row */
   unsigned wanted, formed;
-  uint64_t yielded;
+  uint64_t reassigned;
 };
 
 struct srv_plan
@@ -42,7 +42,7 @@
 log_changes (const struct frm_model *m, struct plan_row *logged, clk_ms age_ms)
 {
   if (logged->wanted == m->wanted && logged->formed == m->formed
-      && logged->yielded == m->reassigned)
+      && logged->reassigned == m->reassigned)
     return;
   LOG (plan_changed, LOG_S ("service", m->service), LOG_S ("model", m->name),
        LOG_I ("wanted", m->wanted), LOG_I ("formed", m->formed),
@@ -52,7 +52,7 @@
        LOG_I ("yielded", m->reassigned), LOG_I ("servers_age_ms", age_ms));
   logged->wanted = m->wanted;
   logged->formed = m->formed;
-  logged->yielded = m->reassigned;
+  logged->reassigned = m->reassigned;
 }
 
 void
--- a/serve/duty.c
+++ b/serve/duty.c
@@ -45,7 +45,7 @@
     thousand file descriptors are reserved for its callers. */
 #define CALLS_MAX 64
 
-struct leader_call;
+struct server_call;
 
 struct srv_leader
 {
@@ -57,15 +57,15 @@
   clk_ms vacant_since; /* first seen without the leader key; 0: it exists */
   clk_ms started;
   clk_ms next_tick;
-  struct leader_call *calls;
+  struct server_call *calls;
   unsigned ncalls;
 };
 
 /** An order or a probe in flight. */
-struct leader_call
+struct server_call
 {
   struct srv_leader *lead;
-  struct leader_call *next;
+  struct server_call *next;
   struct httpc_call *http;
   uint64_t token;
   uint64_t sent_fence; /* fencing number at the time of sending */
@@ -81,7 +81,7 @@
 static bool
 on_connected (void *ctx)
 {
-  struct leader_call *c = ctx;
+  struct server_call *c = ctx;
 
   /* The lease may have expired while the connection was being opened. */
   if (c->is_order && !own_may_order (c->lead->own, clk_now ()))
@@ -93,7 +93,7 @@
 static void
 on_head (void *ctx, int status, const struct http_header *h, size_t n)
 {
-  struct leader_call *c = ctx;
+  struct server_call *c = ctx;
 
   c->status = status;
 }
@@ -106,19 +106,19 @@
 static void run_form_actions (struct srv_leader *lead);
 
 static enum frm_result
-call_result (const struct leader_call *c, enum httpc_end end)
+call_result (const struct server_call *c, enum httpc_end end)
 {
   if (c->status)
-    return c->lead->s->ad->order_result (c->status);
+    return c->lead->s->adapter->order_result (c->status);
   if (end == HTTPC_CONNECT_FAILED && !c->sent)
     return FRM_UNANSWERED;
   return FRM_UNANSWERED;
 }
 
 static void
-unlink_call (struct leader_call *c)
+unlink_call (struct server_call *c)
 {
-  struct leader_call **p = &c->lead->calls;
+  struct server_call **p = &c->lead->calls;
 
   while (*p != c)
     p = &(*p)->next;
@@ -129,7 +129,7 @@
 static void
 on_end (void *ctx, enum httpc_end end)
 {
-  struct leader_call *c = ctx;
+  struct server_call *c = ctx;
   struct srv_leader *lead = c->lead;
   clk_ms now = clk_now ();
 
@@ -159,16 +159,17 @@
   static const struct httpc_callbacks cb
       = { on_connected, on_head, on_body, on_end };
   struct srv *s = lead->s;
-  struct leader_call *c = xcalloc (1, sizeof *c);
+  struct server_call *c = xcalloc (1, sizeof *c);
   struct buf body = BUF_INIT;
   struct http_header h[]
-      = { { str_from (s->ad->expect_header), a->vm },
+      = { { str_from (s->adapter->expect_header), a->vm },
           { STR ("content-type"), STR ("application/json") } };
   bool order = a->kind == FRM_ORDER;
   struct httpc_request r
       = { .to = a->addr,
           .method = order ? STR ("POST") : STR ("GET"),
-          .path = str_from (order ? s->ad->order_path : s->ad->report_path),
+          .path = str_from (order ? s->adapter->order_path
+                                  : s->adapter->report_path),
           .headers = h,
           .nheaders = order ? 2 : 1,
           .connect_ms = order ? ORDER_CONNECT_MS : PROBE_CONNECT_MS,
@@ -185,7 +186,7 @@
   lead->calls = c;
   lead->ncalls++;
   if (order)
-    s->ad->format_order (a, &body);
+    s->adapter->format_order (a, &body);
   if (order)
     LOG (order_sent, LOG_S ("server", a->vm), LOG_I ("number", a->token),
          LOG_S ("order", buf_str (&body)));
@@ -320,7 +321,7 @@
 {
   const struct srv *s = lead->s;
 
-  if (s->stopping_since || !s->table)
+  if (s->stopping_since || !s->active_config)
     return false;
   if (own_state (lead->own) != OWN_IDLE)
     return !lead->other_leads;
@@ -336,7 +337,7 @@
   struct srv_leader *lead = s->leader;
   clk_ms now = clk_now ();
 
-  lead->other_leads = held && !str_eq (holder, s->set.node);
+  lead->other_leads = held && !str_eq (holder, s->settings.node);
   if (held)
     lead->vacant_since = 0;
   else if (!lead->vacant_since)
@@ -348,15 +349,16 @@
 {
   struct srv_leader *lead = s->leader;
 
-  if (!s->table)
+  if (!s->active_config)
     return;
-  frm_set_servers (lead->form, clk_now (), s->backends, s->table,
-                   s->first_start || bks_is_stable (s->backends, clk_now ()));
+  frm_set_servers (lead->form, clk_now (), s->backends, s->active_config,
+                   s->store_was_empty
+                       || bks_is_stable (s->backends, clk_now ()));
   run_form_actions (lead);
 }
 
 const struct frm_stats *
-srv_leader_figures (const struct srv *s)
+srv_leader_stats (const struct srv *s)
 {
   return frm_stats (s->leader->form);
 }
@@ -383,7 +385,7 @@
 static void
 report_demand (struct srv_leader *lead, clk_ms now)
 {
-  const struct tbl *t = lead->s->table;
+  const struct tbl *t = lead->s->active_config;
 
   for (size_t i = 0; t && i < t->nservices; i++)
     for (size_t k = 0; k < t->services[i].nmodels; k++)
@@ -418,14 +420,14 @@
 srv_leader_start (struct srv *s)
 {
   struct srv_leader *lead = xcalloc (1, sizeof *lead);
-  struct frm_options form = { .stall_ms = s->set.stall_ms,
-                              .ceiling_window_s = s->set.ceiling_window_s,
-                              .ceiling_over = s->set.ceiling_over };
+  struct frm_options form = { .stall_ms = s->settings.stall_ms,
+                              .ceiling_window_s = s->settings.ceiling_window_s,
+                              .ceiling_over = s->settings.ceiling_over };
   struct own_options own
-      = { .node = s->set.node,
+      = { .node = s->settings.node,
           .boot = s->boot,
-          .ttl
-          = s->set.lease_min_ms > LEASE_MS ? s->set.lease_min_ms : LEASE_MS,
+          .ttl = s->settings.lease_min_ms > LEASE_MS ? s->settings.lease_min_ms
+                                                     : LEASE_MS,
           .checks_fence = true,
           .order_flight_ms = ORDER_TIMEOUT_MS };
 
@@ -433,7 +435,7 @@
   lead->started = clk_now ();
   s->leader = lead;
   srv_plan_start (s);
-  buf_addf (&lead->key, "%sduty", s->ad->own_prefix);
+  buf_addf (&lead->key, "%sduty", s->adapter->own_prefix);
   own.key = buf_str (&lead->key);
   lead->form = frm_new (&form);
   lead->own = own_new (&own, rng_next (&s->rng));
--- a/serve/exchange.c
+++ b/serve/exchange.c
@@ -35,7 +35,7 @@
      views into it. */
   buf_reserve (&head->text, size + 1);
   for (size_t i = 0; i < n; i++)
-    if (s->ad->forwards_header (&h[i]))
+    if (s->adapter->forwards_header (&h[i]))
       head->list[head->n++]
           = (struct http_header){ copy_text (&head->text, h[i].name),
                                   copy_text (&head->text, h[i].value) };
@@ -169,7 +169,7 @@
            LOG_S ("id", ex->request.id),
            LOG_I ("sent", dsp_sent_while_limited (d, ex->id, at->number)));
       break;
-    case LIM_UNREADABLE:
+    case LIM_MALFORMED:
       LOG (limit_unreadable, LOG_C ("server", at->server),
            LOG_S ("id", ex->request.id));
       break;
@@ -183,7 +183,7 @@
   struct srv_exchange *ex = at->ex;
   struct srv *s = ex->s;
 
-  s->ad->parse_response (ex->request.id, status, h, n, &at->response);
+  s->adapter->parse_response (ex->request.id, status, h, n, &at->response);
   copy_head (s, &at->head, status, h, n);
   handle_rate_limit (at);
   if (at->response.not_run || status >= 500)
@@ -320,7 +320,7 @@
       buf_add_char (&path, '?');
       buf_add (&path, v->query);
     }
-  bool ok = ex->s->ad->build_headers (from, n, &f, &headers);
+  bool ok = ex->s->adapter->build_headers (from, n, &f, &headers);
   struct httpc_request r = { .to = a->addr,
                              .method = v->method,
                              .path = buf_str (&path),
@@ -404,7 +404,7 @@
 
   if (retry_ms > 0)
     {
-      s->ad->format_retry_after (retry_ms, &name, &value);
+      s->adapter->format_retry_after (retry_ms, &name, &value);
       h[n++] = (struct http_header){ buf_str (&name), buf_str (&value) };
     }
   buf_addf (&body, "{\"error\":\"%s\"}\n", code);
@@ -428,7 +428,7 @@
        LOG_I ("attempts", ex->attempts_sent),
        LOG_S ("servers", buf_str (&ex->servers)),
        LOG_I ("first_ms", ex->first_ms), LOG_I ("pause_ms", ex->pause_ms),
-       LOG_I ("ms", ms), LOG_I ("config", ex->table->version));
+       LOG_I ("ms", ms), LOG_I ("config", ex->config->version));
 }
 
 /** Log the end of the request, and detach it from the client's connection.
@@ -544,14 +544,14 @@
 }
 
 struct srv_exchange *
-srv_exchange_new (struct srv *s, struct httpd_req *req, struct tbl *table)
+srv_exchange_new (struct srv *s, struct httpd_req *req, struct tbl *config)
 {
   struct srv_exchange *ex = xcalloc (1, sizeof *ex);
 
   ex->s = s;
   ex->id = ++s->next_id;
   ex->req = req;
-  ex->table = tbl_ref (table);
+  ex->config = tbl_ref (config);
   ex->started_at = clk_now ();
   ex->next = s->exchanges;
   ex->prev = &s->exchanges;
@@ -570,7 +570,7 @@
   *ex->prev = ex->next;
   if (ex->next)
     ex->next->prev = ex->prev;
-  tbl_unref (ex->table);
+  tbl_unref (ex->config);
   buf_free (&ex->servers);
   free (ex);
 }
--- a/serve/exchange.h
+++ b/serve/exchange.h
@@ -45,7 +45,7 @@
                               has disconnected */
   struct srv_request request; /**< decoded headers, views into req */
   struct str host;
-  struct tbl *table;
+  struct tbl *config;
   const struct tbl_route *route;
   const struct tbl_account *account; /**< NULL: no account */
   uint64_t digest;                   /**< srv_request_digest() */
@@ -64,7 +64,7 @@
 };
 
 struct srv_exchange *srv_exchange_new (struct srv *s, struct httpd_req *req,
-                                       struct tbl *table);
+                                       struct tbl *config);
 void srv_exchange_run_action (struct srv_exchange *ex,
                               const struct dsp_action *a);
 void srv_exchange_free (struct srv_exchange *ex);
--- a/serve/hubs.c
+++ b/serve/hubs.c
@@ -58,35 +58,35 @@
 }
 
 void
-rly_choose_links (const struct rly_node *self, bool leads,
+rly_choose_links (const struct rly_node *self, bool is_leader,
                   struct rly_peer *list, size_t n)
 {
-  bool all = leads || n + 1 <= RLY_MESH_MAX;
+  bool all = is_leader || n + 1 <= RLY_MESH_MAX;
   struct rly_peer **sorted = sort_peers (list, n);
   unsigned relays = 0;
 
   for (size_t i = 0; i < n; i++)
     {
       struct rly_peer *p = sorted[i];
-      p->wanted = all || relays < RLY_LINKS || p->leads;
+      p->wanted = all || relays < RLY_LINKS_PER_NODE || p->is_leader;
       relays += p->up || !p->connect_failed;
     }
   free (sorted);
 }
 
 const struct rly_peer *
-rly_aggregator (const struct rly_node *self, bool leads,
+rly_aggregator (const struct rly_node *self, bool is_leader,
                 const struct rly_peer *list, size_t n)
 {
   const struct rly_peer *first = NULL;
 
-  if (leads)
+  if (is_leader)
     return NULL;
   for (size_t i = 0; i < n; i++)
     {
       if (!list[i].up)
         continue;
-      if (list[i].leads)
+      if (list[i].is_leader)
         return &list[i];
       if (rly_cmp (&list[i].node, first ? &first->node : self) < 0)
         first = &list[i];
--- a/serve/hubs.h
+++ b/serve/hubs.h
@@ -30,7 +30,7 @@
 #define RLY_MESH_MAX 15
 /** Relays that each node is linked to.  If one is lost, others remain, and
     the next leader is a node that is linked already. */
-#define RLY_LINKS 4
+#define RLY_LINKS_PER_NODE 4
 
 /** A node, as its entry in the store describes it. */
 struct rly_node
@@ -53,7 +53,7 @@
   struct rly_node node;
   bool up;             /**< linked */
   bool connect_failed; /**< the last connection attempt failed */
-  bool leads;          /**< it is the leader, which forms replicas */
+  bool is_leader;      /**< it is the leader, which forms replicas */
   bool wanted;         /**< out: connect to it, or keep the link */
 };
 
@@ -61,11 +61,12 @@
  * Choose the links of a node.
  *
  * A peer whose connection attempts fail is still wanted but does not count
- * towards RLY_LINKS.  A node whose first relays are all lost therefore links
- * to the next nodes in the order, which are the same for all nodes.
- * @param leads  this node is the leader and needs a link to each node
+ * towards RLY_LINKS_PER_NODE.  A node whose first relays are all lost
+ * therefore links to the next nodes in the order, which are the same for all
+ * nodes.
+ * @param is_leader  this node is the leader and needs a link to each node
  */
-void rly_choose_links (const struct rly_node *self, bool leads,
+void rly_choose_links (const struct rly_node *self, bool is_leader,
                        struct rly_peer *list, size_t n);
 
 /**
@@ -73,7 +74,8 @@
  * or, without a leader, the first linked node in relay order.
  * @return  NULL: this node is the aggregator
  */
-const struct rly_peer *rly_aggregator (const struct rly_node *self, bool leads,
+const struct rly_peer *rly_aggregator (const struct rly_node *self,
+                                       bool is_leader,
                                        const struct rly_peer *list, size_t n);
 
 #endif
--- a/serve/ingress.c
+++ b/serve/ingress.c
@@ -81,9 +81,9 @@
 static struct rejection
 check_account (struct srv_exchange *ex)
 {
-  if (!ex->table->has_accounts)
+  if (!ex->config->has_accounts)
     return (struct rejection){ 0 };
-  ex->account = tbl_find_account (ex->table, ex->request.key);
+  ex->account = tbl_find_account (ex->config, ex->request.key);
   if (!ex->account && !ex->route->allows_anonymous)
     return (struct rejection){ 401, "unknown-key", 0 };
   return (struct rejection){ 0 };
@@ -93,9 +93,9 @@
 check_request (struct srv_exchange *ex)
 {
   const struct httpd_view *v = httpd_get (ex->req);
-  const struct tbl_limits *l = &ex->table->limits;
+  const struct tbl_limits *l = &ex->config->limits;
 
-  ex->route = tbl_find_route (ex->table, host_name (ex->host), v->path);
+  ex->route = tbl_find_route (ex->config, host_name (ex->host), v->path);
   if (!ex->route)
     return (struct rejection){ 404, "no-route", 0 };
   if (l->max_body && v->body.len > l->max_body)
@@ -153,7 +153,7 @@
   struct dsp_request q
       = { .id = ex->id,
           .route = ex->route,
-          .config = ex->table,
+          .config = ex->config,
           .service = tbl_pick_service (ex->route, rng_unit (&s->rng)),
           .priority = priority_of (ex),
           .deadline = deadline_of (ex),
@@ -189,7 +189,7 @@
   LOG (request_denied, LOG_S ("id", ex->request.id), LOG_S ("host", ex->host),
        LOG_S ("path", httpd_get (ex->req)->path),
        LOG_I ("status", why->status), LOG_C ("code", why->code),
-       LOG_I ("config", ex->table->version),
+       LOG_I ("config", ex->config->version),
        LOG_I ("known_age_ms", srv_config_age (s, clk_now ())));
   srv_metrics_request (s, "none", why->status, why->code, 0);
 }
@@ -197,13 +197,13 @@
 static void
 admit (struct srv *s, struct httpd_req *req, clk_ms since)
 {
-  struct srv_exchange *ex = srv_exchange_new (s, req, s->table);
+  struct srv_exchange *ex = srv_exchange_new (s, req, s->active_config);
   struct rejection why;
   size_t n;
   const struct http_header *h = httpd_headers (req, &n);
 
   ex->started_at = since;
-  s->ad->parse_request (h, n, &ex->request);
+  s->adapter->parse_request (h, n, &ex->request);
   ex->host = httpd_get (req)->host;
   why = confirm_rejection (s, check_request (ex));
   if (why.status == 0)
@@ -230,12 +230,12 @@
 static bool
 awaits_store (const struct srv *s, clk_ms now)
 {
-  return srv_config_state (s, now) == CUR_RESUMED
+  return srv_config_state (s, now) == CUR_AWAITING_STORE
          || srv_sync_is_resuming (s, now);
 }
 
 static void
-undefer (struct srv_deferred *w)
+remove_deferred (struct srv_deferred *w)
 {
   *w->prev = w->next;
   if (w->next)
@@ -246,7 +246,7 @@
 static void
 on_deferred_gone (void *ctx)
 {
-  undefer (ctx);
+  remove_deferred (ctx);
 }
 
 static void
@@ -271,7 +271,7 @@
     {
       struct httpd_req *req = s->deferred->req;
       clk_ms since = s->deferred->since;
-      undefer (s->deferred);
+      remove_deferred (s->deferred);
       admit (s, req, since);
     }
 }
@@ -285,7 +285,7 @@
   srv_check_pause (s, now);
   /* Without a configuration it is unknown which requests are allowed, and a
      404 or 401 would be final. */
-  if (!s->table)
+  if (!s->active_config)
     srv_send_error (s, req, 503, "starting", START_RETRY_MS);
   else if (awaits_store (s, now))
     defer (s, req);
@@ -296,14 +296,14 @@
 bool
 srv_ingress_start (struct srv *s, struct buf *err)
 {
-  size_t fds = s->set.max_fds;
+  size_t fds = s->settings.max_fds;
   struct httpd_limits limits
       = { .max_body = BODY_MAX,
           .max_connections = fds > 2 * FDS_RESERVED ? (fds - FDS_RESERVED) / 2
                                                     : FDS_RESERVED / 2,
           .request_ms = IDLE_MS };
 
-  s->front
-      = httpd_listen (&s->loop, &s->set.front, &limits, on_request, s, err);
-  return s->front != NULL;
+  s->client_listener = httpd_listen (&s->loop, &s->settings.front, &limits,
+                                     on_request, s, err);
+  return s->client_listener != NULL;
 }
--- a/serve/limit-grant.c
+++ b/serve/limit-grant.c
@@ -41,7 +41,7 @@
 /** Remove the demands that were processed once they are at least half of the
     list. */
 static void
-compact (struct lim_row *r)
+compact (struct lim_server *r)
 {
   if (2 * r->next_index < r->demands->len)
     return;
@@ -50,7 +50,7 @@
 }
 
 static void
-add_demand (struct lim_row *r, const struct lim_demand *demand)
+add_demand (struct lim_server *r, const struct lim_demand *demand)
 {
   if (!r->demands)
     r->demands = g_array_new (false, false, sizeof *demand);
@@ -68,7 +68,7 @@
                                .limited = true,
                                .rate = wanted->rate,
                                .age_ms = wanted->age_ms };
-  const struct lim_row *r = lim_find (l, wanted->server);
+  const struct lim_server *r = lim_find_server (l, wanted->server);
 
   if (r && r->limited && r->rate == wanted->rate)
     return;
@@ -84,7 +84,7 @@
   struct lim_follower *f = find_follower (l, node);
   struct lim_demand demand
       = { .node = node,
-          .until
+          .expires_at
           = now + (periodic ? PERIODIC_DEMAND_TTL_MS : URGENT_DEMAND_TTL_MS) };
 
   if (!f)
@@ -92,9 +92,9 @@
   f->last_seen = now;
   for (size_t i = 0; i < n; i++)
     {
-      struct lim_row *r;
+      struct lim_server *r;
       reconcile (l, now, &wanted[i]);
-      r = lim_find (l, wanted[i].server);
+      r = lim_find_server (l, wanted[i].server);
       demand.n = wanted[i].n;
       if (r && r->limited)
         add_demand (r, &demand);
@@ -127,19 +127,19 @@
 }
 
 void
-lim_set_role (struct lim *l, clk_ms now, bool grants, unsigned nodes)
+lim_set_role (struct lim *l, clk_ms now, bool is_granting, unsigned nodes)
 {
-  struct lim_row *r;
+  struct lim_server *r;
   GHashTableIter at;
 
   l->nodes = nodes;
-  if (grants && !l->grants)
+  if (is_granting && !l->is_granting)
     {
-      g_hash_table_iter_init (&at, l->rows);
+      g_hash_table_iter_init (&at, l->servers);
       while (g_hash_table_iter_next (&at, NULL, (gpointer *)&r))
         r->credit_at = now;
     }
-  l->grants = grants;
+  l->is_granting = is_granting;
 }
 
 /* --- credit ------------------------------------------------------------- */
@@ -156,20 +156,20 @@
 
 /** Maximum credit that accrues while there is no demand. */
 static double
-max_credit (const struct lim_row *r, double share)
+max_credit (const struct lim_server *r, double share)
 {
-  return share * (lim_effective_rate (r) * BURST_S + 1);
+  return share * (lim_permit_rate (r) * BURST_S + 1);
 }
 
 static void
-accrue_credit (struct lim_row *r, clk_ms now, double share)
+accrue_credit (struct lim_server *r, clk_ms now, double share)
 {
-  bool idle = r->last_wanted_at == 0 || now - r->last_wanted_at > IDLE_MS;
+  bool idle = r->last_demand_at == 0 || now - r->last_demand_at > IDLE_MS;
   double most = max_credit (r, share);
 
   if (!idle)
     most = MAX (most, 1);
-  r->credit += share * lim_effective_rate (r) * (double)(now - r->credit_at)
+  r->credit += share * lim_permit_rate (r) * (double)(now - r->credit_at)
                / (double)CLK_SECOND;
   r->credit = MIN (r->credit, most);
   r->credit_at = now;
@@ -184,7 +184,7 @@
  * @return  number of permits
  */
 static unsigned
-spend_credit (struct lim *l, struct lim_row *r, double share, unsigned n)
+spend_credit (struct lim *l, struct lim_server *r, double share, unsigned n)
 {
   if (max_credit (r, share) >= 1)
     n = (double)n < r->credit ? n : (unsigned)MAX (r->credit, 0);
@@ -200,34 +200,34 @@
 
 /** Append the demand of this node, unless an earlier one is still valid. */
 static void
-add_own_demand (struct lim_row *r, clk_ms now)
+add_own_demand (struct lim_server *r, clk_ms now)
 {
   struct lim_demand demand
-      = { .node = LIM_SELF, .until = now + URGENT_DEMAND_TTL_MS };
+      = { .node = LIM_SELF, .expires_at = now + URGENT_DEMAND_TTL_MS };
 
   demand.n = lim_permits_needed (r, now);
-  if (demand.n == 0 || now < r->self_until)
+  if (demand.n == 0 || now < r->own_demand_until)
     return;
-  r->self_until = demand.until;
+  r->own_demand_until = demand.expires_at;
   add_demand (r, &demand);
 }
 
 /** The oldest demand that is neither satisfied nor expired, or NULL. */
 static struct lim_demand *
-next_demand (struct lim_row *r, clk_ms now)
+next_demand (struct lim_server *r, clk_ms now)
 {
   for (; r->demands && r->next_index < r->demands->len; r->next_index++)
     {
       struct lim_demand *w
           = &g_array_index (r->demands, struct lim_demand, r->next_index);
-      if (w->n > 0 && now < w->until)
+      if (w->n > 0 && now < w->expires_at)
         return w;
     }
   return NULL;
 }
 
 static void
-grant_to (struct lim *l, struct lim_row *r, clk_ms now,
+grant_to (struct lim *l, struct lim_server *r, clk_ms now,
           struct lim_demand *demand, unsigned n)
 {
   struct lim_permits p = { .node = demand->node, .server = r->server, .n = n };
@@ -241,7 +241,8 @@
 }
 
 static void
-grant_row (struct lim *l, struct lim_row *r, clk_ms now, double share)
+grant_for_server (struct lim *l, struct lim_server *r, clk_ms now,
+                  double share)
 {
   struct lim_demand *demand;
   unsigned n;
@@ -250,7 +251,7 @@
   add_own_demand (r, now);
   while ((demand = next_demand (r, now)) != NULL)
     {
-      r->last_wanted_at = now;
+      r->last_demand_at = now;
       n = spend_credit (l, r, share, demand->n);
       if (n == 0)
         return;
@@ -262,16 +263,16 @@
 lim_grant (struct lim *l, clk_ms now, bool all, size_t *n)
 {
   double share = rate_share (l, now);
-  struct lim_row *r;
+  struct lim_server *r;
   GHashTableIter at;
 
   g_array_set_size (l->permits, 0);
-  g_hash_table_iter_init (&at, l->rows);
-  while (l->grants && g_hash_table_iter_next (&at, NULL, (gpointer *)&r))
+  g_hash_table_iter_init (&at, l->servers);
+  while (l->is_granting && g_hash_table_iter_next (&at, NULL, (gpointer *)&r))
     if (r->limited && (all || r->has_new_demand))
       {
         r->has_new_demand = false;
-        grant_row (l, r, now, share);
+        grant_for_server (l, r, now, share);
       }
   *n = l->permits->len;
   return (const struct lim_permits *)(void *)l->permits->data;
--- a/serve/limit-int.h
+++ b/serve/limit-int.h
@@ -19,35 +19,35 @@
 /** Demand of one node for permits of a server. */
 struct lim_demand
 {
-  uint64_t node; /**< LIM_SELF: this node */
-  unsigned n;    /**< permits not granted yet */
-  clk_ms until;  /**< the demand expires at this time */
+  uint64_t node;     /**< LIM_SELF: this node */
+  unsigned n;        /**< permits not granted yet */
+  clk_ms expires_at; /**< the demand expires at this time */
 };
 
 /** A server that has set a limit, now or earlier. */
-struct lim_row
+struct lim_server
 {
   uint64_t server;
   bool limited;
-  bool unreadable; /**< a malformed limit of this server was logged */
+  bool malformed_logged; /**< a malformed limit of this server was logged */
   double rate;
   clk_ms reported_at; /**< when the newest response with this limit came */
   uint64_t sent;      /**< by this node since the limit was set */
   unsigned permits;   /**< unused permits of this node */
-  clk_ms permits_until;
-  clk_ms wanted_at;     /**< latest demand of this node; 0: never */
-  clk_ms wanted_since;  /**< start of demand without a grant; 0: no demand */
+  clk_ms permits_expire_at;
+  clk_ms demand_at;     /**< latest demand of this node; 0: never */
+  clk_ms demand_since;  /**< start of demand without a grant; 0: no demand */
   bool repeated_demand; /**< more than one request needed a permit */
   /* The following are used while this node grants permits. */
-  GArray *demands;       /**< struct lim_demand in order of arrival */
-  guint next_index;      /**< first demand in the list not granted in full */
-  clk_ms self_until;     /**< when this node's demand in the list expires */
-  bool has_new_demand;   /**< demand was added since the last grant */
-  double credit;         /**< permits that may be granted */
-  clk_ms credit_at;      /**< when credit was last accrued */
-  double threshold;      /**< credit needed for the next permit, where the
-                              maximum credit is less than one permit */
-  clk_ms last_wanted_at; /**< latest demand of any node; 0: never */
+  GArray *demands;         /**< struct lim_demand in order of arrival */
+  guint next_index;        /**< first demand in the list not granted in full */
+  clk_ms own_demand_until; /**< when this node's demand in the list expires */
+  bool has_new_demand;     /**< demand was added since the last grant */
+  double credit;           /**< permits that may be granted */
+  clk_ms credit_at;        /**< when credit was last accrued */
+  double threshold;        /**< credit needed for the next permit, where the
+                                maximum credit is less than one permit */
+  clk_ms last_demand_at;   /**< latest demand of any node; 0: never */
 };
 
 /** A node that requests its permits from this node. */
@@ -59,10 +59,10 @@
 
 struct lim
 {
-  GHashTable *rows; /**< struct lim_row by server */
-  size_t limited;   /**< rows with a limit now */
+  GHashTable *servers; /**< struct lim_server by server */
+  size_t limited;      /**< rows with a limit now */
   struct rng rng;
-  bool grants; /**< this node grants permits; false: it is a follower */
+  bool is_granting; /**< this node grants permits; false: it is a follower */
   bool has_new_demand;
   unsigned nodes;
   struct lim_follower *followers;
@@ -73,17 +73,17 @@
   uint64_t sent, granted;
 };
 
-struct lim_row *lim_find (const struct lim *l, uint64_t server);
+struct lim_server *lim_find_server (const struct lim *l, uint64_t server);
 
 /** Requests per second at which permits are granted. */
-double lim_effective_rate (const struct lim_row *r);
+double lim_permit_rate (const struct lim_server *r);
 
 /** Maximum number of permits that a node requests at once. */
-unsigned lim_batch_size (const struct lim_row *r);
+unsigned lim_batch_size (const struct lim_server *r);
 
 /** Number of permits for the server that this node needs in addition to those
     that it holds. */
-unsigned lim_permits_needed (const struct lim_row *r, clk_ms now);
+unsigned lim_permits_needed (const struct lim_server *r, clk_ms now);
 
 /** Number of nodes that request their permits from this node. */
 size_t lim_count_followers (const struct lim *l, clk_ms now);
--- a/serve/limit.c
+++ b/serve/limit.c
@@ -18,9 +18,9 @@
 /* --- creation and release ----------------------------------------------- */
 
 static void
-row_free (void *row)
+free_server (void *row)
 {
-  struct lim_row *r = row;
+  struct lim_server *r = row;
 
   if (r->demands)
     g_array_free (r->demands, true);
@@ -32,12 +32,12 @@
 {
   struct lim *l = xcalloc (1, sizeof *l);
 
-  l->rows
-      = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, row_free);
+  l->servers
+      = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, free_server);
   l->changed = g_array_new (false, false, sizeof (uint64_t));
   l->update_list = g_array_new (false, false, sizeof (struct lim_update));
   l->permits = g_array_new (false, false, sizeof (struct lim_permits));
-  l->grants = true;
+  l->is_granting = true;
   l->nodes = 1;
   rng_seed (&l->rng, seed);
   return l;
@@ -52,55 +52,55 @@
   g_array_free (l->changed, true);
   g_array_free (l->update_list, true);
   g_array_free (l->permits, true);
-  g_hash_table_destroy (l->rows);
+  g_hash_table_destroy (l->servers);
   free (l);
 }
 
 /* --- table of servers --------------------------------------------------- */
 
-struct lim_row *
-lim_find (const struct lim *l, uint64_t server)
+struct lim_server *
+lim_find_server (const struct lim *l, uint64_t server)
 {
-  return g_hash_table_lookup (l->rows, &server);
+  return g_hash_table_lookup (l->servers, &server);
 }
 
 /** Remove the server with the oldest report, to make room in the table. */
 static void
 evict_oldest (struct lim *l)
 {
-  struct lim_row *r, *oldest = NULL;
+  struct lim_server *r, *oldest = NULL;
   GHashTableIter at;
 
-  g_hash_table_iter_init (&at, l->rows);
+  g_hash_table_iter_init (&at, l->servers);
   while (g_hash_table_iter_next (&at, NULL, (gpointer *)&r))
     if (!oldest || r->reported_at < oldest->reported_at)
       oldest = r;
   if (!oldest)
     return;
   l->limited -= oldest->limited;
-  g_hash_table_remove (l->rows, &oldest->server);
+  g_hash_table_remove (l->servers, &oldest->server);
 }
 
-static struct lim_row *
-add_row (struct lim *l, uint64_t server)
+static struct lim_server *
+add_server (struct lim *l, uint64_t server)
 {
-  struct lim_row *r = xcalloc (1, sizeof *r);
+  struct lim_server *r = xcalloc (1, sizeof *r);
 
-  if (g_hash_table_size (l->rows) >= LIM_MAX_SERVERS)
+  if (g_hash_table_size (l->servers) >= LIM_MAX_SERVERS)
     evict_oldest (l);
   r->server = server;
-  g_hash_table_insert (l->rows, &r->server, r);
+  g_hash_table_insert (l->servers, &r->server, r);
   return r;
 }
 
 double
-lim_effective_rate (const struct lim_row *r)
+lim_permit_rate (const struct lim_server *r)
 {
   return MAX (r->rate, LIM_MIN_RATE);
 }
 
 unsigned
-lim_batch_size (const struct lim_row *r)
+lim_batch_size (const struct lim_server *r)
 {
   double n = r->rate * REQUEST_INTERVAL_S;
 
@@ -112,7 +112,7 @@
 /* --- limits of servers -------------------------------------------------- */
 
 static enum lim_change
-set_limit (struct lim *l, struct lim_row *r, clk_ms at, bool limited,
+set_limit (struct lim *l, struct lim_server *r, clk_ms at, bool limited,
            double rate)
 {
   if (!r->limited)
@@ -134,17 +134,17 @@
 
 /** Find the row of the server.  Adds one only if the response has a limit,
     which may be malformed. @return  NULL if there is no row */
-static struct lim_row *
-find_or_add_row (struct lim *l, const struct lim_report *report)
+static struct lim_server *
+find_or_add_server (struct lim *l, const struct lim_report *report)
 {
-  struct lim_row *r = lim_find (l, report->server);
+  struct lim_server *r = lim_find_server (l, report->server);
 
   return r || report->kind == LIM_REPORT_NONE ? r
-                                              : add_row (l, report->server);
+                                              : add_server (l, report->server);
 }
 
 static bool
-is_same (const struct lim_row *r, bool limited, double rate)
+is_same (const struct lim_server *r, bool limited, double rate)
 {
   return limited == r->limited && (!limited || rate == r->rate);
 }
@@ -152,7 +152,7 @@
 /** Whether the response replaces the recorded limit: it is either stricter or
     known to be newer. */
 static bool
-supersedes (const struct lim_report *report, const struct lim_row *r)
+supersedes (const struct lim_report *report, const struct lim_server *r)
 {
   bool stricter = report->kind == LIM_REPORT_RATE
                   && (!r->limited || report->rate < r->rate);
@@ -163,7 +163,7 @@
 enum lim_change
 lim_on_report (struct lim *l, clk_ms now, const struct lim_report *report)
 {
-  struct lim_row *r = find_or_add_row (l, report);
+  struct lim_server *r = find_or_add_server (l, report);
   bool limited = report->kind == LIM_REPORT_RATE;
   bool reported;
 
@@ -171,9 +171,9 @@
     return LIM_UNCHANGED;
   if (report->kind == LIM_REPORT_UNREADABLE)
     {
-      reported = r->unreadable;
-      r->unreadable = true;
-      return reported ? LIM_UNCHANGED : LIM_UNREADABLE;
+      reported = r->malformed_logged;
+      r->malformed_logged = true;
+      return reported ? LIM_UNCHANGED : LIM_MALFORMED;
     }
   if (is_same (r, limited, report->rate))
     {
@@ -186,7 +186,7 @@
 }
 
 static bool
-is_stricter (const struct lim_update *update, const struct lim_row *r)
+is_stricter (const struct lim_update *update, const struct lim_server *r)
 {
   return update->limited && (!r->limited || update->rate < r->rate);
 }
@@ -194,13 +194,13 @@
 bool
 lim_apply (struct lim *l, clk_ms now, const struct lim_update *update)
 {
-  struct lim_row *r = lim_find (l, update->server);
+  struct lim_server *r = lim_find_server (l, update->server);
   clk_ms at = now - update->age_ms;
 
   if (!r && !update->limited)
     return false;
   if (!r)
-    r = add_row (l, update->server);
+    r = add_server (l, update->server);
   if (is_same (r, update->limited, update->rate))
     return false;
   /* Of two updates with the same timestamp the stricter one applies, so that
@@ -213,7 +213,7 @@
 }
 
 static struct lim_update
-make_update (const struct lim_row *r, clk_ms now)
+make_update (const struct lim_server *r, clk_ms now)
 {
   return (struct lim_update){ .server = r->server,
                               .limited = r->limited,
@@ -229,8 +229,8 @@
   g_array_set_size (l->update_list, 0);
   for (guint i = 0; i < l->changed->len; i++)
     {
-      const struct lim_row *r
-          = lim_find (l, g_array_index (l->changed, uint64_t, i));
+      const struct lim_server *r
+          = lim_find_server (l, g_array_index (l->changed, uint64_t, i));
       struct lim_update update;
       if (!r)
         continue;
@@ -245,11 +245,11 @@
 const struct lim_update *
 lim_snapshot (struct lim *l, clk_ms now, size_t *n)
 {
-  struct lim_row *r;
+  struct lim_server *r;
   GHashTableIter at;
 
   g_array_set_size (l->update_list, 0);
-  g_hash_table_iter_init (&at, l->rows);
+  g_hash_table_iter_init (&at, l->servers);
   while (g_hash_table_iter_next (&at, NULL, (gpointer *)&r))
     if (r->limited)
       {
@@ -269,7 +269,7 @@
 bool
 lim_get_rate (const struct lim *l, uint64_t server, double *rate)
 {
-  const struct lim_row *r = lim_find (l, server);
+  const struct lim_server *r = lim_find_server (l, server);
 
   if (!r || !r->limited)
     return false;
@@ -280,40 +280,40 @@
 /* --- requests of this node ---------------------------------------------- */
 
 static void
-expire_permits (struct lim_row *r, clk_ms now)
+expire_permits (struct lim_server *r, clk_ms now)
 {
-  if (now >= r->permits_until)
+  if (now >= r->permits_expire_at)
     r->permits = 0;
 }
 
 static bool
-is_wanted (const struct lim_row *r, clk_ms now)
+has_demand (const struct lim_server *r, clk_ms now)
 {
-  return r->wanted_since != 0 && now - r->wanted_at < DEMAND_TTL_MS;
+  return r->demand_since != 0 && now - r->demand_at < DEMAND_TTL_MS;
 }
 
 bool
 lim_allows (const struct lim *l, clk_ms now, uint64_t server)
 {
-  const struct lim_row *r = lim_find (l, server);
+  const struct lim_server *r = lim_find_server (l, server);
 
-  return !r || !r->limited || (r->permits > 0 && now < r->permits_until);
+  return !r || !r->limited || (r->permits > 0 && now < r->permits_expire_at);
 }
 
 void
 lim_request_permit (struct lim *l, clk_ms now, uint64_t server)
 {
-  struct lim_row *r = lim_find (l, server);
+  struct lim_server *r = lim_find_server (l, server);
 
   if (!r || !r->limited)
     return;
-  r->repeated_demand = is_wanted (r, now);
+  r->repeated_demand = has_demand (r, now);
   if (!r->repeated_demand)
     {
-      r->wanted_since = now;
+      r->demand_since = now;
       r->has_new_demand = l->has_new_demand = true;
     }
-  r->wanted_at = now;
+  r->demand_at = now;
 }
 
 bool
@@ -328,16 +328,16 @@
 bool
 lim_is_exhausted (const struct lim *l, clk_ms now, uint64_t server)
 {
-  const struct lim_row *r = lim_find (l, server);
+  const struct lim_server *r = lim_find_server (l, server);
 
-  return r && r->limited && is_wanted (r, now)
-         && now - r->wanted_since >= GRANT_TIMEOUT_MS;
+  return r && r->limited && has_demand (r, now)
+         && now - r->demand_since >= GRANT_TIMEOUT_MS;
 }
 
 void
 lim_use_permit (struct lim *l, clk_ms now, uint64_t server)
 {
-  struct lim_row *r = lim_find (l, server);
+  struct lim_server *r = lim_find_server (l, server);
 
   if (!r || !r->limited)
     return;
@@ -350,28 +350,28 @@
 uint64_t
 lim_count_sent (const struct lim *l, uint64_t server)
 {
-  const struct lim_row *r = lim_find (l, server);
+  const struct lim_server *r = lim_find_server (l, server);
 
   return r ? r->sent : 0;
 }
 
 unsigned
-lim_permits_needed (const struct lim_row *r, clk_ms now)
+lim_permits_needed (const struct lim_server *r, clk_ms now)
 {
-  unsigned has = now < r->permits_until ? r->permits : 0;
+  unsigned has = now < r->permits_expire_at ? r->permits : 0;
   unsigned batch = lim_batch_size (r);
 
-  return r->limited && is_wanted (r, now) && has < batch ? batch - has : 0;
+  return r->limited && has_demand (r, now) && has < batch ? batch - has : 0;
 }
 
 const struct lim_permits *
 lim_get_demand (struct lim *l, clk_ms now, bool periodic, size_t *n)
 {
-  struct lim_row *r;
+  struct lim_server *r;
   GHashTableIter at;
 
   g_array_set_size (l->permits, 0);
-  g_hash_table_iter_init (&at, l->rows);
+  g_hash_table_iter_init (&at, l->servers);
   while (g_hash_table_iter_next (&at, NULL, (gpointer *)&r))
     {
       struct lim_permits p = { .server = r->server,
@@ -390,14 +390,14 @@
 void
 lim_add_permits (struct lim *l, clk_ms now, uint64_t server, unsigned n)
 {
-  struct lim_row *r = lim_find (l, server);
+  struct lim_server *r = lim_find_server (l, server);
 
   if (!r || !r->limited)
     return;
   expire_permits (r, now);
   r->permits = MIN (r->permits + n, lim_batch_size (r));
-  r->permits_until = now + PERMIT_TTL_MS;
-  r->wanted_since = 0;
+  r->permits_expire_at = now + PERMIT_TTL_MS;
+  r->demand_since = 0;
 }
 
 struct lim_stats
--- a/serve/limit.h
+++ b/serve/limit.h
@@ -57,7 +57,7 @@
   LIM_UNCHANGED,
   LIM_SET, /**< the limit is new or has another rate */
   LIM_ENDED,
-  LIM_UNREADABLE /**< limit unchanged; first malformed limit of this server */
+  LIM_MALFORMED /**< limit unchanged; first malformed limit of this server */
 };
 
 /** Limit reported by a response. */
@@ -157,7 +157,8 @@
 
 /** Set whether this node grants permits or follows another node.
     @param nodes  number of nodes that this node has recorded */
-void lim_set_role (struct lim *l, clk_ms now, bool grants, unsigned nodes);
+void lim_set_role (struct lim *l, clk_ms now, bool is_granting,
+                   unsigned nodes);
 
 /**
  * Process the demand of a follower, and record the node as a follower.  If the
--- a/serve/metrics.c
+++ b/serve/metrics.c
@@ -7,7 +7,7 @@
 void
 srv_metrics_start (struct srv *s)
 {
-  s->met = met_new ();
+  s->metrics = met_new ();
 }
 
 void
@@ -18,13 +18,13 @@
 
   snprintf (labels, sizeof labels, "kind=\"%s\",status=\"%d\",code=\"%s\"",
             kind, status, code);
-  met_add (met_counter (s->met, PREFIX "requests_total",
+  met_add (met_counter (s->metrics, PREFIX "requests_total",
                         "Answers by kind of request, status and code; status "
                         "0: the caller left.",
                         labels),
            1);
   snprintf (labels, sizeof labels, "kind=\"%s\"", kind);
-  met_observe (met_histogram (s->met, PREFIX "request_ms",
+  met_observe (met_histogram (s->metrics, PREFIX "request_ms",
                               "Time from the whole request to the end of its "
                               "answer.",
                               labels),
@@ -34,7 +34,7 @@
 void
 srv_metrics_first_event (struct srv *s, clk_ms ms)
 {
-  met_observe (met_histogram (s->met, PREFIX "first_event_ms",
+  met_observe (met_histogram (s->metrics, PREFIX "first_event_ms",
                               "Time from the whole request to the first event "
                               "of its answer.",
                               NULL),
@@ -46,7 +46,7 @@
 gauge (struct srv *s, const char *name, const char *help, const char *labels,
        double value)
 {
-  met_set (met_gauge (s->met, name, help, labels), value);
+  met_set (met_gauge (s->metrics, name, help, labels), value);
 }
 
 static void
@@ -115,12 +115,12 @@
 static void
 set_state (struct srv *s)
 {
-  const struct frm_stats *f = srv_leader_figures (s);
+  const struct frm_stats *f = srv_leader_stats (s);
   size_t n;
 
   bks_list (s->backends, &n);
   gauge (s, PREFIX "config_version", "Version in force; 0: none.", NULL,
-         s->table ? (double)s->table->version : 0);
+         s->active_config ? (double)s->active_config->version : 0);
   gauge (s, PREFIX "config_age_ms",
          "Time since it was last known to be the newest; -1: never.", NULL,
          (double)srv_config_age (s, clk_now ()));
@@ -129,7 +129,7 @@
       s, PREFIX "store_era",
       "How often the store has come back from an older copy of its data, as "
       "it counts; 0: not known.",
-      NULL, (double)srv_sync_era (s));
+      NULL, (double)srv_sync_store_era (s));
   gauge (
       s, PREFIX "entries_not_taken",
       "Entries of the list that can't be read, at this node's last reading.",
@@ -137,7 +137,7 @@
   gauge (s, PREFIX "servers_age_ms", "Age of that list; -1: none.", NULL,
          (double)srv_sync_list_age (s, clk_now ()));
   gauge (s, PREFIX "nodes", "Nodes that are linked, this one included.", NULL,
-         srv_peers_count_sharing (s));
+         srv_peers_count_nodes (s));
   gauge (s, PREFIX "ready", "Whether callers are sent here.", NULL,
          srv_is_ready (s));
   gauge (s, PREFIX "duty", "Whether this node forms replicas.", NULL,
@@ -193,5 +193,5 @@
   set_store (s);
   set_state (s);
   set_models (s);
-  met_expose (s->met, out);
+  met_expose (s->metrics, out);
 }
--- a/serve/node-int.h
+++ b/serve/node-int.h
@@ -32,19 +32,19 @@
   uv_loop_t loop;
   uv_timer_t tick;
   uv_signal_t term, interrupt, hangup;
-  const struct srv_adapter *ad;
+  const struct srv_adapter *adapter;
   const char *settings_path;
-  struct srv_settings set;
+  struct srv_settings settings;
   struct rng rng;
   uint64_t boot;
   struct httpc *http;
   struct store *store;
   struct pau store_backoff; /**< backoff of all store reads and of the calls
                                for this node's entry */
-  struct httpd *front, *ready, *address;
-  struct met_reg *met;
-  struct tbl *table; /**< routing table in force; NULL: no configuration was
-                          read yet */
+  struct httpd *client_listener, *ready_listener, *address_listener;
+  struct met_reg *metrics;
+  struct tbl *active_config; /**< routing table in force; NULL: no
+                          configuration was read yet */
   struct bks *backends;
   struct dsp *dispatch;
   struct psn *poison;
@@ -52,7 +52,7 @@
   struct srv_poison *poison_keys;
   struct srv_config *config;
   struct srv_sync *sync;
-  struct srv_register *reg;
+  struct srv_register *registration;
   struct srv_leader *leader;
   struct srv_plan *plan;
   struct srv_peers *peers;
@@ -61,10 +61,10 @@
                                       answers after a pause */
   struct buf logged_endpoints;   /**< endpoints as last logged */
   uint64_t next_id;
-  bool running_actions; /**< dispatch actions are being run */
-  bool had_traffic;     /**< at least one request was received */
-  bool first_start; /**< first start of the system: no entry can have expired
-                         before */
+  bool running_actions;  /**< dispatch actions are being run */
+  bool had_traffic;      /**< at least one request was received */
+  bool store_was_empty;  /**< first start of the system: no entry can have
+                          expired  before */
   clk_ms last_tick_at;   /**< time of the last tick; 0: none */
   clk_ms stopping_since; /**< start of the shutdown; 0: not shutting down */
 };
@@ -121,7 +121,7 @@
     process and the wait for a new one has not timed out. */
 bool srv_sync_is_resuming (const struct srv *s, clk_ms now);
 /** Restore counter of the store at the last read; see struct store_result. */
-int64_t srv_sync_era (const struct srv *s);
+int64_t srv_sync_store_era (const struct srv *s);
 /** Time since this node's last successful read. */
 clk_ms srv_sync_read_age (const struct srv *s, clk_ms now);
 /** Number of entries that could not be parsed in the last read. */
@@ -161,7 +161,7 @@
 /** A node observes no progress at the endpoint with this hash. */
 void srv_leader_endpoint_stalled (struct srv *s, uint64_t endpoint);
 bool srv_is_leader (const struct srv *s);
-const struct frm_stats *srv_leader_figures (const struct srv *s);
+const struct frm_stats *srv_leader_stats (const struct srv *s);
 /** As frm_models(); returns 0 unless this node is leader. */
 size_t srv_leader_models (const struct srv *s, struct frm_model *out);
 /** Whether this node is leader and is forming a replica. */
@@ -195,7 +195,7 @@
 bool srv_peers_has_leader (const struct srv *s, clk_ms now);
 /** Number of nodes that share the load, including this one: the linked ones,
     or the number that a relay reports. */
-unsigned srv_peers_count_sharing (const struct srv *s);
+unsigned srv_peers_count_nodes (const struct srv *s);
 /** List the front addresses of the nodes to which callers may be sent.
     @return how many */
 size_t srv_peers_list_ready (struct srv *s, struct net_addr *out, size_t most);
--- a/serve/node.c
+++ b/serve/node.c
@@ -27,7 +27,7 @@
 bool
 srv_is_ready (const struct srv *s)
 {
-  return s->table && bks_has_list (s->backends) && !s->stopping_since;
+  return s->active_config && bks_has_list (s->backends) && !s->stopping_since;
 }
 
 /** Log the number of accepting endpoints of each model or service if it has
@@ -68,9 +68,10 @@
 {
   size_t n;
 
-  if (!s->table || !bks_has_list (s->backends))
+  if (!s->active_config || !bks_has_list (s->backends))
     return;
-  const struct dsp_endpoint *list = bks_endpoints (s->backends, s->table, &n);
+  const struct dsp_endpoint *list
+      = bks_endpoints (s->backends, s->active_config, &n);
   log_endpoints (s, list, n);
   dsp_set_endpoints (s->dispatch, clk_now (), list, n);
   srv_run_actions (s);
@@ -98,7 +99,7 @@
   if (elapsed < SHUTDOWN_ACCEPT_MS)
     return;
   dsp_stop_accepting (s->dispatch);
-  if (elapsed > s->set.grace_ms - SHUTDOWN_MARGIN_MS)
+  if (elapsed > s->settings.grace_ms - SHUTDOWN_MARGIN_MS)
     uv_stop (&s->loop);
 }
 
@@ -118,7 +119,7 @@
   struct buf text = BUF_INIT;
 
   (void)signum;
-  if (s->ad->read_settings (s->settings_path, &settings_read, &findings))
+  if (s->adapter->read_settings (s->settings_path, &settings_read, &findings))
     LOG (serve_reloaded, LOG_S ("settings", str_from (s->settings_path)));
   else
     {
@@ -183,14 +184,14 @@
 static void
 start_cores (struct srv *s)
 {
-  struct dsp_options opt = { .zone = s->set.zone,
-                             .retry_ratio = s->set.retry_ratio,
-                             .retry_slack = s->set.retry_slack,
-                             .retry_window_ms = s->set.retry_window_ms,
-                             .stall_ms = s->set.stall_ms };
+  struct dsp_options opt = { .zone = s->settings.zone,
+                             .retry_ratio = s->settings.retry_ratio,
+                             .retry_slack = s->settings.retry_slack,
+                             .retry_window_ms = s->settings.retry_window_ms,
+                             .stall_ms = s->settings.stall_ms };
 
   s->poison = opt.poison = psn_new ();
-  s->limits = opt.limits = lim_new (str_hash (s->set.node, s->boot));
+  s->limits = opt.limits = lim_new (str_hash (s->settings.node, s->boot));
   srv_metrics_start (s);
   s->backends = bks_new ();
   s->dispatch = dsp_new (&opt, rng_next (&s->rng));
@@ -214,7 +215,7 @@
   if (!srv_ingress_start (s, err) || !srv_address_start (s, err))
     return false;
   s->http = httpc_new (&s->loop);
-  s->store = s->ad->open_store (&s->loop, s->http, &s->set);
+  s->store = s->adapter->open_store (&s->loop, s->http, &s->settings);
   srv_leader_start (s);
   srv_config_start (s);
   srv_sync_start (s);
@@ -231,7 +232,8 @@
 {
   struct fnd_list findings = { 0 };
   struct buf text = BUF_INIT;
-  bool ok = s->ad->read_settings (s->settings_path, &s->set, &findings);
+  bool ok
+      = s->adapter->read_settings (s->settings_path, &s->settings, &findings);
 
   fnd_print (&findings, &text);
   fputs (buf_c (&text), stderr);
@@ -249,13 +251,13 @@
 
   signal (SIGHUP, SIG_IGN); /* the default action would terminate the process
                                until a handler is installed */
-  s->ad = opt->adapter;
+  s->adapter = opt->adapter;
   s->settings_path = opt->settings;
   rng_seed (&s->rng, rng_entropy ());
   s->boot = (uint64_t)clk_wall ();
   if (!read_settings (s))
     goto done;
-  log_setup (opt->log_format, opt->log_level, s->set.node);
+  log_setup (opt->log_format, opt->log_level, s->settings.node);
   log_output (STDOUT_FILENO, LOG_LINES_PER_S);
   uv_loop_init (&s->loop);
   code = EXIT_FAILED;
@@ -264,7 +266,8 @@
       fprintf (stderr, "lapisline serve: %s\n", buf_c (&err));
       goto done;
     }
-  LOG (serve_started, LOG_S ("zone", s->set.zone), LOG_I ("boot", s->boot));
+  LOG (serve_started, LOG_S ("zone", s->settings.zone),
+       LOG_I ("boot", s->boot));
   uv_run (&s->loop, UV_RUN_DEFAULT);
   LOG (serve_stopped, LOG_I ("open", dsp_count_open (s->dispatch)));
   code = EXIT_DONE;
@@ -273,7 +276,7 @@
   buf_free (&err);
   if (code == EXIT_INPUT)
     {
-      arena_free (&s->set.text);
+      arena_free (&s->settings.text);
       free (s);
     }
   return code;
--- a/serve/peers-config.c
+++ b/serve/peers-config.c
@@ -90,7 +90,7 @@
 {
   size_t n = 0;
 
-  for (struct peer *x = p->list; x; x = x->next)
+  for (struct peer *x = p->peers; x; x = x->next)
     n += is_push_due (x, version, now);
   return n;
 }
@@ -116,7 +116,7 @@
   config.text.len = text.len;
   f.body_case = LAPIS__FRAME__BODY_CONFIG_TEXT;
   f.config_text = &config;
-  for (struct peer *x = p->list; x; x = x->next)
+  for (struct peer *x = p->peers; x; x = x->next)
     if (is_push_due (x, version, now) && link_send (x->link, &f))
       x->config_version_sent = version;
 }
--- a/serve/peers-int.h
+++ b/serve/peers-int.h
@@ -40,18 +40,18 @@
                   up */
   bool in_entries;
   bool ready;
-  bool leads; /* it is the leader node, which forms replicas */
-  struct dsp_endpoint_load *counts; /* its load as last received */
-  size_t ncounts;
+  bool is_leader; /* it is the leader node, which forms replicas */
+  struct dsp_endpoint_load *loads; /* its load as last received */
+  size_t nloads;
   clk_ms load_sent_at; /* when this node last sent its load to it */
   struct link *link;   /* NULL: no link */
   bool up;
-  bool list_received;    /* a ServerList frame has arrived on this link */
-  uint64_t list_version; /* version of the server list that this node last
-                            sent to it; 0: none */
-  clk_ms list_sent_at;
-  clk_ms list_current_at; /* read time of the last list of which it received
-                             all changes */
+  bool server_list_received; /* a ServerList frame has arrived on this link */
+  uint64_t server_list_version; /* version of the server list that this node
+                            last sent to it; 0: none */
+  clk_ms server_list_sent_at;
+  clk_ms server_list_current_at; /* read time of the last list of which it
+                             received all changes */
   clk_ms received_at;
   clk_ms next_connect;
   bool initiated;           /**< this node opened the link */
@@ -79,12 +79,12 @@
 {
   struct srv *s;
   struct rly_node spec;    /* link and processor limits of this node */
-  size_t nlisted;          /* listed peers */
+  size_t nlisted_peers;    /* listed peers */
   struct peer *aggregator; /* node that adds up the loads of all nodes;
                               NULL: this node */
   struct link_secret secret;
   struct link_server *server;
-  struct peer *list;
+  struct peer *peers;
   clk_ms next_send;
   struct dsp_endpoint_load *own_load; /* this node's load as last sent */
   size_t nown_load;
--- a/serve/peers-limit.c
+++ b/serve/peers-limit.c
@@ -63,7 +63,7 @@
   size_t n;
   const struct lim_update *list = lim_updates (s->limits, clk_now (), &n);
 
-  for (struct peer *x = s->peers ? s->peers->list : NULL; x; x = x->next)
+  for (struct peer *x = s->peers ? s->peers->peers : NULL; x; x = x->next)
     if (x->up)
       send_all_limits (x, list, n);
 }
@@ -222,7 +222,7 @@
 static struct peer *
 find_peer_by_hash (const struct srv_peers *p, uint64_t hash)
 {
-  struct peer *x = p->list;
+  struct peer *x = p->peers;
 
   while (x && x->hash != hash)
     x = x->next;
@@ -256,8 +256,8 @@
 prs_grant_permits (struct srv_peers *p, clk_ms now, bool all)
 {
   struct srv *s = p->s;
-  unsigned listed = (unsigned)p->nlisted + 1,
-           announced = srv_peers_count_sharing (s);
+  unsigned listed = (unsigned)p->nlisted_peers + 1,
+           announced = srv_peers_count_nodes (s);
   const struct lim_permits *list;
   size_t n;
 
--- a/serve/peers-load.c
+++ b/serve/peers-load.c
@@ -34,14 +34,14 @@
 {
   bool direct = x->up && !prs_is_sum_fresh (x->p, now);
 
-  dsp_set_peer_load (x->p->s->dispatch, now, x->hash, x->counts,
-                     direct ? x->ncounts : 0);
+  dsp_set_peer_load (x->p->s->dispatch, now, x->hash, x->loads,
+                     direct ? x->nloads : 0);
 }
 
 static void
 update_dispatch_all (struct srv_peers *p, clk_ms now)
 {
-  for (struct peer *x = p->list; x; x = x->next)
+  for (struct peer *x = p->peers; x; x = x->next)
     prs_update_dispatch (x, now);
 }
 
@@ -89,10 +89,10 @@
   x->received_at = clk_now ();
   prs_on_load_timestamp (x, x->received_at, load);
   prs_on_config_state (x, x->received_at, load->config);
-  x->ncounts = read_loads (s, load->places, load->n_places, &x->counts);
+  x->nloads = read_loads (s, load->places, load->n_places, &x->loads);
   x->ready = load->ready;
-  x->leads = load->leads;
-  if (load->leads && x->list_received)
+  x->is_leader = load->leads;
+  if (load->leads && x->server_list_received)
     srv_sync_list_reported (s, prs_sent_at (x, x->received_at)
                                    - load->list_age_ms);
   s->had_traffic = s->had_traffic || load->traffic;
@@ -135,8 +135,8 @@
 
   x->received_at = now;
   prs_on_config_state (x, now, load->config);
-  x->leads = load->leads;
-  if (load->leads && x->list_received)
+  x->is_leader = load->leads;
+  if (load->leads && x->server_list_received)
     srv_sync_list_reported (p->s, prs_sent_at (x, now) - load->list_age_ms);
   p->sum_received_at = now;
   if (first)
@@ -162,16 +162,16 @@
 
 /* --- load of this node ------------------------------------------------- */
 
-/** Rows of a frame, made from counts. */
-struct rows
+/** Rows of a frame, made from loads. */
+struct load_rows
 {
   Lapis__PlaceLoad *loads;
   Lapis__PlaceLoad **list;
 };
 
 static void
-make_rows (struct rows *r, const struct dsp_endpoint_load *counts, size_t n,
-           clk_ms now)
+make_rows (struct load_rows *r, const struct dsp_endpoint_load *loads,
+           size_t n, clk_ms now)
 {
   r->loads = xcalloc (n + 1, sizeof *r->loads);
   r->list = xcalloc (n + 1, sizeof (*r->list));
@@ -179,21 +179,21 @@
     {
       Lapis__PlaceLoad *pl = &r->loads[i];
       lapis__place_load__init (pl);
-      pl->place = counts[i].endpoint;
-      pl->in_flight = counts[i].in_flight;
-      pl->begun = counts[i].streaming;
-      pl->unread_tokens = counts[i].pending_prefill;
-      pl->heard_age_ms = (uint32_t)(now > counts[i].last_event_at
-                                        ? now - counts[i].last_event_at
+      pl->place = loads[i].endpoint;
+      pl->in_flight = loads[i].in_flight;
+      pl->begun = loads[i].streaming;
+      pl->unread_tokens = loads[i].pending_prefill;
+      pl->heard_age_ms = (uint32_t)(now > loads[i].last_event_at
+                                        ? now - loads[i].last_event_at
                                         : 0);
-      pl->stalled = counts[i].stalled;
-      pl->ended = counts[i].process_ended;
+      pl->stalled = loads[i].stalled;
+      pl->ended = loads[i].process_ended;
       r->list[i] = pl;
     }
 }
 
 static void
-free_rows (struct rows *r)
+free_rows (struct load_rows *r)
 {
   free (r->loads);
   free (r->list);
@@ -204,16 +204,16 @@
 {
   size_t up = prs_count_up (p);
 
-  return (p->nlisted > up ? p->nlisted : up) + 1 > RLY_MESH_MAX;
+  return (p->nlisted_peers > up ? p->nlisted_peers : up) + 1 > RLY_MESH_MAX;
 }
 
 /** Whether this node's load is due to be sent to the peer. */
 static bool
-is_load_due (const struct peer *x, bool every_round, clk_ms now)
+is_load_due (const struct peer *x, bool fast, clk_ms now)
 {
   return x->up
-         && now - x->load_sent_at >= (every_round ? PRS_SEND_INTERVAL_MS
-                                                  : SLOW_SEND_INTERVAL_MS);
+         && now - x->load_sent_at
+                >= (fast ? PRS_SEND_INTERVAL_MS : SLOW_SEND_INTERVAL_MS);
 }
 
 /** Age of the peer's copy of the server list; 0 if this node is not the
@@ -225,7 +225,7 @@
 
   if (!srv_is_leader (s))
     return 0;
-  return svl_list_age (&x->list_current_at, x->list_version,
+  return svl_list_age (&x->server_list_current_at, x->server_list_version,
                        bks_version (s->backends),
                        now - srv_sync_read_age (s, now), now);
 }
@@ -241,7 +241,7 @@
   Lapis__ConfigState config = LAPIS__CONFIG_STATE__INIT;
   Lapis__Frame f = LAPIS__FRAME__INIT;
   struct prs_permit_rows wanted = { 0 };
-  struct rows rows;
+  struct load_rows rows;
 
   p->own_load
       = xrealloc (p->own_load, (p->nown_load + 1) * sizeof *p->own_load);
@@ -256,7 +256,7 @@
   load.config = &config;
   f.body_case = LAPIS__FRAME__BODY_NODE_LOAD;
   f.node_load = &load;
-  for (struct peer *x = p->list; x; x = x->next)
+  for (struct peer *x = p->peers; x; x = x->next)
     {
       if (!is_load_due (x, full_mesh || x == p->aggregator, now))
         continue;
@@ -296,7 +296,7 @@
     }
   f.body_case = LAPIS__FRAME__BODY_PROMPT_NOTICE;
   f.prompt_notice = &notice;
-  for (struct peer *x = s->peers->list; x; x = x->next)
+  for (struct peer *x = s->peers->peers; x; x = x->next)
     if (x->up)
       link_send (x->link, &f);
   free (notice.prompts);
@@ -312,27 +312,27 @@
 };
 
 static void
-add_counts (struct sum *sum, const struct dsp_endpoint_load *counts, size_t n)
+add_loads (struct sum *sum, const struct dsp_endpoint_load *loads, size_t n)
 {
   sum->list = xrealloc (sum->list, (sum->n + n + 1) * sizeof *sum->list);
   for (size_t i = 0; i < n; i++)
     {
       size_t k = 0;
-      while (k < sum->n && sum->list[k].endpoint != counts[i].endpoint)
+      while (k < sum->n && sum->list[k].endpoint != loads[i].endpoint)
         k++;
       if (k == sum->n)
         {
-          sum->list[sum->n++] = counts[i];
+          sum->list[sum->n++] = loads[i];
           continue;
         }
-      sum->list[k].in_flight += counts[i].in_flight;
-      sum->list[k].streaming += counts[i].streaming;
-      sum->list[k].pending_prefill += counts[i].pending_prefill;
-      sum->list[k].stalled |= counts[i].stalled;
-      sum->list[k].process_ended |= counts[i].process_ended;
-      if (counts[i].streaming
-          && counts[i].last_event_at > sum->list[k].last_event_at)
-        sum->list[k].last_event_at = counts[i].last_event_at;
+      sum->list[k].in_flight += loads[i].in_flight;
+      sum->list[k].streaming += loads[i].streaming;
+      sum->list[k].pending_prefill += loads[i].pending_prefill;
+      sum->list[k].stalled |= loads[i].stalled;
+      sum->list[k].process_ended |= loads[i].process_ended;
+      if (loads[i].streaming
+          && loads[i].last_event_at > sum->list[k].last_event_at)
+        sum->list[k].last_event_at = loads[i].last_event_at;
     }
 }
 
@@ -343,14 +343,14 @@
   Lapis__ConfigState config = LAPIS__CONFIG_STATE__INIT;
   Lapis__Frame f = LAPIS__FRAME__INIT;
   struct sum sum = { 0 };
-  struct rows rows;
+  struct load_rows rows;
 
   if (p->aggregator || !prs_exceeds_mesh (p) || now < p->next_sum)
     return;
-  add_counts (&sum, p->own_load, p->nown_load);
-  for (struct peer *x = p->list; x; x = x->next)
+  add_loads (&sum, p->own_load, p->nown_load);
+  for (struct peer *x = p->peers; x; x = x->next)
     if (x->up && now - x->received_at < PRS_STALE_MS)
-      add_counts (&sum, x->counts, x->ncounts);
+      add_loads (&sum, x->loads, x->nloads);
   make_rows (&rows, sum.list, sum.n, now);
   load.leads = srv_is_leader (p->s);
   load.n_places = sum.n;
@@ -358,7 +358,7 @@
   load.config = &config;
   f.body_case = LAPIS__FRAME__BODY_FLEET_LOAD;
   f.fleet_load = &load;
-  for (struct peer *x = p->list; x; x = x->next)
+  for (struct peer *x = p->peers; x; x = x->next)
     if (x->up)
       {
         load.list_age_ms = (uint32_t)announced_list_age (x, now);
@@ -366,7 +366,7 @@
         link_send (x->link, &f);
       }
   p->next_sum = now
-                + svl_sum_interval (p->s->set.link_bytes_per_s,
+                + svl_sum_interval (p->s->settings.link_bytes_per_s,
                                     lapis__fleet_load__get_packed_size (&load),
                                     prs_count_up (p));
   free_rows (&rows);
@@ -380,6 +380,6 @@
   send_load (p, now);
   send_sum (p, now);
   prs_push_config (p, now);
-  if (!p->aggregator && p->nlisted + 1 > RLY_MESH_MAX)
+  if (!p->aggregator && p->nlisted_peers + 1 > RLY_MESH_MAX)
     prs_send_node_lists (p, now);
 }
--- a/serve/peers-nodes.c
+++ b/serve/peers-nodes.c
@@ -34,8 +34,8 @@
 
 struct relay_rows
 {
-  Lapis__HubEntry rows[RLY_LINKS];
-  Lapis__HubEntry *list[RLY_LINKS];
+  Lapis__HubEntry rows[RLY_LINKS_PER_NODE];
+  Lapis__HubEntry *list[RLY_LINKS_PER_NODE];
 };
 
 static void
@@ -63,7 +63,7 @@
 {
   struct peer *best = NULL;
 
-  for (struct peer *x = p->list; x; x = x->next)
+  for (struct peer *x = p->peers; x; x = x->next)
     if (x->listed && (!after || rly_cmp (&x->spec, after) > 0)
         && (!best || rly_cmp (&x->spec, &best->spec) < 0))
       best = x;
@@ -80,7 +80,7 @@
 
   nodes->n_hubs = 0;
   nodes->hubs = r->list;
-  while (nodes->n_hubs < RLY_LINKS
+  while (nodes->n_hubs < RLY_LINKS_PER_NODE
          && (x = prs_next_relay (p, x ? &x->spec : NULL)) != NULL)
     {
       Lapis__HubEntry *row = &r->rows[nodes->n_hubs];
@@ -96,7 +96,7 @@
   struct net_addr front, addr;
   struct peer *x;
 
-  if (str_eq (node, p->s->set.node)
+  if (str_eq (node, p->s->settings.node)
       || !net_addr_parse (str_from (row->front), false, &front)
       || !net_addr_parse (str_from (row->peer), false, &addr))
     return;
@@ -123,7 +123,7 @@
 
   for (size_t i = 0; i < n; i++)
     fronts[i] = addr_text (&list[i]);
-  nodes.nodes = srv_peers_count_sharing (p->s);
+  nodes.nodes = srv_peers_count_nodes (p->s);
   nodes.n_fronts = n;
   nodes.fronts = fronts;
   nodes.leads = srv_is_leader (p->s);
@@ -145,7 +145,7 @@
   size_t max
       = prs_count_up (p) / (NODE_LIST_INTERVAL_MS / PRS_SEND_INTERVAL_MS) + 1;
 
-  for (struct peer *x = p->list; x && max > 0; x = x->next)
+  for (struct peer *x = p->peers; x && max > 0; x = x->next)
     if (x->up && now - x->node_list_sent_at >= NODE_LIST_INTERVAL_MS)
       {
         send_node_list (x);
--- a/serve/peers-poison.c
+++ b/serve/peers-poison.c
@@ -61,7 +61,7 @@
 
   if (!prs_exceeds_mesh (x->p))
     return true;
-  while (relays < RLY_LINKS
+  while (relays < RLY_LINKS_PER_NODE
          && (relay = prs_next_relay (x->p, relay ? &relay->spec : NULL))
                 != NULL)
     {
@@ -85,7 +85,7 @@
 void
 srv_peers_send_poison (struct srv *s, const struct psn_update *list, size_t n)
 {
-  for (struct peer *x = s->peers ? s->peers->list : NULL; x; x = x->next)
+  for (struct peer *x = s->peers ? s->peers->peers : NULL; x; x = x->next)
     if (x->up)
       send_updates (x, list, n);
 }
--- a/serve/peers.c
+++ b/serve/peers.c
@@ -38,7 +38,7 @@
 static struct peer *
 find_peer (const struct srv_peers *p, struct str node)
 {
-  struct peer *x = p->list;
+  struct peer *x = p->peers;
 
   while (x && !str_is (node, x->node))
     x = x->next;
@@ -48,7 +48,7 @@
 static struct peer *
 find_peer_by_link (const struct srv_peers *p, const struct link *l)
 {
-  struct peer *x = p->list;
+  struct peer *x = p->peers;
 
   while (x && x->link != l)
     x = x->next;
@@ -66,15 +66,15 @@
   x->p = p;
   x->node = str_dup (node);
   x->hash = str_hash (node, 0);
-  x->next = p->list;
-  p->list = x;
+  x->next = p->peers;
+  p->peers = x;
   return x;
 }
 
 void
 prs_update_node_count (struct srv_peers *p)
 {
-  dsp_set_node_count (p->s->dispatch, srv_peers_count_sharing (p->s));
+  dsp_set_node_count (p->s->dispatch, srv_peers_count_nodes (p->s));
 }
 
 static void
@@ -87,12 +87,12 @@
          LOG_I ("unheard_ms", clk_now () - x->received_at));
   x->connect_failed = !x->up;
   x->link = NULL;
-  x->up = x->ready = x->list_received = x->leads = false;
-  x->list_version = 0;
+  x->up = x->ready = x->server_list_received = x->is_leader = false;
+  x->server_list_version = 0;
   x->has_timestamp = false;
   x->load_sent_earliest = 0;
   x->config_version = x->config_version_sent = 0;
-  x->ncounts = 0;
+  x->nloads = 0;
   lim_remove_follower (s->limits, x->hash);
   x->next_connect = clk_now () + RECONNECT_MS;
   prs_update_dispatch (x, clk_now ());
@@ -107,7 +107,7 @@
 {
   Lapis__Hello hello = LAPIS__HELLO__INIT;
   Lapis__Frame f = LAPIS__FRAME__INIT;
-  char *node = str_dup (p->s->set.node);
+  char *node = str_dup (p->s->settings.node);
 
   hello.node = node;
   hello.boot = p->s->boot;
@@ -148,7 +148,7 @@
   clk_ms now = clk_now ();
 
   x->received_at = now;
-  x->list_received = true;
+  x->server_list_received = true;
   /* A frame of the previous leader can arrive after this node has become
      leader.  It is older than the list that this node reads from the store,
      and the core that forms replicas keeps pointers to the text of the
@@ -211,7 +211,7 @@
 {
   size_t n = 0;
 
-  for (const struct peer *x = p->list; x; x = x->next)
+  for (const struct peer *x = p->peers; x; x = x->next)
     n += x->up;
   return n;
 }
@@ -232,26 +232,26 @@
   struct rly_peer *list;
   const struct rly_peer *aggregator;
   struct peer **peers;
-  bool leads = srv_is_leader (p->s);
+  bool is_leader = srv_is_leader (p->s);
   size_t n = 0;
 
-  for (const struct peer *x = p->list; x; x = x->next)
+  for (const struct peer *x = p->peers; x; x = x->next)
     n += x->listed;
   list = xcalloc (n + 1, sizeof *list);
   peers = xcalloc (n + 1, sizeof (*peers));
   n = 0;
-  for (struct peer *x = p->list; x; x = x->next)
+  for (struct peer *x = p->peers; x; x = x->next)
     if (x->listed)
       {
         list[n] = (struct rly_peer){ .node = x->spec,
                                      .up = x->up,
                                      .connect_failed = x->connect_failed,
-                                     .leads = x->leads };
+                                     .is_leader = x->is_leader };
         peers[n++] = x;
       }
-  p->nlisted = n;
-  rly_choose_links (&p->spec, leads, list, n);
-  aggregator = rly_aggregator (&p->spec, leads, list, n);
+  p->nlisted_peers = n;
+  rly_choose_links (&p->spec, is_leader, list, n);
+  aggregator = rly_aggregator (&p->spec, is_leader, list, n);
   p->aggregator = aggregator ? peers[aggregator - list] : NULL;
   for (size_t i = 0; i < n; i++)
     {
@@ -275,7 +275,7 @@
     return false;
   if (rly_cmp (&x->spec, &x->p->spec) < 0)
     return true;
-  return srv_is_leader (x->p->s) && x->p->nlisted + 1 > RLY_MESH_MAX
+  return srv_is_leader (x->p->s) && x->p->nlisted_peers + 1 > RLY_MESH_MAX
          && now - x->wanted_changed_at >= LEADER_CONNECT_DELAY_MS;
 }
 
@@ -312,7 +312,7 @@
 
   if (!p)
     return;
-  for (struct peer *x = p->list; x; x = x->next)
+  for (struct peer *x = p->peers; x; x = x->next)
     check_peer (x, now);
   if (now < p->next_send)
     return;
@@ -341,7 +341,7 @@
 void
 srv_peers_resumed (struct srv *s, clk_ms now, clk_ms ms)
 {
-  for (struct peer *x = s->peers ? s->peers->list : NULL; x; x = x->next)
+  for (struct peer *x = s->peers ? s->peers->peers : NULL; x; x = x->next)
     if (x->up)
       x->received_at = x->received_at + ms < now ? x->received_at + ms : now;
 }
@@ -354,10 +354,10 @@
   clk_ms interval = p->s->had_traffic ? 1 : IDLE_LIST_INTERVAL_MS;
   struct peer *best = NULL;
 
-  for (struct peer *x = p->list; x; x = x->next)
-    if (x->up && x->list_version != version
-        && now - x->list_sent_at >= interval
-        && (!best || x->list_sent_at < best->list_sent_at))
+  for (struct peer *x = p->peers; x; x = x->next)
+    if (x->up && x->server_list_version != version
+        && now - x->server_list_sent_at >= interval
+        && (!best || x->server_list_sent_at < best->server_list_sent_at))
       best = x;
   return best;
 }
@@ -383,19 +383,19 @@
 
   if (!p || !srv_is_leader (s))
     return;
-  while (svl_may_send (&p->list_budget, now, s->set.link_bytes_per_s)
+  while (svl_may_send (&p->list_budget, now, s->settings.link_bytes_per_s)
          && (x = next_list_receiver (p, bks_version (s->backends), now))
                 != NULL)
     {
-      if (!svl_frame_matches (frame, x->list_version))
+      if (!svl_frame_matches (frame, x->server_list_version))
         {
           svl_frame_free (frame);
           frame = svl_frame_new (s->backends, srv_sync_read_age (s, now),
-                                 x->list_version);
+                                 x->server_list_version);
         }
       p->list_budget.bytes
-          -= (double)svl_frame_send (frame, x->link, &x->list_version);
-      x->list_sent_at = now;
+          -= (double)svl_frame_send (frame, x->link, &x->server_list_version);
+      x->server_list_sent_at = now;
     }
   svl_frame_free (frame);
 }
@@ -408,11 +408,11 @@
 
   if (!p)
     return;
-  for (struct peer *x = p->list; x; x = x->next)
+  for (struct peer *x = p->peers; x; x = x->next)
     x->in_entries = false;
   for (size_t i = 0; i < n; i++)
     {
-      if (str_eq (list[i].node, s->set.node))
+      if (str_eq (list[i].node, s->settings.node))
         continue;
       struct peer *x = prs_find_or_add_peer (p, list[i].node);
       x->front = list[i].front;
@@ -422,7 +422,7 @@
     }
   /* Keep a peer with a link that is up even if its entry is missing:
      entries expire while the store is unreachable. */
-  for (struct peer *x = p->list; x; x = x->next)
+  for (struct peer *x = p->peers; x; x = x->next)
     x->listed = x->in_entries || (x->listed && x->up);
 }
 
@@ -431,8 +431,9 @@
 {
   if (srv_is_leader (s))
     return true;
-  for (const struct peer *x = s->peers ? s->peers->list : NULL; x; x = x->next)
-    if (x->up && x->leads && now - x->received_at < PRS_STALE_MS)
+  for (const struct peer *x = s->peers ? s->peers->peers : NULL; x;
+       x = x->next)
+    if (x->up && x->is_leader && now - x->received_at < PRS_STALE_MS)
       return true;
   return false;
 }
@@ -443,11 +444,11 @@
 {
   return p->node_list_received_at
          && now - p->node_list_received_at < NODE_LIST_VALID_MS
-         && p->nlisted + 1 > RLY_MESH_MAX && p->aggregator != NULL;
+         && p->nlisted_peers + 1 > RLY_MESH_MAX && p->aggregator != NULL;
 }
 
 unsigned
-srv_peers_count_sharing (const struct srv *s)
+srv_peers_count_nodes (const struct srv *s)
 {
   const struct srv_peers *p = s->peers;
   unsigned up = p ? (unsigned)prs_count_up (p) + 1 : 1;
@@ -471,11 +472,11 @@
 {
   size_t n = 0, i = 0;
 
-  for (const struct peer *x = p->list; x && n < max; x = x->next)
+  for (const struct peer *x = p->peers; x && n < max; x = x->next)
     if (is_ready_peer (x, now) && i++ >= from)
       out[n++] = x->front;
   i = 0;
-  for (const struct peer *x = p->list; x && n < max && i < from; x = x->next)
+  for (const struct peer *x = p->peers; x && n < max && i < from; x = x->next)
     if (is_ready_peer (x, now) && i++ < from)
       out[n++] = x->front;
   return n;
@@ -486,7 +487,7 @@
 {
   size_t n = 0;
 
-  for (const struct peer *x = p->list; x; x = x->next)
+  for (const struct peer *x = p->peers; x; x = x->next)
     n += is_ready_peer (x, now);
   return n;
 }
@@ -499,7 +500,7 @@
   size_t n = 0;
 
   for (size_t i = 0; i < p->nfronts && n < max; i++)
-    if (!net_addr_eq (&p->fronts[i], &p->s->set.front))
+    if (!net_addr_eq (&p->fronts[i], &p->s->settings.front))
       out[n++] = p->fronts[i];
   return n;
 }
@@ -517,7 +518,7 @@
   size_t n = 0, ready_peers;
 
   if (srv_is_ready (s))
-    out[n++] = s->set.front;
+    out[n++] = s->settings.front;
   if (!p)
     return n;
   if (has_node_list (p, now))
@@ -545,7 +546,8 @@
   p->s = s;
   p->spec = srv_self_spec (s);
   p->secret = *secret;
-  p->server = link_listen (&s->loop, &s->set.peer, secret, &callbacks, p, err);
+  p->server
+      = link_listen (&s->loop, &s->settings.peer, secret, &callbacks, p, err);
   if (!p->server)
     {
       free (p);
--- a/serve/poison-int.h
+++ b/serve/poison-int.h
@@ -11,7 +11,7 @@
 #include "serve/poison.h"
 
 /** Maximum number of crashes recorded per request. */
-#define PSN_MAX_RUNS 8
+#define PSN_MAX_CRASHED_RUNS 8
 /** Number of recent crashes recorded as attributed to a request. */
 #define PSN_MAX_ATTRIBUTED 64
 /** Number of recent completions recorded. */
@@ -26,7 +26,7 @@
 };
 
 /** A run of the request that was in progress when its server crashed. */
-struct psn_run
+struct psn_crashed_run
 {
   uint64_t endpoint; /**< 0: placeholder for a crash before the last block */
   clk_ms ran_ms;
@@ -37,11 +37,11 @@
 {
   uint64_t digest;
   enum psn_state state;
-  clk_ms until;      /**< when the state ends */
-  clk_ms pending_at; /**< when an observed request becomes pending; CLK_NEVER:
+  clk_ms state_ends_at; /**< when the state ends */
+  clk_ms due_at; /**< when an observed request becomes pending; CLK_NEVER:
                           not enough evidence */
-  struct psn_run runs[PSN_MAX_RUNS];
-  size_t nruns;
+  struct psn_crashed_run crashed_runs[PSN_MAX_CRASHED_RUNS];
+  size_t ncrashed_runs;
 };
 
 struct psn_completion
@@ -58,7 +58,7 @@
   size_t next_completed;
   uint64_t attributed[PSN_MAX_ATTRIBUTED]; /**< endpoints, a ring */
   size_t next_attributed;
-  bool aggregates;
+  bool collects;
   struct psn_update *updates;
   size_t nupdates, updates_room;
   bool fetched; /**< the list was returned; the next update starts a new one */
@@ -73,25 +73,27 @@
                                      uint64_t digest);
 void psn_remove (struct psn *p, struct psn_suspect *s);
 /** Find the run of the request at an endpoint, or NULL. */
-struct psn_run *psn_find_run (struct psn_suspect *s, uint64_t place);
+struct psn_crashed_run *psn_find_crashed_run (struct psn_suspect *s,
+                                              uint64_t endpoint);
 /** Whether the request is pending or blocked, so that its crashes are
     attributed to it. */
 bool psn_is_pending_or_blocked (const struct psn_suspect *s);
 /** Whether one more crash would block the request. */
 bool psn_is_near_block (const struct psn_suspect *s);
 /** Whether the crash at an endpoint is attributed to any request. */
-bool psn_is_attributed (const struct psn *p, uint64_t place);
+bool psn_is_attributed (const struct psn *p, uint64_t endpoint);
 /** Attribute all crashes of the request to it; they then count less against
     other requests. */
 void psn_attribute_crashes (struct psn *p, clk_ms now,
                             const struct psn_suspect *s);
 /** Whether the crashes of @p a are a proper subset of the crashes of @p b. */
-bool psn_is_subset (const struct psn_suspect *a, struct psn_suspect *b);
+bool psn_crashes_are_subset (const struct psn_suspect *a,
+                             struct psn_suspect *b);
 /** Update when the request becomes pending, according to its evidence. */
-void psn_update_pending_time (const struct psn *p, clk_ms now,
-                              struct psn_suspect *s);
+void psn_update_due_time (const struct psn *p, clk_ms now,
+                          struct psn_suspect *s);
 /** The request with the most evidence among those with a pending time, once
     any of these times has passed; else NULL. */
-struct psn_suspect *psn_next_pending (const struct psn *p, clk_ms now);
+struct psn_suspect *psn_next_due (const struct psn *p, clk_ms now);
 
 #endif
--- a/serve/poison-node.c
+++ b/serve/poison-node.c
@@ -53,8 +53,8 @@
 void
 srv_poison_tick (struct srv *s, clk_ms now)
 {
-  psn_set_aggregating (s->poison, now,
-                       !srv_is_leaf (s) || !srv_peers_any_linked (s));
+  psn_set_collecting (s->poison, now,
+                      !srv_is_leaf (s) || !srv_peers_any_linked (s));
   if (now >= psn_next_deadline (s->poison))
     {
       psn_tick (s->poison, now);
--- a/serve/poison-store.c
+++ b/serve/poison-store.c
@@ -247,7 +247,7 @@
   k->call_digest = b->digest;
   k->as_blocked = !b->cleared;
   buf_clear (&k->key);
-  buf_addf (&k->key, "%sblocked/%016llx", k->s->ad->own_prefix,
+  buf_addf (&k->key, "%sblocked/%016llx", k->s->adapter->own_prefix,
             (unsigned long long)b->digest);
   pau_call_started (&k->s->store_backoff);
   if (k->as_blocked && k->lease && now - k->granted_at < LEASE_REUSE_MS)
--- a/serve/poison-suspect.c
+++ b/serve/poison-suspect.c
@@ -13,7 +13,7 @@
 #define WEIGHT_LONG 2
 #define EARLY_MS ((clk_ms)500)
 #define WEIGHT_BLOCK ((PSN_CRASHES - 1) * WEIGHT_NO_EVENT + WEIGHT_EARLY)
-#define WEIGHT_SUSPECT (WEIGHT_BLOCK - WEIGHT_NO_EVENT)
+#define WEIGHT_NEAR_BLOCK (WEIGHT_BLOCK - WEIGHT_NO_EVENT)
 
 /** Delay between the crash that completes the evidence and the decision.  In
     this time, other nodes report the requests that they had running in the
@@ -32,7 +32,7 @@
 }
 
 static unsigned
-run_weight (const struct psn_run *r)
+crash_weight (const struct psn_crashed_run *r)
 {
   if (r->ran_ms == PSN_NO_EVENT)
     return WEIGHT_NO_EVENT;
@@ -45,8 +45,8 @@
 {
   unsigned w = 0;
 
-  for (size_t i = 0; i < s->nruns; i++)
-    w += run_weight (&s->runs[i]);
+  for (size_t i = 0; i < s->ncrashed_runs; i++)
+    w += crash_weight (&s->crashed_runs[i]);
   return w;
 }
 
@@ -55,8 +55,9 @@
 {
   unsigned w = 0;
 
-  for (size_t i = 0; i < s->nruns; i++)
-    w += run_weight (&s->runs[i]) / (s->runs[i].attributed ? 2 : 1);
+  for (size_t i = 0; i < s->ncrashed_runs; i++)
+    w += crash_weight (&s->crashed_runs[i])
+         / (s->crashed_runs[i].attributed ? 2 : 1);
   return w;
 }
 
@@ -72,7 +73,7 @@
     return blocked_b;
   if (!blocked_a && weight_a != weight_b)
     return weight_a < weight_b;
-  return a->until < b->until;
+  return a->state_ends_at < b->state_ends_at;
 }
 
 static struct psn_suspect *
@@ -106,8 +107,8 @@
     }
   memset (s, 0, sizeof *s);
   s->digest = digest;
-  s->pending_at = CLK_NEVER;
-  s->until = now + PSN_HOLD_MS;
+  s->due_at = CLK_NEVER;
+  s->state_ends_at = now + PSN_HOLD_MS;
   return s;
 }
 
@@ -119,12 +120,12 @@
 
 /* --- attribution of crashes --------------------------------------------- */
 
-struct psn_run *
-psn_find_run (struct psn_suspect *s, uint64_t place)
+struct psn_crashed_run *
+psn_find_crashed_run (struct psn_suspect *s, uint64_t endpoint)
 {
-  for (size_t i = 0; i < s->nruns; i++)
-    if (s->runs[i].endpoint == place)
-      return &s->runs[i];
+  for (size_t i = 0; i < s->ncrashed_runs; i++)
+    if (s->crashed_runs[i].endpoint == endpoint)
+      return &s->crashed_runs[i];
   return NULL;
 }
 
@@ -137,16 +138,16 @@
 bool
 psn_is_near_block (const struct psn_suspect *s)
 {
-  return weight (s) >= WEIGHT_SUSPECT;
+  return weight (s) >= WEIGHT_NEAR_BLOCK;
 }
 
 bool
-psn_is_subset (const struct psn_suspect *a, struct psn_suspect *b)
+psn_crashes_are_subset (const struct psn_suspect *a, struct psn_suspect *b)
 {
-  for (size_t i = 0; i < a->nruns; i++)
-    if (!psn_find_run (b, a->runs[i].endpoint))
+  for (size_t i = 0; i < a->ncrashed_runs; i++)
+    if (!psn_find_crashed_run (b, a->crashed_runs[i].endpoint))
       return false;
-  return a->nruns > 0 && a->nruns < b->nruns;
+  return a->ncrashed_runs > 0 && a->ncrashed_runs < b->ncrashed_runs;
 }
 
 /** Whether servers that ran @p s continued to crash after all earlier crashes
@@ -156,7 +157,7 @@
 {
   for (size_t i = 0; i < p->n; i++)
     if (psn_is_pending_or_blocked (&p->suspects[i])
-        && psn_is_subset (&p->suspects[i], s))
+        && psn_crashes_are_subset (&p->suspects[i], s))
       return true;
   return false;
 }
@@ -164,53 +165,52 @@
 static bool
 is_block_due (const struct psn *p, struct psn_suspect *s)
 {
-  if (!p->aggregates || s->state != PSN_S_OBSERVED
+  if (!p->collects || s->state != PSN_S_OBSERVED
       || total_weight (s) < WEIGHT_BLOCK)
     return false;
   return weight (s) >= WEIGHT_BLOCK || crashes_continue (p, s);
 }
 
 void
-psn_update_pending_time (const struct psn *p, clk_ms now,
-                         struct psn_suspect *s)
+psn_update_due_time (const struct psn *p, clk_ms now, struct psn_suspect *s)
 {
   if (!is_block_due (p, s))
-    s->pending_at = CLK_NEVER;
-  else if (s->pending_at == CLK_NEVER)
-    s->pending_at = now + SETTLE_MS;
+    s->due_at = CLK_NEVER;
+  else if (s->due_at == CLK_NEVER)
+    s->due_at = now + SETTLE_MS;
 }
 
 bool
-psn_is_attributed (const struct psn *p, uint64_t place)
+psn_is_attributed (const struct psn *p, uint64_t endpoint)
 {
   for (size_t i = 0; i < PSN_MAX_ATTRIBUTED; i++)
-    if (p->attributed[i] == place)
+    if (p->attributed[i] == endpoint)
       return true;
   return false;
 }
 
 static void
-attribute_crash (struct psn *p, clk_ms now, uint64_t place)
+attribute_crash (struct psn *p, clk_ms now, uint64_t endpoint)
 {
-  if (place == 0 || psn_is_attributed (p, place))
+  if (endpoint == 0 || psn_is_attributed (p, endpoint))
     return;
-  p->attributed[p->next_attributed++ % PSN_MAX_ATTRIBUTED] = place;
+  p->attributed[p->next_attributed++ % PSN_MAX_ATTRIBUTED] = endpoint;
   for (size_t i = 0; i < p->n; i++)
     {
       struct psn_suspect *s = &p->suspects[i];
-      struct psn_run *r = psn_find_run (s, place);
+      struct psn_crashed_run *r = psn_find_crashed_run (s, endpoint);
       if (s->state != PSN_S_OBSERVED || !r)
         continue;
       r->attributed = true;
-      psn_update_pending_time (p, now, s);
+      psn_update_due_time (p, now, s);
     }
 }
 
 void
 psn_attribute_crashes (struct psn *p, clk_ms now, const struct psn_suspect *s)
 {
-  for (size_t i = 0; i < s->nruns; i++)
-    attribute_crash (p, now, s->runs[i].endpoint);
+  for (size_t i = 0; i < s->ncrashed_runs; i++)
+    attribute_crash (p, now, s->crashed_runs[i].endpoint);
 }
 
 /** Whether the evidence against @p a is stronger.  At equal weight, the
@@ -223,17 +223,17 @@
 
   if (weight_a != weight_b)
     return weight_a > weight_b;
-  for (size_t i = 0; i < a->nruns; i++)
-    ran_a += a->runs[i].ran_ms;
-  for (size_t i = 0; i < b->nruns; i++)
-    ran_b += b->runs[i].ran_ms;
+  for (size_t i = 0; i < a->ncrashed_runs; i++)
+    ran_a += a->crashed_runs[i].ran_ms;
+  for (size_t i = 0; i < b->ncrashed_runs; i++)
+    ran_b += b->crashed_runs[i].ran_ms;
   if (ran_a != ran_b)
     return ran_a < ran_b;
   return a->digest < b->digest;
 }
 
 struct psn_suspect *
-psn_next_pending (const struct psn *p, clk_ms now)
+psn_next_due (const struct psn *p, clk_ms now)
 {
   struct psn_suspect *most = NULL;
   bool settled = false;
@@ -241,9 +241,9 @@
   for (size_t i = 0; i < p->n; i++)
     {
       struct psn_suspect *s = &p->suspects[i];
-      if (s->state != PSN_S_OBSERVED || s->pending_at == CLK_NEVER)
+      if (s->state != PSN_S_OBSERVED || s->due_at == CLK_NEVER)
         continue;
-      settled = settled || now >= s->pending_at;
+      settled = settled || now >= s->due_at;
       if (!most || is_more_suspect (s, most))
         most = s;
     }
--- a/serve/poison.c
+++ b/serve/poison.c
@@ -20,7 +20,7 @@
 {
   struct psn *p = xcalloc (1, sizeof *p);
 
-  p->aggregates = true;
+  p->collects = true;
   return p;
 }
 
@@ -60,13 +60,13 @@
 }
 
 void
-psn_set_aggregating (struct psn *p, clk_ms now, bool aggregates)
+psn_set_collecting (struct psn *p, clk_ms now, bool collects)
 {
-  if (aggregates == p->aggregates)
+  if (collects == p->collects)
     return;
-  p->aggregates = aggregates;
+  p->collects = collects;
   for (size_t i = 0; i < p->n; i++)
-    psn_update_pending_time (p, now, &p->suspects[i]);
+    psn_update_due_time (p, now, &p->suspects[i]);
 }
 
 /* --- pending, blocked, cleared ----------------------------------------- */
@@ -80,9 +80,9 @@
           .broadcast = broadcast || psn_is_pending_or_blocked (s) };
 
   s->state = PSN_S_CLEARED;
-  s->until = now + CLEARED_TTL_MS;
-  s->pending_at = CLK_NEVER;
-  s->nruns = 0;
+  s->state_ends_at = now + CLEARED_TTL_MS;
+  s->due_at = CLK_NEVER;
+  s->ncrashed_runs = 0;
   add_update (p, &update);
 }
 
@@ -107,7 +107,7 @@
     {
       struct psn_suspect *s = &p->suspects[i];
       if (s != culprit && psn_is_pending_or_blocked (s)
-          && psn_is_subset (s, culprit))
+          && psn_crashes_are_subset (s, culprit))
         clear (p, now, s, true);
     }
 }
@@ -124,8 +124,8 @@
       return;
     }
   s->state = PSN_S_PENDING;
-  s->until = now + PENDING_MS;
-  s->pending_at = CLK_NEVER;
+  s->state_ends_at = now + PENDING_MS;
+  s->due_at = CLK_NEVER;
   add_update (p, &update);
   psn_attribute_crashes (p, now, s);
   clear_subsets (p, now, s);
@@ -140,8 +140,8 @@
                                .broadcast = true };
 
   s->state = PSN_S_BLOCKED;
-  s->until = now + hold_ms;
-  s->pending_at = CLK_NEVER;
+  s->state_ends_at = now + hold_ms;
+  s->due_at = CLK_NEVER;
   add_update (p, &update);
   psn_attribute_crashes (p, now, s);
 }
@@ -155,11 +155,12 @@
 end_block (struct psn_suspect *s, clk_ms now)
 {
   s->state = PSN_S_OBSERVED;
-  s->until = now + PSN_HOLD_MS;
-  s->pending_at = CLK_NEVER;
-  s->nruns = 0;
+  s->state_ends_at = now + PSN_HOLD_MS;
+  s->due_at = CLK_NEVER;
+  s->ncrashed_runs = 0;
   for (unsigned i = 1; i < PSN_CRASHES; i++)
-    s->runs[s->nruns++] = (struct psn_run){ 0, PSN_NO_EVENT, false };
+    s->crashed_runs[s->ncrashed_runs++]
+        = (struct psn_crashed_run){ 0, PSN_NO_EVENT, false };
 }
 
 /* --- applying updates --------------------------------------------------- */
@@ -170,15 +171,17 @@
   struct psn_suspect *s = psn_find (p, update->digest);
   bool decided = s && psn_is_pending_or_blocked (s);
 
-  if (s && (s->state == PSN_S_CLEARED || psn_find_run (s, update->endpoint)))
+  if (s
+      && (s->state == PSN_S_CLEARED
+          || psn_find_crashed_run (s, update->endpoint)))
     return;
   s = psn_find_or_add (p, now, update->digest);
-  if (s->nruns < PSN_MAX_RUNS)
+  if (s->ncrashed_runs < PSN_MAX_CRASHED_RUNS)
     {
-      s->runs[s->nruns++]
-          = (struct psn_run){ update->endpoint, update->ran_ms,
-                              !decided
-                                  && psn_is_attributed (p, update->endpoint) };
+      s->crashed_runs[s->ncrashed_runs++] = (struct psn_crashed_run){
+        update->endpoint, update->ran_ms,
+        !decided && psn_is_attributed (p, update->endpoint)
+      };
       add_update (p, update);
     }
   if (decided)
@@ -190,8 +193,8 @@
         block (p, now, s, PSN_HOLD_MS);
       return;
     }
-  s->until = now + PSN_HOLD_MS;
-  psn_update_pending_time (p, now, s);
+  s->state_ends_at = now + PSN_HOLD_MS;
+  psn_update_due_time (p, now, s);
 }
 
 static void
@@ -210,8 +213,8 @@
 
   if (s->state == PSN_S_BLOCKED)
     {
-      if (s->until < now + update->hold_ms)
-        s->until = now + update->hold_ms;
+      if (s->state_ends_at < now + update->hold_ms)
+        s->state_ends_at = now + update->hold_ms;
     }
   else if (s->state == PSN_S_CLEARED || has_completed (p, now, update->digest))
     clear (p, now, s, true);
@@ -272,11 +275,11 @@
     return false;
   if (s->state == PSN_S_BLOCKED)
     {
-      s->until = now + PSN_HOLD_MS;
+      s->state_ends_at = now + PSN_HOLD_MS;
       return true;
     }
   *again_ms = PENDING_RETRY_MS;
-  return s->state == PSN_S_PENDING || s->pending_at != CLK_NEVER;
+  return s->state == PSN_S_PENDING || s->due_at != CLK_NEVER;
 }
 
 bool
@@ -295,7 +298,7 @@
   for (size_t i = 0; i < p->n;)
     {
       struct psn_suspect *s = &p->suspects[i];
-      if (now < s->until)
+      if (now < s->state_ends_at)
         i++;
       else if (s->state == PSN_S_PENDING)
         block (p, now, s, PSN_HOLD_MS);
@@ -311,7 +314,7 @@
 {
   struct psn_suspect *s;
 
-  while ((s = psn_next_pending (p, now)) != NULL)
+  while ((s = psn_next_due (p, now)) != NULL)
     set_pending (p, now, s);
   expire (p, now);
 }
@@ -324,10 +327,10 @@
   for (size_t i = 0; i < p->n; i++)
     {
       const struct psn_suspect *s = &p->suspects[i];
-      if (s->until < wake)
-        wake = s->until;
-      if (s->pending_at < wake)
-        wake = s->pending_at;
+      if (s->state_ends_at < wake)
+        wake = s->state_ends_at;
+      if (s->due_at < wake)
+        wake = s->due_at;
     }
   return wake;
 }
@@ -335,28 +338,29 @@
 const struct psn_update *
 psn_snapshot (struct psn *p, clk_ms now, size_t *n)
 {
-  p->snapshot = xrealloc (p->snapshot, (p->n * (PSN_MAX_RUNS + 1) + 1)
+  p->snapshot = xrealloc (p->snapshot, (p->n * (PSN_MAX_CRASHED_RUNS + 1) + 1)
                                            * sizeof *p->snapshot);
   *n = 0;
   for (size_t i = 0; i < p->n; i++)
     {
       const struct psn_suspect *s = &p->suspects[i];
       if (s->state == PSN_S_BLOCKED)
-        p->snapshot[(*n)++] = (struct psn_update){ .kind = PSN_BLOCKED,
-                                                   .digest = s->digest,
-                                                   .hold_ms = s->until - now,
-                                                   .broadcast = true };
+        p->snapshot[(*n)++]
+            = (struct psn_update){ .kind = PSN_BLOCKED,
+                                   .digest = s->digest,
+                                   .hold_ms = s->state_ends_at - now,
+                                   .broadcast = true };
       else if (s->state == PSN_S_PENDING)
         p->snapshot[(*n)++] = (struct psn_update){ .kind = PSN_PENDING,
                                                    .digest = s->digest,
                                                    .broadcast = true };
-      for (size_t k = 0; k < s->nruns; k++)
-        if (s->runs[k].endpoint)
+      for (size_t k = 0; k < s->ncrashed_runs; k++)
+        if (s->crashed_runs[k].endpoint)
           p->snapshot[(*n)++]
               = (struct psn_update){ .kind = PSN_CRASH,
                                      .digest = s->digest,
-                                     .endpoint = s->runs[k].endpoint,
-                                     .ran_ms = s->runs[k].ran_ms };
+                                     .endpoint = s->crashed_runs[k].endpoint,
+                                     .ran_ms = s->crashed_runs[k].ran_ms };
     }
   return p->snapshot;
 }
--- a/serve/poison.h
+++ b/serve/poison.h
@@ -81,7 +81,7 @@
  * nodes and decides which requests to block.  This is the initial setting.  A
  * node that doesn't aggregate only reports crashes.
  */
-void psn_set_aggregating (struct psn *p, clk_ms now, bool aggregates);
+void psn_set_collecting (struct psn *p, clk_ms now, bool collects);
 
 /** A run of the request has completed at this node. */
 void psn_completed (struct psn *p, clk_ms now, uint64_t digest);
--- a/serve/register.c
+++ b/serve/register.c
@@ -119,7 +119,7 @@
 }
 
 static void
-publish_nodes (struct srv_register *g)
+update_peers (struct srv_register *g)
 {
   struct srv_node_entry *list = xcalloc (g->nnodes + 1, sizeof *list);
 
@@ -192,14 +192,15 @@
 struct rly_node
 srv_self_spec (const struct srv *s)
 {
-  return (struct rly_node){ str_hash (s->set.node, 0), s->set.link_bytes_per_s,
-                            s->set.cpu_share };
+  return (struct rly_node){ str_hash (s->settings.node, 0),
+                            s->settings.link_bytes_per_s,
+                            s->settings.cpu_share };
 }
 
 unsigned
 srv_node_rank (const struct srv *s)
 {
-  const struct srv_register *g = s->reg;
+  const struct srv_register *g = s->registration;
   struct rly_node self = srv_self_spec (s);
   unsigned rank = 0;
 
@@ -212,8 +213,8 @@
 srv_is_leaf (const struct srv *s)
 {
   /* During its start a node knows no other nodes. */
-  return s->reg && s->reg->nnodes > RLY_MESH_MAX
-         && srv_node_rank (s) >= RLY_LINKS;
+  return s->registration && s->registration->nnodes > RLY_MESH_MAX
+         && srv_node_rank (s) >= RLY_LINKS_PER_NODE;
 }
 
 /**
@@ -235,7 +236,7 @@
 bool
 srv_register_leader_vacant (const struct srv *s)
 {
-  struct srv_register *g = s->reg;
+  struct srv_register *g = s->registration;
 
   /* Without a watch this node may not have seen that another became
      leader. */
@@ -269,7 +270,7 @@
   for (size_t i = 0; i < n; i++)
     apply_item (g, ev[i].deleted, &ev[i].kv);
   start_links (g);
-  publish_nodes (g);
+  update_peers (g);
   g->next_watch
       = clk_now ()
         + pau_watch_delay_ms (g->nnodes, srv_node_rank (g->s),
@@ -319,7 +320,7 @@
   if (!own_entry_seen && g->entry_written)
     schedule_entry_rewrite (g);
   start_links (g);
-  publish_nodes (g);
+  update_peers (g);
 }
 
 static void
@@ -346,10 +347,10 @@
     }
   g->next_read = CLK_NEVER;
   if (g->revision == 0 && r->nkvs == 0)
-    g->s->first_start = true;
+    g->s->store_was_empty = true;
   g->revision = r->revision;
   apply_all (g, r);
-  if (g->s->set.first_start && g->secret.len == 0)
+  if (g->s->settings.first_start && g->secret.len == 0)
     {
       g->next_watch = clk_now () + SETTLE_MS;
       g->secret_due_at = g->next_watch + SECRET_STAGGER_MS;
@@ -417,7 +418,7 @@
 }
 
 static void
-on_kept (void *ctx, const struct store_result *r)
+on_lease_renewed (void *ctx, const struct store_result *r)
 {
   struct srv_register *g = ctx;
 
@@ -480,7 +481,7 @@
 should_write_secret (const struct srv_register *g, clk_ms now)
 {
   return g->next_read == CLK_NEVER && !g->secret_stored && !g->secret_written
-         && (g->nnodes > 0 || !g->s->set.first_start)
+         && (g->nnodes > 0 || !g->s->settings.first_start)
          && now >= g->secret_due_at + srv_node_rank (g->s) * SECRET_STAGGER_MS;
 }
 
@@ -501,7 +502,7 @@
   else
     {
       begin_call (g);
-      store_lease_keep (g->s->store, g->lease, on_kept, g);
+      store_lease_keep (g->s->store, g->lease, on_lease_renewed, g);
     }
 }
 
@@ -521,7 +522,7 @@
 void
 srv_register_tick (struct srv *s, clk_ms now)
 {
-  struct srv_register *g = s->reg;
+  struct srv_register *g = s->registration;
 
   advance_watch (g, now);
   pau_set_pushed (&s->store_backoff, now,
@@ -547,8 +548,9 @@
 void
 srv_register_revoke (struct srv *s)
 {
-  if (s->reg->lease)
-    store_lease_revoke (s->store, s->reg->lease, on_secret, s->reg);
+  if (s->registration->lease)
+    store_lease_revoke (s->store, s->registration->lease, on_secret,
+                        s->registration);
 }
 
 static void
@@ -565,23 +567,23 @@
   struct srv_register *g = xcalloc (1, sizeof *g);
 
   g->s = s;
-  s->reg = g;
+  s->registration = g;
   /* Other nodes are running, and a link to the leader will be up shortly. */
-  g->leader_seen_at = s->set.first_start ? 0 : clk_now ();
+  g->leader_seen_at = s->settings.first_start ? 0 : clk_now ();
   g->next_watch = CLK_NEVER;
-  buf_add_c (&g->prefix, s->ad->own_prefix);
+  buf_add_c (&g->prefix, s->adapter->own_prefix);
   store_prefix_end (buf_str (&g->prefix), &g->end);
-  buf_addf (&g->node_key, "%snodes/%.*s", s->ad->own_prefix,
-            STR_ARG (s->set.node));
-  buf_addf (&g->secret_key, "%ssecret", s->ad->own_prefix);
-  buf_addf (&g->leader_key, "%sduty", s->ad->own_prefix);
+  buf_addf (&g->node_key, "%snodes/%.*s", s->adapter->own_prefix,
+            STR_ARG (s->settings.node));
+  buf_addf (&g->secret_key, "%ssecret", s->adapter->own_prefix);
+  buf_addf (&g->leader_key, "%sduty", s->adapter->own_prefix);
   buf_add_char (&g->value, '{');
-  add_addr (&g->value, "front", &s->set.front);
+  add_addr (&g->value, "front", &s->settings.front);
   buf_add_char (&g->value, ',');
-  add_addr (&g->value, "peer", &s->set.peer);
+  add_addr (&g->value, "peer", &s->settings.peer);
   buf_addf (&g->value,
             ",\"boot\":%llu,\"link_bytes_per_s\":%.0f,\"cpu_share\":%.3f}",
-            (unsigned long long)s->boot, s->set.link_bytes_per_s,
-            s->set.cpu_share);
+            (unsigned long long)s->boot, s->settings.link_bytes_per_s,
+            s->settings.cpu_share);
   srv_register_tick (s, clk_now ());
 }
--- a/serve/sync.c
+++ b/serve/sync.c
@@ -36,12 +36,12 @@
   bool reading;
   clk_ms read_sent_at;
   clk_ms next_read_at;
-  clk_ms current_at;   /* when the list that this node has was current, as
-                          reported by the node that read it */
+  clk_ms reported_current_at; /* when the list that this node has was current,
+                        as reported by the node that read it */
   clk_ms resumed_at;   /* end of the last pause of this process; 0: none */
   clk_ms last_read_at; /* when this node's last successful read was sent */
-  int64_t era;         /* restore counter at that read; see struct
-                          store_result */
+  int64_t store_era;   /* restore counter at that read; see struct
+                    store_result */
   bool store_ok;
 };
 
@@ -70,7 +70,8 @@
     {
       const struct store_kv *kv = &r->kvs[i];
       const char *wrong;
-      if (s->ad->parse_server (kv->key, kv->value, &text, &list[n], &wrong))
+      if (s->adapter->parse_server (kv->key, kv->value, &text, &list[n],
+                                    &wrong))
         n++;
       else if (inv_record (y->unparsed, kv->key, kv->value))
         LOG (entry_not_taken, LOG_S ("key", kv->key), LOG_C ("field", wrong),
@@ -88,15 +89,16 @@
 static clk_ms
 poll_ms (const struct srv *s)
 {
-  clk_ms ms = bks_fallback_poll_ms (s->set.drain_ms, srv_is_leaf (s));
+  clk_ms ms = bks_fallback_poll_ms (s->settings.drain_ms, srv_is_leaf (s));
 
   if (srv_is_leader (s))
     return bks_leader_poll_interval (
         s->backends,
         srv_leader_is_forming (s) ? POLL_FORMING_MS : POLL_LEADER_MS,
-        s->set.drain_ms);
-  if (s->set.first_start && !s->had_traffic)
-    ms = bks_fallback_poll_ms (s->set.drain_ms, false) * START_POLL_FACTOR;
+        s->settings.drain_ms);
+  if (s->settings.first_start && !s->had_traffic)
+    ms = bks_fallback_poll_ms (s->settings.drain_ms, false)
+         * START_POLL_FACTOR;
   return ms > POLL_RETRY_MS ? ms : POLL_RETRY_MS;
 }
 
@@ -106,8 +108,8 @@
   struct srv_sync *y = s->sync;
   clk_ms next = current_at + poll_ms (s);
 
-  if (current_at > y->current_at)
-    y->current_at = current_at;
+  if (current_at > y->reported_current_at)
+    y->reported_current_at = current_at;
   if (!srv_is_leader (s) && next > y->next_read_at)
     y->next_read_at = next;
 }
@@ -119,7 +121,10 @@
 
   if (!bks_has_list (s->backends))
     return -1;
-  return now - (s->sync->current_at > read_at ? s->sync->current_at : read_at);
+  return now
+         - (s->sync->reported_current_at > read_at
+                ? s->sync->reported_current_at
+                : read_at);
 }
 
 size_t
@@ -133,7 +138,7 @@
 static bool
 is_outdated (const struct srv *s, clk_ms now)
 {
-  return srv_sync_list_age (s, now) > s->set.drain_ms / 2;
+  return srv_sync_list_age (s, now) > s->settings.drain_ms / 2;
 }
 
 void
@@ -154,9 +159,9 @@
 }
 
 int64_t
-srv_sync_era (const struct srv *s)
+srv_sync_store_era (const struct srv *s)
 {
-  return s->sync->era;
+  return s->sync->store_era;
 }
 
 clk_ms
@@ -182,9 +187,9 @@
       return;
     }
   y->last_read_at = y->read_sent_at;
-  if (y->era && r->era > y->era)
+  if (y->store_era && r->era > y->store_era)
     bks_store_restored (s->backends, now);
-  y->era = r->era;
+  y->store_era = r->era;
   apply_servers (y, r);
   y->next_read_at = y->read_sent_at + poll_ms (s);
 }
@@ -197,8 +202,9 @@
   y->reading = true;
   pau_call_started (&s->store_backoff);
   y->read_sent_at = now;
-  store_range (s->store, STORE_ASSIGNMENT, str_from (s->ad->servers_prefix),
-               buf_str (&y->range_end), on_servers, y);
+  store_range (s->store, STORE_ASSIGNMENT,
+               str_from (s->adapter->servers_prefix), buf_str (&y->range_end),
+               on_servers, y);
 }
 
 void
@@ -232,10 +238,10 @@
 
   y->s = s;
   y->store_ok = true;
-  if (s->set.first_start)
+  if (s->settings.first_start)
     y->next_read_at = clk_now () + poll_ms (s);
   y->unparsed = inv_new ();
   s->sync = y;
-  store_prefix_end (str_from (s->ad->servers_prefix), &y->range_end);
+  store_prefix_end (str_from (s->adapter->servers_prefix), &y->range_end);
   srv_sync_tick (s, clk_now ());
 }
--- a/t/lib-limit.c
+++ b/t/lib-limit.c
@@ -118,7 +118,7 @@
 /** The relay that grants permits to a node; -1: the node grants them itself.
  */
 static int
-granting_node (const struct limit_fleet *f, int node)
+find_grantor (const struct limit_fleet *f, int node)
 {
   for (int i = 0; i < LIMIT_RELAYS && i < f->n; i++)
     {
@@ -131,9 +131,9 @@
   return -1;
 }
 
-/** Send the demand of a node to the granting node. */
+/** Send the demand of a node to the grantor. */
 static void
-send_demand (struct limit_fleet *f, int node, int granting, bool periodic)
+send_demand (struct limit_fleet *f, int node, int grantor, bool periodic)
 {
   struct limit_message message
       = { .from = node, .periodic = periodic, .is_follower = true };
@@ -144,7 +144,7 @@
   message.npermits = n < MAX_LIST ? n : MAX_LIST;
   if (n)
     memcpy (message.permits, list, message.npermits * sizeof *list);
-  send_message (f, granting, &message);
+  send_message (f, grantor, &message);
 }
 
 static void
@@ -153,7 +153,7 @@
   struct lim *l = f->node[node].l;
   size_t n;
 
-  lim_set_role (l, f->now, granting_node (f, node) < 0, (unsigned)f->n);
+  lim_set_role (l, f->now, find_grantor (f, node) < 0, (unsigned)f->n);
   const struct lim_permits *due = lim_grant (l, f->now, true, &n);
   for (size_t i = 0; i < n; i++)
     {
@@ -167,13 +167,13 @@
 static void
 send_report (struct limit_fleet *f, int node)
 {
-  int granting = granting_node (f, node);
+  int grantor = find_grantor (f, node);
   struct limit_message message = { .from = node, .periodic = true };
 
-  if (granting >= 0)
-    send_demand (f, node, granting, true);
+  if (grantor >= 0)
+    send_demand (f, node, grantor, true);
   for (int to = 0; to < f->n; to++)
-    if (to != granting && (node < LIMIT_RELAYS || to < LIMIT_RELAYS))
+    if (to != grantor && (node < LIMIT_RELAYS || to < LIMIT_RELAYS))
       send_message (f, to, &message);
   grant (f, node);
 }
@@ -189,7 +189,7 @@
   for (size_t i = 0; i < in->nupdates; i++)
     lim_apply (l, f->now, &in->updates[i]);
   for (size_t i = 0; in->grants && i < in->npermits; i++)
-    if (granting_node (f, node) == in->from)
+    if (find_grantor (f, node) == in->from)
       lim_add_permits (l, f->now, in->permits[i].server, in->permits[i].n);
   if (in->is_follower)
     lim_on_follower_demand (l, f->now, (uint64_t)in->from + 1, in->periodic,
@@ -234,14 +234,14 @@
 static void
 request_permits (struct limit_fleet *f, int node)
 {
-  int granting = granting_node (f, node);
+  int grantor = find_grantor (f, node);
 
   if (!lim_poll_new_demand (f->node[node].l))
     return;
-  if (granting < 0)
+  if (grantor < 0)
     grant (f, node);
   else
-    send_demand (f, node, granting, false);
+    send_demand (f, node, grantor, false);
 }
 
 static void
--- a/t/lib-poison.c
+++ b/t/lib-poison.c
@@ -10,7 +10,7 @@
 #define STEP_MS ((clk_ms)10)
 
 static bool
-aggregates (const struct psn_fleet *f, int node)
+collects (const struct psn_fleet *f, int node)
 {
   return f->relays == 0 || node < f->relays;
 }
@@ -22,7 +22,7 @@
   f->queue[to] = xrealloc (f->queue[to],
                            (f->nqueue[to] + n + 1) * sizeof (*f->queue[to]));
   for (size_t i = 0; i < n; i++)
-    if (f->linked[from][to] && (list[i].broadcast || aggregates (f, to)))
+    if (f->linked[from][to] && (list[i].broadcast || collects (f, to)))
       {
         f->queue[to][f->nqueue[to]++] = list[i];
         f->sent++;
@@ -61,12 +61,12 @@
 
 void
 psn_fleet_crash (struct psn_fleet *f, int node, uint64_t digest,
-                 uint64_t place, clk_ms ran_ms)
+                 uint64_t endpoint, clk_ms ran_ms)
 {
   psn_apply (f->node[node], f->now,
              &(struct psn_update){ .kind = PSN_CRASH,
                                    .digest = digest,
-                                   .endpoint = place,
+                                   .endpoint = endpoint,
                                    .ran_ms = ran_ms });
 }
 
@@ -96,7 +96,7 @@
 {
   psn_free (f->node[node]);
   f->node[node] = psn_new ();
-  psn_set_aggregating (f->node[node], f->now, aggregates (f, node));
+  psn_set_collecting (f->node[node], f->now, collects (f, node));
   f->nqueue[node] = 0;
   for (int i = 0; i < f->n; i++)
     if (may_link (f, node, i))
@@ -113,7 +113,7 @@
   for (int i = 0; i < nodes; i++)
     {
       f->node[i] = psn_new ();
-      psn_set_aggregating (f->node[i], f->now, aggregates (f, i));
+      psn_set_collecting (f->node[i], f->now, collects (f, i));
     }
   for (int i = 0; i < nodes; i++)
     for (int k = 0; k < nodes; k++)
@@ -163,8 +163,8 @@
     psn_completed (f->node[node], f->now, (uint64_t)y[0]);
   else if (strcmp (command, "cut") == 0 || strcmp (command, "link") == 0)
     psn_fleet_link (f, node, atoi (y) - 1, command[0] == 'l');
-  else if (strcmp (command, "aggregate") == 0)
-    psn_set_aggregating (f->node[node], f->now, true);
+  else if (strcmp (command, "collect") == 0)
+    psn_set_collecting (f->node[node], f->now, true);
   else if (strcmp (command, "restart") == 0)
     psn_fleet_restart (f, node);
   else if (strcmp (command, "stored") == 0)
--- a/t/lib-poison.h
+++ b/t/lib-poison.h
@@ -11,7 +11,7 @@
  *                    event; -1: there was no event
  *   complete NODE REQUEST    a run completed at the node
  *   cut A B, link A B        the link between two nodes
- *   aggregate NODE   the node aggregates crashes, as it has no relay
+ *   collect NODE     the node becomes a collector, as it has no relay
  *   restart NODE     drop the state of the node and link it again
  *   stored NODE REQUEST      the node reads from the store that the request is
  *                    blocked
@@ -48,7 +48,7 @@
 /** Simulate 10 ms. */
 void psn_fleet_step (struct psn_fleet *f);
 void psn_fleet_crash (struct psn_fleet *f, int node, uint64_t digest,
-                      uint64_t place, clk_ms ran_ms);
+                      uint64_t endpoint, clk_ms ran_ms);
 void psn_fleet_link (struct psn_fleet *f, int a, int b, bool linked);
 void psn_fleet_restart (struct psn_fleet *f, int node);
 
--- a/t/t9203-pause.c
+++ b/t/t9203-pause.c
@@ -7,7 +7,7 @@
 
 #include "serve/pause.h"
 
-#define CALLERS 4
+#define MODULES 4
 #define STEP_MS ((clk_ms)10)
 #define ANSWER_MS ((clk_ms)20)
 
@@ -15,7 +15,7 @@
 {
   struct pau backoff;
   struct rng rng;
-  clk_ms call_ends_at[CALLERS]; /* end of the call in flight; 0: none */
+  clk_ms call_ends_at[MODULES]; /* end of the call in flight; 0: none */
   unsigned calls;
 };
 
@@ -24,7 +24,7 @@
 run (struct node *n, clk_ms from, clk_ms to, enum store_status status)
 {
   for (clk_ms now = from; now < to; now += STEP_MS)
-    for (int i = 0; i < CALLERS; i++)
+    for (int i = 0; i < MODULES; i++)
       {
         if (n->call_ends_at[i] && now >= n->call_ends_at[i])
           {
@@ -53,7 +53,7 @@
   run (&n, 1000, 1100, STORE_OK);
   n.calls = 0;
   run (&n, 1100, 11100, STORE_UNAVAILABLE);
-  cr_expect_leq (n.calls, CALLERS + 16, "%u calls", n.calls);
+  cr_expect_leq (n.calls, MODULES + 16, "%u calls", n.calls);
   cr_expect_geq (n.calls, 8, "%u calls", n.calls);
 }
 
@@ -70,7 +70,7 @@
   run (&n, 1000, 1100, STORE_OK);
   n.calls = 0;
   run (&n, 1100, 10100, STORE_UNAVAILABLE);
-  cr_expect_leq (n.calls, CALLERS + 7, "%u calls", n.calls);
+  cr_expect_leq (n.calls, MODULES + 7, "%u calls", n.calls);
 }
 
 /*
@@ -78,7 +78,7 @@
  * most a second, so a probe succeeds soon after the store is back; after that
  * all callers call in the same step.
  */
-Test (backoff, first_success_releases_all_callers)
+Test (backoff, first_success_releases_all_modules)
 {
   struct node n = { 0 };
 
@@ -86,8 +86,8 @@
   run (&n, 1000, 9000, STORE_UNAVAILABLE);
   run (&n, 9000, 10100, STORE_OK);
   cr_expect_eq (n.backoff.failures, 0);
-  for (int i = 0; i < CALLERS; i++)
-    cr_expect (n.call_ends_at[i] > 0, "caller %d waits", i);
+  for (int i = 0; i < MODULES; i++)
+    cr_expect (n.call_ends_at[i] > 0, "module %d waits", i);
 }
 
 /* Guards against a backoff that grows with each of several calls that were in
@@ -97,9 +97,9 @@
   struct node n = { 0 };
 
   rng_seed (&n.rng, 3);
-  for (int i = 0; i < CALLERS; i++)
+  for (int i = 0; i < MODULES; i++)
     pau_call_started (&n.backoff);
-  for (int i = 0; i < CALLERS; i++)
+  for (int i = 0; i < MODULES; i++)
     pau_call_ended (&n.backoff, 1000 + i, STORE_UNAVAILABLE, &n.rng);
   cr_expect_eq (n.backoff.failures, 1);
   cr_expect_not (pau_may_call (&n.backoff, 1100));
--- a/t/t9206-hubs.c
+++ b/t/t9206-hubs.c
@@ -78,9 +78,9 @@
 }
 
 /*
- * In a fleet of 300 nodes each node has RLY_LINKS links instead of 299, and
- * all of them lead to the same few large nodes, which alone have the capacity
- * for all loads.
+ * In a fleet of 300 nodes each node has RLY_LINKS_PER_NODE links instead of
+ * 299, and all of them lead to the same few large nodes, which alone have the
+ * capacity for all loads.
  */
 Test (relays, all_nodes_link_to_the_same_large_nodes)
 {
@@ -90,14 +90,15 @@
 
   fleet_init (&f, 300, 20);
   for (size_t i = 0; i < f.n; i++)
-    cr_expect_eq (count_links (&f, i, wanted), RLY_LINKS, "node %zu", i);
+    cr_expect_eq (count_links (&f, i, wanted), RLY_LINKS_PER_NODE, "node %zu",
+                  i);
   for (size_t i = 0; i < f.n; i++)
     {
       used += wanted[i] > 0;
       cr_expect (wanted[i] == 0 || i % 20 == 0, "small node %zu is a relay",
                  i);
     }
-  cr_expect_leq (used, RLY_LINKS + 1, "%zu relays", used);
+  cr_expect_leq (used, RLY_LINKS_PER_NODE + 1, "%zu relays", used);
 }
 
 /*
@@ -118,10 +119,11 @@
     f.failed[i] = before[i] > 0;
   for (size_t i = 0; i < f.n; i++)
     if (!f.failed[i])
-      cr_expect_eq (count_links (&f, i, wanted), RLY_LINKS, "node %zu", i);
+      cr_expect_eq (count_links (&f, i, wanted), RLY_LINKS_PER_NODE,
+                    "node %zu", i);
   for (size_t i = 0; i < f.n; i++)
     used += wanted[i] > 0;
-  cr_expect_leq (used, RLY_LINKS + 1, "%zu relays", used);
+  cr_expect_leq (used, RLY_LINKS_PER_NODE + 1, "%zu relays", used);
 }
 
 /* All large nodes have failed, and small nodes become relays. */
@@ -135,7 +137,8 @@
     f.failed[i] = true;
   for (size_t i = 0; i < f.n; i++)
     if (!f.failed[i])
-      cr_expect_eq (count_links (&f, i, wanted), RLY_LINKS, "node %zu", i);
+      cr_expect_eq (count_links (&f, i, wanted), RLY_LINKS_PER_NODE,
+                    "node %zu", i);
 }
 
 /*
@@ -160,7 +163,7 @@
     cr_expect (list[i].wanted, "no link to node %zu", indices[i]);
   n = list_peers (&f, 5, list, indices);
   for (size_t i = 0; i < n; i++)
-    list[i].leads = indices[i] == last;
+    list[i].is_leader = indices[i] == last;
   rly_choose_links (&f.node[5], false, list, n);
   for (size_t i = 0; i < n; i++)
     cr_expect (indices[i] != last || list[i].wanted);
@@ -190,7 +193,7 @@
     {
       size_t n = list_peers (&f, i, list, indices);
       for (size_t k = 0; k < n; k++)
-        list[k].leads = indices[k] == 3;
+        list[k].is_leader = indices[k] == 3;
       sums += !rly_aggregator (&f.node[i], i == 3, list, n);
     }
   cr_expect_eq (sums, 1, "%zu", sums);
--- a/t/t9207-poison.c
+++ b/t/t9207-poison.c
@@ -21,7 +21,7 @@
 }
 
 /* Nodes that are linked to the relays only must receive the block as well. */
-Test (poison, relays_aggregate_and_all_nodes_block)
+Test (poison, relays_decide_and_all_nodes_block)
 {
   poison_run_script (
       "relays 8\n crash 5 p 1 -1\n run 100\n crash 6 p 2 -1\n run 100\n"
@@ -106,7 +106,7 @@
 {
   poison_run_script (
       "relays 6\n cut 6 1\n cut 6 2\n cut 6 3\n cut 6 4\n"
-      "crash 6 p 1 -1\n crash 6 p 2 -1\n aggregate 6\n crash 6 p 3 -1\n"
+      "crash 6 p 1 -1\n crash 6 p 2 -1\n collect 6\n crash 6 p 3 -1\n"
       "run 500\n query p\n",
       "p -----B\n");
 }
--- a/t/t9208-limit.c
+++ b/t/t9208-limit.c
@@ -114,7 +114,7 @@
 
 /* A server must get neither no requests nor twice its rate while the granting
    node ends and starts again. */
-Test (limit, granting_node_is_killed)
+Test (limit, grantor_is_killed)
 {
   limit_run_script (
       "nodes 8\n load 100\n limit s 2\n run 5000\n reset\n kill 1\n"
@@ -124,7 +124,7 @@
 }
 
 /* The same for a granting node that freezes and resumes with stale state. */
-Test (limit, granting_node_freezes)
+Test (limit, grantor_freezes)
 {
   limit_run_script (
       "nodes 8\n load 100\n limit s 2\n run 5000\n reset\n freeze 1\n"
@@ -133,7 +133,7 @@
 }
 
 /* While links are cut, the two sides must not each grant the full rate. */
-Test (limit, two_nodes_grant_while_links_are_cut)
+Test (limit, two_grantors_while_links_are_cut)
 {
   limit_run_script (
       "nodes 8\n load 100\n limit s 2\n run 5000\n cut 1\n cut 2\n"
@@ -324,7 +324,7 @@
   double rate;
 
   respond (l, 1000, 4, 900);
-  cr_expect_eq (lim_on_report (l, 1100, &report), LIM_UNREADABLE);
+  cr_expect_eq (lim_on_report (l, 1100, &report), LIM_MALFORMED);
   cr_expect_eq (lim_on_report (l, 1200, &report), LIM_UNCHANGED);
   cr_expect (lim_get_rate (l, 7, &rate) && rate == 4);
   lim_free (l);
--- a/t/t9209-currency.c
+++ b/t/t9209-currency.c
@@ -94,13 +94,14 @@
 static void
 show (void)
 {
-  static const char *const names[] = { [CUR_CONFIRMED] = "confirmed",
-                                       [CUR_UNCONFIRMED] = "unconfirmed",
-                                       [CUR_RESUMED] = "resumed" };
+  static const char *const names[]
+      = { [CUR_CONFIRMED] = "confirmed",
+          [CUR_UNCONFIRMED] = "unconfirmed",
+          [CUR_AWAITING_STORE] = "awaiting-store" };
 
   buf_addf (&log_text, "version %lld %s%s%s\n", (long long)s.fresh.version,
             names[cur_state (&s.fresh, s.now)],
-            cur_is_announced (&s.fresh, s.now) ? " announced" : "",
+            cur_has_announcements (&s.fresh, s.now) ? " announced" : "",
             cur_may_watch (&s.fresh, s.now) ? " may-watch" : "");
 }
 
@@ -253,7 +254,7 @@
               "> store 2\n"
               "> pause 2800\n"
               "> show\n"
-              "version 1 resumed may-watch\n"
+              "version 1 awaiting-store may-watch\n"
               "> run 20\n"
               "3300 read\n"
               "> show\n"
@@ -271,11 +272,11 @@
               "> in-force 1\n"
               "> pause 4000\n"
               "> show\n"
-              "version 1 resumed\n"
+              "version 1 awaiting-store\n"
               "> run 100\n"
               "4100 read\n"
               "> show\n"
-              "version 1 resumed\n"
+              "version 1 awaiting-store\n"
               "> run 500\n"
               "> show\n"
               "version 1 unconfirmed\n");
