--- a/serve/adapter.h
+++ b/serve/adapter.h
@@ -31,18 +31,18 @@
   double store_writes; /**< per second, all nodes together */
   double store_reads;  /**< per second, all nodes together */
   clk_ms lease_min_ms; /**< minimum lease that the store grants */
-  clk_ms drain_ms;     /**< a leaving backend server gets no new requests after
-                            this time */
+  clk_ms drain_ms;     /**< a backend server that drains gets no new requests
+                            after this time */
   clk_ms grace_ms;     /**< from SIGTERM to SIGKILL */
   clk_ms config_apply_ms; /**< maximum time until all nodes use a new
-                             configuration */
+                               configuration */
   clk_ms address_ttl_ms;  /**< maximum TTL of an address response */
   clk_ms stall_ms; /**< a replica that lost a member fails after this time */
   double retry_ratio;
   double retry_slack;
   clk_ms retry_window_ms;
   double ceiling_window_s; /**< window of the limit on model loads */
-  double ceiling_over;     /**< factor on the rate of model loads */
+  double ceiling_over;     /**< factor on the allowed rate of model loads */
   bool first_start; /**< first start of the whole system, without any state */
   size_t max_fds;
   double link_bytes_per_s; /**< of this VM; 0: unknown */
@@ -59,7 +59,7 @@
   clk_ms deadline_ms;       /**< client timeout; 0: not specified */
   double prompt_tokens;     /**< tokens in the prompt; 0: not specified */
   double max_output_tokens; /**< maximum number of output tokens; 0: not
-                               specified */
+                                 specified */
 };
 
 /** Maximum number of headers in a list before those that an attempt adds. */
--- a/serve/address.c
+++ b/serve/address.c
@@ -1,11 +1,11 @@
 #include "serve/exchange.h"
 
-/** Limit on the addresses in one answer; callers read no more. */
+/** Maximum number of addresses in one response; clients read no more. */
 #define ADDRESSES_MAX 64
 
-/** Time for which callers may use an answer.  Callers ask again about every
-    two seconds, so a node that has died is in no caller's answer after about
-    this time. */
+/** How long clients may use a response.  Clients send a query about every two
+    seconds, so no client uses the address of a failed node for much longer
+    than this. */
 #define ANSWER_TTL_MS ((clk_ms)2000)
 
 #define BODY_MAX ((size_t)4096)
--- a/serve/backends.c
+++ b/serve/backends.c
@@ -7,8 +7,8 @@
 /**
  * How long a server that is missing after an outage of the store still counts
  * as listed.  Entries can expire while the store is unreachable although their
- * servers run; these write their entries again within about 2 s of its return.
- * Removing them at once would leave a node without endpoints.
+ * servers run; the servers write them again within about 2 s after the
+ * outage.  Without this delay a node would have no endpoints left.
  */
 #define RECOVERY_MS ((clk_ms)2200)
 
@@ -19,31 +19,30 @@
 #define REMOVED_MAX 128
 
 /**
- * Longest list that is read at the full rate.  An entry takes some 600 bytes
- * on the wire: reading 250 of them 10 times per second takes 1.5 MB/s, over
- * half the link capacity of the smallest VMs.
+ * Longest list that is read at the shortest interval.  An entry takes some 600
+ * bytes on the wire: reading 250 of them 10 times per second takes 1.5 MB/s,
+ * over half the link capacity of the smallest VMs.
  */
 #define FULL_RATE_SERVERS 250
 
 /**
- * A draining server must get no new requests drain_ms after it announced that
- * it drains.  With this many reads in that time, one may fail and one may be
- * slow.
+ * Number of reads in drain_ms, the time after which a draining server must get
+ * no new requests.  One of the reads may fail and one may be slow.
  */
 #define READS_PER_DRAIN 3
 /**
  * Part of drain_ms after which the nodes of a large fleet read the list
  * themselves.  When many nodes read a long list at the same time, they
  * saturate the store's link for a second or more, just when the next leader
- * has to read it.  A change of leader takes half of drain_ms, so the nodes
- * wait slightly longer; a failed read can still be repeated in time.
+ * has to read it.  A change of leader takes half of drain_ms, so with a
+ * slightly larger part a new leader usually sends the list first; a failed
+ * read can still be repeated in time.
  */
 #define LARGE_FLEET_DRAIN_PART 0.6
 
 /**
- * How long a list from an older copy of the store's data can contain a server
- * that has left: its entry expires there after three heartbeats of some
- * seconds each.
+ * How long a store that was restored from an older copy can list a server that
+ * has left: the entry expires after three heartbeats of some seconds each.
  */
 #define OLD_COPY_MS ((clk_ms)10000)
 
@@ -499,8 +498,7 @@
                                  b->list[i]->e.start_time };
 }
 
-/** Whether no member of the complete replica is listed outside the replica
-    or has restarted. */
+/** Whether no recorded member has left the replica or has restarted. */
 static bool
 are_members_unchanged (const struct bks *b, const struct bks_server *leader)
 {
@@ -521,15 +519,15 @@
  * and none of them drains or has joined another replica.
  *
  * A member whose entry expires still counts.  A server that is cut off from
- * the store continues to work; excluding its replica would mean that a
- * partition of 1 server in 8 disables most replicas of 6 members.  If the
- * member has failed, its replica stops responding, and the streams show that
- * sooner than the list.
+ * the store continues to work; if its replica were excluded, a partition of 1
+ * server in 8 would disable most replicas of 6 members.  If the member has
+ * failed, its replica stops responding, which is detected by its streams
+ * sooner than by the list.
  *
- * A node that has just started cannot have seen all members.  A leader is
- * ordered to open its replica only when all members are ready, so a majority
- * of listed members is enough.  Fewer may be the rest of a replica whose
- * members have joined others.
+ * A node that has just started may not have seen all members at once.  For it,
+ * a majority of listed members is enough, because a replica is ordered to open
+ * only when all its members are ready.  With fewer, the other members may have
+ * joined other replicas.
  */
 static bool
 is_complete (const struct bks *b, struct bks_server *leader, unsigned size)
--- a/serve/backends.h
+++ b/serve/backends.h
@@ -16,7 +16,7 @@
 #include "net/addr.h"
 #include "serve/dispatch.h"
 
-/** Most models whose weights are kept in memory by the host of a VM. */
+/** Maximum number of models that the host of a VM keeps in memory. */
 #define BKS_PRELOADED_MAX 8
 
 /** State of a backend server as a member of a replica. */
@@ -36,7 +36,7 @@
 enum bks_acceptance
 {
   BKS_ACCEPTANCE_UNKNOWN, /**< not announced: this node has read the list
-                               from the store */
+                               itself and decides */
   BKS_ACCEPTING,
   BKS_NOT_ACCEPTING
 };
@@ -46,10 +46,10 @@
 {
   struct str id;
   int64_t start_time; /**< wall clock time at which its process started, in
-                     Unix ms.  A server that restarts under the same id counts
-                     as another server; 0: not reported */
+                           Unix ms.  A server that restarts under the same id
+                         counts as another server; 0: not reported */
   int64_t heartbeat;  /**< sequence number of the heartbeat that wrote the
-                      entry;  0: unknown */
+                           entry;  0: unknown */
   struct str service;
   struct str zone;
   struct str domain; /**< fabric domain; empty: none */
@@ -84,8 +84,8 @@
   uint64_t version;           /**< version of the list in which it last
                                    changed */
   clk_ms first_seen_at;       /**< when this incarnation was first listed */
-  bool is_endpoint;           /**< requests may be sent to it, or may still
-                                   be running there */
+  bool is_endpoint;           /**< requests may be sent to it, or may still run
+                                   there */
   bool accepting;             /**< as an endpoint, takes new requests */
   uint64_t endpoint_version;  /**< version of the list in which the entry,
                                    `is_endpoint` or `accepting` last changed */
@@ -139,7 +139,6 @@
 bool bks_removed_since (struct bks *b, uint64_t version,
                         const struct str **ids, size_t *n);
 
-/** A read of the list has failed. */
 void bks_read_failed (struct bks *b, clk_ms now);
 
 /**
@@ -157,19 +156,19 @@
  */
 clk_ms bks_poll_interval (const struct bks *b, clk_ms min_interval);
 
-/** The same for the leader node, which sends the list to all others: short
-    enough for all nodes to receive in time that a server drains. */
+/** bks_poll_interval() for the leader, which sends the list to all other
+    nodes, with an upper bound: all nodes must receive in time that a server
+    drains. */
 clk_ms bks_leader_poll_interval (const struct bks *b, clk_ms min_interval,
                                  clk_ms drain_ms);
 
 /**
- * Interval between reads of the list at a node that receives it from no other
- * node.
- * @param is_leaf  the leader sends the list to many nodes
+ * Interval between reads of the list at a node that does not receive it from
+ * the leader.
+ * @param is_leaf  the node is a leaf; see srv_is_leaf()
  */
 clk_ms bks_fallback_poll_ms (clk_ms drain_ms, bool is_leaf);
 
-/** Whether the list was read or received at least once. */
 bool bks_has_list (const struct bks *b);
 
 const struct bks_server *const *bks_list (const struct bks *b, size_t *n);
--- a/serve/config.c
+++ b/serve/config.c
@@ -4,11 +4,11 @@
 
 /*
  * The configuration in force.  In a small deployment each node watches it in
- * the store.  In a large one, a few nodes do: they announce the version to the
- * others and push each new document, because watches and reads by every node
- * would be most of all store calls.  The push also reaches nodes that the
- * store rejects.  currency.h decides how fresh the configuration is and what
- * follows from that.
+ * the store.  In a large one, watches and reads by every node would be most of
+ * all store calls, so a few nodes announce the version to the others and push
+ * each new document.  The push also reaches nodes that the store rejects.
+ * currency.h decides how fresh the configuration is and what follows from
+ * that.
  */
 
 /** A document is pushed only if sending it takes no longer than this on the
@@ -81,8 +81,8 @@
 }
 
 /**
- * Put a configuration in force if it is newer than the present one.  An older
- * one is ignored: a read may return after a newer version was pushed.
+ * Put a configuration in force if it is newer than the present one.  A read
+ * may return an older one after a newer version was pushed.
  * @retval false  it could not be parsed
  */
 static bool
@@ -147,8 +147,7 @@
                      buf_str (&c->range_end), c->seen_revision + 1, &cb, c);
 }
 
-/** Whether this node relies on announcements instead of a watch of its
-    own. */
+/** Whether announcements replace the watch of this node. */
 static bool
 relies_on_announcements (const struct srv_config *c, clk_ms now)
 {
--- a/serve/currency.c
+++ b/serve/currency.c
@@ -4,22 +4,23 @@
     limit; the rest of the limit leaves time for one read that gets no answer
     and a second one. */
 #define REREAD_DIVISOR 2
-/** The same for a node whose announcements others rely on, so that these keep
-    the others from reading. */
+/** The same for a node whose announcements others rely on.  It reads more
+    often, so that the others need not read. */
 #define REREAD_ANNOUNCER_DIVISOR 3
 /** Part of the limit that a watch waits so that several versions are returned
     together: operators sometimes push about a dozen within two seconds, and
-    each watch result is a priced call and a whole document for every node. */
+    each watch result costs every node a billed store call and a complete
+    document. */
 #define SETTLE_DIVISOR 4
 /** Time for an announced version to be pushed; a push is faster than a
     read. */
 #define PUSH_WAIT_MS ((clk_ms)150)
 /** Delay after a failed read. */
 #define READ_RETRY_MS ((clk_ms)200)
-/** Delay of the read that follows a failed watch. */
+/** Delay before the read that follows a failed watch. */
 #define WATCH_FAILED_READ_MS ((clk_ms)100)
-/** Limit on deferring requests until the first answer of the store after a
-    pause of the process; after that the node serves by the configuration in
+/** After a pause of the process, requests are deferred until the store
+    answers, for at most this time; then the node uses the configuration in
     force. */
 #define RESUME_WAIT_MS ((clk_ms)500)
 
@@ -61,8 +62,8 @@
 cur_read_done (struct cur *f, clk_ms now, enum cur_read_result what)
 {
   f->reading = false;
-  /* The result of a call sent before the pause says nothing about the store's
-     present state. */
+  /* A call sent before the pause does not show the present state of the
+     store. */
   if (f->resumed_at && f->read_sent_at < f->resumed_at)
     {
       f->next_read = now;
@@ -79,7 +80,8 @@
     }
   confirm (f, f->read_sent_at);
   f->next_read = CLK_NEVER;
-  /* After a start, the links are up by then and announcements arrive. */
+  /* After a start, the links are up by then, and announcements may make the
+     watch unnecessary. */
   if (f->next_watch == CLK_NEVER)
     f->next_watch = now + f->apply_ms / SETTLE_DIVISOR;
 }
--- a/serve/currency.h
+++ b/serve/currency.h
@@ -2,12 +2,12 @@
  * @file
  * Freshness of a node's configuration (decision core).
  *
- * The configuration in force was the newest one at `confirmed_at`: the time at
- * which the last store read that returned no newer version was sent, by this
- * node or by a node that announced the same version.  When `confirmed_at`
- * becomes too old, the node reads the store itself.  Once it is older than the
- * time within which operators may rely on a new version being in force, the
- * node keeps serving but sends no final refusals.
+ * At `confirmed_at` the configuration in force was the newest: a store read
+ * sent at this time returned no newer version.  The read was made by this node
+ * or by a node that announced the same version.  When `confirmed_at` is too
+ * old, the node reads the store itself.  Each new version is to be in force at
+ * all nodes within a limit.  While `confirmed_at` is older than this limit,
+ * the node serves requests but sends no final refusals.
  *
  * Clocks of different nodes are not compared.  Each frame carries the sender's
  * time, and an announcement echoes the latest time received from its receiver.
@@ -35,14 +35,14 @@
                          echoed time; negative: confirmed after that receipt */
 };
 
-/** Freshness of the configuration in force. */
+/** Whether the configuration in force is confirmed. */
 enum cur_state
 {
   CUR_CONFIRMED,     /**< confirmed to be the newest within the limit */
   CUR_UNCONFIRMED,   /**< there may be a newer version */
-  CUR_AWAITING_STORE /**< as CUR_UNCONFIRMED, because this process was
-                     suspended; an answer of the store is due soon and
-                     requests are deferred until then */
+  CUR_AWAITING_STORE /**< as CUR_UNCONFIRMED, after a pause of this
+                          process; requests are deferred until a read of
+                          the store ends */
 };
 
 struct cur
@@ -58,25 +58,22 @@
   clk_ms announced_since; /**< when `announced_version` was first announced */
   bool reading;
   clk_ms read_sent_at; /**< when the last read was sent */
-  clk_ms next_read;    /**< CLK_NEVER: once `confirmed_at` is too old */
-  clk_ms next_watch;   /**< CLK_NEVER: after the next read */
+  clk_ms next_read;    /**< CLK_NEVER: when `confirmed_at` is too old */
+  clk_ms next_watch;   /**< CLK_NEVER: set by the next read */
   clk_ms resumed_at;   /**< end of the last pause of the process, until a read
                             sent after it has ended; 0: none */
 };
 
 void cur_init (struct cur *f, clk_ms apply_ms);
 
-/** This version is now in force. */
 void cur_set_version (struct cur *f, int64_t version);
 
-/** A read of the store was sent. */
 void cur_read_sent (struct cur *f, clk_ms now);
 
-/** Result of a read of the store. */
 enum cur_read_result
 {
   CUR_READ_OK, /**< the version read is in force, or is older than that in
-                      force */
+                    force */
   CUR_READ_UNPARSABLE, /**< the version read could not be parsed */
   CUR_READ_FAILED
 };
@@ -93,18 +90,17 @@
     last confirmed; 0: unknown. */
 clk_ms cur_confirmed_at (const struct cur_announcement *a);
 
-/** An announcement was received. */
 void cur_on_announcement (struct cur *f, clk_ms now,
                           const struct cur_announcement *a);
 
-/** This process has resumed after a pause. */
 void cur_on_resume (struct cur *f, clk_ms now);
 
 /** Whether to read the store now. @param announces  other nodes rely on the
     announcements of this node */
 bool cur_should_read (const struct cur *f, clk_ms now, bool announces);
 
-/** Whether this node receives announcements that confirm its version. */
+/** Whether announcements of other nodes confirm the version in force often
+    enough that no watch is needed. */
 bool cur_has_announcements (const struct cur *f, clk_ms now);
 
 /** The watch was stopped in favour of announcements.  The next watch starts
--- a/serve/duty.c
+++ b/serve/duty.c
@@ -9,22 +9,22 @@
  * orders.
  */
 
-/** Lease of the leader key.  After the leader has died, a new one takes over
-    no later than this. */
+/** Lease of the leader key.  A failed leader is replaced after about this
+    time. */
 #define LEASE_MS ((clk_ms)1200)
 /** Delay between the attempts of two nodes of consecutive rank to become
-    leader.  It exceeds the time after which a watch reports the first
-    success, so that only one node makes an attempt, which takes three priced
-    store calls. */
+    leader.  It exceeds the time after which watches report that the first
+    attempt succeeded.  So usually only one node makes an attempt, which takes
+    three billed store calls. */
 #define ATTEMPT_STAGGER_MS ((clk_ms)250)
-/** From this total delay on, attempts follow each other at the shorter
-    ATTEMPT_LATE_STAGGER_MS: if no node of the preceding ranks has made an
-    attempt by then, nearly all nodes are down. */
+/** Above this total delay, the shorter ATTEMPT_LATE_STAGGER_MS applies: if
+    none of the preceding ranks has made an attempt by then, nearly all nodes
+    are down. */
 #define ATTEMPT_STAGGER_LIMIT_MS ((clk_ms)3000)
 #define ATTEMPT_LATE_STAGGER_MS ((clk_ms)50)
-/** A node makes no attempt for this long after its start.  By then the
-    entries of the nodes that start together with it are in the store; the
-    first node to register may be the smallest one. */
+/** A node makes no attempt for this long after its start.  By then the entries
+    of all nodes that start together are in the store; otherwise the first one
+    to register would become leader, even if it is the smallest. */
 #define START_WAIT_MS ((clk_ms)500)
 /** Timeout of an order's answer.  The server answers from memory; the timeout
     leaves room for one retransmission of a lost packet after 200 ms. */
@@ -40,9 +40,9 @@
     so the probed server no longer exists. */
 #define STATUS_MISDIRECTED 421
 
-/** Limit on concurrent orders and probes.  Each uses a connection of its own,
-    a thousand servers may join at a start, and a small VM's roughly four
-    thousand file descriptors are reserved for its callers. */
+/** Limit on concurrent orders and probes.  Each uses a new connection, and a
+    thousand servers may join at a start; the roughly four thousand file
+    descriptors of a small VM are needed for client connections. */
 #define CALLS_MAX 64
 
 struct server_call;
@@ -54,7 +54,8 @@
   struct frm *form;
   struct buf key;
   bool other_leads;
-  clk_ms vacant_since; /* first seen without the leader key; 0: it exists */
+  clk_ms vacant_since; /* when the leader key was first found missing; 0: it
+                          exists */
   clk_ms started;
   clk_ms next_tick;
   struct server_call *calls;
@@ -140,8 +141,8 @@
       LOG (order_ended, LOG_C ("server", c->vm), LOG_I ("number", c->token),
            LOG_I ("status", c->status));
       frm_order_done (lead->form, now, c->token, result);
-      /* A server that accepted a join is not ready immediately; for any other
-         result the list is read again at once. */
+      /* Read the list again at once, except after an accepted join: the server
+         is not ready immediately. */
       if (c->order != FRM_JOIN || result != FRM_ACCEPTED)
         srv_sync_read_soon (lead->s, now);
     }
@@ -313,9 +314,9 @@
                * ATTEMPT_LATE_STAGGER_MS;
 }
 
-/** Whether this node should try to become leader, or stay leader: no other
-    node is leader, and the nodes of the preceding ranks have had time for
-    their attempts. */
+/** Whether this node should become or stay leader: no other node is leader
+    and, if this node is not either, the nodes of the preceding ranks have had
+    time for their attempts. */
 static bool
 should_lead (const struct srv_leader *lead, clk_ms now)
 {
--- a/serve/exchange.c
+++ b/serve/exchange.c
@@ -41,8 +41,8 @@
                                   copy_text (&head->text, h[i].value) };
 }
 
-/** Remove Content-Length from the head of a stream: the length can change if
-    the stream is resumed on another server. */
+/** Remove Content-Length from the head of a stream: the length changes if the
+    stream is resumed on another server. */
 static void
 drop_content_length (struct srv_response_head *head)
 {
@@ -117,7 +117,6 @@
   return status == 408 || status == 421 || status == 429 || status == 503;
 }
 
-/** Whether the response is a valid response to this request. */
 static bool
 is_valid_response (const struct srv_attempt *at, int status)
 {
@@ -206,8 +205,7 @@
          && at->head.status == 200;
 }
 
-/** Record the time to the first event and the longest gap between events, as
-    clients notice both. */
+/** Record the time to the first event and the longest gap between events. */
 static void
 record_event_gap (struct srv_exchange *ex)
 {
--- a/serve/exchange.h
+++ b/serve/exchange.h
@@ -1,7 +1,7 @@
 /**
  * @file
- * A client request and its attempts at backend servers: performs the I/O that
- * the request core (serve/dispatch.h) decides.
+ * A client request with its response, and its attempts at backend servers:
+ * performs the I/O that the dispatch core (serve/dispatch.h) decides.
  */
 #ifndef LAPISLINE_SERVE_EXCHANGE_H
 #define LAPISLINE_SERVE_EXCHANGE_H
@@ -59,7 +59,7 @@
   unsigned attempts_sent; /**< attempts whose request was sent */
   clk_ms first_ms;        /**< time to the first forwarded event; 0: none */
   clk_ms last_write_at;   /**< when events were last forwarded */
-  clk_ms pause_ms;        /**< longest time between two writes of events */
+  clk_ms pause_ms;        /**< longest gap between two writes of events */
   struct buf servers;     /**< ids of the servers tried, separated by blanks */
 };
 
--- a/serve/hubs.h
+++ b/serve/hubs.h
@@ -4,15 +4,15 @@
  *
  * Up to RLY_MESH_MAX nodes form a full mesh.  In a larger fleet a full mesh
  * would cost each node as many links and frames as there are nodes, which
- * takes all processor time of the smallest VMs.  There all nodes are linked to
- * the first few nodes in an order that is the same at each of them, the
- * relays.  Relays add up loads and forward what all nodes need, and one of
- * them is the leader, which forms replicas.
+ * takes all processor time of the smallest VMs.  There, each node is linked to
+ * a few relays only: the first nodes in an order that is the same at all
+ * nodes.  Relays add up loads and forward frames that all nodes need.  One of
+ * them is usually the leader, which forms replicas.
  *
- * Nodes with a faster link and a larger share of a processor come first in
- * this order: with 300 nodes a relay receives 3,000 frames per second and
- * sends a list of 100 kB to each node, which takes half a minute on a link of
- * 20 Mbit/s.
+ * Nodes with a faster link, then those with a larger share of a processor,
+ * come first in this order.  With 300 nodes, a relay receives 3,000 frames per
+ * second and sends a list of 100 kB to each node; on a link of 20 Mbit/s that
+ * takes half a minute.
  */
 #ifndef LAPISLINE_SERVE_RELAYS_H
 #define LAPISLINE_SERVE_RELAYS_H
@@ -24,12 +24,12 @@
 /**
  * Most nodes of a full mesh, in which each node sends its load and notices of
  * long prompts directly to all others.  In a larger mesh each node would watch
- * the store for the actions of all others, and the store calls would grow with
- * the square of the number of nodes.
+ * the store for changes of all others, and the store calls would grow with the
+ * square of the number of nodes.
  */
 #define RLY_MESH_MAX 15
-/** Relays that each node is linked to.  If one is lost, others remain, and
-    the next leader is a node that is linked already. */
+/** Number of relays that each node is linked to.  If one is lost, the others
+    remain, and the next leader is usually one of them. */
 #define RLY_LINKS_PER_NODE 4
 
 /** A node, as its entry in the store describes it. */
@@ -53,8 +53,8 @@
   struct rly_node node;
   bool up;             /**< linked */
   bool connect_failed; /**< the last connection attempt failed */
-  bool is_leader;      /**< it is the leader, which forms replicas */
-  bool wanted;         /**< out: connect to it, or keep the link */
+  bool is_leader;
+  bool wanted; /**< out: connect to it, or keep the link */
 };
 
 /**
--- a/serve/ingress.c
+++ b/serve/ingress.c
@@ -11,16 +11,16 @@
     started usually reads one within this time. */
 #define START_RETRY_MS ((clk_ms)300)
 
-/** Retry-After for a request that the configuration does not allow, while the
-    store has not confirmed that this configuration is the newest. */
+/** Retry-After for a request that the configuration does not allow, while this
+    configuration is not confirmed to be the newest. */
 #define CONFIRM_RETRY_MS ((clk_ms)1000)
 
-/** File descriptors reserved for everything but callers' connections: files,
-    links, the store, and connections to backend servers. */
+/** File descriptors reserved for files, links, the store, and connections to
+    backend servers; the others are for connections of clients. */
 #define FDS_RESERVED 1000
 
 /** Limit on the time between two requests of a connection, and on the time to
-    send a request head.  The configuration's own limit is not yet known when
+    send a request head.  The limits in the configuration are not read yet when
     the port is opened. */
 #define IDLE_MS ((clk_ms)20000)
 
@@ -70,7 +70,7 @@
   return str_head (host, str_chr (host, ':'));
 }
 
-/** Why a request is rejected; status 0: it is not. */
+/** Response to a rejected request; status 0: the request is accepted. */
 struct rejection
 {
   int status;
@@ -114,12 +114,12 @@
 }
 
 /**
- * Time that the caller has already waited.
+ * Time that the client has spent on earlier attempts.
  *
- * A caller that retries sends its remaining time; the difference from the
- * route's timeout was spent on earlier attempts and counts against the latency
- * goal.  A request that has missed its goal is served after those that can
- * still meet theirs; it loses nothing by that.
+ * A client that retries sends its remaining time; earlier attempts took the
+ * rest of the route's timeout.  This time counts against the latency goal.  A
+ * request that has missed its goal is served after those that can still meet
+ * theirs.
  */
 static clk_ms
 earlier_wait (const struct srv_exchange *ex)
@@ -169,7 +169,7 @@
   srv_run_actions (s);
 }
 
-/** Callers do not retry after a 4xx, so a 4xx is sent only while the
+/** Clients do not retry after a 4xx, so a 4xx is sent only while the
     configuration is confirmed to be the newest. */
 static struct rejection
 confirm_rejection (const struct srv *s, struct rejection why)
@@ -283,8 +283,8 @@
   clk_ms now = clk_now ();
 
   srv_check_pause (s, now);
-  /* Without a configuration it is unknown which requests are allowed, and a
-     404 or 401 would be final. */
+  /* A 404 or 401 would be final, and which requests are allowed is not known
+     without a configuration. */
   if (!s->active_config)
     srv_send_error (s, req, 503, "starting", START_RETRY_MS);
   else if (awaits_store (s, now))
--- a/serve/limit-grant.c
+++ b/serve/limit-grant.c
@@ -13,8 +13,8 @@
 #define URGENT_DEMAND_TTL_MS ((clk_ms)20)
 /** A server without any demand for this long is idle. */
 #define IDLE_MS ((clk_ms)1000)
-/** Credit accrues for at most this many seconds of the rate, plus one permit,
-    while there is no demand. */
+/** While there is no demand, the credit is at most this node's share of the
+    permits of this many seconds plus one. */
 #define BURST_S 0.5
 
 static struct lim_follower *
@@ -59,8 +59,8 @@
   r->has_new_demand = true;
 }
 
-/** If the follower has recorded another limit, adopt the newer one of the two.
-    If this node's limit is the newer one, queue it as an update. */
+/** If the follower has recorded another limit, the newer one of the two
+    applies.  If that is this node's limit, queue it as an update. */
 static void
 reconcile (struct lim *l, clk_ms now, const struct lim_permits *wanted)
 {
@@ -177,10 +177,11 @@
 
 /**
  * Deduct up to @p n permits from the credit.  If the maximum credit is less
- * than one permit, the next permit is granted at a random threshold between 0
- * and 1, and the credit becomes negative until it is paid back.  Otherwise
- * many nodes that grant to themselves would either send at the same time or
- * each hold a whole permit while idle.
+ * than one permit, one permit is granted when the credit reaches a random
+ * threshold between 0 and 1; the credit is negative afterwards.  With many
+ * nodes that grant to themselves, a threshold of 1 would let all of them send
+ * at the same time, and a maximum of 1 would let each keep a whole permit
+ * while idle.
  * @return  number of permits
  */
 static unsigned
--- a/serve/limit-int.h
+++ b/serve/limit-int.h
@@ -19,9 +19,9 @@
 /** Demand of one node for permits of a server. */
 struct lim_demand
 {
-  uint64_t node;     /**< LIM_SELF: this node */
-  unsigned n;        /**< permits not granted yet */
-  clk_ms expires_at; /**< the demand expires at this time */
+  uint64_t node; /**< LIM_SELF: this node */
+  unsigned n;    /**< permits not granted yet */
+  clk_ms expires_at;
 };
 
 /** A server that has set a limit, now or earlier. */
@@ -31,7 +31,8 @@
   bool limited;
   bool malformed_logged; /**< a malformed limit of this server was logged */
   double rate;
-  clk_ms reported_at; /**< when the newest response with this limit came */
+  clk_ms reported_at; /**< when the newest response with this limit was
+                           received */
   uint64_t sent;      /**< by this node since the limit was set */
   unsigned permits;   /**< unused permits of this node */
   clk_ms permits_expire_at;
@@ -41,7 +42,8 @@
   /* The following are used while this node grants permits. */
   GArray *demands;         /**< struct lim_demand in order of arrival */
   guint next_index;        /**< first demand in the list not granted in full */
-  clk_ms own_demand_until; /**< when this node's demand in the list expires */
+  clk_ms own_demand_until; /**< when this node's entry in `demands`
+                                expires */
   bool has_new_demand;     /**< demand was added since the last grant */
   double credit;           /**< permits that may be granted */
   clk_ms credit_at;        /**< when credit was last accrued */
@@ -59,10 +61,10 @@
 
 struct lim
 {
-  GHashTable *servers; /**< struct lim_server by server */
-  size_t limited;      /**< rows with a limit now */
+  GHashTable *servers; /**< struct lim_server by `server` */
+  size_t limited;      /**< number of servers with a limit now */
   struct rng rng;
-  bool is_granting; /**< this node grants permits; false: it is a follower */
+  bool is_granting; /**< this node is a grantor; false: a follower */
   bool has_new_demand;
   unsigned nodes;
   struct lim_follower *followers;
@@ -85,7 +87,6 @@
     that it holds. */
 unsigned lim_permits_needed (const struct lim_server *r, clk_ms now);
 
-/** Number of nodes that request their permits from this node. */
 size_t lim_count_followers (const struct lim *l, clk_ms now);
 
 #endif
--- a/serve/limit.c
+++ b/serve/limit.c
@@ -6,10 +6,10 @@
 
 /** Lifetime of an unused permit. */
 #define PERMIT_TTL_MS CLK_SECOND
-/** How long the demand of a request lasts.  By then the request was sent to
+/** How long the demand of a request lasts.  After that the request was sent to
     another server or refused. */
 #define DEMAND_TTL_MS ((clk_ms)50)
-/** If the granting node has a permit available, the grant arrives within this
+/** If the grantor has a permit available, the grant arrives within this
     time. */
 #define GRANT_TIMEOUT_MS ((clk_ms)20)
 /** Approximate interval between permit requests, in seconds. */
@@ -132,8 +132,8 @@
   return limited ? LIM_SET : LIM_ENDED;
 }
 
-/** Find the row of the server.  Adds one only if the response has a limit,
-    which may be malformed. @return  NULL if there is no row */
+/** Find the server in the table.  Add it only if the response has a limit,
+    which may be malformed. @return  NULL if it is not in the table */
 static struct lim_server *
 find_or_add_server (struct lim *l, const struct lim_report *report)
 {
--- a/serve/limit.h
+++ b/serve/limit.h
@@ -12,12 +12,12 @@
  * response that is known to be newer; a lower limit is applied immediately.
  * Nodes exchange changes through lim_updates().
  *
- * Permits: each request to a limited server uses up one permit.  One node
- * grants permits at the rate of the limit.  All other nodes are its followers
- * and send it their demand.  Each node is entitled to an equal share of the
- * rate, and the granting node distributes its own share and the shares of its
- * followers.  While links are down, several nodes may grant; the sum of their
- * shares still doesn't exceed the limit.  A node that reaches no granting node
+ * Permits: each request to a limited server uses up one permit.  One node, the
+ * grantor, grants permits at the rate of the limit.  All other nodes are its
+ * followers and send it their demand.  Each node is entitled to an equal share
+ * of the rate, and the grantor distributes its own share and the shares of its
+ * followers.  While links are down, there may be several grantors; the sum of
+ * their shares still doesn't exceed the limit.  A node that reaches no grantor
  * grants permits to itself from its own share.
  *
  * An unused permit expires after a short time, so that nodes can't accumulate
@@ -78,7 +78,7 @@
   clk_ms age_ms; /**< time since the response with this limit was received */
 };
 
-/** Permits for a server, either requested or granted. */
+/** Permits for a server that a node requests, or that were granted to it. */
 struct lim_permits
 {
   uint64_t node;
@@ -111,7 +111,6 @@
     is valid until the next call that modifies @p l. */
 const struct lim_update *lim_snapshot (struct lim *l, clk_ms now, size_t *n);
 
-/** Whether any server is limited. */
 bool lim_any_limited (const struct lim *l);
 
 /** Whether the server is limited. @param rate  receives the limit */
@@ -137,25 +136,26 @@
     be requested immediately. */
 bool lim_poll_new_demand (struct lim *l);
 
-/** Whether the granting node had no permit left: this node requested one for
-    the server and the response time has passed.  Requests need not wait. */
+/** Whether the grantor had no permit left: this node requested one for the
+    server, and the time in which a grant arrives has passed.  Further requests
+    need not wait. */
 bool lim_is_exhausted (const struct lim *l, clk_ms now, uint64_t server);
 
 /**
- * Permits to request from the granting node.  The list is valid until the next
- * call that modifies @p l.
+ * Permits to request from the grantor.  The list is valid until the next call
+ * that modifies @p l.
  * @param periodic  only servers for which more than one request needed a
  *                  permit, for the periodic report; false: all demand
  */
 const struct lim_permits *lim_get_demand (struct lim *l, clk_ms now,
                                           bool periodic, size_t *n);
 
-/** Add permits that the granting node has sent to this node. */
+/** Add permits that the grantor has sent to this node. */
 void lim_add_permits (struct lim *l, clk_ms now, uint64_t server, unsigned n);
 
 /* --- granting ----------------------------------------------------------- */
 
-/** Set whether this node grants permits or follows another node.
+/** Set whether this node is a grantor or a follower.
     @param nodes  number of nodes that this node has recorded */
 void lim_set_role (struct lim *l, clk_ms now, bool is_granting,
                    unsigned nodes);
--- a/serve/metrics.c
+++ b/serve/metrics.c
@@ -41,7 +41,7 @@
                (double)ms);
 }
 
-/** Set a gauge to the current value of a figure that another module keeps. */
+/** Set a gauge to a value that another module maintains. */
 static void
 gauge (struct srv *s, const char *name, const char *help, const char *labels,
        double value)
--- a/serve/node-int.h
+++ b/serve/node-int.h
@@ -39,12 +39,12 @@
   uint64_t boot;
   struct httpc *http;
   struct store *store;
-  struct pau store_backoff; /**< backoff of all store reads and of the calls
-                               for this node's entry */
+  struct pau store_backoff; /**< shared by all store reads and by the calls for
+                                 this node's entry */
   struct httpd *client_listener, *ready_listener, *address_listener;
   struct met_reg *metrics;
-  struct tbl *active_config; /**< routing table in force; NULL: no
-                          configuration was read yet */
+  struct tbl *active_config; /**< configuration in force; NULL: none was read
+                                  yet */
   struct bks *backends;
   struct dsp *dispatch;
   struct psn *poison;
@@ -63,20 +63,20 @@
   uint64_t next_id;
   bool running_actions;  /**< dispatch actions are being run */
   bool had_traffic;      /**< at least one request was received */
-  bool store_was_empty;  /**< first start of the system: no entry can have
-                          expired  before */
+  bool store_was_empty;  /**< the first read of the store returned no keys, so
+                              no entry can have expired before it */
   clk_ms last_tick_at;   /**< time of the last tick; 0: none */
   clk_ms stopping_since; /**< start of the shutdown; 0: not shutting down */
 };
 
 /* node.c */
 /** Detect that this process was suspended.  Called on each tick, and before
-    each request is admitted, as the event loop may read sockets before it
+    each request is admitted, because the event loop may read sockets before it
     runs the timer. */
 void srv_check_pause (struct srv *s, clk_ms now);
-/** Whether callers may be sent to this node. */
+/** Whether clients may be sent to this node. */
 bool srv_is_ready (const struct srv *s);
-/** The routing table or the list of backend servers has changed. */
+/** The configuration or the list of backend servers has changed. */
 void srv_endpoints_changed (struct srv *s);
 
 /* config.c: the configuration in force */
@@ -84,10 +84,10 @@
 void srv_config_tick (struct srv *s, clk_ms now);
 /** Version in force; 0: none. */
 int64_t srv_config_version (const struct srv *s);
-/** Last point in time at which the version in force was the newest; 0: never
-    confirmed. */
+/** Time at which the version in force was last confirmed to be the newest; 0:
+    never. */
 clk_ms srv_config_confirmed_at (const struct srv *s);
-/** Time since srv_config_confirmed_at(); -1: never confirmed. */
+/** Time since srv_config_confirmed_at(); -1: never. */
 clk_ms srv_config_age (const struct srv *s, clk_ms now);
 /** Whether the version in force is confirmed to be the newest. */
 enum cur_state srv_config_state (const struct srv *s, clk_ms now);
@@ -98,29 +98,27 @@
  *                nodes would take too long
  */
 bool srv_config_document (const struct srv *s, size_t nodes, struct str *text);
-/** A document was pushed by another node. */
 void srv_config_pushed (struct srv *s, int64_t version, struct str text);
 /** Another node has announced its version and when that was confirmed. */
 void srv_config_announced (struct srv *s, clk_ms now,
                            const struct cur_announcement *a);
-/** This process has resumed after a pause. */
 void srv_config_resumed (struct srv *s, clk_ms now);
 
 /* sync.c: list of backend servers in the store */
 void srv_sync_start (struct srv *s);
 void srv_sync_tick (struct srv *s, clk_ms now);
-/** Another node has reported that it read the list that this node has; the
-    list was current at @p current_at. */
+/** Another node has reported that the list of this node still equalled the
+    store's list at @p current_at. */
 void srv_sync_list_reported (struct srv *s, clk_ms current_at);
 /** Age of the list of backend servers, whether this or another node read it;
     -1: there is no list. */
 clk_ms srv_sync_list_age (const struct srv *s, clk_ms now);
-/** This process has resumed after a pause. */
 void srv_sync_resumed (struct srv *s, clk_ms now);
-/** Whether the list is still the outdated one from before the pause of this
-    process and the wait for a new one has not timed out. */
+/** Whether requests are deferred: the list is outdated since the last pause of
+    this process, and the wait for a new list has not timed out. */
 bool srv_sync_is_resuming (const struct srv *s, clk_ms now);
-/** Restore counter of the store at the last read; see struct store_result. */
+/** Restore counter of the store at the last read; it increases when the store
+    is restored from an older copy of its data. */
 int64_t srv_sync_store_era (const struct srv *s);
 /** Time since this node's last successful read. */
 clk_ms srv_sync_read_age (const struct srv *s, clk_ms now);
@@ -140,10 +138,11 @@
 bool srv_is_leaf (const struct srv *s);
 /** This node as described by its entry. */
 struct rly_node srv_self_spec (const struct srv *s);
-/** Whether the store is known to have no leader key. */
+/** Whether the store had no leader key when this node last read or watched
+    it. */
 bool srv_register_leader_vacant (const struct srv *s);
-/** Rank of this node: how many of the known nodes precede it in the order
-    of rly_cmp(), which is the same at all nodes. */
+/** Rank of this node: number of recorded nodes that precede it in the order of
+    rly_cmp(), which is the same at all nodes. */
 unsigned srv_node_rank (const struct srv *s);
 
 /* duty-plan.c: log of the replica plan */
@@ -164,7 +163,6 @@
 const struct frm_stats *srv_leader_stats (const struct srv *s);
 /** As frm_models(); returns 0 unless this node is leader. */
 size_t srv_leader_models (const struct srv *s, struct frm_model *out);
-/** Whether this node is leader and is forming a replica. */
 bool srv_leader_is_forming (const struct srv *s);
 
 /* peers.c: links to the other nodes */
@@ -180,23 +178,22 @@
                       struct buf *err);
 /** Use this secret to authenticate the links opened from now on. */
 void srv_peers_set_secret (struct srv *s, const struct link_secret *secret);
-/** Set the entries of all nodes as read from the store. */
 void srv_peers_set_entries (struct srv *s, const struct srv_node_entry *list,
                             size_t n);
 /** If this node is leader, send the changes of the list of backend servers to
     the other nodes. */
 void srv_peers_send_servers (struct srv *s);
 void srv_peers_tick (struct srv *s, clk_ms now);
-/** Send the other nodes a notice of each long prompt that was just sent to a
-    backend server. */
+/** Send the other nodes a notice of each long prompt that was sent to a
+    backend server since the last call. */
 void srv_peers_send_prompts (struct srv *s);
 /** Whether this node is leader, or is linked to the leader and receives its
     messages. */
 bool srv_peers_has_leader (const struct srv *s, clk_ms now);
-/** Number of nodes that share the load, including this one: the linked ones,
-    or the number that a relay reports. */
+/** Number of running nodes, including this one: the linked ones, or the number
+    that a relay reports. */
 unsigned srv_peers_count_nodes (const struct srv *s);
-/** List the front addresses of the nodes to which callers may be sent.
+/** List the front addresses of the nodes to which clients may be sent.
     @return how many */
 size_t srv_peers_list_ready (struct srv *s, struct net_addr *out, size_t most);
 
@@ -209,12 +206,11 @@
 void srv_run_actions (struct srv *s);
 struct srv_exchange *srv_find_exchange (const struct srv *s, uint64_t id);
 
-/** Whether other nodes rely on this node's announcements of the
-    configuration. */
+/** Whether other nodes rely on this node's announcements of the configuration
+    version. */
 bool srv_peers_is_announcer (const struct srv *s);
 /** This process has resumed after a pause of @p ms. */
 void srv_peers_resumed (struct srv *s, clk_ms now, clk_ms ms);
-/** Whether any other node is linked. */
 bool srv_peers_any_linked (const struct srv *s);
 /** Send the other nodes updates of poison requests, which crash backend
     servers. */
@@ -224,8 +220,8 @@
 /** Send the other nodes changes of the request rates that backend servers
     allow. */
 void srv_peers_send_limits (struct srv *s);
-/** Request the permits that are needed now, without waiting for the next
-    tick. */
+/** Request permits for new demand from the grantor at once, not with the next
+    periodic load. */
 void srv_peers_request_permits (struct srv *s);
 
 /* poison-node.c: poison requests, which crash backend servers */
@@ -243,7 +239,7 @@
     was deleted there. @param name  rest of the key after that prefix */
 void srv_poison_store_item (struct srv *s, bool deleted, struct str name,
                             struct str value);
-/** All items are about to be read again; those that are not read again are
+/** A full read of the store follows; items that it does not return are
     deleted. */
 void srv_poison_store_reread (struct srv *s);
 
@@ -258,8 +254,8 @@
 void srv_metrics_start (struct srv *s);
 /** All metrics in the Prometheus text exposition format. */
 void srv_metrics_expose (struct srv *s, struct buf *out);
-/** Count a request that has ended. @param status  of the answer; 0: the
-    caller disconnected */
+/** Count a request that has ended. @param status  of the response; 0: the
+    client disconnected */
 void srv_metrics_request (struct srv *s, const char *kind, int status,
                           const char *code, clk_ms ms);
 /** Record the time to the first event of a stream. */
--- a/serve/node.c
+++ b/serve/node.c
@@ -12,13 +12,13 @@
     no CPU time. */
 #define PAUSE_THRESHOLD_MS ((clk_ms)500)
 
-/** Log rate limit per event, in lines per second.  It is above the normal
-    rate of any event; at 15 us a line, this is less than a hundredth of a
+/** Log rate limit per event, in lines per second.  It is above the normal rate
+    of any event.  At 15 us per line, 60 lines take less than a hundredth of a
     core. */
 #define LOG_LINES_PER_S 60
 
-/** New requests are accepted for this long after SIGTERM, until callers have
-    learned that they should use another node. */
+/** New requests are accepted for this long after SIGTERM, until clients have
+    received addresses without this node. */
 #define SHUTDOWN_ACCEPT_MS ((clk_ms)3000)
 /** Part of the grace period that is reserved for a clean exit before
     SIGKILL. */
@@ -89,8 +89,8 @@
   srv_register_revoke (s);
 }
 
-/** Refuse new requests once callers have had time to learn of the shutdown;
-    stop the event loop just before the grace period ends. */
+/** Refuse new requests SHUTDOWN_ACCEPT_MS after SIGTERM; stop the event loop
+    just before the grace period ends. */
 static void
 tick_shutdown (struct srv *s, clk_ms now)
 {
@@ -133,8 +133,8 @@
 
 /* --- ticks -------------------------------------------------------------- */
 
-/** Handle the end of a pause of this process.  Messages that arrived during
-    the pause are still unread in the socket buffers. */
+/** This process has resumed after a pause.  Messages that arrived in the
+    meantime are still in the socket buffers. */
 static void
 handle_resume (struct srv *s, clk_ms now, clk_ms ms)
 {
--- a/serve/node.h
+++ b/serve/node.h
@@ -1,8 +1,8 @@
 /**
  * @dir serve
- * A node on a platform: one process on each VM.  It forwards callers' requests
- * to backend servers, answers which nodes callers should use, and may be
- * elected leader, the node that forms replicas.
+ * A node on a platform: one process on each VM.  It forwards client requests
+ * to backend servers, returns the addresses of ready nodes to clients, and may
+ * be elected leader, the node that forms replicas.
  *
  *   adapter.h   what a platform's adapter provides (platform/ is one)
  *   table.h     the configuration in force, as a routing table
--- a/serve/pause.c
+++ b/serve/pause.c
@@ -1,18 +1,18 @@
 #include "serve/pause.h"
 
 /** Each change of an entry triggers the watch of every node, and each of these
-    events is a priced call.  So a node delays its next watch by this time per
-    known node; when many nodes start together, few calls then return all their
+    events is a billed call.  So a node delays its next watch by this time per
+    recorded node; when many nodes start together, few calls return all their
     entries. */
 #define WATCH_DELAY_PER_NODE_MS ((clk_ms)12)
 #define WATCH_DELAY_MIN_MS ((clk_ms)150)
 #define WATCH_DELAY_MAX_MS ((clk_ms)800)
 /**
- * Delay of most nodes among many.  They need no immediate view of the others:
- * the leader links to nodes that start, and a new leader is one of the first
- * nodes in rank.  On a day on which some of 63 nodes were restarted one after
- * the other, half of the priced store calls were these watches; they cost
- * 0.017 of what the day could earn.
+ * Delay of most nodes among many.  They need not read changes immediately: the
+ * leader links to nodes that start, and a new leader is one of the first nodes
+ * in rank.  On a day with restarts of some of 63 nodes, one after the other,
+ * these watches were half of the billed store calls and cost 0.017 of the
+ * day's possible revenue.
  */
 #define WATCH_DELAY_LOW_RANK_MS ((clk_ms)3000)
 /** WATCH_DELAY_LOW_RANK_MS applies from this number of nodes on, except to the
@@ -23,13 +23,13 @@
 /** Backoff after the first failure; most failures are a single lost call. */
 #define BACKOFF_FIRST_MS ((clk_ms)200)
 /**
- * Limit of the backoff.  The backoff delays the first read after an outage,
- * and a configuration has to be in force two seconds after it was accepted.
+ * Limit of the backoff, which delays the first read after an outage: a
+ * configuration has to be in force two seconds after it was accepted.
  */
 #define BACKOFF_MAX_MS ((clk_ms)1000)
-/** Limit of the backoff of a node to which other nodes push.  The lease of
-    its entry, of which two thirds are left when it is renewed, outlives
-    several of these intervals. */
+/** Limit of the backoff of a node to which other nodes push.  The lease of its
+    entry is renewed after a third of its time and lasts for several of these
+    intervals more. */
 #define BACKOFF_PUSHED_MAX_MS ((clk_ms)3000)
 /** Random part of the backoff, so that the nodes' probes are not
     synchronized. */
--- a/serve/pause.h
+++ b/serve/pause.h
@@ -5,10 +5,10 @@
  *
  * A node reads several things from the store and keeps an entry in it.  If
  * each of these calls were retried independently during an outage, every node
- * would make a dozen useless calls a second, and the store would receive all
- * of them when it comes back.  So all calls of a node share one backoff: one
- * call at a time probes the store, at growing intervals, and its success
- * releases all the others.
+ * would make a dozen useless calls per second, and the store would receive all
+ * of them when it is available again.  So all calls of a node share one
+ * backoff: one call at a time probes the store, at growing intervals, and
+ * after its success all calls may be made.
  */
 #ifndef LAPISLINE_SERVE_PAUSE_H
 #define LAPISLINE_SERVE_PAUSE_H
@@ -22,18 +22,16 @@
   unsigned failures; /**< consecutive failures; 0: the store is available */
   clk_ms next_call;  /**< earliest time of the next probe after a failure */
   bool probing;      /**< a probe is in flight */
-  bool pushed; /**< other nodes push everything that this node would read from
-                    the store, so that only the lease of its own entry depends
-                    on the store */
+  bool pushed; /**< other nodes push all data that this node would read from
+                    the store; only the lease of its entry depends on the
+                    store */
 };
 
 /** Set whether other nodes push what this node would read from the store.
     When they stop, the next probe is due no later than after a first
     failure. */
 void pau_set_pushed (struct pau *b, clk_ms now, bool pushed, struct rng *r);
-/** Whether a call may be made. */
 bool pau_may_call (const struct pau *b, clk_ms now);
-/** A call is made. */
 void pau_call_started (struct pau *b);
 /** A call has ended. @param r  jitter, so that the nodes' probes are
     spread */
@@ -42,7 +40,7 @@
 
 /**
  * Delay between an event of the watch of node entries and the next watch.
- * @param nodes   number of known nodes
+ * @param nodes   number of recorded nodes
  * @param rank    of this node among them
  * @param urgent  changes must be seen without delay: this node is leader or
  *                has no link
--- a/serve/peers-config.c
+++ b/serve/peers-config.c
@@ -3,10 +3,10 @@
 /*
  * Configuration state in the frames between nodes.  With each load a node
  * announces the version in force and when that version was last confirmed to
- * be the newest.  The node whose announcements others rely on (the leader
- * or, in a large fleet without a leader, the aggregator) also pushes the
- * document to each peer with an older version.  In a small fleet each node
- * watches the store and usually has the document by then, unless the store
+ * be the newest.  The node whose announcements others rely on (the leader or,
+ * in a large fleet without a leader, the aggregator) also pushes the document
+ * to each peer with an older version.  In a small fleet, each node watches the
+ * store and usually reads a new version before a push is due, unless the store
  * rejects its requests or returns an older revision.
  */
 
@@ -64,8 +64,8 @@
   c->age_ms = c->known ? x->timestamp_received_at - confirmed_at : 0;
 }
 
-/** The peer's version counts only once a load has arrived on this link, so
-    a newly linked peer is not sent a document that it has already read. */
+/** A newly linked peer may have read the document already: its version is
+    unknown until a load has arrived on this link. */
 static bool
 is_config_behind (const struct peer *x, int64_t version)
 {
@@ -105,9 +105,9 @@
   struct str text;
 
   /* The length is checked against all linked peers, not only those that are
-     behind.  If a document is too long to be sent to all of them, each
-     reads it from the store; otherwise peers that read it slowly would be
-     sent it as well. */
+     behind.  If a document is too long to be sent to all of them, each reads
+     it from the store, and it must not be sent to the last few peers that have
+     not read it yet. */
   if (!any_due || !srv_peers_is_announcer (p->s)
       || !srv_config_document (p->s, prs_count_up (p), &text))
     return;
--- a/serve/peers-int.h
+++ b/serve/peers-int.h
@@ -19,8 +19,8 @@
 /** Interval at which a node sends its load, and shortest interval at which
     the aggregator sends the sum of all loads. */
 #define PRS_SEND_INTERVAL_MS ((clk_ms)100)
-/** A peer that has sent no frame for this long is not offered to callers,
-    does not count as leader, and its load is left out of the sum. */
+/** A peer that has sent no frame for this long is not reported to clients as
+    ready, does not count as leader, and its load is left out of the sum. */
 #define PRS_STALE_MS ((clk_ms)1600)
 
 /** Most front addresses of ready nodes in one NodeList frame. */
@@ -40,18 +40,19 @@
                   up */
   bool in_entries;
   bool ready;
-  bool is_leader; /* it is the leader node, which forms replicas */
-  struct dsp_endpoint_load *loads; /* its load as last received */
+  bool is_leader;
+  struct dsp_endpoint_load *loads; /* its load per endpoint, as last
+                                      received */
   size_t nloads;
   clk_ms load_sent_at; /* when this node last sent its load to it */
   struct link *link;   /* NULL: no link */
   bool up;
   bool server_list_received; /* a ServerList frame has arrived on this link */
   uint64_t server_list_version; /* version of the server list that this node
-                            last sent to it; 0: none */
+                                   last sent to it; 0: none */
   clk_ms server_list_sent_at;
-  clk_ms server_list_current_at; /* read time of the last list of which it
-                             received all changes */
+  clk_ms server_list_current_at; /* read time of the newest list that it has
+                                    completely */
   clk_ms received_at;
   clk_ms next_connect;
   bool initiated;           /**< this node opened the link */
@@ -65,8 +66,8 @@
   clk_ms timestamp;   /* sent_ms of that frame, by the peer's clock */
   clk_ms timestamp_received_at; /* when that frame arrived, by this node's
                                    clock */
-  clk_ms load_sent_earliest;    /* earliest time at which its last load can
-                                   have been sent, by this node's clock; 0:
+  clk_ms load_sent_earliest;    /* lower bound of the time at which the peer
+                                   sent its last load, by this node's clock; 0:
                                    unknown */
   int64_t config_version;       /* version in force at the peer, as last
                                    announced */
@@ -78,8 +79,8 @@
 struct srv_peers
 {
   struct srv *s;
-  struct rly_node spec;    /* link and processor limits of this node */
-  size_t nlisted_peers;    /* listed peers */
+  struct rly_node spec; /* link and processor limits of this node */
+  size_t nlisted_peers;
   struct peer *aggregator; /* node that adds up the loads of all nodes;
                               NULL: this node */
   struct link_secret secret;
@@ -97,20 +98,20 @@
   size_t nfronts;
   unsigned announced_nodes; /* number of nodes in the last NodeList */
   clk_ms node_list_received_at;
-  size_t next_front; /* index of the ready peer that begins the next answer
-                        to a caller */
+  size_t next_front; /* index of the ready peer that comes first in the next
+                        address response */
 };
 
 /* peers.c */
 size_t prs_count_up (const struct srv_peers *p);
 /** Find the peer with this name; add it if there is none. */
 struct peer *prs_find_or_add_peer (struct srv_peers *p, struct str node);
-/** Pass the number of nodes that share budgets to the request core. */
+/** Pass the number of nodes that share budgets to the dispatch core. */
 void prs_update_node_count (struct srv_peers *p);
 
 /* peers-nodes.c */
-/** Send NodeList frames to a part of the peers in each round, so that no
-    round takes long. */
+/** Send NodeList frames to a part of the peers in each call, so that no call
+    takes long. */
 void prs_send_node_lists (struct srv_peers *p, clk_ms now);
 void prs_on_node_list (struct peer *x, const Lapis__NodeList *list);
 /** The listed peer that follows @p after in relay order; the first one if
@@ -158,21 +159,20 @@
 /** Send all rate limits to a peer that has just been linked. */
 void prs_send_limits (struct peer *x, clk_ms now);
 void prs_on_limits (struct peer *x, const Lapis__RateLimits *limits);
-/** Add the permits that this node wants to a load for the peer; none if the
-    peer is not the grantor. */
+/** Add this node's demand for permits to a load for the peer; none if the peer
+    is not the grantor. */
 void prs_fill_permits_wanted (const struct peer *x, clk_ms now,
                               struct prs_permit_rows *w,
                               Lapis__NodeLoad *load);
 void prs_permit_rows_free (struct prs_permit_rows *w);
-/** Process the permits that the peer asks for in its load. */
+/** Process the demand for permits in the peer's load. */
 void prs_on_permits_wanted (struct peer *x, const Lapis__NodeLoad *load);
 void prs_on_permit_ask (struct peer *x, const Lapis__PermitAsk *ask);
 void prs_on_permit_grants (struct peer *x, const Lapis__PermitGrants *grants);
 /**
  * Grant permits, if this node is the grantor.
  * @param all  true (once each PRS_SEND_INTERVAL_MS): grant for all servers;
- *   false: only for servers of which more permits are wanted since the last
- *   call
+ *   false: only for servers with new demand since the last call
  */
 void prs_grant_permits (struct srv_peers *p, clk_ms now, bool all);
 
@@ -181,7 +181,7 @@
 bool prs_exceeds_mesh (const struct srv_peers *p);
 /** Whether the last sum of all loads is recent enough to be used. */
 bool prs_is_sum_fresh (const struct srv_peers *p, clk_ms now);
-/** Pass the peer's load to the request core; pass no load while the sum of
+/** Pass the peer's load to the dispatch core; pass no load while the sum of
     all loads is used instead. */
 void prs_update_dispatch (struct peer *x, clk_ms now);
 /** Process a load of the peer. */
--- a/serve/peers-limit.c
+++ b/serve/peers-limit.c
@@ -3,11 +3,11 @@
 #include <stdlib.h>
 
 /*
- * Rate limits that backend servers ask for, and permits to send requests to
- * these servers.  A new limit is sent to each linked node, and each node
- * forwards limits that are new to it, so a limit also reaches nodes whose
- * links to the sender are cut.  Permits are granted by the aggregator (the
- * grantor); the permits that a node wants are sent to it with the node's load.
+ * Rate limits set by backend servers, and permits to send requests to these
+ * servers.  A new limit is sent to each linked node, and each node forwards
+ * limits that are new to it, so a limit also reaches nodes whose links to the
+ * sender are cut.  Permits are granted by the aggregator (the grantor); each
+ * node sends it the demand for permits with its load.
  */
 
 /** Most rows in one frame. */
@@ -104,7 +104,7 @@
          && now - x->received_at < GRANTOR_TIMEOUT_MS;
 }
 
-/** Rows of the permits that this node wants, in wire format. */
+/** The demand of this node, in wire format. */
 static size_t
 make_permit_rows (const struct srv *s, clk_ms now, bool repeat,
                   struct prs_permit_rows *w)
--- a/serve/peers-load.c
+++ b/serve/peers-load.c
@@ -8,19 +8,18 @@
  * sends its load to all others.  In a large fleet the number of these frames
  * would grow with the square of the number of nodes, so each node sends its
  * load to one aggregator, which adds the loads up and sends the sum to all.
- * The aggregator is the leader node or, without a leader, the first relay.
- * When the aggregator is lost, nodes use the loads that other peers send at
- * the slower rate until there is a new aggregator.
+ * The aggregator is the leader or, without a leader, the first linked node in
+ * relay order.  A node also sends its load to its other peers, once every
+ * SLOW_SEND_INTERVAL_MS.  These loads are used while no aggregator sends sums.
  */
 
 /** Interval at which, in a large fleet, a node sends its load to peers
     other than the aggregator. */
 #define SLOW_SEND_INTERVAL_MS ((clk_ms)1000)
-/** An older sum of all loads no longer describes the current load and is
-    not used. */
+/** A sum older than this is not used, because loads change faster. */
 #define SUM_MAX_AGE_MS ((clk_ms)450)
-/** Peer number under which the request core stores the sum of all other
-    nodes. */
+/** Peer id under which the dispatch core stores the sum of the loads of all
+    other nodes; the id of a peer is the hash of its name. */
 #define SUM_OF_OTHERS 0
 
 bool
@@ -45,7 +44,8 @@
     prs_update_dispatch (x, now);
 }
 
-/** If the sum has become too old, return to the loads of the single peers. */
+/** If the sum has become too old, use the loads received from each peer again.
+ */
 static void
 expire_sum (struct srv_peers *p, clk_ms now)
 {
@@ -101,8 +101,7 @@
   srv_run_actions (s);
 }
 
-/** Subtract this node's load, as last sent, from the sum; the remainder is
-    the load of the other nodes. */
+/** Subtract this node's load, as last sent, from the sum of all loads. */
 static void
 subtract_own_load (const struct srv_peers *p, struct dsp_endpoint_load *sum,
                    size_t n)
@@ -162,7 +161,7 @@
 
 /* --- load of this node ------------------------------------------------- */
 
-/** Rows of a frame, made from loads. */
+/** Loads in wire format. */
 struct load_rows
 {
   Lapis__PlaceLoad *loads;
--- a/serve/peers-nodes.c
+++ b/serve/peers-nodes.c
@@ -4,18 +4,18 @@
 
 /*
  * NodeList frames, which the aggregator sends to nodes that are not linked to
- * all others: the number of nodes, front addresses of ready nodes for callers
+ * all others: the number of nodes, front addresses of ready nodes for clients
  * and, if the aggregator is the leader, the relays.
  *
  * A node that is not a relay does not read the entries of nodes from the store
  * while it receives these frames.  The frames therefore also list new nodes
- * that rank as relays.  Otherwise the relays would leave the aggregation to a
- * relay that no other node is linked to, and when the leader is lost, all
- * other nodes would have no load but their own.
+ * that rank as relays.  Otherwise, after the loss of the leader, the relays
+ * would choose a new node as aggregator to which no other node is linked, and
+ * each node would have no load but its own.
  */
 
-/** Interval at which a NodeList is sent to each node.  Callers cache an
-    answer made from it for 2 s. */
+/** Interval at which a NodeList is sent to each node.  Clients cache the
+    addresses for 2 s. */
 #define NODE_LIST_INTERVAL_MS ((clk_ms)1000)
 
 static char *
@@ -70,8 +70,8 @@
   return best;
 }
 
-/** The first nodes in relay order without this one, to which the receiver
-    is linked already. */
+/** List the first nodes in relay order, without this node: the receiver is
+    linked to it already. */
 static void
 list_relays (const struct srv_peers *p, struct relay_rows *r,
              Lapis__NodeList *nodes)
--- a/serve/peers-poison.c
+++ b/serve/peers-poison.c
@@ -5,9 +5,10 @@
 /*
  * Updates about poison requests, which crash backend servers, in the frames
  * between nodes.  Each node forwards updates that are new to it, so an update
- * also reaches nodes whose links to the sender are cut.  Only relays collect
- * which requests were running during a crash: with hundreds of nodes, the
- * failure of one rack would otherwise saturate all their links.
+ * also reaches nodes whose links to the sender are cut.  In a large fleet,
+ * only relays are collectors, which receive the reports of requests that were
+ * running in a crash: with hundreds of nodes, the reports about one failed
+ * rack would saturate the links of all of them.
  */
 
 /** Most updates in one frame. */
@@ -25,8 +26,8 @@
   row->broadcast = update->broadcast;
 }
 
-/** @param collector  the peer collects crashes: also send the updates
-    that only these peers need */
+/** @param collector  the peer is a collector: also send the updates that are
+    not broadcast */
 static void
 send_frame (struct peer *x, const struct psn_update *list, size_t n,
             bool collector)
@@ -52,7 +53,6 @@
   link_send (x->link, &f);
 }
 
-/** Whether the peer collects which requests were running during crashes. */
 static bool
 is_crash_collector (const struct peer *x)
 {
--- a/serve/peers.c
+++ b/serve/peers.c
@@ -6,8 +6,8 @@
 /*
  * Links between nodes.  Each node announces how many requests it has in flight
  * at each endpoint.  Endpoints fill up and become free within a second, so
- * these counts must be at most some 0.1 s old, or two nodes take the same last
- * slot.  See hubs.h for the choice of links.
+ * these counts must be at most some 0.1 s old; with older ones, two nodes
+ * would use the same last slot.  See hubs.h for the choice of links.
  */
 
 /** A link on which no frame arrives for this long is closed: the other end
@@ -15,24 +15,24 @@
 #define LINK_TIMEOUT_MS ((clk_ms)2500)
 #define RECONNECT_MS ((clk_ms)300)
 /**
- * Delay before the leader node itself connects to a node that should connect
- * to it: information about the new leader may not have reached that node.
+ * Delay before the leader connects to a node that should have connected to the
+ * leader: the node may not have received that there is a new leader.
  */
 #define LEADER_CONNECT_DELAY_MS ((clk_ms)1000)
 /**
  * How long a link that this node opened is kept after it is no longer wanted:
- * in the first seconds after a start the set of peers found still grows, and
- * with it the choice of links changes.
+ * in the first seconds after a start, the choice of links changes with each
+ * peer that is found.
  */
 #define UNWANTED_LINK_MS ((clk_ms)5000)
 /**
  * Shortest interval at which the server list is sent to a node before the
- * first request.  Servers that appear, load and open change three times each
- * within seconds, and no node needs the states in between.
+ * first request.  At the start each server changes three times within seconds
+ * (listed, loading, open), and no node needs the states in between.
  */
 #define IDLE_LIST_INTERVAL_MS ((clk_ms)1000)
-/** How long a NodeList is used.  Covers two changes of leader in a row,
-    some 2 s each. */
+/** How long a NodeList is used: longer than two consecutive changes of leader
+    of some 2 s each. */
 #define NODE_LIST_VALID_MS ((clk_ms)5000)
 
 static struct peer *
@@ -150,9 +150,9 @@
   x->received_at = now;
   x->server_list_received = true;
   /* A frame of the previous leader can arrive after this node has become
-     leader.  It is older than the list that this node reads from the store,
-     and the core that forms replicas keeps pointers to the text of the
-     current entries: replacing them caused a use after free. */
+     leader.  It is older than the list that this node reads from the store.
+     The formation core keeps pointers to the text of the current entries, and
+     replacing the entries caused a use after free. */
   if (srv_is_leader (s))
     return;
   srv_sync_list_reported (s, prs_sent_at (x, now) - list->age_ms);
@@ -224,8 +224,7 @@
 
 /* --- choice of links --------------------------------------------------- */
 
-/** Recompute which nodes this node links to, and which node is the
-    aggregator. */
+/** Update which nodes this node links to, and which node is the aggregator. */
 static void
 choose_links (struct srv_peers *p, clk_ms now)
 {
@@ -334,9 +333,8 @@
 }
 
 /**
- * Move the time of the last frame of each peer forward by the length of the
- * pause, so that a pause of this process does not count as silence of its
- * peers.
+ * Add the length of the pause to the time of the last frame of each peer,
+ * because frames that arrived during the pause are not read yet.
  */
 void
 srv_peers_resumed (struct srv *s, clk_ms now, clk_ms ms)
@@ -346,8 +344,8 @@
       x->received_at = x->received_at + ms < now ? x->received_at + ms : now;
 }
 
-/** Among the peers that lack changes of the list and may be sent one now,
-    the peer to which the list was sent longest ago; NULL if there is none. */
+/** The peer to which the list was sent longest ago, among those that lack
+    changes and whose interval is over; NULL: there is none. */
 static struct peer *
 next_list_receiver (const struct srv_peers *p, uint64_t version, clk_ms now)
 {
@@ -365,13 +363,13 @@
 /**
  * Limit the sending of the list to a part of this VM's link.  Each of 1,000
  * servers changes some three times while replicas are formed, and sending each
- * change to 100 nodes exceeds the link of a small VM.  The leader then fails
- * to renew its own lease in time, and the next leader starts by sending the
- * complete list to all nodes and loses its lease in the same way.
+ * change to 100 nodes exceeds the link of a small VM.  The leader then failed
+ * to renew its lease in time, and the next leader, which first sends the
+ * complete list to all nodes, lost its lease in the same way.
  *
- * The peer whose last list is oldest is served first.  Changes that accumulate
- * go out in one frame, and a node that receives no list reads it from the
- * store.
+ * The peer to which the list was sent longest ago comes first.  Accumulated
+ * changes are sent in one frame, and a node that receives no list reads it
+ * from the store.
  */
 void
 srv_peers_send_servers (struct srv *s)
@@ -506,9 +504,9 @@
 }
 
 /**
- * If there are more ready nodes than one answer holds, each answer starts
- * where the previous one ended.  With the same nodes in every answer, callers
- * would overload these and leave the others idle.
+ * If there are more ready nodes than one response holds, each response starts
+ * where the previous one ended.  With the same nodes in every response,
+ * clients would overload these and leave the others idle.
  */
 size_t
 srv_peers_list_ready (struct srv *s, struct net_addr *out, size_t max)
--- a/serve/poison-int.h
+++ b/serve/poison-int.h
@@ -37,9 +37,9 @@
 {
   uint64_t digest;
   enum psn_state state;
-  clk_ms state_ends_at; /**< when the state ends */
-  clk_ms due_at; /**< when an observed request becomes pending; CLK_NEVER:
-                          not enough evidence */
+  clk_ms state_ends_at;
+  clk_ms due_at; /**< when the observed request becomes pending; CLK_NEVER: not
+                      enough evidence */
   struct psn_crashed_run crashed_runs[PSN_MAX_CRASHED_RUNS];
   size_t ncrashed_runs;
 };
@@ -72,7 +72,7 @@
 struct psn_suspect *psn_find_or_add (struct psn *p, clk_ms now,
                                      uint64_t digest);
 void psn_remove (struct psn *p, struct psn_suspect *s);
-/** Find the run of the request at an endpoint, or NULL. */
+/** Find the crashed run of the request at an endpoint, or NULL. */
 struct psn_crashed_run *psn_find_crashed_run (struct psn_suspect *s,
                                               uint64_t endpoint);
 /** Whether the request is pending or blocked, so that its crashes are
@@ -86,14 +86,14 @@
     other requests. */
 void psn_attribute_crashes (struct psn *p, clk_ms now,
                             const struct psn_suspect *s);
-/** Whether the crashes of @p a are a proper subset of the crashes of @p b. */
+/** Whether the crashes of @p a are a proper subset of those of @p b. */
 bool psn_crashes_are_subset (const struct psn_suspect *a,
                              struct psn_suspect *b);
-/** Update when the request becomes pending, according to its evidence. */
+/** Update `due_at` from the evidence. */
 void psn_update_due_time (const struct psn *p, clk_ms now,
                           struct psn_suspect *s);
-/** The request with the most evidence among those with a pending time, once
-    any of these times has passed; else NULL. */
+/** The observed request to be set pending now: among those with a `due_at`,
+    the one with the most evidence.  NULL: none of these times has passed. */
 struct psn_suspect *psn_next_due (const struct psn *p, clk_ms now);
 
 #endif
--- a/serve/poison-store.c
+++ b/serve/poison-store.c
@@ -6,18 +6,18 @@
 
 /*
  * Blocked requests are written to the store with a lease that lasts as long as
- * the block.  Nodes read them there after all nodes were stopped, and while
- * they can't reach each other.
+ * the block.  Nodes read them after a restart of all nodes, and while the
+ * nodes can't reach each other.
  *
  *   blocked/DIGEST  {"until": Unix ms}, or {"cleared": true}
  *
- * The node with the lowest relay rank writes these keys.  Each node with a
- * higher rank waits longer and writes a key only if no other node has written
- * it.  A deleted key doesn't clear its request, because the lease may have
- * ended early: a node that still blocks the request writes the key again.
+ * The first node in relay order (rank 0) writes these keys.  Each other node
+ * waits STAGGER_MS per rank and writes a key only if no other node has written
+ * it.  The deletion of a key doesn't clear its request, because the lease may
+ * have ended early; a node that still blocks the request writes the key again.
  */
 
-/** Delay per rank, so that only one node writes a key. */
+/** Delay per rank before a node writes a key. */
 #define STAGGER_MS ((clk_ms)150)
 /** Delay before a failed call is repeated. */
 #define RETRY_MS ((clk_ms)1000)
--- a/serve/poison-suspect.c
+++ b/serve/poison-suspect.c
@@ -5,9 +5,9 @@
 
 #include "base/str.h"
 
-/** Weights of a crash as evidence.  A poison request crashes its server when
-   it starts to run, so a crash counts more the shorter the run was.  It counts
-    half if it is attributed to another request. */
+/** Weights of a crash as evidence.  A poison request crashes its server soon
+    after it starts to run, so the weight is higher for short runs.  It is
+    halved if the crash is attributed to another request. */
 #define WEIGHT_NO_EVENT 4
 #define WEIGHT_EARLY 3
 #define WEIGHT_LONG 2
@@ -15,9 +15,9 @@
 #define WEIGHT_BLOCK ((PSN_CRASHES - 1) * WEIGHT_NO_EVENT + WEIGHT_EARLY)
 #define WEIGHT_NEAR_BLOCK (WEIGHT_BLOCK - WEIGHT_NO_EVENT)
 
-/** Delay between the crash that completes the evidence and the decision.  In
-    this time, other nodes report the requests that they had running in the
-   same crash. */
+/** Delay between the crash that completes the evidence and the decision.
+    Other nodes need this time to report which of their requests were running
+    when the same server crashed. */
 #define SETTLE_MS ((clk_ms)100)
 
 /* --- table of requests -------------------------------------------------- */
@@ -150,8 +150,8 @@
   return a->ncrashed_runs > 0 && a->ncrashed_runs < b->ncrashed_runs;
 }
 
-/** Whether servers that ran @p s continued to crash after all earlier crashes
-    had been attributed to another request. */
+/** Whether @p s was running in all crashes of a pending or blocked request and
+    in further ones, so that the other request is probably not the cause. */
 static bool
 crashes_continue (const struct psn *p, struct psn_suspect *s)
 {
@@ -214,7 +214,7 @@
 }
 
 /** Whether the evidence against @p a is stronger.  At equal weight, the
-   request with the shorter runs is the more likely cause. */
+    request with the shorter runs is the more likely cause. */
 static bool
 is_more_suspect (const struct psn_suspect *a, const struct psn_suspect *b)
 {
--- a/serve/poison.c
+++ b/serve/poison.c
@@ -12,7 +12,7 @@
 /** How long updates about a cleared request are ignored, because they may have
     been sent before the request was cleared. */
 #define CLEARED_TTL_MS ((clk_ms)2000)
-/** How long a completed run is evidence that the request is harmless. */
+/** How long a completed run prevents a block of the request. */
 #define COMPLETION_TTL_MS ((clk_ms)10000)
 
 struct psn *
@@ -98,8 +98,8 @@
   return false;
 }
 
-/** Clear requests that are pending or blocked because of a subset of the
-    crashes of @p culprit: they were running in them by coincidence. */
+/** Clear pending or blocked requests whose crashes are a proper subset of
+    those of @p culprit: they were running there by coincidence. */
 static void
 clear_subsets (struct psn *p, clk_ms now, struct psn_suspect *culprit)
 {
@@ -147,9 +147,8 @@
 }
 
 /**
- * End a block when its hold time is over.  The request may run again, because
- * the software of the servers may have been fixed, but one more crash blocks
- * it again.
+ * The hold time of a block is over.  The request may run again, because the
+ * servers may have been fixed, but one more crash blocks it again.
  */
 static void
 end_block (struct psn_suspect *s, clk_ms now)
@@ -187,8 +186,8 @@
   if (decided)
     {
       psn_attribute_crashes (p, now, s);
-      /* The node that ran the request has not received the block: send it
-         again. */
+      /* The node that ran the request has not received the block; block()
+         sends it again. */
       if (s->state == PSN_S_BLOCKED)
         block (p, now, s, PSN_HOLD_MS);
       return;
@@ -290,8 +289,8 @@
   return s && (psn_is_pending_or_blocked (s) || psn_is_near_block (s));
 }
 
-/** End states whose time is over, and remove requests that were observed or
-    cleared long ago. */
+/** Process timeouts of states; remove requests whose observed or cleared state
+    has ended. */
 static void
 expire (struct psn *p, clk_ms now)
 {
--- a/serve/poison.h
+++ b/serve/poison.h
@@ -15,8 +15,9 @@
  * A server runs many requests when it crashes, and only one of them is the
  * cause.  The request with the most evidence is blocked first.  Its crashes
  * are then attributed to it and count less against the other requests.  If the
- * wrong request was blocked, crashes continue: the request that was running in
- * all crashes is then blocked, and the first one is cleared.
+ * wrong request was blocked, the crashes continue.  Then the request that was
+ * running in all crashes, including the new ones, is blocked, and the first
+ * one is cleared.
  *
  * A request is identified by a digest that is the same for every repetition.
  * The core does no I/O: its caller passes in events and the current time, and
@@ -34,8 +35,7 @@
 /** Number of crashes after which a request is blocked, if the request had
     produced no event in all of them but one. */
 #define PSN_CRASHES 3
-/** How long a request stays blocked; also the longest lease that a store
-    grants. */
+/** Duration of a block; also the longest lease that a store grants. */
 #define PSN_HOLD_MS (10 * CLK_MINUTE)
 /** Maximum number of requests in the table. */
 #define PSN_MAX_REQUESTS 1024
@@ -47,7 +47,7 @@
 {
   PSN_CRASH,   /**< place, ran_ms: the request was running there in a crash */
   PSN_PENDING, /**< to be blocked soon, unless a node clears it */
-  PSN_BLOCKED, /**< hold_ms: remaining duration */
+  PSN_BLOCKED, /**< hold_ms: remaining duration of the block */
   PSN_CLEARED  /**< a run of the request completed */
 };
 
@@ -60,7 +60,7 @@
       endpoint;  /**< endpoint that ran it; changes when the server restarts */
   clk_ms ran_ms; /**< time since its first event, or PSN_NO_EVENT */
   clk_ms hold_ms;
-  bool broadcast; /**< to all nodes; false: to aggregating nodes only */
+  bool broadcast; /**< to all nodes; false: to collectors only */
 };
 
 struct psn;
@@ -77,9 +77,9 @@
 void psn_apply (struct psn *p, clk_ms now, const struct psn_update *update);
 
 /**
- * Set whether this node aggregates: it receives the crashes reported by all
- * nodes and decides which requests to block.  This is the initial setting.  A
- * node that doesn't aggregate only reports crashes.
+ * Set whether this node is a collector: it receives the crashes reported by
+ * all nodes and decides which requests to block.  This is the initial
+ * setting.  Other nodes only report crashes.
  */
 void psn_set_collecting (struct psn *p, clk_ms now, bool collects);
 
@@ -109,7 +109,6 @@
 
 bool psn_is_blocked (const struct psn *p, uint64_t digest);
 
-/** Number of blocked requests. */
 size_t psn_count_blocked (const struct psn *p);
 
 #endif
--- a/serve/register.c
+++ b/serve/register.c
@@ -14,25 +14,25 @@
  *   blocked/    poison requests that are blocked; see poison-store.c
  */
 
-/** Lease of a node's entry.  Other nodes need the entry to find this one;
-    they detect its failure much earlier, by their links.  With a lease of
-    6 s, renewals were half of all store calls of a day. */
+/** Lease of a node's entry.  Other nodes need the entry only to find this
+    node; they detect its failure much earlier, by their links.  With a lease
+    of 6 s, renewals were half of all store calls of a day. */
 #define LEASE_MS ((clk_ms)15000)
 #define RENEW_MS (LEASE_MS / 3)
 #define RETRY_MS ((clk_ms)250)
-/** Settle window at the start of the whole system: nodes register within
-    0.3 s of each other, and each entry would trigger the watch of every node,
-    so the entries are read together. */
+/** Delay of the first watch.  At the start of the whole system, nodes register
+    within 0.3 s of each other; watches that start after that return the
+    entries together instead of one by one to every node. */
 #define SETTLE_MS ((clk_ms)500)
-/** After the settle window the node of rank 0 writes the secret; each other
-    node does so only if it is still missing after this time per rank. */
+/** At the start of the whole system, a missing secret is written this long
+    after SETTLE_MS, plus this time per rank of the writing node. */
 #define SECRET_STAGGER_MS ((clk_ms)50)
 #define SECRET_BYTES 32
 /** Stagger, per rank, of the rewriting of entries that the store has lost. */
 #define ENTRY_STAGGER_MS ((clk_ms)10)
-/** A leaf does without the store for this long when it receives nothing from
-    a leader: a new leader is elected and linked within two or three seconds,
-    and reads by every node in the meantime would make each change cost as
+/** A leaf that receives nothing from a leader does not read the store for this
+    long: within two or three seconds there is a new leader with links to all
+    nodes.  With reads by every node in the meantime, each change would cost as
     many calls as there are nodes. */
 #define NO_LEADER_GRACE_MS ((clk_ms)4000)
 
@@ -61,7 +61,7 @@
                             returns it */
   clk_ms secret_due_at;  /* earliest write by the node of rank 0 */
   bool links_started;    /* links to other nodes were started */
-  clk_ms leader_seen_at; /* last time at which there was a leader */
+  clk_ms leader_seen_at; /* when a leader was last linked */
   bool has_leader;
   struct node_record *nodes;
   size_t nnodes;
@@ -212,14 +212,14 @@
 bool
 srv_is_leaf (const struct srv *s)
 {
-  /* During its start a node knows no other nodes. */
+  /* A node that is starting has not read the entries of other nodes yet. */
   return s->registration && s->registration->nnodes > RLY_MESH_MAX
          && srv_node_rank (s) >= RLY_LINKS_PER_NODE;
 }
 
 /**
- * Whether the links bring this node everything about other nodes that it would
- * read from the store: it is a leaf, and there is a leader.
+ * Whether this node receives the entries of other nodes over its links: it is
+ * a leaf, and there is a leader.
  */
 static bool
 may_skip_reads (struct srv_register *g, clk_ms now)
@@ -238,8 +238,7 @@
 {
   struct srv_register *g = s->registration;
 
-  /* Without a watch this node may not have seen that another became
-     leader. */
+  /* Without a watch this node may not have read that another became leader. */
   return g && g->next_read == CLK_NEVER && !g->has_leader
          && !may_skip_reads (g, clk_now ());
 }
@@ -288,7 +287,7 @@
   g->next_read = clk_now () + RETRY_MS;
 }
 
-/** The store has lost this node's entry, as it was restored from an older
+/** The store has lost this node's entry because it was restored from an older
     copy. */
 static void
 schedule_entry_rewrite (struct srv_register *g)
@@ -435,8 +434,8 @@
 {
   struct srv_register *g = ctx;
 
-  /* Whether or not this write succeeded, the watch returns the secret that is
-     stored. */
+  /* On a conflict, another node has written the secret; in both cases the
+     watch returns it. */
   g->secret_written = r->status == STORE_OK || r->status == STORE_CONFLICT;
   end_call (g, r->status, 0);
 }
@@ -454,8 +453,8 @@
   buf_add_hex (text, bytes, sizeof bytes);
 }
 
-/** Write the secret, a new one or the known one that the store has lost.  If
-    two nodes do this at once, the store accepts the first write only. */
+/** Write a new secret, or the secret of this node if the store has lost it.
+    If two nodes do this at once, the store accepts only the first write. */
 static void
 write_secret (struct srv_register *g)
 {
@@ -506,8 +505,8 @@
     }
 }
 
-/** Shorten the wait for the next watch of a node that has just become leader;
-    the wait may have been set when it was one of many others. */
+/** Start the next watch of a new leader sooner; its delay may have been
+    computed before this node became leader. */
 static void
 advance_watch (struct srv_register *g, clk_ms now)
 {
@@ -568,7 +567,8 @@
 
   g->s = s;
   s->registration = g;
-  /* Other nodes are running, and a link to the leader will be up shortly. */
+  /* Other nodes are running, and this node will have a link to the leader
+     shortly. */
   g->leader_seen_at = s->settings.first_start ? 0 : clk_now ();
   g->next_watch = CLK_NEVER;
   buf_add_c (&g->prefix, s->adapter->own_prefix);
--- a/serve/server-list.c
+++ b/serve/server-list.c
@@ -4,19 +4,20 @@
 
 /**
  * Part of this VM's link that the sums of loads may use.  If they would need
- * more, they are sent less often, but at least each SUM_MAX_INTERVAL_MS, so
- * that the previous sum is not yet too old to be used.
+ * more, they are sent less often, but at least every SUM_MAX_INTERVAL_MS,
+ * because receivers do not use older sums.
  */
 #define SUM_LINK_SHARE 0.3
 #define SUM_MAX_INTERVAL_MS ((clk_ms)400)
-/** Part of this VM's link that may be used for sending the list; the rest
-    is left for reading the list, for loads and for callers. */
+/** Part of this VM's link that may be used for sending the list; the rest is
+    left for reading the list, for loads and for client requests. */
 #define LIST_LINK_SHARE 0.5
 /**
- * Unused capacity accumulates for this long.  A renewal of the lease queues
- * behind a burst on the link: with a limit of 2 s, the leader of 875 servers
- * lost a lease of 1.2 s while it sent the list to 294 nodes.  With this limit
- * a burst takes 1/8 s of the link, enough for the changes of a few repairs.
+ * Unused budget accumulates for at most this many seconds.  The renewal of the
+ * leader's lease waits behind a burst on the link: with 2 s, the leader of 875
+ * servers lost a lease of 1.2 s while it sent the list to 294 nodes.  With
+ * this value a burst takes 1/8 s of the link, enough for the changes of a few
+ * repairs.
  */
 #define LIST_BURST_S 0.25
 
@@ -206,10 +207,10 @@
 
 /**
  * With a long list and many nodes, some nodes wait before changes are sent to
- * them.  If the age of the newest list were announced to these, they would
- * rely on their older copy and send requests to a server that left seconds
- * ago.  With the age of their own copy, they read the list from the store once
- * it is too old.
+ * them.  If the age of the newest list were announced to these nodes, they
+ * would use their older copy and send requests to a server that left seconds
+ * ago.  With the age of their copy, they read the list from the store when it
+ * is too old.
  */
 clk_ms
 svl_list_age (clk_ms *current_at, uint64_t version_sent, uint64_t version,
--- a/serve/server-list.h
+++ b/serve/server-list.h
@@ -26,7 +26,7 @@
 /** The message in the frame, as it is sent. */
 const Lapis__ServerList *svl_frame_list (const struct svl_frame *f);
 
-/** Whether the frame was built for nodes that have version @p version_sent. */
+/** Whether the frame contains the changes since @p version_sent. */
 bool svl_frame_matches (const struct svl_frame *f, uint64_t version_sent);
 
 /**
@@ -57,8 +57,8 @@
 
 /**
  * Age of the copy of the list that a node has received from this one.
- * @param current_at    state kept for that node: read time of the last list of
- *   which it received all changes
+ * @param current_at    state kept for that node: read time of the newest list
+ *   that it has completely
  * @param version_sent  version last sent to it
  * @param read_at       when this node last read the list and found version
  *   @p version
--- a/serve/sync.c
+++ b/serve/sync.c
@@ -4,28 +4,27 @@
 #include <stdlib.h>
 
 /**
- * Poll intervals of the leader, which alone polls the list of backend servers
- * often: normally, and while a replica is being formed, when each step waits
- * for a server's report.  Other nodes receive the changes from the leader.
+ * Poll intervals of the leader: normally, and while a replica is being formed,
+ * when each step waits for a server's report.  Other nodes receive the list
+ * from the leader and poll less often.
  */
 #define POLL_LEADER_MS ((clk_ms)300)
 #define POLL_FORMING_MS ((clk_ms)100)
-/** When an order has ended, the list is read at once, as the next step of a
-    repair depends on it.  bks_poll_interval() stretches an interval in
-   proportion to the length of the list; the read is delayed by what it adds to
-   this one. */
+/** When an order has ended, the list is read at once, because the next step of
+    a repair depends on it.  With a long list, bks_poll_interval() makes this
+    interval longer; the read is delayed by the difference. */
 #define POLL_SOON_MS ((clk_ms)50)
 
-/** At the start of the whole system there is nothing to serve, and the leader
-    sends the list long before there is; until the first request, the interval
-    of the other nodes is longer by this factor. */
+/** Factor on the interval of nodes other than the leader, from the start of
+    the whole system until the first request: the leader sends them the list
+    long before the first replica opens. */
 #define START_POLL_FACTOR 4
 
 /** Delay after a failed read, and the shortest interval of nodes other than
     the leader. */
 #define POLL_RETRY_MS ((clk_ms)200)
-/** Limit on deferring requests until a new list is read after a pause of this
-    process. */
+/** After a pause of this process, requests are deferred until a new list is
+    read, for at most this time. */
 #define RESUME_WAIT_MS ((clk_ms)500)
 
 struct srv_sync
@@ -36,12 +35,13 @@
   bool reading;
   clk_ms read_sent_at;
   clk_ms next_read_at;
-  clk_ms reported_current_at; /* when the list that this node has was current,
-                        as reported by the node that read it */
+  clk_ms reported_current_at; /* latest time at which this node's list
+                                 equalled the store's, as reported by the
+                                 leader */
   clk_ms resumed_at;   /* end of the last pause of this process; 0: none */
   clk_ms last_read_at; /* when this node's last successful read was sent */
   int64_t store_era;   /* restore counter at that read; see struct
-                    store_result */
+                          store_result */
   bool store_ok;
 };
 
@@ -133,8 +133,8 @@
   return inv_count (s->sync->unparsed);
 }
 
-/** Whether the list is so old that it may contain servers that have since
-    announced that they are leaving. */
+/** Whether the list is so old that it may show servers as available that have
+    started to drain. */
 static bool
 is_outdated (const struct srv *s, clk_ms now)
 {
--- a/serve/table.h
+++ b/serve/table.h
@@ -1,7 +1,6 @@
 /**
- * @file
- * Routing table: one version of the operators' configuration in the form in
- * which a node looks up each request.
+ * @file Routing table: one version of the operators' configuration, indexed
+ *   for the lookup of requests.
  *
  * The platform's adapter builds a table; after that it is immutable.  Tables
  * are reference-counted, so a request in flight keeps the version under which
@@ -17,7 +16,7 @@
 enum tbl_kind
 {
   TBL_IDEMPOTENT,   /**< may run any number of times */
-  TBL_AT_MOST_ONCE, /**< runs at most once per attempt of the caller */
+  TBL_AT_MOST_ONCE, /**< runs at most once per request of the client */
   TBL_STREAM /**< a stream of events; as TBL_AT_MOST_ONCE unless resumable */
 };
 
@@ -47,10 +46,10 @@
                                bandwidth of the weight store */
   unsigned host_cache_models; /**< models that a VM's host keeps in memory */
   clk_ms event_interval_ms; /**< interval between two events of a stream on an
-                       idle replica */
+                                 idle replica */
   double
       prefill_per_ms; /**< prefill rate, in prompt tokens per ms, of a replica
-                        whose model's time factor is 1; 0: unknown */
+                           whose model's time factor is 1; 0: unknown */
 };
 
 /** A service of a route and its weight in the route's traffic. */
@@ -66,11 +65,11 @@
   struct str host;
   struct str prefix; /**< path prefix; begins and ends with a slash */
   enum tbl_kind kind;
-  clk_ms timeout_ms;       /**< longest time that a caller waits */
-  clk_ms latency_goal_ms;  /**< goal for the time to the complete answer, or to
-                        the first event of a stream */
+  clk_ms timeout_ms;       /**< longest time that a client waits */
+  clk_ms latency_goal_ms;  /**< goal for the time to the complete response, or
+                                to the first event of a stream */
   clk_ms max_event_gap_ms; /**< longest gap between two events of a stream that
-                      counts as on time; 0: no limit declared */
+                                counts as on time; 0: no limit declared */
   unsigned priority;       /**< 0 is the highest */
   unsigned max_attempts; /**< limit on the backend servers that one request is
                               sent to */
@@ -82,7 +81,6 @@
   unsigned weight_sum;
 };
 
-/** A client account. */
 struct tbl_account
 {
   struct str name;
