--- a/t/t9203-pause.c
+++ b/t/t9203-pause.c
@@ -1,7 +1,7 @@
 /*
  * Backoff of store calls while the store is unavailable, and the delay of
- * watches.  A scripted node runs several callers that each want to make a call
- * at all times; the tests count its calls.
+ * watches.  A simulated node has several modules that each make a call
+ * whenever the backoff allows it; the tests count its calls.
  */
 #include <criterion/criterion.h>
 
@@ -41,9 +41,9 @@
 }
 
 /*
- * Guards against an outage of the store in which each caller of a node retries
- * by itself.  In an outage of ten seconds the node makes about one call a
- * second in all, not one a second per caller.
+ * Guards against independent retries by the modules of a node.  In an outage
+ * of ten seconds the node makes about one call per second in all, not one per
+ * second and module.
  */
 Test (backoff, outage_causes_few_calls)
 {
@@ -59,7 +59,7 @@
 
 /*
  * Guards against useless calls of a node that the store rejects while other
- * nodes push it everything that it would read.  In nine seconds it makes about
+ * nodes push everything that it would read.  In nine seconds it makes about
  * one call every three seconds.
  */
 Test (backoff, pushed_node_probes_less_often)
@@ -74,9 +74,9 @@
 }
 
 /*
- * Guards against callers that stay blocked after an outage.  The backoff is at
- * most a second, so a probe succeeds soon after the store is back; after that
- * all callers call in the same step.
+ * Guards against modules that remain blocked after an outage.  The backoff is
+ * at most a second, so a probe succeeds soon after the outage; then all
+ * modules make their call in the same step.
  */
 Test (backoff, first_success_releases_all_modules)
 {
@@ -107,9 +107,9 @@
 }
 
 /*
- * Guards against a backoff after results that show the store to be available:
- * a lease that is gone, a failed comparison, a write with an unknown result or
- * an exceeded budget.
+ * Guards against a backoff after results that do not mean an outage: an
+ * expired lease, a failed comparison, a write with an unknown result or an
+ * exceeded budget.
  */
 Test (backoff, other_results_cause_no_backoff)
 {
@@ -129,9 +129,10 @@
 /*
  * Guards against a cost of watches that grows with the square of the number of
  * nodes.  While sixty nodes are restarted one after the other, each start and
- * stop triggers every watch.  The leader and the first nodes in rank renew
- * their watch at once; the others collect the changes of some seconds.  In a
- * small deployment, and without a link, a node renews it at once.
+ * stop triggers every watch.  The leader and the first nodes in rank start the
+ * next watch soon; the others wait some seconds, so that one watch returns
+ * several changes.  A node of a small fleet or without a link does not wait
+ * either.
  */
 Test (backoff, low_ranks_of_many_nodes_delay_watches)
 {
--- a/t/t9205-entries.c
+++ b/t/t9205-entries.c
@@ -98,9 +98,9 @@
 }
 
 /*
- * Guards against replacing a missing or invalid field by zero: an unknown
+ * Guards against a missing or invalid field that is read as zero: an unknown
  * state would count as ready, and a capacity of the wrong type as no slots.
- * The entry is rejected as a whole.
+ * The whole entry is rejected.
  */
 Test (entries, invalid_fields)
 {
@@ -235,9 +235,9 @@
 }
 
 /*
- * Guards against sending requests to a process that no longer holds its model.
- * A server restarts under its id, and a list that was read earlier, or sent by
- * a node that is behind, shows the previous incarnation as open in a replica.
+ * Guards against requests to a process that has restarted without its model.
+ * A list that was read before the restart, or sent by a node with an older
+ * list, shows the previous incarnation as open in a replica.
  */
 Test (incarnations, earlier_never_replaces_later)
 {
@@ -279,8 +279,8 @@
 
 /*
  * The list contains two entries by another writer: one that is not JSON and
- * one with an unknown state.  Requests succeed because none is sent to these
- * two servers.
+ * one with an unknown state.  Requests succeed, so none is sent to these two
+ * servers.
  */
 Test (serve, invalid_entries_are_ignored)
 {
--- a/t/t9206-hubs.c
+++ b/t/t9206-hubs.c
@@ -79,8 +79,8 @@
 
 /*
  * In a fleet of 300 nodes each node has RLY_LINKS_PER_NODE links instead of
- * 299, and all of them lead to the same few large nodes, which alone have the
- * capacity for all loads.
+ * 299, all to the same few large nodes; only these have the capacity to
+ * receive all loads.
  */
 Test (relays, all_nodes_link_to_the_same_large_nodes)
 {
--- a/t/t9207-poison.c
+++ b/t/t9207-poison.c
@@ -41,7 +41,7 @@
       "b ---\np BBB\n");
 }
 
-/* The same, if the crashes of the poison request are reported a little later
+/* As above, but the crashes of the poison request are reported a little later
    than those of the unrelated request. */
 Test (poison, strongest_evidence_is_blocked_despite_late_report)
 {
@@ -316,7 +316,7 @@
                        crashes };
 }
 
-/** Send the poison request again, soon after the last response.
+/** Send the poison request again, unless the node refuses it.
     @param retry  a retry by the node, not a new request of the client */
 static void
 send_poison (struct sim *d, bool retry)
@@ -338,7 +338,8 @@
   d->crash_at = d->f.now + draw (d, 100, 200);
 }
 
-/** End the server at an endpoint, and restart the runs that it had. */
+/** Crash the server at an endpoint.  The nodes report its runs, and run the
+    requests again elsewhere; not the poison request. */
 static void
 crash_endpoint (struct sim *d, uint64_t endpoint)
 {
@@ -435,8 +436,8 @@
   psn_fleet_free (&d.f);
 }
 
-/* No order of crashes, completions and updates may let a poison request go on
-   crashing servers, or block other requests instead. */
+/* In no order of crashes, completions and updates may a poison request
+   continue to crash servers, or may other requests be blocked instead. */
 Test (poison, random_schedules)
 {
   for (uint64_t seed = 1; seed <= SEEDS; seed++)
--- a/t/t9208-limit.c
+++ b/t/t9208-limit.c
@@ -112,8 +112,8 @@
                     "s kept used\n");
 }
 
-/* A server must get neither no requests nor twice its rate while the granting
-   node ends and starts again. */
+/* While the grantor is killed and started again, a server must get some
+   requests, but not twice its rate. */
 Test (limit, grantor_is_killed)
 {
   limit_run_script (
@@ -123,7 +123,7 @@
       "s kept half\ns .LLLLLLL\ns kept used\ns LLLLLLLL\n");
 }
 
-/* The same for a granting node that freezes and resumes with stale state. */
+/* As above, for a grantor that freezes and resumes with stale state. */
 Test (limit, grantor_freezes)
 {
   limit_run_script (
@@ -241,8 +241,8 @@
       "s LLLLLLLL\nt LLLLLLLL\nu --------\ns kept used\nt kept used\n");
 }
 
-/* A node must not wait forever for permits from a granting node that has
-   recorded no limit for the server. */
+/* A node must not wait forever for permits from a grantor that has recorded no
+   limit for the server. */
 Test (limit, different_limits_converge)
 {
   limit_run_script ("nodes 8\n load 100\n limit s none\n run 1000\n"
--- a/t/t9209-currency.c
+++ b/t/t9209-currency.c
@@ -153,8 +153,8 @@
   transcript_check (&log_text, run_command, text);
 }
 
-/* Guards against a node that keeps using an old configuration as confirmed
-   because it receives nothing that contradicts it. */
+/* Guards against a node that receives no announcement and treats its old
+   configuration as confirmed forever. */
 Test (freshness, old_confirmation_is_renewed_by_a_read)
 {
   run_script ("> run 100\n"
@@ -171,8 +171,8 @@
               "version 2 confirmed may-watch\n");
 }
 
-/* Guards against an announcement that counts as confirmed when it arrives
-   instead of when its sender confirmed it. */
+/* Guards against a `confirmed_at` that is the arrival of an announcement
+   instead of the time at which its sender confirmed the version. */
 Test (freshness, announcement_counts_from_its_confirmation)
 {
   run_script ("> run 1000\n"
@@ -189,8 +189,8 @@
               "3700 read\n");
 }
 
-/* Guards against a node that waits for a push that never comes: the node
-   linked after the push, or the document is too long to be pushed. */
+/* Guards against a node that waits forever for a push: it was linked after the
+   push, or the document is too long to be pushed. */
 Test (freshness, announced_version_without_push_is_read)
 {
   run_script ("> run 1000\n"
@@ -246,7 +246,7 @@
 }
 
 /* Guards against requests that arrived while the process was suspended and are
-   answered by the configuration from before the pause. */
+   checked against the configuration from before the pause. */
 Test (freshness, pause_counts_toward_age)
 {
   run_script ("> run 500\n"
@@ -261,8 +261,8 @@
               "version 2 confirmed may-watch\n");
 }
 
-/* Guards against a read sent before a pause: it fails on resuming, which must
-   not count as an answer of the store.  Guards also against deferring requests
+/* A read sent before a pause fails when the process resumes, which must not
+   count as an answer of the store.  Guards also against deferring requests
    without a limit. */
 Test (freshness, read_from_before_a_pause_is_ignored)
 {
@@ -282,8 +282,8 @@
               "version 1 unconfirmed\n");
 }
 
-/* Guards against a node that reads a version that it cannot parse in a tight
-   loop, and against final refusals of what that version may allow. */
+/* Guards against a tight loop of reads of a version that cannot be parsed, and
+   against final refusals of requests that this version may allow. */
 Test (freshness, unparsable_version_confirms_nothing)
 {
   run_script ("> readable 1\n"
@@ -297,8 +297,7 @@
               "version 1 unconfirmed may-watch\n");
 }
 
-/* Guards against a failed watch that has missed a version and is not followed
-   by a read. */
+/* A failed watch may have missed a version, so a read must follow. */
 Test (freshness, failed_watch_is_followed_by_a_read)
 {
   run_script ("> run 1000\n"
@@ -431,8 +430,8 @@
       send_frame (i, to);
 }
 
-/** Count versions that were accepted longer ago than the limit and are not in
-    force at a node that calls its version confirmed. */
+/** Count versions that were accepted longer ago than the limit and are newer
+    than a version that the node treats as confirmed. */
 static void
 check_node (const struct node *n)
 {
@@ -443,8 +442,8 @@
     f.behind += f.acked[v] < f.now - APPLY_MS;
 }
 
-/** Restart a node: its links break and the times received from it are
-    dropped. */
+/** Restart a node: its links are closed, and its peers drop the times received
+    from it. */
 static void
 restart (struct node *n)
 {
@@ -500,9 +499,9 @@
     }
 }
 
-/* Guards against any order of delays, pauses and restarts in which a node
-   takes an outdated configuration for confirmed, and against one in which
-   hardly any node has a confirmed one. */
+/* In no order of delays, pauses and restarts may a node treat an outdated
+   configuration as confirmed; nodes must have a confirmed one more than half
+   of the time. */
 Test (freshness, confirmed_is_never_behind)
 {
   const unsigned all = NODES * (unsigned)(RUN_MS / STEP_MS);
