--- a/serve/config.c
+++ b/serve/config.c
@@ -183,16 +183,16 @@
 {
   struct srv_config *c = ctx;
   struct srv *s = c->s;
-  enum cur_read_result what
+  enum cur_read_result result
       = r->status == STORE_OK ? CUR_READ_OK : CUR_READ_FAILED;
 
   pau_call_ended (&s->store_backoff, clk_now (), r->status, &s->rng);
   for (size_t i = 0; i < r->nkvs; i++)
     if (!apply_config (c, &r->kvs[i], SOURCE_READ))
-      what = CUR_READ_UNPARSABLE;
+      result = CUR_READ_UNPARSABLE;
   if (r->status == STORE_OK)
     c->seen_revision = r->revision;
-  cur_read_done (&c->fresh, clk_now (), what);
+  cur_read_done (&c->fresh, clk_now (), result);
 }
 
 static void
--- a/serve/currency.c
+++ b/serve/currency.c
@@ -59,7 +59,7 @@
 }
 
 void
-cur_read_done (struct cur *f, clk_ms now, enum cur_read_result what)
+cur_read_done (struct cur *f, clk_ms now, enum cur_read_result result)
 {
   f->reading = false;
   /* A call sent before the pause does not show the present state of the
@@ -70,12 +70,12 @@
       return;
     }
   f->resumed_at = 0;
-  if (what != CUR_READ_OK)
+  if (result != CUR_READ_OK)
     {
       f->next_read
           = now
-            + (what == CUR_READ_FAILED ? READ_RETRY_MS
-                                       : f->apply_ms / REREAD_DIVISOR);
+            + (result == CUR_READ_FAILED ? READ_RETRY_MS
+                                         : f->apply_ms / REREAD_DIVISOR);
       return;
     }
   confirm (f, f->read_sent_at);
--- a/serve/currency.h
+++ b/serve/currency.h
@@ -78,7 +78,7 @@
   CUR_READ_FAILED
 };
 
-void cur_read_done (struct cur *f, clk_ms now, enum cur_read_result what);
+void cur_read_done (struct cur *f, clk_ms now, enum cur_read_result result);
 
 /** A watch has returned a version. */
 void cur_watch_fired (struct cur *f, clk_ms now);
--- a/serve/duty.c
+++ b/serve/duty.c
@@ -53,7 +53,7 @@
   struct own *own;
   struct frm *form;
   struct buf key;
-  bool other_leads;
+  bool other_is_leader;
   clk_ms vacant_since; /* when the leader key was first found missing; 0: it
                           exists */
   clk_ms started;
@@ -325,7 +325,7 @@
   if (s->stopping_since || !s->active_config)
     return false;
   if (own_state (lead->own) != OWN_IDLE)
-    return !lead->other_leads;
+    return !lead->other_is_leader;
   if (!lead->vacant_since || !srv_register_leader_vacant (s))
     return false;
   return now - lead->started >= START_WAIT_MS
@@ -338,7 +338,7 @@
   struct srv_leader *lead = s->leader;
   clk_ms now = clk_now ();
 
-  lead->other_leads = held && !str_eq (holder, s->settings.node);
+  lead->other_is_leader = held && !str_eq (holder, s->settings.node);
   if (held)
     lead->vacant_since = 0;
   else if (!lead->vacant_since)
--- a/serve/limit-grant.c
+++ b/serve/limit-grant.c
@@ -165,13 +165,13 @@
 accrue_credit (struct lim_server *r, clk_ms now, double share)
 {
   bool idle = r->last_demand_at == 0 || now - r->last_demand_at > IDLE_MS;
-  double most = max_credit (r, share);
+  double max = max_credit (r, share);
 
   if (!idle)
-    most = MAX (most, 1);
+    max = MAX (max, 1);
   r->credit += share * lim_permit_rate (r) * (double)(now - r->credit_at)
                / (double)CLK_SECOND;
-  r->credit = MIN (r->credit, most);
+  r->credit = MIN (r->credit, max);
   r->credit_at = now;
 }
 
--- a/serve/node-int.h
+++ b/serve/node-int.h
@@ -195,7 +195,7 @@
 unsigned srv_peers_count_nodes (const struct srv *s);
 /** List the front addresses of the nodes to which clients may be sent.
     @return how many */
-size_t srv_peers_list_ready (struct srv *s, struct net_addr *out, size_t most);
+size_t srv_peers_list_ready (struct srv *s, struct net_addr *out, size_t max);
 
 /* ingress.c */
 bool srv_ingress_start (struct srv *s, struct buf *err);
--- a/serve/poison-int.h
+++ b/serve/poison-int.h
@@ -53,14 +53,14 @@
 struct psn
 {
   struct psn_suspect *suspects;
-  size_t n, room;
+  size_t n, capacity;
   struct psn_completion completed[PSN_MAX_COMPLETED]; /**< a ring */
   size_t next_completed;
   uint64_t attributed[PSN_MAX_ATTRIBUTED]; /**< endpoints, a ring */
   size_t next_attributed;
   bool collects;
   struct psn_update *updates;
-  size_t nupdates, updates_room;
+  size_t nupdates, updates_capacity;
   bool fetched; /**< the list was returned; the next update starts a new one */
   struct psn_update *snapshot;
 };
--- a/serve/poison-suspect.c
+++ b/serve/poison-suspect.c
@@ -98,10 +98,11 @@
     s = find_evicted (p);
   else
     {
-      if (p->n == p->room)
+      if (p->n == p->capacity)
         {
-          p->room = 2 * p->room + 16;
-          p->suspects = xrealloc (p->suspects, p->room * sizeof *p->suspects);
+          p->capacity = 2 * p->capacity + 16;
+          p->suspects
+              = xrealloc (p->suspects, p->capacity * sizeof *p->suspects);
         }
       s = &p->suspects[p->n++];
     }
--- a/serve/poison.c
+++ b/serve/poison.c
@@ -43,10 +43,11 @@
   if (p->fetched)
     p->nupdates = 0;
   p->fetched = false;
-  if (p->nupdates == p->updates_room)
+  if (p->nupdates == p->updates_capacity)
     {
-      p->updates_room = 2 * p->updates_room + 16;
-      p->updates = xrealloc (p->updates, p->updates_room * sizeof *p->updates);
+      p->updates_capacity = 2 * p->updates_capacity + 16;
+      p->updates
+          = xrealloc (p->updates, p->updates_capacity * sizeof *p->updates);
     }
   p->updates[p->nupdates++] = *update;
 }
@@ -265,11 +266,11 @@
 
 bool
 psn_should_refuse (struct psn *p, clk_ms now, uint64_t digest,
-                   clk_ms *again_ms)
+                   clk_ms *retry_ms)
 {
   struct psn_suspect *s = psn_find (p, digest);
 
-  *again_ms = 0;
+  *retry_ms = 0;
   if (!s)
     return false;
   if (s->state == PSN_S_BLOCKED)
@@ -277,7 +278,7 @@
       s->state_ends_at = now + PSN_HOLD_MS;
       return true;
     }
-  *again_ms = PENDING_RETRY_MS;
+  *retry_ms = PENDING_RETRY_MS;
   return s->state == PSN_S_PENDING || s->due_at != CLK_NEVER;
 }
 
--- a/serve/poison.h
+++ b/serve/poison.h
@@ -88,12 +88,12 @@
 
 /**
  * Whether a request that arrives must be refused.
- * @param again_ms  receives the delay after which the client may retry, as the
+ * @param retry_ms  receives the delay after which the client may retry, as the
  *                  request is not blocked yet; 0: the request is blocked and a
  *                  retry is useless
  */
 bool psn_should_refuse (struct psn *p, clk_ms now, uint64_t digest,
-                        clk_ms *again_ms);
+                        clk_ms *retry_ms);
 
 /** Whether the request is pending or blocked, or would be blocked after one
     more crash.  A node doesn't retry it on another server. */
--- a/serve/server-list.c
+++ b/serve/server-list.c
@@ -25,16 +25,16 @@
 struct string_list
 {
   char **list;
-  size_t n, cap;
+  size_t n, capacity;
 };
 
 static char *
 copy_string (struct string_list *t, struct str s)
 {
-  if (t->n == t->cap)
+  if (t->n == t->capacity)
     {
-      t->cap = t->cap ? 2 * t->cap : 64;
-      t->list = xrealloc (t->list, t->cap * sizeof (*t->list));
+      t->capacity = t->capacity ? 2 * t->capacity : 64;
+      t->list = xrealloc (t->list, t->capacity * sizeof (*t->list));
     }
   t->list[t->n] = str_dup (s);
   return t->list[t->n++];
--- a/t/lib-limit.c
+++ b/t/lib-limit.c
@@ -205,10 +205,10 @@
 static void
 add_arrival (struct limit_server *s, clk_ms now)
 {
-  if (s->n == s->room)
+  if (s->n == s->capacity)
     {
-      s->room = 2 * s->room + 64;
-      s->arrivals = xrealloc (s->arrivals, s->room * sizeof *s->arrivals);
+      s->capacity = 2 * s->capacity + 64;
+      s->arrivals = xrealloc (s->arrivals, s->capacity * sizeof *s->arrivals);
     }
   s->arrivals[s->n++] = now;
 }
--- a/t/lib-limit.h
+++ b/t/lib-limit.h
@@ -63,7 +63,7 @@
   bool limited;
   double rate;
   clk_ms *arrivals; /**< since the last reset */
-  size_t n, room;
+  size_t n, capacity;
   clk_ms reset_at;
 };
 
--- a/t/lib-poison.c
+++ b/t/lib-poison.c
@@ -135,14 +135,14 @@
 static void
 query (struct psn_fleet *f, const char *request, struct buf *log)
 {
-  clk_ms again_ms;
+  clk_ms retry_ms;
 
   buf_addf (log, "%s ", request);
   for (int i = 0; i < f->n; i++)
     {
       bool refused = psn_should_refuse (f->node[i], f->now,
-                                        (uint64_t)request[0], &again_ms);
-      buf_add_char (log, !refused ? '-' : again_ms ? 'w' : 'B');
+                                        (uint64_t)request[0], &retry_ms);
+      buf_add_char (log, !refused ? '-' : retry_ms ? 'w' : 'B');
     }
   buf_add_char (log, '\n');
 }
--- a/t/t9207-poison.c
+++ b/t/t9207-poison.c
@@ -206,7 +206,7 @@
 Test (poison, ten_thousand_requests_do_not_evict_blocked_ones)
 {
   struct psn_fleet f;
-  clk_ms again_ms;
+  clk_ms retry_ms;
   size_t n;
 
   psn_fleet_init (&f, 2, 0);
@@ -228,8 +228,8 @@
     }
   for (int i = 0; i < 2; i++)
     {
-      cr_expect (psn_should_refuse (f.node[i], f.now, 'p', &again_ms));
-      cr_expect (psn_should_refuse (f.node[i], f.now, 's', &again_ms));
+      cr_expect (psn_should_refuse (f.node[i], f.now, 'p', &retry_ms));
+      cr_expect (psn_should_refuse (f.node[i], f.now, 's', &retry_ms));
       psn_snapshot (f.node[i], f.now, &n);
       cr_expect_leq (n, PSN_MAX_REQUESTS * 9);
     }
@@ -322,12 +322,12 @@
 send_poison (struct sim *d, bool retry)
 {
   int node = (int)rng_below (&d->rng, (uint64_t)d->f.n);
-  clk_ms again_ms;
+  clk_ms retry_ms;
 
   if (!retry)
     d->attempts = 0;
   if (retry ? psn_is_suspect (d->f.node[node], POISON) || ++d->attempts > 1
-            : psn_should_refuse (d->f.node[node], d->f.now, POISON, &again_ms))
+            : psn_should_refuse (d->f.node[node], d->f.now, POISON, &retry_ms))
     {
       d->next_send_at = d->f.now + draw (d, 50, 500);
       return;
@@ -379,11 +379,11 @@
 static void
 check_other_request (struct sim *d, const struct run *r, uint64_t seed)
 {
-  clk_ms again_ms;
+  clk_ms retry_ms;
   bool refused
-      = psn_should_refuse (d->f.node[r->node], d->f.now, r->digest, &again_ms);
+      = psn_should_refuse (d->f.node[r->node], d->f.now, r->digest, &retry_ms);
 
-  cr_expect (!refused || again_ms || r->crashes > 3,
+  cr_expect (!refused || retry_ms || r->crashes > 3,
              "seed %d: a request is blocked after %u crashes", (int)seed,
              r->crashes);
 }
