--- a/serve/node-int.h
+++ b/serve/node-int.h
@@ -36,7 +36,7 @@
   const char *settings_path;
   struct srv_settings settings;
   struct rng rng;
-  uint64_t boot;
+  uint64_t boot; /**< start time of this process, in Unix ms */
   struct httpc *http;
   struct store *store;
   struct pau store_backoff; /**< shared by all store reads and by the calls for
@@ -49,7 +49,7 @@
   struct dsp *dispatch;
   struct psn *poison;
   struct lim *limits;
-  struct srv_poison *poison_keys;
+  struct srv_poison *poison_keys; /**< keys of blocked requests in the store */
   struct srv_config *config;
   struct srv_sync *sync;
   struct srv_register *registration;
--- a/t/t9207-poison.c
+++ b/t/t9207-poison.c
@@ -338,8 +338,8 @@
   d->crash_at = d->f.now + draw (d, 100, 200);
 }
 
-/** Crash the server at an endpoint.  The nodes report its runs, and run the
-    requests again elsewhere; not the poison request. */
+/** Crash the server at an endpoint.  The nodes report the runs that it had and
+    repeat all of them elsewhere except that of the poison request. */
 static void
 crash_endpoint (struct sim *d, uint64_t endpoint)
 {
@@ -436,8 +436,8 @@
   psn_fleet_free (&d.f);
 }
 
-/* In no order of crashes, completions and updates may a poison request
-   continue to crash servers, or may other requests be blocked instead. */
+/* A poison request must not continue to crash servers, and other requests must
+   not be blocked instead, in any order of crashes, completions and updates. */
 Test (poison, random_schedules)
 {
   for (uint64_t seed = 1; seed <= SEEDS; seed++)
--- a/t/t9209-currency.c
+++ b/t/t9209-currency.c
@@ -499,9 +499,9 @@
     }
 }
 
-/* In no order of delays, pauses and restarts may a node treat an outdated
-   configuration as confirmed; nodes must have a confirmed one more than half
-   of the time. */
+/* A node must not treat an outdated configuration as confirmed, in any order
+   of delays, pauses and restarts; and it must have a confirmed one more than
+   half of the time. */
 Test (freshness, confirmed_is_never_behind)
 {
   const unsigned all = NODES * (unsigned)(RUN_MS / STEP_MS);
