--- a/serve/duty.c
+++ b/serve/duty.c
@@ -9,22 +9,22 @@
  * orders.
  */
 
-/** Lease of the leader key.  After the leader has died, a new one takes over
-    no later than this. */
+/** Lease of the leader key.  A failed leader is replaced after about this
+    time. */
 #define LEASE_MS ((clk_ms)1200)
 /** Delay between the attempts of two nodes of consecutive rank to become
-    leader.  It exceeds the time after which a watch reports the first
-    success, so that only one node makes an attempt, which takes three priced
-    store calls. */
+    leader.  It exceeds the time after which watches report that the first
+    attempt succeeded.  So usually only one node makes an attempt, which takes
+    three billed store calls. */
 #define ATTEMPT_STAGGER_MS ((clk_ms)250)
-/** From this total delay on, attempts follow each other at the shorter
-    ATTEMPT_LATE_STAGGER_MS: if no node of the preceding ranks has made an
-    attempt by then, nearly all nodes are down. */
+/** Above this total delay, the shorter ATTEMPT_LATE_STAGGER_MS applies: if
+    none of the preceding ranks has made an attempt by then, nearly all nodes
+    are down. */
 #define ATTEMPT_STAGGER_LIMIT_MS ((clk_ms)3000)
 #define ATTEMPT_LATE_STAGGER_MS ((clk_ms)50)
-/** A node makes no attempt for this long after its start.  By then the
-    entries of the nodes that start together with it are in the store; the
-    first node to register may be the smallest one. */
+/** A node makes no attempt for this long after its start.  By then the entries
+    of all nodes that start together are in the store; otherwise the first one
+    to register would become leader, even if it is the smallest. */
 #define START_WAIT_MS ((clk_ms)500)
 /** Timeout of an order's answer.  The server answers from memory; the timeout
     leaves room for one retransmission of a lost packet after 200 ms. */
@@ -40,12 +40,12 @@
     so the probed server no longer exists. */
 #define STATUS_MISDIRECTED 421
 
-/** Limit on concurrent orders and probes.  Each uses a connection of its own,
-    a thousand servers may join at a start, and a small VM's roughly four
-    thousand file descriptors are reserved for its callers. */
+/** Limit on concurrent orders and probes.  Each uses a new connection, and a
+    thousand servers may join at a start; the roughly four thousand file
+    descriptors of a small VM are needed for client connections. */
 #define CALLS_MAX 64
 
-struct leader_call;
+struct server_call;
 
 struct srv_leader
 {
@@ -53,19 +53,20 @@
   struct own *own;
   struct frm *form;
   struct buf key;
-  bool other_leads;
-  clk_ms vacant_since; /* first seen without the leader key; 0: it exists */
+  bool other_is_leader;
+  clk_ms vacant_since; /* when the leader key was first found missing; 0: it
+                          exists */
   clk_ms started;
   clk_ms next_tick;
-  struct leader_call *calls;
+  struct server_call *calls;
   unsigned ncalls;
 };
 
 /** An order or a probe in flight. */
-struct leader_call
+struct server_call
 {
   struct srv_leader *lead;
-  struct leader_call *next;
+  struct server_call *next;
   struct httpc_call *http;
   uint64_t token;
   uint64_t sent_fence; /* fencing number at the time of sending */
@@ -81,7 +82,7 @@
 static bool
 on_connected (void *ctx)
 {
-  struct leader_call *c = ctx;
+  struct server_call *c = ctx;
 
   /* The lease may have expired while the connection was being opened. */
   if (c->is_order && !own_may_order (c->lead->own, clk_now ()))
@@ -93,7 +94,7 @@
 static void
 on_head (void *ctx, int status, const struct http_header *h, size_t n)
 {
-  struct leader_call *c = ctx;
+  struct server_call *c = ctx;
 
   c->status = status;
 }
@@ -106,19 +107,19 @@
 static void run_form_actions (struct srv_leader *lead);
 
 static enum frm_result
-call_result (const struct leader_call *c, enum httpc_end end)
+call_result (const struct server_call *c, enum httpc_end end)
 {
   if (c->status)
-    return c->lead->s->ad->order_result (c->status);
+    return c->lead->s->adapter->order_result (c->status);
   if (end == HTTPC_CONNECT_FAILED && !c->sent)
     return FRM_UNANSWERED;
   return FRM_UNANSWERED;
 }
 
 static void
-unlink_call (struct leader_call *c)
+unlink_call (struct server_call *c)
 {
-  struct leader_call **p = &c->lead->calls;
+  struct server_call **p = &c->lead->calls;
 
   while (*p != c)
     p = &(*p)->next;
@@ -129,7 +130,7 @@
 static void
 on_end (void *ctx, enum httpc_end end)
 {
-  struct leader_call *c = ctx;
+  struct server_call *c = ctx;
   struct srv_leader *lead = c->lead;
   clk_ms now = clk_now ();
 
@@ -140,8 +141,8 @@
       LOG (order_ended, LOG_C ("server", c->vm), LOG_I ("number", c->token),
            LOG_I ("status", c->status));
       frm_order_done (lead->form, now, c->token, result);
-      /* A server that accepted a join is not ready immediately; for any other
-         result the list is read again at once. */
+      /* Read the list again at once, except after an accepted join: the server
+         is not ready immediately. */
       if (c->order != FRM_JOIN || result != FRM_ACCEPTED)
         srv_sync_read_soon (lead->s, now);
     }
@@ -159,16 +160,17 @@
   static const struct httpc_callbacks cb
       = { on_connected, on_head, on_body, on_end };
   struct srv *s = lead->s;
-  struct leader_call *c = xcalloc (1, sizeof *c);
+  struct server_call *c = xcalloc (1, sizeof *c);
   struct buf body = BUF_INIT;
   struct http_header h[]
-      = { { str_from (s->ad->expect_header), a->vm },
+      = { { str_from (s->adapter->expect_header), a->vm },
           { STR ("content-type"), STR ("application/json") } };
   bool order = a->kind == FRM_ORDER;
   struct httpc_request r
       = { .to = a->addr,
           .method = order ? STR ("POST") : STR ("GET"),
-          .path = str_from (order ? s->ad->order_path : s->ad->report_path),
+          .path = str_from (order ? s->adapter->order_path
+                                  : s->adapter->report_path),
           .headers = h,
           .nheaders = order ? 2 : 1,
           .connect_ms = order ? ORDER_CONNECT_MS : PROBE_CONNECT_MS,
@@ -185,7 +187,7 @@
   lead->calls = c;
   lead->ncalls++;
   if (order)
-    s->ad->format_order (a, &body);
+    s->adapter->format_order (a, &body);
   if (order)
     LOG (order_sent, LOG_S ("server", a->vm), LOG_I ("number", a->token),
          LOG_S ("order", buf_str (&body)));
@@ -312,18 +314,18 @@
                * ATTEMPT_LATE_STAGGER_MS;
 }
 
-/** Whether this node should try to become leader, or stay leader: no other
-    node is leader, and the nodes of the preceding ranks have had time for
-    their attempts. */
+/** Whether this node should become or stay leader: no other node is leader
+    and, if this node is not either, the nodes of the preceding ranks have had
+    time for their attempts. */
 static bool
 should_lead (const struct srv_leader *lead, clk_ms now)
 {
   const struct srv *s = lead->s;
 
-  if (s->stopping_since || !s->table)
+  if (s->stopping_since || !s->active_config)
     return false;
   if (own_state (lead->own) != OWN_IDLE)
-    return !lead->other_leads;
+    return !lead->other_is_leader;
   if (!lead->vacant_since || !srv_register_leader_vacant (s))
     return false;
   return now - lead->started >= START_WAIT_MS
@@ -336,7 +338,7 @@
   struct srv_leader *lead = s->leader;
   clk_ms now = clk_now ();
 
-  lead->other_leads = held && !str_eq (holder, s->set.node);
+  lead->other_is_leader = held && !str_eq (holder, s->settings.node);
   if (held)
     lead->vacant_since = 0;
   else if (!lead->vacant_since)
@@ -348,15 +350,16 @@
 {
   struct srv_leader *lead = s->leader;
 
-  if (!s->table)
+  if (!s->active_config)
     return;
-  frm_set_servers (lead->form, clk_now (), s->backends, s->table,
-                   s->first_start || bks_is_stable (s->backends, clk_now ()));
+  frm_set_servers (lead->form, clk_now (), s->backends, s->active_config,
+                   s->store_was_empty
+                       || bks_is_stable (s->backends, clk_now ()));
   run_form_actions (lead);
 }
 
 const struct frm_stats *
-srv_leader_figures (const struct srv *s)
+srv_leader_stats (const struct srv *s)
 {
   return frm_stats (s->leader->form);
 }
@@ -383,7 +386,7 @@
 static void
 report_demand (struct srv_leader *lead, clk_ms now)
 {
-  const struct tbl *t = lead->s->table;
+  const struct tbl *t = lead->s->active_config;
 
   for (size_t i = 0; t && i < t->nservices; i++)
     for (size_t k = 0; k < t->services[i].nmodels; k++)
@@ -418,14 +421,14 @@
 srv_leader_start (struct srv *s)
 {
   struct srv_leader *lead = xcalloc (1, sizeof *lead);
-  struct frm_options form = { .stall_ms = s->set.stall_ms,
-                              .ceiling_window_s = s->set.ceiling_window_s,
-                              .ceiling_over = s->set.ceiling_over };
+  struct frm_options form = { .stall_ms = s->settings.stall_ms,
+                              .ceiling_window_s = s->settings.ceiling_window_s,
+                              .ceiling_over = s->settings.ceiling_over };
   struct own_options own
-      = { .node = s->set.node,
+      = { .node = s->settings.node,
           .boot = s->boot,
-          .ttl
-          = s->set.lease_min_ms > LEASE_MS ? s->set.lease_min_ms : LEASE_MS,
+          .ttl = s->settings.lease_min_ms > LEASE_MS ? s->settings.lease_min_ms
+                                                     : LEASE_MS,
           .checks_fence = true,
           .order_flight_ms = ORDER_TIMEOUT_MS };
 
@@ -433,7 +436,7 @@
   lead->started = clk_now ();
   s->leader = lead;
   srv_plan_start (s);
-  buf_addf (&lead->key, "%sduty", s->ad->own_prefix);
+  buf_addf (&lead->key, "%sduty", s->adapter->own_prefix);
   own.key = buf_str (&lead->key);
   lead->form = frm_new (&form);
   lead->own = own_new (&own, rng_next (&s->rng));
--- a/serve/exchange.h
+++ b/serve/exchange.h
@@ -1,7 +1,7 @@
 /**
  * @file
- * A client request and its attempts at backend servers: performs the I/O that
- * the request core (serve/dispatch.h) decides.
+ * A client request with its response, and its attempts at backend servers:
+ * performs the I/O that the dispatch core (serve/dispatch.h) decides.
  */
 #ifndef LAPISLINE_SERVE_EXCHANGE_H
 #define LAPISLINE_SERVE_EXCHANGE_H
@@ -45,7 +45,7 @@
                               has disconnected */
   struct srv_request request; /**< decoded headers, views into req */
   struct str host;
-  struct tbl *table;
+  struct tbl *config;
   const struct tbl_route *route;
   const struct tbl_account *account; /**< NULL: no account */
   uint64_t digest;                   /**< srv_request_digest() */
@@ -59,12 +59,12 @@
   unsigned attempts_sent; /**< attempts whose request was sent */
   clk_ms first_ms;        /**< time to the first forwarded event; 0: none */
   clk_ms last_write_at;   /**< when events were last forwarded */
-  clk_ms pause_ms;        /**< longest time between two writes of events */
+  clk_ms pause_ms;        /**< longest gap between two writes of events */
   struct buf servers;     /**< ids of the servers tried, separated by blanks */
 };
 
 struct srv_exchange *srv_exchange_new (struct srv *s, struct httpd_req *req,
-                                       struct tbl *table);
+                                       struct tbl *config);
 void srv_exchange_run_action (struct srv_exchange *ex,
                               const struct dsp_action *a);
 void srv_exchange_free (struct srv_exchange *ex);
--- a/serve/hubs.h
+++ b/serve/hubs.h
@@ -4,15 +4,15 @@
  *
  * Up to RLY_MESH_MAX nodes form a full mesh.  In a larger fleet a full mesh
  * would cost each node as many links and frames as there are nodes, which
- * takes all processor time of the smallest VMs.  There all nodes are linked to
- * the first few nodes in an order that is the same at each of them, the
- * relays.  Relays add up loads and forward what all nodes need, and one of
- * them is the leader, which forms replicas.
+ * takes all processor time of the smallest VMs.  There, each node is linked to
+ * a few relays only: the first nodes in an order that is the same at all
+ * nodes.  Relays add up loads and forward frames that all nodes need.  One of
+ * them is usually the leader, which forms replicas.
  *
- * Nodes with a faster link and a larger share of a processor come first in
- * this order: with 300 nodes a relay receives 3,000 frames per second and
- * sends a list of 100 kB to each node, which takes half a minute on a link of
- * 20 Mbit/s.
+ * Nodes with a faster link, then those with a larger share of a processor,
+ * come first in this order.  With 300 nodes, a relay receives 3,000 frames per
+ * second and sends a list of 100 kB to each node; on a link of 20 Mbit/s that
+ * takes half a minute.
  */
 #ifndef LAPISLINE_SERVE_RELAYS_H
 #define LAPISLINE_SERVE_RELAYS_H
@@ -24,13 +24,13 @@
 /**
  * Most nodes of a full mesh, in which each node sends its load and notices of
  * long prompts directly to all others.  In a larger mesh each node would watch
- * the store for the actions of all others, and the store calls would grow with
- * the square of the number of nodes.
+ * the store for changes of all others, and the store calls would grow with the
+ * square of the number of nodes.
  */
 #define RLY_MESH_MAX 15
-/** Relays that each node is linked to.  If one is lost, others remain, and
-    the next leader is a node that is linked already. */
-#define RLY_LINKS 4
+/** Number of relays that each node is linked to.  If one is lost, the others
+    remain, and the next leader is usually one of them. */
+#define RLY_LINKS_PER_NODE 4
 
 /** A node, as its entry in the store describes it. */
 struct rly_node
@@ -53,19 +53,20 @@
   struct rly_node node;
   bool up;             /**< linked */
   bool connect_failed; /**< the last connection attempt failed */
-  bool leads;          /**< it is the leader, which forms replicas */
-  bool wanted;         /**< out: connect to it, or keep the link */
+  bool is_leader;
+  bool wanted; /**< out: connect to it, or keep the link */
 };
 
 /**
  * Choose the links of a node.
  *
  * A peer whose connection attempts fail is still wanted but does not count
- * towards RLY_LINKS.  A node whose first relays are all lost therefore links
- * to the next nodes in the order, which are the same for all nodes.
- * @param leads  this node is the leader and needs a link to each node
+ * towards RLY_LINKS_PER_NODE.  A node whose first relays are all lost
+ * therefore links to the next nodes in the order, which are the same for all
+ * nodes.
+ * @param is_leader  this node is the leader and needs a link to each node
  */
-void rly_choose_links (const struct rly_node *self, bool leads,
+void rly_choose_links (const struct rly_node *self, bool is_leader,
                        struct rly_peer *list, size_t n);
 
 /**
@@ -73,7 +74,8 @@
  * or, without a leader, the first linked node in relay order.
  * @return  NULL: this node is the aggregator
  */
-const struct rly_peer *rly_aggregator (const struct rly_node *self, bool leads,
+const struct rly_peer *rly_aggregator (const struct rly_node *self,
+                                       bool is_leader,
                                        const struct rly_peer *list, size_t n);
 
 #endif
--- a/serve/ingress.c
+++ b/serve/ingress.c
@@ -11,16 +11,16 @@
     started usually reads one within this time. */
 #define START_RETRY_MS ((clk_ms)300)
 
-/** Retry-After for a request that the configuration does not allow, while the
-    store has not confirmed that this configuration is the newest. */
+/** Retry-After for a request that the configuration does not allow, while this
+    configuration is not confirmed to be the newest. */
 #define CONFIRM_RETRY_MS ((clk_ms)1000)
 
-/** File descriptors reserved for everything but callers' connections: files,
-    links, the store, and connections to backend servers. */
+/** File descriptors reserved for files, links, the store, and connections to
+    backend servers; the others are for connections of clients. */
 #define FDS_RESERVED 1000
 
 /** Limit on the time between two requests of a connection, and on the time to
-    send a request head.  The configuration's own limit is not yet known when
+    send a request head.  The limits in the configuration are not read yet when
     the port is opened. */
 #define IDLE_MS ((clk_ms)20000)
 
@@ -70,7 +70,7 @@
   return str_head (host, str_chr (host, ':'));
 }
 
-/** Why a request is rejected; status 0: it is not. */
+/** Response to a rejected request; status 0: the request is accepted. */
 struct rejection
 {
   int status;
@@ -81,9 +81,9 @@
 static struct rejection
 check_account (struct srv_exchange *ex)
 {
-  if (!ex->table->has_accounts)
+  if (!ex->config->has_accounts)
     return (struct rejection){ 0 };
-  ex->account = tbl_find_account (ex->table, ex->request.key);
+  ex->account = tbl_find_account (ex->config, ex->request.key);
   if (!ex->account && !ex->route->allows_anonymous)
     return (struct rejection){ 401, "unknown-key", 0 };
   return (struct rejection){ 0 };
@@ -93,9 +93,9 @@
 check_request (struct srv_exchange *ex)
 {
   const struct httpd_view *v = httpd_get (ex->req);
-  const struct tbl_limits *l = &ex->table->limits;
+  const struct tbl_limits *l = &ex->config->limits;
 
-  ex->route = tbl_find_route (ex->table, host_name (ex->host), v->path);
+  ex->route = tbl_find_route (ex->config, host_name (ex->host), v->path);
   if (!ex->route)
     return (struct rejection){ 404, "no-route", 0 };
   if (l->max_body && v->body.len > l->max_body)
@@ -114,12 +114,12 @@
 }
 
 /**
- * Time that the caller has already waited.
+ * Time that the client has spent on earlier attempts.
  *
- * A caller that retries sends its remaining time; the difference from the
- * route's timeout was spent on earlier attempts and counts against the latency
- * goal.  A request that has missed its goal is served after those that can
- * still meet theirs; it loses nothing by that.
+ * A client that retries sends its remaining time; earlier attempts took the
+ * rest of the route's timeout.  This time counts against the latency goal.  A
+ * request that has missed its goal is served after those that can still meet
+ * theirs.
  */
 static clk_ms
 earlier_wait (const struct srv_exchange *ex)
@@ -153,7 +153,7 @@
   struct dsp_request q
       = { .id = ex->id,
           .route = ex->route,
-          .config = ex->table,
+          .config = ex->config,
           .service = tbl_pick_service (ex->route, rng_unit (&s->rng)),
           .priority = priority_of (ex),
           .deadline = deadline_of (ex),
@@ -169,7 +169,7 @@
   srv_run_actions (s);
 }
 
-/** Callers do not retry after a 4xx, so a 4xx is sent only while the
+/** Clients do not retry after a 4xx, so a 4xx is sent only while the
     configuration is confirmed to be the newest. */
 static struct rejection
 confirm_rejection (const struct srv *s, struct rejection why)
@@ -189,7 +189,7 @@
   LOG (request_denied, LOG_S ("id", ex->request.id), LOG_S ("host", ex->host),
        LOG_S ("path", httpd_get (ex->req)->path),
        LOG_I ("status", why->status), LOG_C ("code", why->code),
-       LOG_I ("config", ex->table->version),
+       LOG_I ("config", ex->config->version),
        LOG_I ("known_age_ms", srv_config_age (s, clk_now ())));
   srv_metrics_request (s, "none", why->status, why->code, 0);
 }
@@ -197,13 +197,13 @@
 static void
 admit (struct srv *s, struct httpd_req *req, clk_ms since)
 {
-  struct srv_exchange *ex = srv_exchange_new (s, req, s->table);
+  struct srv_exchange *ex = srv_exchange_new (s, req, s->active_config);
   struct rejection why;
   size_t n;
   const struct http_header *h = httpd_headers (req, &n);
 
   ex->started_at = since;
-  s->ad->parse_request (h, n, &ex->request);
+  s->adapter->parse_request (h, n, &ex->request);
   ex->host = httpd_get (req)->host;
   why = confirm_rejection (s, check_request (ex));
   if (why.status == 0)
@@ -230,12 +230,12 @@
 static bool
 awaits_store (const struct srv *s, clk_ms now)
 {
-  return srv_config_state (s, now) == CUR_RESUMED
+  return srv_config_state (s, now) == CUR_AWAITING_STORE
          || srv_sync_is_resuming (s, now);
 }
 
 static void
-undefer (struct srv_deferred *w)
+remove_deferred (struct srv_deferred *w)
 {
   *w->prev = w->next;
   if (w->next)
@@ -246,7 +246,7 @@
 static void
 on_deferred_gone (void *ctx)
 {
-  undefer (ctx);
+  remove_deferred (ctx);
 }
 
 static void
@@ -271,7 +271,7 @@
     {
       struct httpd_req *req = s->deferred->req;
       clk_ms since = s->deferred->since;
-      undefer (s->deferred);
+      remove_deferred (s->deferred);
       admit (s, req, since);
     }
 }
@@ -283,9 +283,9 @@
   clk_ms now = clk_now ();
 
   srv_check_pause (s, now);
-  /* Without a configuration it is unknown which requests are allowed, and a
-     404 or 401 would be final. */
-  if (!s->table)
+  /* A 404 or 401 would be final, and which requests are allowed is not known
+     without a configuration. */
+  if (!s->active_config)
     srv_send_error (s, req, 503, "starting", START_RETRY_MS);
   else if (awaits_store (s, now))
     defer (s, req);
@@ -296,14 +296,14 @@
 bool
 srv_ingress_start (struct srv *s, struct buf *err)
 {
-  size_t fds = s->set.max_fds;
+  size_t fds = s->settings.max_fds;
   struct httpd_limits limits
       = { .max_body = BODY_MAX,
           .max_connections = fds > 2 * FDS_RESERVED ? (fds - FDS_RESERVED) / 2
                                                     : FDS_RESERVED / 2,
           .request_ms = IDLE_MS };
 
-  s->front
-      = httpd_listen (&s->loop, &s->set.front, &limits, on_request, s, err);
-  return s->front != NULL;
+  s->client_listener = httpd_listen (&s->loop, &s->settings.front, &limits,
+                                     on_request, s, err);
+  return s->client_listener != NULL;
 }
--- a/serve/peers-limit.c
+++ b/serve/peers-limit.c
@@ -3,11 +3,11 @@
 #include <stdlib.h>
 
 /*
- * Rate limits that backend servers ask for, and permits to send requests to
- * these servers.  A new limit is sent to each linked node, and each node
- * forwards limits that are new to it, so a limit also reaches nodes whose
- * links to the sender are cut.  Permits are granted by the aggregator (the
- * grantor); the permits that a node wants are sent to it with the node's load.
+ * Rate limits set by backend servers, and permits to send requests to these
+ * servers.  A new limit is sent to each linked node, and each node forwards
+ * limits that are new to it, so a limit also reaches nodes whose links to the
+ * sender are cut.  Permits are granted by the aggregator (the grantor); each
+ * node sends it the demand for permits with its load.
  */
 
 /** Most rows in one frame. */
@@ -63,7 +63,7 @@
   size_t n;
   const struct lim_update *list = lim_updates (s->limits, clk_now (), &n);
 
-  for (struct peer *x = s->peers ? s->peers->list : NULL; x; x = x->next)
+  for (struct peer *x = s->peers ? s->peers->peers : NULL; x; x = x->next)
     if (x->up)
       send_all_limits (x, list, n);
 }
@@ -104,7 +104,7 @@
          && now - x->received_at < GRANTOR_TIMEOUT_MS;
 }
 
-/** Rows of the permits that this node wants, in wire format. */
+/** The demand of this node, in wire format. */
 static size_t
 make_permit_rows (const struct srv *s, clk_ms now, bool repeat,
                   struct prs_permit_rows *w)
@@ -222,7 +222,7 @@
 static struct peer *
 find_peer_by_hash (const struct srv_peers *p, uint64_t hash)
 {
-  struct peer *x = p->list;
+  struct peer *x = p->peers;
 
   while (x && x->hash != hash)
     x = x->next;
@@ -256,8 +256,8 @@
 prs_grant_permits (struct srv_peers *p, clk_ms now, bool all)
 {
   struct srv *s = p->s;
-  unsigned listed = (unsigned)p->nlisted + 1,
-           announced = srv_peers_count_sharing (s);
+  unsigned listed = (unsigned)p->nlisted_peers + 1,
+           announced = srv_peers_count_nodes (s);
   const struct lim_permits *list;
   size_t n;
 
--- a/serve/register.c
+++ b/serve/register.c
@@ -14,25 +14,25 @@
  *   blocked/    poison requests that are blocked; see poison-store.c
  */
 
-/** Lease of a node's entry.  Other nodes need the entry to find this one;
-    they detect its failure much earlier, by their links.  With a lease of
-    6 s, renewals were half of all store calls of a day. */
+/** Lease of a node's entry.  Other nodes need the entry only to find this
+    node; they detect its failure much earlier, by their links.  With a lease
+    of 6 s, renewals were half of all store calls of a day. */
 #define LEASE_MS ((clk_ms)15000)
 #define RENEW_MS (LEASE_MS / 3)
 #define RETRY_MS ((clk_ms)250)
-/** Settle window at the start of the whole system: nodes register within
-    0.3 s of each other, and each entry would trigger the watch of every node,
-    so the entries are read together. */
+/** Delay of the first watch.  At the start of the whole system, nodes register
+    within 0.3 s of each other; watches that start after that return the
+    entries together instead of one by one to every node. */
 #define SETTLE_MS ((clk_ms)500)
-/** After the settle window the node of rank 0 writes the secret; each other
-    node does so only if it is still missing after this time per rank. */
+/** At the start of the whole system, a missing secret is written this long
+    after SETTLE_MS, plus this time per rank of the writing node. */
 #define SECRET_STAGGER_MS ((clk_ms)50)
 #define SECRET_BYTES 32
 /** Stagger, per rank, of the rewriting of entries that the store has lost. */
 #define ENTRY_STAGGER_MS ((clk_ms)10)
-/** A leaf does without the store for this long when it receives nothing from
-    a leader: a new leader is elected and linked within two or three seconds,
-    and reads by every node in the meantime would make each change cost as
+/** A leaf that receives nothing from a leader does not read the store for this
+    long: within two or three seconds there is a new leader with links to all
+    nodes.  With reads by every node in the meantime, each change would cost as
     many calls as there are nodes. */
 #define NO_LEADER_GRACE_MS ((clk_ms)4000)
 
@@ -61,7 +61,7 @@
                             returns it */
   clk_ms secret_due_at;  /* earliest write by the node of rank 0 */
   bool links_started;    /* links to other nodes were started */
-  clk_ms leader_seen_at; /* last time at which there was a leader */
+  clk_ms leader_seen_at; /* when a leader was last linked */
   bool has_leader;
   struct node_record *nodes;
   size_t nnodes;
@@ -119,7 +119,7 @@
 }
 
 static void
-publish_nodes (struct srv_register *g)
+update_peers (struct srv_register *g)
 {
   struct srv_node_entry *list = xcalloc (g->nnodes + 1, sizeof *list);
 
@@ -192,14 +192,15 @@
 struct rly_node
 srv_self_spec (const struct srv *s)
 {
-  return (struct rly_node){ str_hash (s->set.node, 0), s->set.link_bytes_per_s,
-                            s->set.cpu_share };
+  return (struct rly_node){ str_hash (s->settings.node, 0),
+                            s->settings.link_bytes_per_s,
+                            s->settings.cpu_share };
 }
 
 unsigned
 srv_node_rank (const struct srv *s)
 {
-  const struct srv_register *g = s->reg;
+  const struct srv_register *g = s->registration;
   struct rly_node self = srv_self_spec (s);
   unsigned rank = 0;
 
@@ -211,14 +212,14 @@
 bool
 srv_is_leaf (const struct srv *s)
 {
-  /* During its start a node knows no other nodes. */
-  return s->reg && s->reg->nnodes > RLY_MESH_MAX
-         && srv_node_rank (s) >= RLY_LINKS;
+  /* A node that is starting has not read the entries of other nodes yet. */
+  return s->registration && s->registration->nnodes > RLY_MESH_MAX
+         && srv_node_rank (s) >= RLY_LINKS_PER_NODE;
 }
 
 /**
- * Whether the links bring this node everything about other nodes that it would
- * read from the store: it is a leaf, and there is a leader.
+ * Whether this node receives the entries of other nodes over its links: it is
+ * a leaf, and there is a leader.
  */
 static bool
 may_skip_reads (struct srv_register *g, clk_ms now)
@@ -235,10 +236,9 @@
 bool
 srv_register_leader_vacant (const struct srv *s)
 {
-  struct srv_register *g = s->reg;
+  struct srv_register *g = s->registration;
 
-  /* Without a watch this node may not have seen that another became
-     leader. */
+  /* Without a watch this node may not have read that another became leader. */
   return g && g->next_read == CLK_NEVER && !g->has_leader
          && !may_skip_reads (g, clk_now ());
 }
@@ -269,7 +269,7 @@
   for (size_t i = 0; i < n; i++)
     apply_item (g, ev[i].deleted, &ev[i].kv);
   start_links (g);
-  publish_nodes (g);
+  update_peers (g);
   g->next_watch
       = clk_now ()
         + pau_watch_delay_ms (g->nnodes, srv_node_rank (g->s),
@@ -287,7 +287,7 @@
   g->next_read = clk_now () + RETRY_MS;
 }
 
-/** The store has lost this node's entry, as it was restored from an older
+/** The store has lost this node's entry because it was restored from an older
     copy. */
 static void
 schedule_entry_rewrite (struct srv_register *g)
@@ -319,7 +319,7 @@
   if (!own_entry_seen && g->entry_written)
     schedule_entry_rewrite (g);
   start_links (g);
-  publish_nodes (g);
+  update_peers (g);
 }
 
 static void
@@ -346,10 +346,10 @@
     }
   g->next_read = CLK_NEVER;
   if (g->revision == 0 && r->nkvs == 0)
-    g->s->first_start = true;
+    g->s->store_was_empty = true;
   g->revision = r->revision;
   apply_all (g, r);
-  if (g->s->set.first_start && g->secret.len == 0)
+  if (g->s->settings.first_start && g->secret.len == 0)
     {
       g->next_watch = clk_now () + SETTLE_MS;
       g->secret_due_at = g->next_watch + SECRET_STAGGER_MS;
@@ -417,7 +417,7 @@
 }
 
 static void
-on_kept (void *ctx, const struct store_result *r)
+on_lease_renewed (void *ctx, const struct store_result *r)
 {
   struct srv_register *g = ctx;
 
@@ -434,8 +434,8 @@
 {
   struct srv_register *g = ctx;
 
-  /* Whether or not this write succeeded, the watch returns the secret that is
-     stored. */
+  /* On a conflict, another node has written the secret; in both cases the
+     watch returns it. */
   g->secret_written = r->status == STORE_OK || r->status == STORE_CONFLICT;
   end_call (g, r->status, 0);
 }
@@ -453,8 +453,8 @@
   buf_add_hex (text, bytes, sizeof bytes);
 }
 
-/** Write the secret, a new one or the known one that the store has lost.  If
-    two nodes do this at once, the store accepts the first write only. */
+/** Write a new secret, or the secret of this node if the store has lost it.
+    If two nodes do this at once, the store accepts only the first write. */
 static void
 write_secret (struct srv_register *g)
 {
@@ -480,7 +480,7 @@
 should_write_secret (const struct srv_register *g, clk_ms now)
 {
   return g->next_read == CLK_NEVER && !g->secret_stored && !g->secret_written
-         && (g->nnodes > 0 || !g->s->set.first_start)
+         && (g->nnodes > 0 || !g->s->settings.first_start)
          && now >= g->secret_due_at + srv_node_rank (g->s) * SECRET_STAGGER_MS;
 }
 
@@ -501,12 +501,12 @@
   else
     {
       begin_call (g);
-      store_lease_keep (g->s->store, g->lease, on_kept, g);
+      store_lease_keep (g->s->store, g->lease, on_lease_renewed, g);
     }
 }
 
-/** Shorten the wait for the next watch of a node that has just become leader;
-    the wait may have been set when it was one of many others. */
+/** Start the next watch of a new leader sooner; its delay may have been
+    computed before this node became leader. */
 static void
 advance_watch (struct srv_register *g, clk_ms now)
 {
@@ -521,7 +521,7 @@
 void
 srv_register_tick (struct srv *s, clk_ms now)
 {
-  struct srv_register *g = s->reg;
+  struct srv_register *g = s->registration;
 
   advance_watch (g, now);
   pau_set_pushed (&s->store_backoff, now,
@@ -547,8 +547,9 @@
 void
 srv_register_revoke (struct srv *s)
 {
-  if (s->reg->lease)
-    store_lease_revoke (s->store, s->reg->lease, on_secret, s->reg);
+  if (s->registration->lease)
+    store_lease_revoke (s->store, s->registration->lease, on_secret,
+                        s->registration);
 }
 
 static void
@@ -565,23 +566,24 @@
   struct srv_register *g = xcalloc (1, sizeof *g);
 
   g->s = s;
-  s->reg = g;
-  /* Other nodes are running, and a link to the leader will be up shortly. */
-  g->leader_seen_at = s->set.first_start ? 0 : clk_now ();
+  s->registration = g;
+  /* Other nodes are running, and this node will have a link to the leader
+     shortly. */
+  g->leader_seen_at = s->settings.first_start ? 0 : clk_now ();
   g->next_watch = CLK_NEVER;
-  buf_add_c (&g->prefix, s->ad->own_prefix);
+  buf_add_c (&g->prefix, s->adapter->own_prefix);
   store_prefix_end (buf_str (&g->prefix), &g->end);
-  buf_addf (&g->node_key, "%snodes/%.*s", s->ad->own_prefix,
-            STR_ARG (s->set.node));
-  buf_addf (&g->secret_key, "%ssecret", s->ad->own_prefix);
-  buf_addf (&g->leader_key, "%sduty", s->ad->own_prefix);
+  buf_addf (&g->node_key, "%snodes/%.*s", s->adapter->own_prefix,
+            STR_ARG (s->settings.node));
+  buf_addf (&g->secret_key, "%ssecret", s->adapter->own_prefix);
+  buf_addf (&g->leader_key, "%sduty", s->adapter->own_prefix);
   buf_add_char (&g->value, '{');
-  add_addr (&g->value, "front", &s->set.front);
+  add_addr (&g->value, "front", &s->settings.front);
   buf_add_char (&g->value, ',');
-  add_addr (&g->value, "peer", &s->set.peer);
+  add_addr (&g->value, "peer", &s->settings.peer);
   buf_addf (&g->value,
             ",\"boot\":%llu,\"link_bytes_per_s\":%.0f,\"cpu_share\":%.3f}",
-            (unsigned long long)s->boot, s->set.link_bytes_per_s,
-            s->set.cpu_share);
+            (unsigned long long)s->boot, s->settings.link_bytes_per_s,
+            s->settings.cpu_share);
   srv_register_tick (s, clk_now ());
 }
--- a/t/t9203-pause.c
+++ b/t/t9203-pause.c
@@ -1,13 +1,13 @@
 /*
  * Backoff of store calls while the store is unavailable, and the delay of
- * watches.  A scripted node runs several callers that each want to make a call
- * at all times; the tests count its calls.
+ * watches.  A simulated node has several modules that each make a call
+ * whenever the backoff allows it; the tests count its calls.
  */
 #include <criterion/criterion.h>
 
 #include "serve/pause.h"
 
-#define CALLERS 4
+#define MODULES 4
 #define STEP_MS ((clk_ms)10)
 #define ANSWER_MS ((clk_ms)20)
 
@@ -15,7 +15,7 @@
 {
   struct pau backoff;
   struct rng rng;
-  clk_ms call_ends_at[CALLERS]; /* end of the call in flight; 0: none */
+  clk_ms call_ends_at[MODULES]; /* end of the call in flight; 0: none */
   unsigned calls;
 };
 
@@ -24,7 +24,7 @@
 run (struct node *n, clk_ms from, clk_ms to, enum store_status status)
 {
   for (clk_ms now = from; now < to; now += STEP_MS)
-    for (int i = 0; i < CALLERS; i++)
+    for (int i = 0; i < MODULES; i++)
       {
         if (n->call_ends_at[i] && now >= n->call_ends_at[i])
           {
@@ -41,9 +41,9 @@
 }
 
 /*
- * Guards against an outage of the store in which each caller of a node retries
- * by itself.  In an outage of ten seconds the node makes about one call a
- * second in all, not one a second per caller.
+ * Guards against independent retries by the modules of a node.  In an outage
+ * of ten seconds the node makes about one call per second in all, not one per
+ * second and module.
  */
 Test (backoff, outage_causes_few_calls)
 {
@@ -53,13 +53,13 @@
   run (&n, 1000, 1100, STORE_OK);
   n.calls = 0;
   run (&n, 1100, 11100, STORE_UNAVAILABLE);
-  cr_expect_leq (n.calls, CALLERS + 16, "%u calls", n.calls);
+  cr_expect_leq (n.calls, MODULES + 16, "%u calls", n.calls);
   cr_expect_geq (n.calls, 8, "%u calls", n.calls);
 }
 
 /*
  * Guards against useless calls of a node that the store rejects while other
- * nodes push it everything that it would read.  In nine seconds it makes about
+ * nodes push everything that it would read.  In nine seconds it makes about
  * one call every three seconds.
  */
 Test (backoff, pushed_node_probes_less_often)
@@ -70,15 +70,15 @@
   run (&n, 1000, 1100, STORE_OK);
   n.calls = 0;
   run (&n, 1100, 10100, STORE_UNAVAILABLE);
-  cr_expect_leq (n.calls, CALLERS + 7, "%u calls", n.calls);
+  cr_expect_leq (n.calls, MODULES + 7, "%u calls", n.calls);
 }
 
 /*
- * Guards against callers that stay blocked after an outage.  The backoff is at
- * most a second, so a probe succeeds soon after the store is back; after that
- * all callers call in the same step.
+ * Guards against modules that remain blocked after an outage.  The backoff is
+ * at most a second, so a probe succeeds soon after the outage; then all
+ * modules make their call in the same step.
  */
-Test (backoff, first_success_releases_all_callers)
+Test (backoff, first_success_releases_all_modules)
 {
   struct node n = { 0 };
 
@@ -86,8 +86,8 @@
   run (&n, 1000, 9000, STORE_UNAVAILABLE);
   run (&n, 9000, 10100, STORE_OK);
   cr_expect_eq (n.backoff.failures, 0);
-  for (int i = 0; i < CALLERS; i++)
-    cr_expect (n.call_ends_at[i] > 0, "caller %d waits", i);
+  for (int i = 0; i < MODULES; i++)
+    cr_expect (n.call_ends_at[i] > 0, "module %d waits", i);
 }
 
 /* Guards against a backoff that grows with each of several calls that were in
@@ -97,9 +97,9 @@
   struct node n = { 0 };
 
   rng_seed (&n.rng, 3);
-  for (int i = 0; i < CALLERS; i++)
+  for (int i = 0; i < MODULES; i++)
     pau_call_started (&n.backoff);
-  for (int i = 0; i < CALLERS; i++)
+  for (int i = 0; i < MODULES; i++)
     pau_call_ended (&n.backoff, 1000 + i, STORE_UNAVAILABLE, &n.rng);
   cr_expect_eq (n.backoff.failures, 1);
   cr_expect_not (pau_may_call (&n.backoff, 1100));
@@ -107,9 +107,9 @@
 }
 
 /*
- * Guards against a backoff after results that show the store to be available:
- * a lease that is gone, a failed comparison, a write with an unknown result or
- * an exceeded budget.
+ * Guards against a backoff after results that do not mean an outage: an
+ * expired lease, a failed comparison, a write with an unknown result or an
+ * exceeded budget.
  */
 Test (backoff, other_results_cause_no_backoff)
 {
@@ -129,9 +129,10 @@
 /*
  * Guards against a cost of watches that grows with the square of the number of
  * nodes.  While sixty nodes are restarted one after the other, each start and
- * stop triggers every watch.  The leader and the first nodes in rank renew
- * their watch at once; the others collect the changes of some seconds.  In a
- * small deployment, and without a link, a node renews it at once.
+ * stop triggers every watch.  The leader and the first nodes in rank start the
+ * next watch soon; the others wait some seconds, so that one watch returns
+ * several changes.  A node of a small fleet or without a link does not wait
+ * either.
  */
 Test (backoff, low_ranks_of_many_nodes_delay_watches)
 {
--- a/t/t9207-poison.c
+++ b/t/t9207-poison.c
@@ -21,7 +21,7 @@
 }
 
 /* Nodes that are linked to the relays only must receive the block as well. */
-Test (poison, relays_aggregate_and_all_nodes_block)
+Test (poison, relays_decide_and_all_nodes_block)
 {
   poison_run_script (
       "relays 8\n crash 5 p 1 -1\n run 100\n crash 6 p 2 -1\n run 100\n"
@@ -41,7 +41,7 @@
       "b ---\np BBB\n");
 }
 
-/* The same, if the crashes of the poison request are reported a little later
+/* As above, but the crashes of the poison request are reported a little later
    than those of the unrelated request. */
 Test (poison, strongest_evidence_is_blocked_despite_late_report)
 {
@@ -106,7 +106,7 @@
 {
   poison_run_script (
       "relays 6\n cut 6 1\n cut 6 2\n cut 6 3\n cut 6 4\n"
-      "crash 6 p 1 -1\n crash 6 p 2 -1\n aggregate 6\n crash 6 p 3 -1\n"
+      "crash 6 p 1 -1\n crash 6 p 2 -1\n collect 6\n crash 6 p 3 -1\n"
       "run 500\n query p\n",
       "p -----B\n");
 }
@@ -206,7 +206,7 @@
 Test (poison, ten_thousand_requests_do_not_evict_blocked_ones)
 {
   struct psn_fleet f;
-  clk_ms again_ms;
+  clk_ms retry_ms;
   size_t n;
 
   psn_fleet_init (&f, 2, 0);
@@ -228,8 +228,8 @@
     }
   for (int i = 0; i < 2; i++)
     {
-      cr_expect (psn_should_refuse (f.node[i], f.now, 'p', &again_ms));
-      cr_expect (psn_should_refuse (f.node[i], f.now, 's', &again_ms));
+      cr_expect (psn_should_refuse (f.node[i], f.now, 'p', &retry_ms));
+      cr_expect (psn_should_refuse (f.node[i], f.now, 's', &retry_ms));
       psn_snapshot (f.node[i], f.now, &n);
       cr_expect_leq (n, PSN_MAX_REQUESTS * 9);
     }
@@ -316,18 +316,18 @@
                        crashes };
 }
 
-/** Send the poison request again, soon after the last response.
+/** Send the poison request again, unless the node refuses it.
     @param retry  a retry by the node, not a new request of the client */
 static void
 send_poison (struct sim *d, bool retry)
 {
   int node = (int)rng_below (&d->rng, (uint64_t)d->f.n);
-  clk_ms again_ms;
+  clk_ms retry_ms;
 
   if (!retry)
     d->attempts = 0;
   if (retry ? psn_is_suspect (d->f.node[node], POISON) || ++d->attempts > 1
-            : psn_should_refuse (d->f.node[node], d->f.now, POISON, &again_ms))
+            : psn_should_refuse (d->f.node[node], d->f.now, POISON, &retry_ms))
     {
       d->next_send_at = d->f.now + draw (d, 50, 500);
       return;
@@ -338,7 +338,8 @@
   d->crash_at = d->f.now + draw (d, 100, 200);
 }
 
-/** End the server at an endpoint, and restart the runs that it had. */
+/** Crash the server at an endpoint.  The nodes report the runs that it had and
+    repeat all of them elsewhere except that of the poison request. */
 static void
 crash_endpoint (struct sim *d, uint64_t endpoint)
 {
@@ -378,11 +379,11 @@
 static void
 check_other_request (struct sim *d, const struct run *r, uint64_t seed)
 {
-  clk_ms again_ms;
+  clk_ms retry_ms;
   bool refused
-      = psn_should_refuse (d->f.node[r->node], d->f.now, r->digest, &again_ms);
+      = psn_should_refuse (d->f.node[r->node], d->f.now, r->digest, &retry_ms);
 
-  cr_expect (!refused || again_ms || r->crashes > 3,
+  cr_expect (!refused || retry_ms || r->crashes > 3,
              "seed %d: a request is blocked after %u crashes", (int)seed,
              r->crashes);
 }
@@ -435,8 +436,8 @@
   psn_fleet_free (&d.f);
 }
 
-/* No order of crashes, completions and updates may let a poison request go on
-   crashing servers, or block other requests instead. */
+/* A poison request must not continue to crash servers, and other requests must
+   not be blocked instead, in any order of crashes, completions and updates. */
 Test (poison, random_schedules)
 {
   for (uint64_t seed = 1; seed <= SEEDS; seed++)
--- a/t/t9208-limit.c
+++ b/t/t9208-limit.c
@@ -112,9 +112,9 @@
                     "s kept used\n");
 }
 
-/* A server must get neither no requests nor twice its rate while the granting
-   node ends and starts again. */
-Test (limit, granting_node_is_killed)
+/* While the grantor is killed and started again, a server must get some
+   requests, but not twice its rate. */
+Test (limit, grantor_is_killed)
 {
   limit_run_script (
       "nodes 8\n load 100\n limit s 2\n run 5000\n reset\n kill 1\n"
@@ -123,8 +123,8 @@
       "s kept half\ns .LLLLLLL\ns kept used\ns LLLLLLLL\n");
 }
 
-/* The same for a granting node that freezes and resumes with stale state. */
-Test (limit, granting_node_freezes)
+/* As above, for a grantor that freezes and resumes with stale state. */
+Test (limit, grantor_freezes)
 {
   limit_run_script (
       "nodes 8\n load 100\n limit s 2\n run 5000\n reset\n freeze 1\n"
@@ -133,7 +133,7 @@
 }
 
 /* While links are cut, the two sides must not each grant the full rate. */
-Test (limit, two_nodes_grant_while_links_are_cut)
+Test (limit, two_grantors_while_links_are_cut)
 {
   limit_run_script (
       "nodes 8\n load 100\n limit s 2\n run 5000\n cut 1\n cut 2\n"
@@ -241,8 +241,8 @@
       "s LLLLLLLL\nt LLLLLLLL\nu --------\ns kept used\nt kept used\n");
 }
 
-/* A node must not wait forever for permits from a granting node that has
-   recorded no limit for the server. */
+/* A node must not wait forever for permits from a grantor that has recorded no
+   limit for the server. */
 Test (limit, different_limits_converge)
 {
   limit_run_script ("nodes 8\n load 100\n limit s none\n run 1000\n"
@@ -324,7 +324,7 @@
   double rate;
 
   respond (l, 1000, 4, 900);
-  cr_expect_eq (lim_on_report (l, 1100, &report), LIM_UNREADABLE);
+  cr_expect_eq (lim_on_report (l, 1100, &report), LIM_MALFORMED);
   cr_expect_eq (lim_on_report (l, 1200, &report), LIM_UNCHANGED);
   cr_expect (lim_get_rate (l, 7, &rate) && rate == 4);
   lim_free (l);
