--- a/replica/assign.c
+++ b/replica/assign.c
@@ -63,7 +63,7 @@
   return NULL;
 }
 
-/* How often the VM stands in the entry. */
+/* Number of occurrences of the VM in the entry. */
 static unsigned
 entry_holds (const struct asn_entry *e, struct str vm)
 {
--- a/replica/assign.h
+++ b/replica/assign.h
@@ -17,15 +17,15 @@
 enum asn_phase
 {
   ASN_ACTIVE,
-  ASN_RELEASING /**< its VMs unload; they are still its own */
+  ASN_RELEASING /**< its VMs unload, but remain assigned to it */
 };
 
-/** A VM that loads its part before it takes a leaving member's place. */
+/** A VM that loads weights before it replaces a leaving member. */
 struct asn_joining
 {
   char *vm; /**< NULL: none */
   char *replaces;
-  int64_t generation; /**< that the replica has once it took the place */
+  int64_t generation; /**< generation of the replica once the VM is a member */
 };
 
 struct asn_entry
@@ -34,36 +34,36 @@
   char *model;
   int64_t generation;
   enum asn_phase phase;
-  char *vms[ASN_MAX_VMS]; /**< by rank; the first is the leader */
+  char *vms[ASN_MAX_VMS]; /**< by rank; rank 0 is the leader */
   size_t nvms;
   struct asn_joining joining;
 };
 
-/** All zero is the empty assignment. */
+/** Zero-initialized, it is the empty assignment. */
 struct asn
 {
-  int64_t next_generation; /**< generations are never used twice */
+  int64_t next_generation; /**< generations are never reused */
   struct asn_entry *entries;
   size_t n;
-  char **drained; /**< replicas that operators took out of service */
+  char **drained; /**< replicas drained by operators */
   size_t ndrained;
 };
 
-/** False when the text is not an assignment that asn_valid() holds of. */
+/** Returns false if the text is not a valid assignment (see asn_valid()). */
 bool asn_parse (struct str text, struct asn *out);
 void asn_print (const struct asn *a, struct buf *out);
 void asn_free (struct asn *a);
 void asn_copy (const struct asn *a, struct asn *out);
 
-/** Whether no VM stands twice and no name stands twice. */
+/** Whether no VM and no replica name occurs twice. */
 bool asn_valid (const struct asn *a);
 
 struct asn_entry *asn_find (const struct asn *a, const char *name);
 
-/** The entry that holds the VM as a member or as joining, or NULL. */
+/** The entry with the VM as a member or as the joining VM, or NULL. */
 struct asn_entry *asn_holder (const struct asn *a, struct str vm);
 
-/** Append an empty active entry with a generation of its own. */
+/** Append an empty active entry with a new generation. */
 struct asn_entry *asn_add (struct asn *a, struct str name, struct str model);
 void asn_entry_add_vm (struct asn_entry *e, struct str vm);
 void asn_remove (struct asn *a, const char *name);
@@ -71,10 +71,10 @@
                       struct str replaces);
 void asn_clear_joining (struct asn_entry *e);
 
-/** The joining VM takes the place of the one that it replaces. */
+/** The joining VM replaces the leaving member. */
 void asn_finish_joining (struct asn_entry *e);
 
-/** Replace one member; the replica gets a new generation. */
+/** Replace one member and assign a new generation. */
 void asn_swap (struct asn *a, struct asn_entry *e, struct str old,
                struct str new_vm);
 
--- a/replica/budget.c
+++ b/replica/budget.c
@@ -2,8 +2,8 @@
 
 #include "replica/core.h"
 
-/* A load that takes this many times longer than it should gives its turn to
-   the next, so that one stuck VM does not hold up a whole domain. */
+/* A load that exceeds its expected time by this factor loses its slot, so that
+   one stuck VM does not block the whole domain. */
 #define SLOT_FACTOR 4
 #define SLOT_LEAST_MS ((clk_ms)60000)
 
@@ -28,8 +28,9 @@
   return rate > 0 ? (clk_ms)(1000 * m->weight_gb / rate) : 0;
 }
 
-/* Whole replicas of the model, everywhere if the shell told, else here; those
-   that load here will be, and count already. */
+/* Complete replicas of the model: in all domains if the caller reported that
+   number, else in this domain.  Replicas that are loading here are added, as
+   they will be complete soon. */
 static unsigned
 live_replicas (const struct rep *r, const struct cfg_model *m)
 {
@@ -91,13 +92,13 @@
 
   if (la != lb)
     return la < lb;
-  /* A stuck one that gave its turn up goes last. */
+  /* A replica that lost its slot because its load was stuck goes last. */
   if (a->slot_since != b->slot_since)
     return a->slot_since < b->slot_since;
   return a->down_since < b->down_since;
 }
 
-/* Time for the weights that its members don't hold yet. */
+/* Expected time to load the weights that its members don't hold yet. */
 static clk_ms
 missing_load_ms (const struct rep *r, clk_ms now, const struct rep_replica *p)
 {
@@ -118,11 +119,11 @@
 }
 
 /*
- * The weight store gives a fixed rate.  When a whole domain comes back and
- * all of its replicas load at once, each gets a part of the rate and all are
- * whole only at the very end.  One at a time, the first serves after a
- * fraction of that time and the last hardly later; the model with the fewest
- * replicas alive goes first.
+ * The weight store has a fixed bandwidth.  When all replicas of a domain load
+ * at the same time, for example after an outage, they share the bandwidth and
+ * none is complete before the end.  Loading one at a time, the first replica
+ * serves after a fraction of that time and the last is hardly delayed.  The
+ * model with the fewest live replicas loads first.
  */
 void
 bud_tick (struct rep *r, clk_ms now)
@@ -140,8 +141,8 @@
         continue;
       if (r->opt.no_budget || (!p->slot_since && is_loading (r, now, p)))
         give_slot (r, now, p);
-      /* Once its weights should be there, the next may load while this one
-         still starts. */
+      /* After the expected load time, the next replica may load while this one
+         is still starting. */
       busy = busy || (p->has_slot && now - p->slot_since <= p->slot_load_ms);
       if (!p->has_slot && (!first || goes_before (r, p, first)))
         first = p;
--- a/replica/change.c
+++ b/replica/change.c
@@ -29,8 +29,8 @@
   r->doc_fresh = true;
   if (r->doc_known && mod_rev == r->mod_rev)
     return;
-  /* A document that cannot be read, or that has a VM twice, is left for an
-     operator to look at: acting on half of it could double a VM. */
+  /* A document that can't be parsed or contains a VM twice is left for an
+     operator: acting on part of it could assign a VM twice. */
   r->doc_bad = mod_rev && !asn_parse (value, &doc);
   if (r->doc_bad)
     {
@@ -55,7 +55,7 @@
     chg_set (r, now, STR_EMPTY, 0);
 }
 
-/* An owner that lost its key would otherwise write at every tick. */
+/* Without a delay, an owner that lost its key would write on every tick. */
 static void
 back_off (struct rep *r, clk_ms now)
 {
@@ -78,10 +78,10 @@
       break;
     case STORE_CONFLICT:
     case STORE_UNCERTAIN:
-      /* Somebody else was first, or the answer was lost.  In both cases the
-         truth is what the store holds.  A lost write that lands even later
-         compares the same revision as our next one, so that only one of them
-         can take effect. */
+      /* Another node wrote first, or the response was lost.  In both cases
+         read the current document.  A lost write that is applied later
+         compares the same revision as the next write of this node, so only one
+         of the two can take effect. */
       r->doc_fresh = false;
       chg_read (r, now);
       back_off (r, now);
@@ -123,10 +123,10 @@
 }
 
 /*
- * One write for the whole domain.  The compare of the document's revision
- * keeps a VM from being in two replicas, whoever writes.  The compare of the
- * owner key's revision keeps an owner out that lost its lease while the write
- * was on its way.
+ * Writes the assignment of the whole domain in one transaction.  Comparing the
+ * document's revision keeps a VM from being in two replicas, whichever node
+ * writes.  Comparing the owner key's revision rejects the write of an owner
+ * whose lease ended while the write was in flight.
  */
 static void
 propose (struct rep *r, clk_ms now, struct asn *next, bool as_owner)
@@ -149,8 +149,8 @@
                                .nputs = 1 };
 }
 
-/* First that has something to change wins; the rest comes with the next
-   tick, decided on what the store then holds. */
+/* The first function with a change ends the decision; the others run on the
+   next tick, with the document that the store then holds. */
 static bool
 decide_as_owner (struct rep *r, clk_ms now, struct asn *next)
 {
--- a/replica/drain.c
+++ b/replica/drain.c
@@ -19,8 +19,9 @@
   r->drains[r->ndrains++] = (struct rep_pending_drain){ name, on };
 }
 
-/* An operator's word is kept in the assignment, so that the next owner knows
-   it.  Any node may write it: the compare of the revision is enough. */
+/* Drains by operators are stored in the assignment, so that they survive a
+   change of owner.  Any node may write them: comparing the document's revision
+   is sufficient. */
 bool
 drn_operators (struct rep *r, struct asn *next)
 {
@@ -73,10 +74,10 @@
   rep_push (r, REP_EVIDENCE);
 }
 
-/* No request is under way: every gateway had time to hear that the replica
-   takes no new work, and since then each member has been without load for
-   longer than its reports lag.  A member that is missing makes the replica
-   unable to finish anything, so there is nothing to wait for. */
+/* No request is in progress: all gateways had time to learn that the replica
+   accepts no new requests, and since then each member has reported zero load
+   for longer than its reports are delayed.  A replica with a missing member
+   can't finish any request, so there is nothing to wait for. */
 static bool
 is_idle (const struct rep *r, const struct rep_replica *p, clk_ms now)
 {
@@ -95,8 +96,8 @@
   return true;
 }
 
-/* Whether every VM of the entry that can be asked holds no weights any more.
-   One that can't be asked is not given to anybody before it says so. */
+/* Whether every reachable VM of the entry reports that no weights are loaded.
+   An unreachable VM is not assigned again before it reports the same. */
 static bool
 is_unloaded (const struct rep *r, const struct asn_entry *e, clk_ms now)
 {
@@ -110,7 +111,8 @@
   return true;
 }
 
-/* Handed back to the old scripts: what runs goes on without us. */
+/* The replica was returned to the scripts that managed it before: whatever
+   runs is left running. */
 static bool
 is_handed_back (const struct rep_replica *p)
 {
@@ -155,8 +157,8 @@
   return NULL;
 }
 
-/* The joining VM has loaded, and the replica has no work left, or can't do
-   any: the step itself interrupts nobody. */
+/* The replacement happens once the joining VM has loaded and the replica has
+   no requests left or can't serve any, so it interrupts no request. */
 static bool
 joining_step (struct rep *r, clk_ms now, struct asn_entry *e,
               const struct rep_replica *p)
@@ -176,8 +178,9 @@
   return true;
 }
 
-/* A member is leaving: its replica takes no new work, a spare loads meanwhile
-   and takes its place once the work under way is done. */
+/* Handles a replica with a leaving member: the replica accepts no new
+   requests, a spare VM loads its weights meanwhile and replaces the member
+   once the requests in progress are finished. */
 bool
 drn_leaving (struct rep *r, clk_ms now, struct asn *next)
 {
--- a/replica/evidence.c
+++ b/replica/evidence.c
@@ -4,11 +4,12 @@
 #include "replica/core.h"
 
 /*
- * Detection bound: a VM that dies right after an answer is missing when that
- * answer is REP_EVIDENCE_MS old, or after REP_FAILURES failed probes, which
- * is earlier when connections are refused.  Every view carries the age of its
- * evidence, so that a gateway stops by the same bound even if it hears
- * nothing more from here.
+ * Upper bound of failure detection: a VM that dies right after a response
+ * counts as missing once that response is REP_EVIDENCE_MS old, or earlier
+ * after REP_FAILURES failed probes, for example when connections are refused.
+ * Every view carries the time of its oldest probe result, so that a gateway
+ * stops using the replica by the same deadline even if it receives no further
+ * updates.
  */
 bool
 evd_present (const struct rep_vm *vm, clk_ms now)
@@ -77,9 +78,10 @@
   rep_push (r, REP_EVIDENCE);
 }
 
-/* A replica that gets no orders keeps what its scripts gave it: members that
-   name no replica count, as the declaration is then the only word there is.
-   Members that do name one must agree on it. */
+/* An unmanaged replica receives no orders and keeps the members that its
+   scripts started.  A member that reports no replica name counts, as the
+   configuration is the only information about it.  A member that reports a
+   name must report this one. */
 static bool
 declared_member_matches (const struct rep_vm *vm, clk_ms now,
                          const struct rep_replica *p, int64_t generation)
@@ -130,9 +132,10 @@
     }
 }
 
-/* Before the assignment could be read (the store may be down for hours) what
-   runs goes on: VMs that name the same replica and generation are that
-   replica when there are as many of them as its model has. */
+/* While the assignment has never been read (the store may be down for hours),
+   running replicas stay in service: VMs that report the same replica and
+   generation form that replica if their number is the one that its model
+   requires. */
 static void
 members_by_report (const struct rep *r, clk_ms now, struct rep_replica *p)
 {
@@ -143,7 +146,8 @@
   p->declared_all = true;
 }
 
-/* Follow the assignment: assigned, changed, releasing or taken out of it. */
+/* Apply the assignment's entry to the replica: assigned, changed, releasing or
+   removed. */
 static void
 follow (struct rep *r, struct rep_replica *p)
 {
--- a/replica/orders.c
+++ b/replica/orders.c
@@ -1,6 +1,6 @@
 #include "replica/core.h"
 
-/** What a VM ought to be told. */
+/** The order that would bring a VM to its assigned state. */
 struct order
 {
   enum rep_order order;
@@ -19,10 +19,10 @@
 }
 
 /*
- * A VM that no replica of ours holds, but that reports one of ours: it came
- * back after its place was given away, or an order of an earlier owner
- * reached it late.  A replica that may still be adopted is left alone, and so
- * is everything whose name we do not manage.
+ * Unloads a VM that is in no entry of the assignment but reports one of our
+ * replicas: the VM returned after it was replaced, or a delayed order of a
+ * previous owner reached it.  A replica that may still be adopted is left
+ * alone, and so are replicas that are not managed.
  */
 static bool
 stray (const struct rep *r, clk_ms now, const struct rep_vm *vm,
@@ -85,7 +85,8 @@
   if (!vm->said.unloaded && vm->said.replica.len
       && !str_eq (vm->said.replica, name))
     {
-      /* Another replica's weights, by a late order: they go first. */
+      /* A delayed order made the VM load another replica's weights: unload
+         these first. */
       out->order = REP_UNLOAD;
       out->replica = vm->said.replica;
       out->generation = vm->said.generation;
@@ -131,8 +132,8 @@
   a->fence = r->fence;
 }
 
-/* Orders are repeated until the VM reports what was ordered: an answer to an
-   order only tells that it arrived. */
+/* Orders are repeated until the VM reports the ordered state, as the response
+   to an order only confirms its receipt. */
 void
 ord_tick (struct rep *r, clk_ms now)
 {
--- a/replica/owner.c
+++ b/replica/owner.c
@@ -4,23 +4,23 @@
 #include "base/chart.h"
 #include "replica/owner.h"
 
-/* Renewals and late ticks are measured in parts of the lease's time. */
+/* Renewal interval and retry delay as fractions of the lease's TTL. */
 #define RENEW_PART 3
 #define RETRY_PART 6
 
-/* Actions wait here until the shell fetches them; one event adds at most
-   three, and a full ring would be a fault of the caller. */
+/* Queue of actions until the caller fetches them.  One event adds at most
+   three, so a full queue is a bug in the caller. */
 #define QUEUE 16
 
-/** What the call that is under way was for. */
+/** Purpose of the store call in progress. */
 enum call
 {
   CALL_NONE,
   CALL_GRANT,
   CALL_TAKE,
-  CALL_SETTLE, /* read: did the uncertain take happen? */
+  CALL_SETTLE, /* read: was the uncertain write applied? */
   CALL_KEEP,
-  CALL_CHECK /* read after a lapse: is the key still ours? */
+  CALL_CHECK /* read after a lapse: does this node still hold the key? */
 };
 
 struct own
@@ -31,11 +31,11 @@
   struct rng rng;
   enum own_state state;
   bool want;
-  bool uncertain; /* an earlier take under this lease may still land */
+  bool uncertain; /* an earlier write with this lease may still be applied */
   int64_t lease;
   int64_t fence;
   clk_ms last_tick;
-  clk_ms order_until; /* two thirds of ttl after the last renewal's sending */
+  clk_ms order_until; /* two thirds of ttl after the last renewal was sent */
   clk_ms wait_until;
   clk_ms next_call;
   enum call call;
@@ -108,7 +108,7 @@
   o->state = (enum own_state)next;
 }
 
-/* Start a store call; its answer is known by the token. */
+/* Start a store call; its response carries the token. */
 static struct own_action *
 call (struct own *o, clk_ms now, enum call what, enum own_action_kind kind)
 {
@@ -135,9 +135,10 @@
     push (o, OWN_REVOKE)->lease = lease;
 }
 
-/* Leave the domain.  Revoking ends the key at once; it also makes a take that
-   is still under way fail, as the store refuses a put under a lease that it
-   does not know.  So no late write can bring back a key that nobody renews. */
+/* Release the domain.  Revoking the lease deletes the key immediately.  It
+   also makes a write of the key that is still in flight fail, as the store
+   rejects a put with an unknown lease.  So no delayed write can recreate a key
+   that no node renews. */
 static void
 leave (struct own *o, clk_ms now, const char *event)
 {
@@ -179,8 +180,9 @@
   call (o, now, what, OWN_RANGE)->key = buf_str (&o->key);
 }
 
-/* The time counts from the sending: the store began the lease's new time
-   after that, so our idea of its end always comes before the store's. */
+/* Time counts from the sending of the request.  The store starts the new TTL
+   later than that, so the lease always ends earlier by this node's clock than
+   at the store. */
 static void
 extend (struct own *o)
 {
@@ -188,21 +190,26 @@
 }
 
 /*
- * The key is ours under `fence`.
+ * This node holds the key, with fencing number `fence`.
  *
- * Backend servers that check fencing numbers refuse every order of an older
- * owner as soon as they have seen one of ours, so orders may go at once.
- * Others obey whatever reaches them last.  For those: our key could be
- * written only because the old one had vanished, hence the old owner's lease
- * was over (or revoked after it had stopped).  By its own clock it stopped at
- * two thirds of that lease.  What can still come is an order already on its
- * way, which lives at most order_flight_ms, and what a skewed clock lets
- * through; so we let another ttl and order_flight_ms pass before the first
- * order.  Not covered: an old owner that is frozen between its check and its
- * write for longer than that.  Its order then lands on a VM that we may have
- * given another task.  The VM reports replica and generation with every
- * probe, the mismatch makes its replica not whole within the evidence time,
- * and the owner orders again: wrong for seconds, never served.
+ * Backend servers that check fencing numbers reject every order of a previous
+ * owner once they have seen an order of the new one, so orders may be sent at
+ * once.
+ *
+ * Servers that ignore fencing numbers obey the last order that arrives.  The
+ * key could be written only after the previous key was gone, so the previous
+ * owner's lease had expired (or it was revoked after that owner had stopped).
+ * By its own clock the previous owner stopped at two thirds of that lease.
+ * What can still arrive is an order that is in flight, for at most
+ * order_flight_ms, or one sent later because of clock skew.  So the first
+ * order waits for another ttl plus order_flight_ms.
+ *
+ * Not covered: a previous owner that is suspended for longer than that between
+ * its check and its write.  Its order then reaches a VM that may have been
+ * assigned to another replica.  The VM reports replica and generation with
+ * every probe, so the mismatch makes the new replica incomplete within
+ * REP_EVIDENCE_MS and the owner repeats its order: the state is wrong for
+ * seconds, but no request is served with it.
  */
 static void
 taken (struct own *o, clk_ms now, int64_t fence)
@@ -263,7 +270,7 @@
       send_read (o, now, CALL_SETTLE);
       return;
     case STORE_CONFLICT:
-      /* After a lost answer the key that is in the way may be our own. */
+      /* After a lost response, the existing key may be this node's. */
       if (o->uncertain)
         send_read (o, now, CALL_SETTLE);
       else
@@ -287,8 +294,9 @@
   else if (r->nkvs)
     leave (o, now, "failed");
   else
-    /* Not there yet, and the lost write may still land.  Taking again under
-       the same lease is safe: only one of the two can find no key. */
+    /* The key is absent, and the lost write may still be applied.  Writing
+       again with the same lease is safe: only one of the two writes can find
+       the key absent. */
     send_take (o, now);
 }
 
@@ -311,7 +319,8 @@
     }
 }
 
-/* Renewed after a lapse; the key may have changed hands meanwhile. */
+/* The lease was renewed after a lapse; another node may have taken the key in
+   between. */
 static void
 on_check (struct own *o, clk_ms now, const struct store_result *r)
 {
@@ -323,8 +332,8 @@
     taken (o, now, r->kvs[0].create_rev);
 }
 
-/* An answer that nobody waits for any more.  A lease that it brings would
-   stay until its time is over and count at the store: give it back. */
+/* Response to a call that was abandoned.  A lease that it grants would stay in
+   the store until it expires, so revoke it. */
 static void
 late_answer (struct own *o, const struct store_result *r)
 {
@@ -384,7 +393,7 @@
   o->next_call = now;
 }
 
-/* What to ask the store for next, when nothing is under way. */
+/* Start the next store call; none is in progress. */
 static void
 call_next (struct own *o, clk_ms now)
 {
@@ -410,7 +419,7 @@
     }
 }
 
-/* A lost answer to a call of ours must not stop the renewals. */
+/* Time out a call, so that a lost response does not stop the renewals. */
 static void
 expire_call (struct own *o, clk_ms now)
 {
@@ -427,8 +436,8 @@
 void
 own_tick (struct own *o, clk_ms now)
 {
-  /* A tick that comes late tells of a pause: the process was stopped or the
-     VM slept, and others may have acted meanwhile.  Read again first. */
+  /* A late tick indicates that the process was stopped or the VM suspended.
+     Another node may have become owner meanwhile, so read the key first. */
   bool paused = o->last_tick && now - o->last_tick > o->opt.ttl / RENEW_PART;
   bool has_lease = o->state == OWN_TAKING || o->state == OWN_WAITING
                    || o->state == OWN_HOLDING;
--- a/replica/owner.h
+++ b/replica/owner.h
@@ -1,16 +1,17 @@
 /**
  * @file
- * Ownership of a fabric domain: lease, fencing number, safe hand-over
+ * Ownership of a fabric domain: lease, fencing number and safe handover
  * (decision core, chart "owner").
  *
- * An owner holds a store lease on the domain's owner key; the fencing number
- * is that key's create revision.  It stops giving orders when two thirds of
- * the lease's time have passed since the last renewal was *sent*, by a clock
- * that goes on through pauses; before each order it asks own_may_order().
+ * The owner holds a store lease on the domain's owner key; the fencing number
+ * is the create revision of that key.  The owner stops sending orders when two
+ * thirds of the lease's TTL have passed since the last renewal was *sent*, by
+ * a clock that continues while the process or VM is suspended.  The caller
+ * checks own_may_order() before each order.
  *
- * The caller is control/domains.c, one core for each domain that its node is
- * home of: it calls own_want() and own_tick(), carries out what own_next()
- * gives and brings the store's answers.
+ * The caller is control/domains.c, with one core for each fabric domain whose
+ * home is its node: it calls own_want() and own_tick(), executes the actions
+ * of own_next() and passes in the store's responses.
  */
 #ifndef LAPISLINE_REPLICA_OWNER_H
 #define LAPISLINE_REPLICA_OWNER_H
@@ -22,30 +23,31 @@
 
 enum own_state
 {
-  OWN_IDLE,     /**< not wanted, or somebody else's */
-  OWN_GRANTING, /**< asks for a lease */
-  OWN_TAKING,   /**< writes the owner key under it */
-  OWN_WAITING,  /**< holds the key; backend servers ignore fencing numbers:
-                     waits until no order of the old owner can be in flight */
-  OWN_HOLDING,  /**< may order */
-  OWN_LAPSED    /**< its own clock says that the lease may be over */
+  OWN_IDLE,     /**< not a candidate, or another node is the owner */
+  OWN_GRANTING, /**< requested a lease */
+  OWN_TAKING,   /**< writing the owner key with the lease */
+  OWN_WAITING,  /**< holds the key, but the backend servers ignore fencing
+                   numbers: waits until no order of the previous owner can be in
+                   flight */
+  OWN_HOLDING,  /**< may send orders */
+  OWN_LAPSED    /**< the lease may have expired by the local clock */
 };
 
 enum own_action_kind
 {
-  OWN_GRANT, /**< a lease of ttl */
+  OWN_GRANT, /**< request a lease of ttl */
   OWN_TXN,
-  OWN_RANGE,  /**< key */
-  OWN_KEEP,   /**< lease */
+  OWN_RANGE,  /**< read key */
+  OWN_KEEP,   /**< renew lease */
   OWN_REVOKE, /**< lease */
-  OWN_GAINED, /**< fence: read everything, then act */
-  OWN_LOST    /**< forget pending orders */
+  OWN_GAINED, /**< fence: read the assignment and probe before acting */
+  OWN_LOST    /**< drop pending orders */
 };
 
 struct own_action
 {
   enum own_action_kind kind;
-  uint64_t token; /**< answer with own_store_answer() */
+  uint64_t token; /**< pass the response to own_store_answer() */
   struct str key;
   struct store_txn txn;
   int64_t lease;
@@ -58,9 +60,9 @@
   struct str key;  /**< owner key of the domain */
   struct str node; /**< this node */
   uint64_t boot;
-  clk_ms ttl; /**< of the lease, 6000 */
+  clk_ms ttl; /**< of the lease; 6000 by default */
   bool checks_fence;
-  clk_ms order_flight_ms; /**< longest life of an order on its way */
+  clk_ms order_flight_ms; /**< maximum time that an order can be in flight */
 };
 
 struct own;
@@ -68,26 +70,28 @@
 struct own *own_new (const struct own_options *opt, uint64_t seed);
 void own_free (struct own *o);
 
-/** Whether this node should own the domain, as the view suggests; a lease that
-    is not wanted any more is given back. */
+/** Set whether this node should own the domain; releases a lease that is no
+    longer needed. */
 void own_want (struct own *o, clk_ms now, bool want);
 
-/** Time passes.  A gap of more than ttl / 3 between two calls counts as a
-    pause: the lease is read anew before the next order. */
+/** Advance time.  A gap of more than ttl / 3 between two calls counts as a
+    pause of the process: the core then reads the key before the next order. */
 void own_tick (struct own *o, clk_ms now);
 
-/** What the store said to the action of that token, STORE_UNCERTAIN too; of an
-    older action only a lease granted late is taken, to be given back. */
+/** Pass in the store's response to the action with that token, including
+    STORE_UNCERTAIN.  Of a response to a superseded action, the core only
+    revokes the lease that it granted. */
 void own_store_answer (struct own *o, clk_ms now, uint64_t token,
                        const struct store_result *r);
 
-/** The next action, or false; call it until then after each event. */
+/** Fetch the next action; returns false if there is none.  Call it until then
+    after each event. */
 bool own_next (struct own *o, struct own_action *out);
 
-/** Asked right before each order, with the time read right before. */
+/** Call immediately before each order, with the current time. */
 bool own_may_order (const struct own *o, clk_ms now);
 
-/** Fencing number that orders carry; 0 while there is none. */
+/** Fencing number for orders; 0 if not the owner. */
 int64_t own_fence (const struct own *o);
 enum own_state own_state (const struct own *o);
 
--- a/replica/place.c
+++ b/replica/place.c
@@ -3,11 +3,11 @@
 
 #include "replica/core.h"
 
-/* Restarting the group once all weights are there. */
+/* Restart of the replica's servers after all weights are loaded. */
 #define RESTART_MS ((clk_ms)10000)
-/* Unloading, and taking a VM back from whoever uses it meanwhile. */
+/* Unloading, and reclaiming a VM that was lent to other work. */
 #define RECALL_MS ((clk_ms)15000)
-/* A VM that leaves or is not configured any more: one day. */
+/* For a VM that is leaving or no longer configured: one day. */
 #define NEVER_BACK_MS (24 * 60 * CLK_MINUTE)
 
 enum choice
@@ -17,17 +17,17 @@
   CHOOSE_DISSOLVE
 };
 
-/** What is known about a replica that lost members. */
+/** State of a replica that lost members. */
 struct loss
 {
-  unsigned vms;     /* of the replica */
-  unsigned missing; /* of them */
-  unsigned spares;  /* that could take a place now */
-  unsigned coming;  /* that are being unloaded */
-  bool can_help;    /* its other VMs would make another replica whole */
-  clk_ms away;      /* longest time that one is missing */
+  unsigned vms;     /* members of the replica */
+  unsigned missing; /* members that are missing */
+  unsigned spares;  /* free VMs */
+  unsigned coming;  /* VMs that are being unloaded */
+  bool can_help;    /* its present VMs could repair another replica */
+  clk_ms away;      /* longest absence of a missing member */
   bool never_back;
-  clk_ms load_ms; /* of all its weights */
+  clk_ms load_ms; /* time to load all weights */
 };
 
 static bool
@@ -44,8 +44,9 @@
   return false;
 }
 
-/* Free: in no replica of ours nor of the old scripts.  That it reports no
-   weights is the second half of changing hands: whoever had it is done. */
+/* A VM is free if it is in no managed replica and in none of the scripts'
+   replicas.  It must also report that no weights are loaded, which completes
+   its release from a previous replica. */
 static bool
 is_free (const struct rep *r, clk_ms now, const struct asn *doc,
          const struct rep_vm *vm)
@@ -83,9 +84,9 @@
   return n;
 }
 
-/* Outages have a long tail: most VMs are restarted within the usual time, and
-   one that is away for longer than that is likely to stay away for as long
-   again. */
+/* Outage durations are heavy-tailed: most VMs are restarted within the usual
+   time, and a VM that has been away for longer is likely to stay away for as
+   long again. */
 static double
 expected_return_s (const struct rep *r, const struct loss *l)
 {
@@ -97,9 +98,10 @@
 }
 
 /*
- * Expected cost of the three ways, in weighted seconds: a replica that can't
- * serve costs the downtime weight, each VM held meanwhile the stranded one.
- * Free VMs are lent to other work, which costs nothing but taking them back.
+ * Expected cost of the three choices, in weighted seconds.  A replica that
+ * can't serve costs the downtime weight, and each VM that it holds meanwhile
+ * costs the stranded weight.  Free VMs are lent to other work, so they cost
+ * nothing except the time to reclaim them.
  */
 static enum choice
 choose (const struct rep *r, const struct loss *l)
@@ -159,7 +161,7 @@
   return false;
 }
 
-/* Entries further down that lost a member as well. */
+/* Whether another entry has lost a member too. */
 static bool
 others_degraded (const struct rep *r, clk_ms now, const struct asn *next,
                  const struct asn_entry *e)
@@ -225,9 +227,9 @@
   return true;
 }
 
-/* With most of the domain gone at once, either all of it comes back together
-   or this node is the one that is cut off.  Neither is helped by giving its
-   VMs new tasks, nor while they come back one after the other. */
+/* When most VMs of the domain are missing, either the whole domain is down and
+   will return together, or this node is partitioned.  Reassigning VMs helps in
+   neither case, nor while the VMs return one after the other. */
 static bool
 domain_dark (struct rep *r, clk_ms now)
 {
@@ -281,8 +283,8 @@
   return true;
 }
 
-/* A declared VM of the replica may be taken as it is: the declaration says
-   that its weights are for this replica, or for nobody. */
+/* A VM that the configuration lists for this replica may be taken with its
+   weights loaded, unless it reports another replica's name. */
 static bool
 may_take_declared (const struct rep *r, clk_ms now, const struct asn *next,
                    const struct rep_vm *vm, const char *name)
@@ -321,8 +323,8 @@
   return n;
 }
 
-/* A replica that is running already keeps its generation, so that nothing is
-   loaded again.  Its leader is the first one declared. */
+/* A running replica is adopted with its generation, so that no weights are
+   loaded again.  Its leader is the first configured VM. */
 static bool
 adopt (const struct rep *r, struct asn *next, const struct rep_replica *p,
        const size_t *vms, size_t n, int64_t generation)
@@ -364,8 +366,8 @@
   n = fill_with_free (r, now, next, vms, n, want);
   if (n < want)
     return false;
-  /* A generation that some VM has seen is never given out again, even if the
-     assignment was lost. */
+  /* A generation that some VM has seen is never reused, even if the assignment
+     was lost. */
   for (size_t i = 0; i < n; i++)
     if (r->vms[vms[i]].said.generation > next->next_generation)
       next->next_generation = r->vms[vms[i]].said.generation;
--- a/replica/replica.c
+++ b/replica/replica.c
@@ -105,8 +105,8 @@
   return rep_replica_named (r, str_from (name));
 }
 
-/* Keep what is known of VMs whose name and address did not change; the same
-   name at another address is another machine. */
+/* Keep the state of VMs whose name and address did not change; the same name
+   at another address is another machine. */
 static void
 set_vms (struct rep *r, clk_ms now)
 {
@@ -124,7 +124,7 @@
           memset (&old->replica, 0, sizeof old->replica);
         }
       else
-        /* Spread over the period, so that probes don't come in bursts. */
+        /* Spread the probes over the interval to avoid bursts. */
         vms[i].next_probe
             = now + (clk_ms)(i * (size_t)REP_PROBE_MS / (n ? n : 1));
       vms[i].cfg = cfg;
@@ -224,7 +224,7 @@
 {
   struct cfg *old = r->cfg;
 
-  /* Work under way may still point into the old one until the VMs moved. */
+  /* The VMs point into the old configuration until set_vms(). */
   r->cfg = cfg_ref ((struct cfg *)cfg);
   r->dom = cfg_domain (r->cfg, buf_str (&r->domain));
   set_vms (r, now);
@@ -296,8 +296,9 @@
     r->vms[i].order_token = 0;
   if (!on)
     return;
-  /* What an earlier owner wrote last is not known yet, and a VM that was not
-     asked yet looks like a lost one: read and probe before any decision. */
+  /* The previous owner's last write may not have been read, and a VM that was
+     not probed yet looks like a missing one: read and probe before any
+     decision. */
   r->doc_fresh = false;
   r->owner_since = now;
   r->settle_until = now + REP_EVIDENCE_MS;
@@ -325,7 +326,8 @@
     }
 }
 
-/* Since when a VM is away: what a repair costs depends on it. */
+/* Record the start of a VM's absence, on which the cost of a repair depends.
+ */
 static void
 note_lost (struct rep *r, clk_ms now)
 {
--- a/replica/replica.h
+++ b/replica/replica.h
@@ -1,21 +1,22 @@
 /**
  * @file
- * Replicas of one fabric domain: assignment, orders, evidence (decision
- * core, chart "replica").
+ * Replicas of one fabric domain: assignment, orders and health (decision core,
+ * chart "replica").
  *
- * The domain's whole assignment is one store key; each change is one
- * compare-and-swap of it, so no VM can be in two replicas.  A VM changes hands
- * in two steps: released (its old generation drained and its unload seen),
- * then assigned.  The core is fed by the owner's shell: the assignment as
- * read, what each VM answered to probes, the platform's list, store answers.
+ * The assignment of the whole domain is one store key, and each change is one
+ * compare-and-swap of it, so no VM can be in two replicas.  A VM moves to
+ * another replica in two steps: it is released (the old generation is drained
+ * and the VM reports that its weights are unloaded), then assigned.  The
+ * caller supplies the assignment as read, the probe results, the platform's
+ * list of VMs and the store's responses.
  *
- * A replica is whole while each member answered a probe within the evidence
- * time with this replica's name and generation and as ready.  Its states are
- * those of charts/replica.json: absent, forming, loading, whole, degraded,
- * draining, releasing, gone.
+ * A replica is complete while each member has answered a probe within
+ * REP_EVIDENCE_MS with this replica's name and generation and as ready.  The
+ * states are those of charts/replica.json: absent, forming, loading, whole
+ * (complete), degraded, draining, releasing, gone.
  *
- * Callers: control/domains.c, one core for each domain that its node is home
- * of, and builtin/assign-world.c for `bench assign`.
+ * Callers: control/domains.c, with one core for each fabric domain whose home
+ * is its node, and builtin/assign-world.c for `bench assign`.
  */
 #ifndef LAPISLINE_REPLICA_REPLICA_H
 #define LAPISLINE_REPLICA_REPLICA_H
@@ -23,36 +24,37 @@
 #include "config/config.h"
 #include "store/store.h"
 
-/** How long an answered probe counts; docs/DESIGN.md weighs it. */
+/** How long a probe result is valid; docs/DESIGN.md explains the trade-off. */
 #define REP_EVIDENCE_MS ((clk_ms)3000)
-/** Period of probes. */
+/** Probe interval. */
 #define REP_PROBE_MS ((clk_ms)1000)
 
-/** What a VM's backend server says of itself (GET /lapis/v1/state). */
+/** State reported by a VM's backend server (GET /lapis/v1/state). */
 struct rep_member_state
 {
   struct str replica; /**< empty: none */
   int64_t generation;
   bool ready;
-  bool unloaded; /**< holds no weights */
+  bool unloaded; /**< no weights loaded */
   uint32_t load; /**< tokens in flight */
-  int64_t fence; /**< highest seen; 0 when it ignores them */
+  int64_t fence; /**< highest fencing number seen; 0: the server ignores them
+                  */
 };
 
 enum rep_event_kind
 {
   REP_TICK,
-  REP_CONFIG,       /**< cfg */
-  REP_ASSIGNMENT,   /**< value and mod_rev as read (mod_rev 0: none yet) */
-  REP_PROBED,       /**< vm, member: answered */
+  REP_CONFIG,     /**< cfg */
+  REP_ASSIGNMENT, /**< value and mod_rev as read (mod_rev 0: key is absent) */
+  REP_PROBED,     /**< vm, member: response to a probe */
   REP_PROBE_FAILED, /**< vm */
   REP_PLATFORM,     /**< vm, on: listed as live; off: leaving */
-  REP_ORDER_DONE,   /**< vm, token; on: it was obeyed */
+  REP_ORDER_DONE,   /**< vm, token; on: the server accepted the order */
   REP_STORE_ANSWER, /**< token, result */
-  REP_OWNER,        /**< on, fence: this node owns the domain or not */
-  REP_DRAIN,        /**< replica, on: operator wants it drained */
-  REP_TURN,         /**< on: this domain may load weights now */
-  REP_LIVE          /**< model, live: whole replicas of it anywhere */
+  REP_OWNER,        /**< on, fence: whether this node owns the domain */
+  REP_DRAIN, /**< replica, on: an operator requested a drain; off: ended it */
+  REP_TURN,  /**< on: this domain may load weights now */
+  REP_LIVE   /**< model, live: complete replicas of the model in all domains */
 };
 
 struct rep_event
@@ -81,13 +83,15 @@
 enum rep_action_kind
 {
   REP_PROBE,      /**< vm */
-  REP_SEND_ORDER, /**< vm, order, ...; only if own_may_order() says so */
+  REP_SEND_ORDER, /**< vm, order, ...; send only if own_may_order() returns
+                     true */
   REP_STORE_TXN,  /**< token, txn */
   REP_STORE_READ, /**< token, key */
-  REP_EVIDENCE    /**< something changed: see rep_views() */
+  REP_EVIDENCE    /**< a replica changed: see rep_views() */
 };
 
-/** Strings are valid until the next event, those of a txn until its answer. */
+/** Strings are valid until the next event; those of txn, until its response.
+ */
 struct rep_action
 {
   enum rep_action_kind kind;
@@ -101,10 +105,10 @@
   unsigned world;
   int64_t fence;
   struct str key;
-  struct store_txn txn; /**< owned by the core until its answer */
+  struct store_txn txn; /**< owned by the core until the response */
 };
 
-/** One replica as the core sees it. */
+/** State of one replica. */
 struct rep_view
 {
   struct str replica;
@@ -113,28 +117,28 @@
   int state; /**< of chart "replica" */
   bool whole;
   bool draining;
-  clk_ms evidence_at; /**< oldest answer among its members */
+  clk_ms evidence_at; /**< oldest probe result among its members */
   uint32_t load;
   const struct cfg_vm *leader;
   size_t members;
 };
 
-/** What to do about a replica that lost a VM. */
+/** Repair policy for a replica that lost a VM. */
 enum rep_rule
 {
-  REP_BY_COST,         /**< the cheapest by the configuration's weights */
-  REP_ALWAYS_DISSOLVE, /**< for comparison: give its VMs back at once */
-  REP_ALWAYS_WAIT      /**< for comparison: until the VM returns */
+  REP_BY_COST,         /**< lowest expected cost by the configured weights */
+  REP_ALWAYS_DISSOLVE, /**< for comparison: release its VMs at once */
+  REP_ALWAYS_WAIT      /**< for comparison: wait until the VM returns */
 };
 
 struct rep_options
 {
   struct str domain;
-  struct str key;       /**< assignment key in the store */
-  struct str owner_key; /**< of the domain; each change compares its revision
-                             with the fencing number */
+  struct str key;       /**< key of the assignment in the store */
+  struct str owner_key; /**< owner key of the domain; each change compares its
+                           revision with the fencing number */
   enum rep_rule rule;
-  bool no_budget; /**< for comparison: load everything at once */
+  bool no_budget; /**< for comparison: load all replicas at the same time */
 };
 
 struct rep;
@@ -142,17 +146,19 @@
 struct rep *rep_new (const struct rep_options *opt, uint64_t seed);
 void rep_free (struct rep *r);
 
-/** Something happened; what it refers to need not outlive the call (of the
-    configuration a reference is taken). */
+/** Process an event.  Its data need not outlive the call; the core takes a
+    reference to the configuration. */
 void rep_event (struct rep *r, clk_ms now, const struct rep_event *ev);
 
-/** The next action, or false; call it until then after each event. */
+/** Fetch the next action; returns false if there is none.  Call it until then
+    after each event. */
 bool rep_next (struct rep *r, struct rep_action *out);
 
 /** All replicas of the domain; valid until the next event. */
 const struct rep_view *rep_views (struct rep *r, clk_ms now, size_t *n);
 
-/** Milliseconds of group downtime and of stranded accelerators so far. */
+/** Total milliseconds of replica downtime, and VM milliseconds held by
+    replicas that were not complete. */
 void rep_measures (const struct rep *r, double *downtime, double *stranded);
 
 #endif
