--- a/replica/assign.c
+++ b/replica/assign.c
@@ -65,7 +65,7 @@
 
 /* Number of occurrences of the VM in the entry. */
 static unsigned
-entry_holds (const struct asn_entry *e, struct str vm)
+entry_count_vm (const struct asn_entry *e, struct str vm)
 {
   unsigned n = e->joining.vm && str_is (vm, e->joining.vm);
 
@@ -78,18 +78,18 @@
 asn_holder (const struct asn *a, struct str vm)
 {
   for (size_t i = 0; i < a->n; i++)
-    if (entry_holds (&a->entries[i], vm))
+    if (entry_count_vm (&a->entries[i], vm))
       return &a->entries[i];
   return NULL;
 }
 
 static unsigned
-held_times (const struct asn *a, const char *vm)
+count_vm (const struct asn *a, const char *vm)
 {
   unsigned n = 0;
 
   for (size_t i = 0; i < a->n; i++)
-    n += entry_holds (&a->entries[i], str_from (vm));
+    n += entry_count_vm (&a->entries[i], str_from (vm));
   return n;
 }
 
@@ -103,9 +103,9 @@
       if (asn_find (a, e->name) != e)
         return false;
       for (size_t v = 0; v < e->nvms; v++)
-        if (held_times (a, e->vms[v]) != 1)
+        if (count_vm (a, e->vms[v]) != 1)
           return false;
-      if (e->joining.vm && held_times (a, e->joining.vm) != 1)
+      if (e->joining.vm && count_vm (a, e->joining.vm) != 1)
         return false;
     }
   return true;
@@ -185,8 +185,8 @@
 }
 
 void
-asn_swap (struct asn *a, struct asn_entry *e, struct str old,
-          struct str new_vm)
+asn_replace_vm (struct asn *a, struct asn_entry *e, struct str old,
+                struct str new_vm)
 {
   replace_vm (e, old, new_vm);
   e->generation = ++a->next_generation;
--- a/replica/assign.h
+++ b/replica/assign.h
@@ -75,8 +75,8 @@
 void asn_finish_joining (struct asn_entry *e);
 
 /** Replace one member and assign a new generation. */
-void asn_swap (struct asn *a, struct asn_entry *e, struct str old,
-               struct str new_vm);
+void asn_replace_vm (struct asn *a, struct asn_entry *e, struct str old,
+                     struct str new_vm);
 
 bool asn_is_drained (const struct asn *a, const char *name);
 void asn_set_drained (struct asn *a, const char *name, bool on);
--- a/replica/budget.c
+++ b/replica/budget.c
@@ -4,20 +4,22 @@
 
 /* A load that exceeds its expected time by this factor loses its slot, so that
    one stuck VM does not block the whole domain. */
-#define SLOT_FACTOR 4
-#define SLOT_LEAST_MS ((clk_ms)60000)
+#define SLOT_MAX_FACTOR 4
+#define SLOT_MIN_MS ((clk_ms)60000)
 
 void
-bud_live (struct rep *r, struct str model, unsigned live)
+bud_set_live_count (struct rep *r, struct str model, unsigned live)
 {
-  for (size_t i = 0; i < r->nlives; i++)
-    if (str_is (model, r->lives[i].model))
+  for (size_t i = 0; i < r->nlive_counts; i++)
+    if (str_is (model, r->live_counts[i].model))
       {
-        r->lives[i].live = live;
+        r->live_counts[i].live = live;
         return;
       }
-  r->lives = xrealloc (r->lives, (r->nlives + 1) * sizeof *r->lives);
-  r->lives[r->nlives++] = (struct rep_live){ str_dup (model), live };
+  r->live_counts = xrealloc (r->live_counts,
+                             (r->nlive_counts + 1) * sizeof *r->live_counts);
+  r->live_counts[r->nlive_counts++]
+      = (struct rep_live_count){ str_dup (model), live };
 }
 
 clk_ms
@@ -42,9 +44,9 @@
         whole += r->replicas[i].whole;
         loading += r->replicas[i].has_slot;
       }
-  for (size_t i = 0; i < r->nlives; i++)
-    if (str_is (m->name, r->lives[i].model))
-      whole = r->lives[i].live;
+  for (size_t i = 0; i < r->nlive_counts; i++)
+    if (str_is (m->name, r->live_counts[i].model))
+      whole = r->live_counts[i].live;
   return whole + loading;
 }
 
@@ -55,9 +57,9 @@
     {
       const struct rep_vm *vm = &r->vms[p->vms[i]];
 
-      if (evd_present (vm, now) && !vm->said.ready && !vm->said.unloaded
-          && vm->said.generation == p->generation
-          && str_is (vm->said.replica, p->name))
+      if (evd_present (vm, now) && !vm->reported.ready
+          && !vm->reported.unloaded && vm->reported.generation == p->generation
+          && str_is (vm->reported.replica, p->name))
         return true;
     }
   return false;
@@ -73,19 +75,19 @@
 }
 
 static bool
-slot_over (const struct rep *r, clk_ms now, const struct rep_replica *p)
+slot_expired (const struct rep *r, clk_ms now, const struct rep_replica *p)
 {
-  clk_ms most = SLOT_LEAST_MS;
+  clk_ms most = SLOT_MIN_MS;
 
   if (!can_load (r, now, p))
     return true;
-  most += SLOT_FACTOR * bud_load_ms (r, p->model);
+  most += SLOT_MAX_FACTOR * bud_load_ms (r, p->model);
   return now - p->slot_since > most;
 }
 
 static bool
-goes_before (const struct rep *r, const struct rep_replica *a,
-             const struct rep_replica *b)
+loads_before (const struct rep *r, const struct rep_replica *a,
+              const struct rep_replica *b)
 {
   unsigned la = live_replicas (r, a->model);
   unsigned lb = live_replicas (r, b->model);
@@ -111,11 +113,11 @@
 }
 
 static void
-give_slot (const struct rep *r, clk_ms now, struct rep_replica *p)
+grant_slot (const struct rep *r, clk_ms now, struct rep_replica *p)
 {
   p->has_slot = true;
   p->slot_since = now;
-  p->slot_load_ms = missing_load_ms (r, now, p);
+  p->expected_load_ms = missing_load_ms (r, now, p);
 }
 
 /*
@@ -135,19 +137,20 @@
     {
       struct rep_replica *p = &r->replicas[i];
 
-      if (p->has_slot && slot_over (r, now, p))
+      if (p->has_slot && slot_expired (r, now, p))
         p->has_slot = false;
       if (!can_load (r, now, p))
         continue;
       if (r->opt.no_budget || (!p->slot_since && is_loading (r, now, p)))
-        give_slot (r, now, p);
+        grant_slot (r, now, p);
       /* After the expected load time, the next replica may load while this one
          is still starting. */
-      busy = busy || (p->has_slot && now - p->slot_since <= p->slot_load_ms);
-      if (!p->has_slot && (!first || goes_before (r, p, first)))
+      busy = busy
+             || (p->has_slot && now - p->slot_since <= p->expected_load_ms);
+      if (!p->has_slot && (!first || loads_before (r, p, first)))
         first = p;
     }
-  if (busy || !first || !r->turn || !r->owner)
+  if (busy || !first || !r->may_load || !r->owner)
     return;
-  give_slot (r, now, first);
+  grant_slot (r, now, first);
 }
--- a/replica/change.c
+++ b/replica/change.c
@@ -21,50 +21,50 @@
 }
 
 void
-chg_set (struct rep *r, clk_ms now, struct str value, int64_t mod_rev)
+chg_set_doc (struct rep *r, clk_ms now, struct str value, int64_t mod_rev)
 {
   struct asn doc = { 0 };
 
   r->read_at = now;
   r->doc_fresh = true;
-  if (r->doc_known && mod_rev == r->mod_rev)
+  if (r->has_doc && mod_rev == r->mod_rev)
     return;
   /* A document that can't be parsed or contains a VM twice is left for an
      operator: acting on part of it could assign a VM twice. */
-  r->doc_bad = mod_rev && !asn_parse (value, &doc);
-  if (r->doc_bad)
+  r->doc_invalid = mod_rev && !asn_parse (value, &doc);
+  if (r->doc_invalid)
     {
-      r->doc_known = r->doc_fresh = false;
+      r->has_doc = r->doc_fresh = false;
       return;
     }
   asn_free (&r->doc);
   r->doc = doc;
-  r->doc_known = true;
+  r->has_doc = true;
   r->mod_rev = mod_rev;
   rep_rebuild (r, now);
 }
 
 static void
-on_read (struct rep *r, clk_ms now, const struct store_result *res)
+on_read_response (struct rep *r, clk_ms now, const struct store_result *res)
 {
   if (res->status != STORE_OK)
     r->read_at = now - REP_READ_MS + REP_STORE_RETRY_MS;
   else if (res->nkvs)
-    chg_set (r, now, res->kvs[0].value, res->kvs[0].mod_rev);
+    chg_set_doc (r, now, res->kvs[0].value, res->kvs[0].mod_rev);
   else
-    chg_set (r, now, STR_EMPTY, 0);
+    chg_set_doc (r, now, STR_EMPTY, 0);
 }
 
 /* Without a delay, an owner that lost its key would write on every tick. */
 static void
-back_off (struct rep *r, clk_ms now)
+delay_next_change (struct rep *r, clk_ms now)
 {
   r->next_change = now + REP_STORE_RETRY_MS
                    + (clk_ms)rng_below (&r->rng, REP_STORE_RETRY_MS);
 }
 
 static void
-on_changed (struct rep *r, clk_ms now, const struct store_result *res)
+on_change_response (struct rep *r, clk_ms now, const struct store_result *res)
 {
   switch (res->status)
     {
@@ -84,20 +84,20 @@
          of the two can take effect. */
       r->doc_fresh = false;
       chg_read (r, now);
-      back_off (r, now);
+      delay_next_change (r, now);
       break;
     default:
-      back_off (r, now);
+      delay_next_change (r, now);
     }
   asn_free (&r->next);
   for (size_t i = 0; i < r->nreplicas; i++)
     if (r->replicas[i].state == RST_FORMING)
-      evd_step (r, &r->replicas[i], "refused");
+      evd_apply_event (r, &r->replicas[i], "refused");
 }
 
 void
-chg_answer (struct rep *r, clk_ms now, uint64_t token,
-            const struct store_result *res)
+chg_on_response (struct rep *r, clk_ms now, uint64_t token,
+                 const struct store_result *res)
 {
   enum rep_call call = r->call;
 
@@ -105,9 +105,9 @@
     return;
   r->call = RCALL_NONE;
   if (call == RCALL_READ)
-    on_read (r, now, res);
+    on_read_response (r, now, res);
   else
-    on_changed (r, now, res);
+    on_change_response (r, now, res);
 }
 
 void
@@ -116,8 +116,8 @@
   clk_ms period = r->owner ? REP_READ_MS : REP_IDLE_READ_MS;
   struct store_result lost = { .status = STORE_UNCERTAIN };
 
-  if (r->call != RCALL_NONE && now - r->call_at >= REP_ANSWER_MS)
-    chg_answer (r, now, r->call_token, &lost);
+  if (r->call != RCALL_NONE && now - r->call_at >= REP_CALL_TIMEOUT_MS)
+    chg_on_response (r, now, r->call_token, &lost);
   if (r->call == RCALL_NONE && (!r->read_at || now - r->read_at >= period))
     chg_read (r, now);
 }
@@ -154,7 +154,7 @@
 static bool
 decide_as_owner (struct rep *r, clk_ms now, struct asn *next)
 {
-  return drn_release (r, now, next) || drn_leaving (r, now, next)
+  return drn_release (r, now, next) || drn_replace_leaving (r, now, next)
          || plc_repair (r, now, next) || plc_form (r, now, next);
 }
 
@@ -168,7 +168,7 @@
   if (!r->doc_fresh || r->call != RCALL_NONE || now < r->next_change)
     return;
   asn_copy (&r->doc, &next);
-  changed = drn_operators (r, &next);
+  changed = drn_apply_requests (r, &next);
   if (!changed && r->owner && now >= r->settle_until)
     changed = as_owner = decide_as_owner (r, now, &next);
   if (changed && asn_valid (&next))
--- a/replica/core.h
+++ b/replica/core.h
@@ -19,15 +19,15 @@
 #include "replica/replica.h"
 
 /** Consecutive failed probes after which a VM counts as missing. */
-#define REP_FAILURES 2
+#define REP_MAX_FAILURES 2
 /** A VM counts as drained after reporting zero load for this long. */
 #define REP_IDLE_MS ((clk_ms)3000)
 /** Time for all gateways to learn that a replica accepts no new requests. */
-#define REP_HEARD_MS ((clk_ms)3000)
+#define REP_PROPAGATION_MS ((clk_ms)3000)
 /** Time that a member may be missing before the assignment changes. */
 #define REP_GRACE_MS ((clk_ms)5000)
 /** After most VMs of a domain were missing: time without repairs. */
-#define REP_DARK_MS ((clk_ms)60000)
+#define REP_OUTAGE_MS ((clk_ms)60000)
 /** How long a new owner waits for all members of a running replica. */
 #define REP_ADOPT_MS ((clk_ms)60000)
 /** Interval of reading the assignment, on the owner and on other nodes. */
@@ -36,7 +36,7 @@
 #define REP_ORDER_RETRY_MS ((clk_ms)2000)
 #define REP_STORE_RETRY_MS ((clk_ms)1000)
 /** Timeout of a store call or an order. */
-#define REP_ANSWER_MS ((clk_ms)5000)
+#define REP_CALL_TIMEOUT_MS ((clk_ms)5000)
 
 /** States of chart "replica", in the order of the chart. */
 enum rep_state
@@ -58,11 +58,12 @@
   bool answered;
   clk_ms answered_at;
   unsigned failures; /* consecutive */
-  clk_ms lost_at;    /* first failed probe since the last success; 0: none */
+  clk_ms
+      missing_since; /* first failed probe since the last success; 0: none */
   clk_ms idle_since; /* start of the period without load; 0: has load */
-  bool leaving;      /* absent from the platform's list */
+  bool leaving_platform; /* absent from the platform's list */
   struct buf replica;
-  struct rep_member_state said; /* its string points into `replica` */
+  struct rep_member_state reported; /* its string points into `replica` */
   clk_ms next_probe;
   uint64_t order_token; /* 0: no order in progress */
   clk_ms next_order;
@@ -78,7 +79,7 @@
   int64_t generation;
   size_t vms[ASN_MAX_VMS]; /* indexes into rep.vms */
   size_t nvms;
-  bool declared_all; /* every member is a VM of the domain */
+  bool has_all_vms; /* every member is a VM of the domain */
   bool whole;
   bool draining; /* accepts no new requests */
   clk_ms drain_since;
@@ -87,7 +88,7 @@
   uint32_t load;
   bool has_slot; /* may load weights (load budget) */
   clk_ms slot_since;
-  clk_ms slot_load_ms; /* expected time of its load on the weight store */
+  clk_ms expected_load_ms; /* expected time of its load on the weight store */
 };
 
 struct rep_pending_drain
@@ -96,7 +97,7 @@
   bool on;
 };
 
-struct rep_live
+struct rep_live_count
 {
   char *model;
   unsigned live;
@@ -123,10 +124,10 @@
   size_t nreplicas;
 
   struct asn doc;
-  bool doc_known;
-  bool doc_fresh; /* read since this node became owner and since the last
-                     write with an unknown outcome; else it is not acted on */
-  bool doc_bad;   /* invalid: no change is written, no order sent */
+  bool has_doc;
+  bool doc_fresh;   /* read since this node became owner and since the last
+                       write with an unknown outcome; else it is not acted on */
+  bool doc_invalid; /* invalid: no change is written, no order sent */
   int64_t mod_rev;
   clk_ms read_at;
   enum rep_call call;
@@ -142,13 +143,13 @@
   int64_t fence;
   clk_ms settle_until; /* a new owner first probes every VM */
   clk_ms owner_since;
-  struct rep_pending_drain *drains;
-  size_t ndrains;
+  struct rep_pending_drain *pending_drains;
+  size_t npending_drains;
 
-  clk_ms dark_until; /* no repairs before: most VMs were missing */
-  bool turn;
-  struct rep_live *lives;
-  size_t nlives;
+  clk_ms outage_until; /* no repairs before: most VMs were missing */
+  bool may_load;
+  struct rep_live_count *live_counts;
+  size_t nlive_counts;
 
   uint64_t tokens;
   struct rep_action *queue;
@@ -164,13 +165,14 @@
 void rep_rebuild (struct rep *r, clk_ms now);
 struct rep_vm *rep_vm_find (const struct rep *r, struct str name);
 struct rep_replica *rep_replica_find (const struct rep *r, const char *name);
-struct rep_replica *rep_replica_named (const struct rep *r, struct str name);
+struct rep_replica *rep_replica_by_name (const struct rep *r, struct str name);
 
 /* change.c */
-void chg_set (struct rep *r, clk_ms now, struct str value, int64_t mod_rev);
+void chg_set_doc (struct rep *r, clk_ms now, struct str value,
+                  int64_t mod_rev);
 void chg_read (struct rep *r, clk_ms now);
-void chg_answer (struct rep *r, clk_ms now, uint64_t token,
-                 const struct store_result *res);
+void chg_on_response (struct rep *r, clk_ms now, uint64_t token,
+                      const struct store_result *res);
 /** Time out a pending call; start the next periodic read. */
 void chg_tick (struct rep *r, clk_ms now);
 /** Write a new assignment if any of the decisions requires one. */
@@ -179,8 +181,8 @@
 /* evidence.c */
 bool evd_present (const struct rep_vm *vm, clk_ms now);
 /** Present and reporting this replica and generation as ready. */
-bool evd_matches (const struct rep_vm *vm, clk_ms now, struct str replica,
-                  int64_t generation);
+bool evd_reports_ready (const struct rep_vm *vm, clk_ms now,
+                        struct str replica, int64_t generation);
 /** Present without loaded weights. */
 bool evd_unloaded (const struct rep_vm *vm, clk_ms now);
 /** Whether any member of the replica is missing. */
@@ -193,31 +195,31 @@
     change. */
 void evd_update (struct rep *r, clk_ms now, struct rep_replica *p);
 void evd_update_all (struct rep *r, clk_ms now);
-void evd_step (struct rep *r, struct rep_replica *p, const char *event);
+void evd_apply_event (struct rep *r, struct rep_replica *p, const char *event);
 
 /* orders.c */
 void ord_tick (struct rep *r, clk_ms now);
-void ord_done (struct rep *r, clk_ms now, struct rep_vm *vm, uint64_t token,
-               bool ok);
+void ord_on_response (struct rep *r, clk_ms now, struct rep_vm *vm,
+                      uint64_t token, bool ok);
 
 /* place.c: each function returns whether it changed @p next. */
 bool plc_repair (struct rep *r, clk_ms now, struct asn *next);
 bool plc_form (struct rep *r, clk_ms now, struct asn *next);
 /** A VM that can be assigned to a replica now, or NULL. */
-struct rep_vm *plc_spare (const struct rep *r, clk_ms now,
-                          const struct asn *doc);
+struct rep_vm *plc_find_spare (const struct rep *r, clk_ms now,
+                               const struct asn *doc);
 
 /* drain.c: each function returns whether it changed @p next. */
-bool drn_operators (struct rep *r, struct asn *next);
+bool drn_apply_requests (struct rep *r, struct asn *next);
 bool drn_release (struct rep *r, clk_ms now, struct asn *next);
-bool drn_leaving (struct rep *r, clk_ms now, struct asn *next);
+bool drn_replace_leaving (struct rep *r, clk_ms now, struct asn *next);
 /** Recompute r->draining of one replica. */
 void drn_update (struct rep *r, clk_ms now, struct rep_replica *p);
-void drn_ask (struct rep *r, struct str replica, bool on);
+void drn_request (struct rep *r, struct str replica, bool on);
 
 /* budget.c */
 void bud_tick (struct rep *r, clk_ms now);
-void bud_live (struct rep *r, struct str model, unsigned live);
+void bud_set_live_count (struct rep *r, struct str model, unsigned live);
 /** Time to load all weights of a replica while no other replica loads. */
 clk_ms bud_load_ms (const struct rep *r, const struct cfg_model *m);
 
--- a/replica/drain.c
+++ b/replica/drain.c
@@ -4,37 +4,39 @@
 #include "replica/core.h"
 
 void
-drn_ask (struct rep *r, struct str replica, bool on)
+drn_request (struct rep *r, struct str replica, bool on)
 {
   char *name = str_dup (replica);
 
-  for (size_t i = 0; i < r->ndrains; i++)
-    if (strcmp (r->drains[i].name, name) == 0)
+  for (size_t i = 0; i < r->npending_drains; i++)
+    if (strcmp (r->pending_drains[i].name, name) == 0)
       {
-        r->drains[i].on = on;
+        r->pending_drains[i].on = on;
         free (name);
         return;
       }
-  r->drains = xrealloc (r->drains, (r->ndrains + 1) * sizeof *r->drains);
-  r->drains[r->ndrains++] = (struct rep_pending_drain){ name, on };
+  r->pending_drains = xrealloc (
+      r->pending_drains, (r->npending_drains + 1) * sizeof *r->pending_drains);
+  r->pending_drains[r->npending_drains++]
+      = (struct rep_pending_drain){ name, on };
 }
 
 /* Drains by operators are stored in the assignment, so that they survive a
    change of owner.  Any node may write them: comparing the document's revision
    is sufficient. */
 bool
-drn_operators (struct rep *r, struct asn *next)
+drn_apply_requests (struct rep *r, struct asn *next)
 {
   bool changed = false;
 
-  for (size_t i = r->ndrains; i-- > 0;)
+  for (size_t i = r->npending_drains; i-- > 0;)
     {
-      struct rep_pending_drain *d = &r->drains[i];
+      struct rep_pending_drain *d = &r->pending_drains[i];
 
       if (asn_is_drained (next, d->name) == d->on)
         {
           free (d->name);
-          *d = r->drains[--r->ndrains];
+          *d = r->pending_drains[--r->npending_drains];
           continue;
         }
       asn_set_drained (next, d->name, d->on);
@@ -44,10 +46,11 @@
 }
 
 static bool
-asked_here (const struct rep *r, const char *name)
+is_drain_requested (const struct rep *r, const char *name)
 {
-  for (size_t i = 0; i < r->ndrains; i++)
-    if (r->drains[i].on && strcmp (r->drains[i].name, name) == 0)
+  for (size_t i = 0; i < r->npending_drains; i++)
+    if (r->pending_drains[i].on
+        && strcmp (r->pending_drains[i].name, name) == 0)
       return true;
   return false;
 }
@@ -56,7 +59,7 @@
 has_leaving_member (const struct rep *r, const struct rep_replica *p)
 {
   for (size_t i = 0; i < p->nvms; i++)
-    if (r->vms[p->vms[i]].leaving)
+    if (r->vms[p->vms[i]].leaving_platform)
       return true;
   return false;
 }
@@ -64,7 +67,8 @@
 void
 drn_update (struct rep *r, clk_ms now, struct rep_replica *p)
 {
-  bool draining = asked_here (r, p->name) || asn_is_drained (&r->doc, p->name)
+  bool draining = is_drain_requested (r, p->name)
+                  || asn_is_drained (&r->doc, p->name)
                   || has_leaving_member (r, p) || !p->cfg;
 
   if (draining == p->draining)
@@ -81,7 +85,7 @@
 static bool
 is_idle (const struct rep *r, const struct rep_replica *p, clk_ms now)
 {
-  clk_ms heard = p->drain_since + REP_HEARD_MS;
+  clk_ms heard = p->drain_since + REP_PROPAGATION_MS;
 
   if (!p->whole)
     return now >= heard || evd_member_missing (r, p, now);
@@ -105,7 +109,7 @@
     {
       const struct rep_vm *vm = rep_vm_find (r, str_from (e->vms[i]));
 
-      if (vm && evd_present (vm, now) && !vm->said.unloaded)
+      if (vm && evd_present (vm, now) && !vm->reported.unloaded)
         return false;
     }
   return true;
@@ -114,7 +118,7 @@
 /* The replica was returned to the scripts that managed it before: whatever
    runs is left running. */
 static bool
-is_handed_back (const struct rep_replica *p)
+is_unmanaged (const struct rep_replica *p)
 {
   return p->cfg && !p->managed;
 }
@@ -128,7 +132,7 @@
       const struct rep_replica *p = rep_replica_find (r, e->name);
       bool wanted = p->cfg && !asn_is_drained (next, e->name);
 
-      if (is_handed_back (p)
+      if (is_unmanaged (p)
           || (e->phase == ASN_RELEASING && is_unloaded (r, e, now)))
         {
           asn_remove (next, e->name);
@@ -151,7 +155,7 @@
     {
       const struct rep_vm *vm = rep_vm_find (r, str_from (e->vms[i]));
 
-      if (vm && vm->leaving)
+      if (vm && vm->leaving_platform)
         return e->vms[i];
     }
   return NULL;
@@ -160,18 +164,18 @@
 /* The replacement happens once the joining VM has loaded and the replica has
    no requests left or can't serve any, so it interrupts no request. */
 static bool
-joining_step (struct rep *r, clk_ms now, struct asn_entry *e,
-              const struct rep_replica *p)
+finish_joining (struct rep *r, clk_ms now, struct asn_entry *e,
+                const struct rep_replica *p)
 {
   struct rep_vm *vm = rep_vm_find (r, str_from (e->joining.vm));
   struct rep_vm *old = rep_vm_find (r, str_from (e->joining.replaces));
 
-  if (!vm || !evd_present (vm, now) || (old && !old->leaving))
+  if (!vm || !evd_present (vm, now) || (old && !old->leaving_platform))
     {
       asn_clear_joining (e);
       return true;
     }
-  if (!evd_matches (vm, now, str_from (e->name), e->joining.generation)
+  if (!evd_reports_ready (vm, now, str_from (e->name), e->joining.generation)
       || !is_idle (r, p, now))
     return false;
   asn_finish_joining (e);
@@ -182,7 +186,7 @@
    requests, a spare VM loads its weights meanwhile and replaces the member
    once the requests in progress are finished. */
 bool
-drn_leaving (struct rep *r, clk_ms now, struct asn *next)
+drn_replace_leaving (struct rep *r, clk_ms now, struct asn *next)
 {
   for (size_t i = 0; i < next->n; i++)
     {
@@ -195,11 +199,11 @@
         continue;
       if (e->joining.vm)
         {
-          if (joining_step (r, now, e, p))
+          if (finish_joining (r, now, e, p))
             return true;
           continue;
         }
-      if (!old || !(spare = plc_spare (r, now, next)))
+      if (!old || !(spare = plc_find_spare (r, now, next)))
         continue;
       asn_set_joining (next, e, spare->cfg->name, str_from (old));
       return true;
--- a/replica/evidence.c
+++ b/replica/evidence.c
@@ -6,31 +6,31 @@
 /*
  * Upper bound of failure detection: a VM that dies right after a response
  * counts as missing once that response is REP_EVIDENCE_MS old, or earlier
- * after REP_FAILURES failed probes, for example when connections are refused.
- * Every view carries the time of its oldest probe result, so that a gateway
- * stops using the replica by the same deadline even if it receives no further
- * updates.
+ * after REP_MAX_FAILURES failed probes, for example when connections are
+ * refused. Every view carries the time of its oldest probe result, so that a
+ * gateway stops using the replica by the same deadline even if it receives no
+ * further updates.
  */
 bool
 evd_present (const struct rep_vm *vm, clk_ms now)
 {
-  return vm->answered && vm->failures < REP_FAILURES
+  return vm->answered && vm->failures < REP_MAX_FAILURES
          && now - vm->answered_at < REP_EVIDENCE_MS;
 }
 
 bool
-evd_matches (const struct rep_vm *vm, clk_ms now, struct str replica,
-             int64_t generation)
+evd_reports_ready (const struct rep_vm *vm, clk_ms now, struct str replica,
+                   int64_t generation)
 {
-  return evd_present (vm, now) && vm->said.ready && !vm->said.unloaded
-         && vm->said.generation == generation
-         && str_eq (vm->said.replica, replica);
+  return evd_present (vm, now) && vm->reported.ready && !vm->reported.unloaded
+         && vm->reported.generation == generation
+         && str_eq (vm->reported.replica, replica);
 }
 
 bool
 evd_unloaded (const struct rep_vm *vm, clk_ms now)
 {
-  return evd_present (vm, now) && vm->said.unloaded;
+  return evd_present (vm, now) && vm->reported.unloaded;
 }
 
 bool
@@ -40,7 +40,7 @@
   for (size_t i = 0; i < p->nvms; i++)
     if (!evd_present (&r->vms[p->vms[i]], now))
       return true;
-  return !p->declared_all;
+  return !p->has_all_vms;
 }
 
 size_t
@@ -54,13 +54,13 @@
     {
       const struct rep_vm *vm = &r->vms[i];
 
-      if (!vm->answered || vm->said.generation <= 0
-          || vm->said.generation < *generation
-          || !evd_matches (vm, now, replica, vm->said.generation))
+      if (!vm->answered || vm->reported.generation <= 0
+          || vm->reported.generation < *generation
+          || !evd_reports_ready (vm, now, replica, vm->reported.generation))
         continue;
-      if (vm->said.generation > *generation)
+      if (vm->reported.generation > *generation)
         n = 0;
-      *generation = vm->said.generation;
+      *generation = vm->reported.generation;
       if (n < ASN_MAX_VMS)
         vms[n++] = i;
     }
@@ -68,7 +68,7 @@
 }
 
 void
-evd_step (struct rep *r, struct rep_replica *p, const char *event)
+evd_apply_event (struct rep *r, struct rep_replica *p, const char *event)
 {
   int next = chart_step (r->chart, p->state, chart_event (r->chart, event));
 
@@ -83,41 +83,44 @@
    configuration is the only information about it.  A member that reports a
    name must report this one. */
 static bool
-declared_member_matches (const struct rep_vm *vm, clk_ms now,
-                         const struct rep_replica *p, int64_t generation)
+unmanaged_member_ready (const struct rep_vm *vm, clk_ms now,
+                        const struct rep_replica *p, int64_t generation)
 {
-  return evd_matches (vm, now, STR_EMPTY, 0)
+  return evd_reports_ready (vm, now, STR_EMPTY, 0)
          || (generation
-             && evd_matches (vm, now, str_from (p->name), generation));
+             && evd_reports_ready (vm, now, str_from (p->name), generation));
 }
 
 static int64_t
-declared_generation (const struct rep *r, const struct rep_replica *p)
+unmanaged_generation (const struct rep *r, const struct rep_replica *p)
 {
   const struct rep_vm *leader = &r->vms[p->vms[0]];
 
-  return str_is (leader->said.replica, p->name) ? leader->said.generation : 0;
+  return str_is (leader->reported.replica, p->name)
+             ? leader->reported.generation
+             : 0;
 }
 
 static bool
-all_match (const struct rep *r, const struct rep_replica *p, clk_ms now)
+all_members_ready (const struct rep *r, const struct rep_replica *p,
+                   clk_ms now)
 {
-  if (!p->nvms || !p->declared_all || p->state == RST_RELEASING)
+  if (!p->nvms || !p->has_all_vms || p->state == RST_RELEASING)
     return false;
   for (size_t i = 0; i < p->nvms; i++)
     {
       const struct rep_vm *vm = &r->vms[p->vms[i]];
 
       if (p->managed
-              ? !evd_matches (vm, now, str_from (p->name), p->generation)
-              : !declared_member_matches (vm, now, p, p->generation))
+              ? !evd_reports_ready (vm, now, str_from (p->name), p->generation)
+              : !unmanaged_member_ready (vm, now, p, p->generation))
         return false;
     }
   return true;
 }
 
 static void
-gather (const struct rep *r, struct rep_replica *p)
+aggregate_members (const struct rep *r, struct rep_replica *p)
 {
   p->evidence_at = p->nvms ? INT64_MAX : 0;
   p->load = 0;
@@ -127,8 +130,8 @@
 
       if (vm->answered_at < p->evidence_at)
         p->evidence_at = vm->answered_at;
-      if (vm->said.load > p->load)
-        p->load = vm->said.load;
+      if (vm->reported.load > p->load)
+        p->load = vm->reported.load;
     }
 }
 
@@ -137,34 +140,35 @@
    generation form that replica if their number is the one that its model
    requires. */
 static void
-members_by_report (const struct rep *r, clk_ms now, struct rep_replica *p)
+set_members_from_reports (const struct rep *r, clk_ms now,
+                          struct rep_replica *p)
 {
   size_t n
       = evd_reporting (r, now, str_from (p->name), p->vms, &p->generation);
 
   p->nvms = p->model && n == p->model->vms ? n : 0;
-  p->declared_all = true;
+  p->has_all_vms = true;
 }
 
 /* Apply the assignment's entry to the replica: assigned, changed, releasing or
    removed. */
 static void
-follow (struct rep *r, struct rep_replica *p)
+apply_assignment (struct rep *r, struct rep_replica *p)
 {
   const struct asn_entry *e = asn_find (&r->doc, p->name);
 
   if (!e)
     {
-      evd_step (r, p, "released");
+      evd_apply_event (r, p, "released");
       p->generation = 0;
       return;
     }
   if (e->generation != p->generation)
     {
       p->generation = e->generation;
-      evd_step (r, p, "reform");
+      evd_apply_event (r, p, "reform");
     }
-  evd_step (r, p, e->phase == ASN_RELEASING ? "release" : "assigned");
+  evd_apply_event (r, p, e->phase == ASN_RELEASING ? "release" : "assigned");
 }
 
 static void
@@ -185,23 +189,23 @@
 {
   if (p->managed || !p->cfg)
     {
-      if (r->doc_known)
-        follow (r, p);
+      if (r->has_doc)
+        apply_assignment (r, p);
       else
-        members_by_report (r, now, p);
+        set_members_from_reports (r, now, p);
     }
   else if (p->nvms)
-    p->generation = declared_generation (r, p);
-  if (p->nvms && (!p->managed || !r->doc_known))
-    evd_step (r, p, "assigned");
-  gather (r, p);
-  set_whole (r, now, p, all_match (r, p, now));
+    p->generation = unmanaged_generation (r, p);
+  if (p->nvms && (!p->managed || !r->has_doc))
+    evd_apply_event (r, p, "assigned");
+  aggregate_members (r, p);
+  set_whole (r, now, p, all_members_ready (r, p, now));
   drn_update (r, now, p);
-  evd_step (r, p, p->draining ? "drain" : "undrain");
+  evd_apply_event (r, p, p->draining ? "drain" : "undrain");
   if (p->whole)
-    evd_step (r, p, "whole");
+    evd_apply_event (r, p, "whole");
   else if (p->state == RST_WHOLE || evd_member_missing (r, p, now))
-    evd_step (r, p, "lost");
+    evd_apply_event (r, p, "lost");
 }
 
 void
--- a/replica/orders.c
+++ b/replica/orders.c
@@ -12,10 +12,11 @@
 };
 
 static bool
-says (const struct rep_vm *vm, struct str replica, int64_t generation)
+reports_generation (const struct rep_vm *vm, struct str replica,
+                    int64_t generation)
 {
-  return !vm->said.unloaded && vm->said.generation == generation
-         && str_eq (vm->said.replica, replica);
+  return !vm->reported.unloaded && vm->reported.generation == generation
+         && str_eq (vm->reported.replica, replica);
 }
 
 /*
@@ -25,26 +26,26 @@
  * alone, and so are replicas that are not managed.
  */
 static bool
-stray (const struct rep *r, clk_ms now, const struct rep_vm *vm,
-       struct order *out)
+unload_unassigned (const struct rep *r, clk_ms now, const struct rep_vm *vm,
+                   struct order *out)
 {
   size_t vms[ASN_MAX_VMS];
   const struct rep_replica *p;
   int64_t generation;
 
-  if (vm->said.unloaded || !vm->said.replica.len)
+  if (vm->reported.unloaded || !vm->reported.replica.len)
     return false;
-  p = rep_replica_named (r, vm->said.replica);
+  p = rep_replica_by_name (r, vm->reported.replica);
   if (!p || !p->managed)
     return false;
   if (!asn_find (&r->doc, p->name) && !asn_is_drained (&r->doc, p->name)
       && (now - r->owner_since < REP_ADOPT_MS || !p->model
-          || evd_reporting (r, now, vm->said.replica, vms, &generation)
+          || evd_reporting (r, now, vm->reported.replica, vms, &generation)
                  >= p->model->vms))
     return false;
   *out = (struct order){ .order = REP_UNLOAD,
-                         .replica = vm->said.replica,
-                         .generation = vm->said.generation };
+                         .replica = vm->reported.replica,
+                         .generation = vm->reported.generation };
   return true;
 }
 
@@ -64,8 +65,8 @@
 }
 
 static bool
-member (const struct rep_vm *vm, const struct rep_replica *p,
-        const struct asn_entry *e, struct order *out)
+order_for_member (const struct rep_vm *vm, const struct rep_replica *p,
+                  const struct asn_entry *e, struct order *out)
 {
   bool joining = is_joining (e, vm);
   int64_t generation = joining ? e->joining.generation : e->generation;
@@ -78,18 +79,18 @@
   if (e->phase == ASN_RELEASING)
     {
       out->order = REP_UNLOAD;
-      return !vm->said.unloaded;
+      return !vm->reported.unloaded;
     }
-  if (says (vm, name, generation))
+  if (reports_generation (vm, name, generation))
     return false;
-  if (!vm->said.unloaded && vm->said.replica.len
-      && !str_eq (vm->said.replica, name))
+  if (!vm->reported.unloaded && vm->reported.replica.len
+      && !str_eq (vm->reported.replica, name))
     {
       /* A delayed order made the VM load another replica's weights: unload
          these first. */
       out->order = REP_UNLOAD;
-      out->replica = vm->said.replica;
-      out->generation = vm->said.generation;
+      out->replica = vm->reported.replica;
+      out->generation = vm->reported.generation;
       return true;
     }
   out->order = REP_LOAD;
@@ -99,18 +100,18 @@
 }
 
 static bool
-wanted_order (const struct rep *r, clk_ms now, const struct rep_vm *vm,
-              struct order *out)
+next_order_for (const struct rep *r, clk_ms now, const struct rep_vm *vm,
+                struct order *out)
 {
   const struct asn_entry *e = asn_holder (&r->doc, vm->cfg->name);
   const struct rep_replica *p;
 
   if (!e)
-    return stray (r, now, vm, out);
+    return unload_unassigned (r, now, vm, out);
   p = rep_replica_find (r, e->name);
   if (p->cfg && !p->managed)
     return false;
-  return member (vm, p, e, out);
+  return order_for_member (vm, p, e, out);
 }
 
 static void
@@ -120,7 +121,7 @@
   struct rep_action *a = rep_push (r, REP_SEND_ORDER);
 
   vm->order_token = ++r->tokens;
-  vm->next_order = now + REP_ANSWER_MS;
+  vm->next_order = now + REP_CALL_TIMEOUT_MS;
   a->token = vm->order_token;
   a->vm = vm->cfg;
   a->order = o->order;
@@ -146,14 +147,14 @@
       struct rep_vm *vm = &r->vms[i];
 
       if (now >= vm->next_order && evd_present (vm, now)
-          && wanted_order (r, now, vm, &o))
+          && next_order_for (r, now, vm, &o))
         send_order (r, now, vm, &o);
     }
 }
 
 void
-ord_done (struct rep *r, clk_ms now, struct rep_vm *vm, uint64_t token,
-          bool ok)
+ord_on_response (struct rep *r, clk_ms now, struct rep_vm *vm, uint64_t token,
+                 bool ok)
 {
   if (!token || token != vm->order_token)
     return;
--- a/replica/owner.c
+++ b/replica/owner.c
@@ -5,8 +5,8 @@
 #include "replica/owner.h"
 
 /* Renewal interval and retry delay as fractions of the lease's TTL. */
-#define RENEW_PART 3
-#define RETRY_PART 6
+#define RENEW_FRACTION 3
+#define RETRY_FRACTION 6
 
 /* Queue of actions until the caller fetches them.  One event adds at most
    three, so a full queue is a bug in the caller. */
@@ -17,9 +17,9 @@
 {
   CALL_NONE,
   CALL_GRANT,
-  CALL_TAKE,
-  CALL_SETTLE, /* read: was the uncertain write applied? */
-  CALL_KEEP,
+  CALL_WRITE_KEY,
+  CALL_READ_BACK, /* read: was the uncertain write applied? */
+  CALL_KEEPALIVE,
   CALL_CHECK /* read after a lapse: does this node still hold the key? */
 };
 
@@ -99,7 +99,7 @@
 }
 
 static void
-step (struct own *o, const char *event)
+apply_event (struct own *o, const char *event)
 {
   int next = chart_step (o->chart, o->state, chart_event (o->chart, event));
 
@@ -110,7 +110,8 @@
 
 /* Start a store call; its response carries the token. */
 static struct own_action *
-call (struct own *o, clk_ms now, enum call what, enum own_action_kind kind)
+start_call (struct own *o, clk_ms now, enum call what,
+            enum own_action_kind kind)
 {
   struct own_action *a = push (o, kind);
 
@@ -123,7 +124,7 @@
 static clk_ms
 retry_delay (struct own *o)
 {
-  clk_ms part = o->opt.ttl / RETRY_PART;
+  clk_ms part = o->opt.ttl / RETRY_FRACTION;
 
   return part + (clk_ms)rng_below (&o->rng, (uint64_t)part + 1);
 }
@@ -140,12 +141,12 @@
    rejects a put with an unknown lease.  So no delayed write can recreate a key
    that no node renews. */
 static void
-leave (struct own *o, clk_ms now, const char *event)
+release (struct own *o, clk_ms now, const char *event)
 {
   if (o->state == OWN_HOLDING || o->state == OWN_WAITING)
     push (o, OWN_LOST);
   revoke (o, o->lease);
-  step (o, event);
+  apply_event (o, event);
   o->lease = 0;
   o->fence = 0;
   o->uncertain = false;
@@ -154,9 +155,9 @@
 }
 
 static void
-send_take (struct own *o, clk_ms now)
+send_write_key (struct own *o, clk_ms now)
 {
-  struct own_action *a = call (o, now, CALL_TAKE, OWN_TXN);
+  struct own_action *a = start_call (o, now, CALL_WRITE_KEY, OWN_TXN);
   o->compare = (struct store_compare){ buf_str (&o->key), 0 };
   o->put
       = (struct store_put){ buf_str (&o->key), buf_str (&o->value), o->lease };
@@ -169,22 +170,22 @@
 }
 
 static void
-send_keep (struct own *o, clk_ms now)
+send_keepalive (struct own *o, clk_ms now)
 {
-  call (o, now, CALL_KEEP, OWN_KEEP)->lease = o->lease;
+  start_call (o, now, CALL_KEEPALIVE, OWN_KEEP)->lease = o->lease;
 }
 
 static void
 send_read (struct own *o, clk_ms now, enum call what)
 {
-  call (o, now, what, OWN_RANGE)->key = buf_str (&o->key);
+  start_call (o, now, what, OWN_RANGE)->key = buf_str (&o->key);
 }
 
 /* Time counts from the sending of the request.  The store starts the new TTL
    later than that, so the lease always ends earlier by this node's clock than
    at the store. */
 static void
-extend (struct own *o)
+extend_order_time (struct own *o)
 {
   o->order_until = o->sent_at + 2 * o->opt.ttl / 3;
 }
@@ -212,7 +213,7 @@
  * seconds, but no request is served with it.
  */
 static void
-taken (struct own *o, clk_ms now, int64_t fence)
+on_acquired (struct own *o, clk_ms now, int64_t fence)
 {
   if (!o->fence)
     o->wait_until = now + o->opt.ttl + o->opt.order_flight_ms;
@@ -221,17 +222,17 @@
   if (now >= o->order_until)
     {
       if (o->state != OWN_LAPSED)
-        step (o, "lapse");
+        apply_event (o, "lapse");
       o->next_call = now;
       return;
     }
-  o->next_call = o->sent_at + o->opt.ttl / RENEW_PART;
+  o->next_call = o->sent_at + o->opt.ttl / RENEW_FRACTION;
   if (!o->opt.checks_fence && now < o->wait_until)
     {
-      step (o, "taken_wait");
+      apply_event (o, "taken_wait");
       return;
     }
-  step (o, "taken");
+  apply_event (o, "taken");
   push (o, OWN_GAINED)->fence = fence;
 }
 
@@ -247,37 +248,37 @@
 {
   if (r->status != STORE_OK)
     {
-      step (o, "failed");
+      apply_event (o, "failed");
       o->next_call = now + retry_delay (o);
       return;
     }
   o->lease = r->lease;
-  extend (o);
-  step (o, "granted");
-  send_take (o, now);
+  extend_order_time (o);
+  apply_event (o, "granted");
+  send_write_key (o, now);
 }
 
 static void
-on_take (struct own *o, clk_ms now, const struct store_result *r)
+on_write_response (struct own *o, clk_ms now, const struct store_result *r)
 {
   switch (r->status)
     {
     case STORE_OK:
-      taken (o, now, r->revision);
+      on_acquired (o, now, r->revision);
       return;
     case STORE_UNCERTAIN:
       o->uncertain = true;
-      send_read (o, now, CALL_SETTLE);
+      send_read (o, now, CALL_READ_BACK);
       return;
     case STORE_CONFLICT:
       /* After a lost response, the existing key may be this node's. */
       if (o->uncertain)
-        send_read (o, now, CALL_SETTLE);
+        send_read (o, now, CALL_READ_BACK);
       else
-        leave (o, now, "failed");
+        release (o, now, "failed");
       return;
     case STORE_GONE:
-      leave (o, now, "failed");
+      release (o, now, "failed");
       return;
     default:
       o->next_call = now + retry_delay (o);
@@ -285,37 +286,37 @@
 }
 
 static void
-on_settle (struct own *o, clk_ms now, const struct store_result *r)
+on_read_back (struct own *o, clk_ms now, const struct store_result *r)
 {
   if (r->status != STORE_OK)
     o->next_call = now + retry_delay (o);
   else if (is_ours (o, r))
-    taken (o, now, r->kvs[0].create_rev);
+    on_acquired (o, now, r->kvs[0].create_rev);
   else if (r->nkvs)
-    leave (o, now, "failed");
+    release (o, now, "failed");
   else
     /* The key is absent, and the lost write may still be applied.  Writing
        again with the same lease is safe: only one of the two writes can find
        the key absent. */
-    send_take (o, now);
+    send_write_key (o, now);
 }
 
 static void
-on_keep (struct own *o, clk_ms now, const struct store_result *r)
+on_keepalive (struct own *o, clk_ms now, const struct store_result *r)
 {
   if (r->status == STORE_GONE)
-    leave (o, now, "gone");
+    release (o, now, "gone");
   else if (r->status != STORE_OK)
     o->next_call = now + retry_delay (o);
   else if (o->state == OWN_LAPSED)
     {
-      extend (o);
+      extend_order_time (o);
       send_read (o, now, CALL_CHECK);
     }
   else
     {
-      extend (o);
-      o->next_call = o->sent_at + o->opt.ttl / RENEW_PART;
+      extend_order_time (o);
+      o->next_call = o->sent_at + o->opt.ttl / RENEW_FRACTION;
     }
 }
 
@@ -327,15 +328,15 @@
   if (r->status != STORE_OK)
     o->next_call = now + retry_delay (o);
   else if (!is_ours (o, r) || (o->fence && r->kvs[0].create_rev != o->fence))
-    leave (o, now, "gone");
+    release (o, now, "gone");
   else
-    taken (o, now, r->kvs[0].create_rev);
+    on_acquired (o, now, r->kvs[0].create_rev);
 }
 
 /* Response to a call that was abandoned.  A lease that it grants would stay in
    the store until it expires, so revoke it. */
 static void
-late_answer (struct own *o, const struct store_result *r)
+on_late_response (struct own *o, const struct store_result *r)
 {
   if (r->status == STORE_OK && r->lease && r->lease != o->lease)
     revoke (o, r->lease);
@@ -349,7 +350,7 @@
 
   if (token != o->token || what == CALL_NONE)
     {
-      late_answer (o, r);
+      on_late_response (o, r);
       return;
     }
   o->call = CALL_NONE;
@@ -358,14 +359,14 @@
     case CALL_GRANT:
       on_grant (o, now, r);
       break;
-    case CALL_TAKE:
-      on_take (o, now, r);
+    case CALL_WRITE_KEY:
+      on_write_response (o, now, r);
       break;
-    case CALL_SETTLE:
-      on_settle (o, now, r);
+    case CALL_READ_BACK:
+      on_read_back (o, now, r);
       break;
-    case CALL_KEEP:
-      on_keep (o, now, r);
+    case CALL_KEEPALIVE:
+      on_keepalive (o, now, r);
       break;
     case CALL_CHECK:
       on_check (o, now, r);
@@ -380,7 +381,7 @@
 {
   o->want = want;
   if (!want && o->state != OWN_IDLE)
-    leave (o, now, "give_up");
+    release (o, now, "give_up");
 }
 
 static void
@@ -388,7 +389,7 @@
 {
   if (o->state != OWN_TAKING)
     push (o, OWN_LOST);
-  step (o, "lapse");
+  apply_event (o, "lapse");
   o->call = CALL_NONE;
   o->next_call = now;
 }
@@ -402,20 +403,20 @@
     case OWN_IDLE:
       if (o->want)
         {
-          step (o, "ask");
-          call (o, now, CALL_GRANT, OWN_GRANT)->ttl = o->opt.ttl;
+          apply_event (o, "ask");
+          start_call (o, now, CALL_GRANT, OWN_GRANT)->ttl = o->opt.ttl;
         }
       break;
     case OWN_TAKING:
       if (o->uncertain)
-        send_read (o, now, CALL_SETTLE);
+        send_read (o, now, CALL_READ_BACK);
       else
-        send_take (o, now);
+        send_write_key (o, now);
       break;
     case OWN_GRANTING:
       break;
     default:
-      send_keep (o, now);
+      send_keepalive (o, now);
     }
 }
 
@@ -423,12 +424,12 @@
 static void
 expire_call (struct own *o, clk_ms now)
 {
-  if (o->call == CALL_NONE || now - o->sent_at < o->opt.ttl / RENEW_PART)
+  if (o->call == CALL_NONE || now - o->sent_at < o->opt.ttl / RENEW_FRACTION)
     return;
-  if (o->call == CALL_TAKE)
+  if (o->call == CALL_WRITE_KEY)
     o->uncertain = true;
   if (o->state == OWN_GRANTING)
-    step (o, "failed");
+    apply_event (o, "failed");
   o->call = CALL_NONE;
   o->next_call = now;
 }
@@ -438,7 +439,8 @@
 {
   /* A late tick indicates that the process was stopped or the VM suspended.
      Another node may have become owner meanwhile, so read the key first. */
-  bool paused = o->last_tick && now - o->last_tick > o->opt.ttl / RENEW_PART;
+  bool paused
+      = o->last_tick && now - o->last_tick > o->opt.ttl / RENEW_FRACTION;
   bool has_lease = o->state == OWN_TAKING || o->state == OWN_WAITING
                    || o->state == OWN_HOLDING;
 
@@ -448,7 +450,7 @@
   expire_call (o, now);
   if (o->state == OWN_WAITING && now >= o->wait_until)
     {
-      step (o, "waited");
+      apply_event (o, "waited");
       push (o, OWN_GAINED)->fence = o->fence;
     }
   if (o->call == CALL_NONE && now >= o->next_call)
@@ -459,7 +461,7 @@
 own_may_order (const struct own *o, clk_ms now)
 {
   return o->state == OWN_HOLDING && now < o->order_until
-         && now - o->last_tick <= o->opt.ttl / RENEW_PART;
+         && now - o->last_tick <= o->opt.ttl / RENEW_FRACTION;
 }
 
 int64_t
--- a/replica/place.c
+++ b/replica/place.c
@@ -6,27 +6,27 @@
 /* Restart of the replica's servers after all weights are loaded. */
 #define RESTART_MS ((clk_ms)10000)
 /* Unloading, and reclaiming a VM that was lent to other work. */
-#define RECALL_MS ((clk_ms)15000)
+#define RECLAIM_MS ((clk_ms)15000)
 /* For a VM that is leaving or no longer configured: one day. */
-#define NEVER_BACK_MS (24 * 60 * CLK_MINUTE)
+#define NO_RETURN_MS (24 * 60 * CLK_MINUTE)
 
-enum choice
+enum repair
 {
-  CHOOSE_WAIT,
-  CHOOSE_SWAP,
-  CHOOSE_DISSOLVE
+  REPAIR_WAIT,
+  REPAIR_REPLACE,
+  REPAIR_DISSOLVE
 };
 
 /** State of a replica that lost members. */
 struct loss
 {
-  unsigned vms;     /* members of the replica */
-  unsigned missing; /* members that are missing */
-  unsigned spares;  /* free VMs */
-  unsigned coming;  /* VMs that are being unloaded */
-  bool can_help;    /* its present VMs could repair another replica */
-  clk_ms away;      /* longest absence of a missing member */
-  bool never_back;
+  unsigned vms;       /* members of the replica */
+  unsigned missing;   /* members that are missing */
+  unsigned spares;    /* free VMs */
+  unsigned unloading; /* VMs that are being unloaded */
+  bool helps_another; /* its present VMs could repair another replica */
+  clk_ms absent_ms;   /* longest absence of a missing member */
+  bool no_return;
   clk_ms load_ms; /* time to load all weights */
 };
 
@@ -51,12 +51,12 @@
 is_free (const struct rep *r, clk_ms now, const struct asn *doc,
          const struct rep_vm *vm)
 {
-  return evd_unloaded (vm, now) && !vm->leaving
+  return evd_unloaded (vm, now) && !vm->leaving_platform
          && !asn_holder (doc, vm->cfg->name) && !is_reserved (r, vm);
 }
 
 struct rep_vm *
-plc_spare (const struct rep *r, clk_ms now, const struct asn *doc)
+plc_find_spare (const struct rep *r, clk_ms now, const struct asn *doc)
 {
   struct rep_vm *found = NULL;
 
@@ -90,11 +90,11 @@
 static double
 expected_return_s (const struct rep *r, const struct loss *l)
 {
-  clk_ms left = r->cfg->policy.vm_return_ms - l->away;
+  clk_ms left = r->cfg->policy.vm_return_ms - l->absent_ms;
 
-  if (l->never_back)
-    return (double)NEVER_BACK_MS / 1000;
-  return (double)(left > l->away ? left : l->away) / 1000;
+  if (l->no_return)
+    return (double)NO_RETURN_MS / 1000;
+  return (double)(left > l->absent_ms ? left : l->absent_ms) / 1000;
 }
 
 /*
@@ -103,14 +103,14 @@
  * costs the stranded weight.  Free VMs are lent to other work, so they cost
  * nothing except the time to reclaim them.
  */
-static enum choice
-choose (const struct rep *r, const struct loss *l)
+static enum repair
+choose_repair (const struct rep *r, const struct loss *l)
 {
   double down = r->cfg->policy.downtime_weight;
   double held = r->cfg->policy.stranded_weight;
   double back = expected_return_s (r, l);
   double restart = (double)RESTART_MS / 1000;
-  double recall = (double)RECALL_MS / 1000;
+  double recall = (double)RECLAIM_MS / 1000;
   double load = (double)l->load_ms / 1000;
   double part = load * l->missing / l->vms + restart;
   double left = l->vms - l->missing;
@@ -120,25 +120,25 @@
   double dissolve = down * (back + again) + held * l->vms * again;
 
   if (l->spares >= l->missing)
-    return swap < wait ? CHOOSE_SWAP : CHOOSE_WAIT;
-  if (l->spares + l->coming >= l->missing)
-    return CHOOSE_WAIT;
-  if (l->can_help)
+    return swap < wait ? REPAIR_REPLACE : REPAIR_WAIT;
+  if (l->spares + l->unloading >= l->missing)
+    return REPAIR_WAIT;
+  if (l->helps_another)
     dissolve -= (back - part) * (down + held * left);
-  return dissolve < wait ? CHOOSE_DISSOLVE : CHOOSE_WAIT;
+  return dissolve < wait ? REPAIR_DISSOLVE : REPAIR_WAIT;
 }
 
-static enum choice
-choose_by_rule (const struct rep *r, const struct loss *l)
+static enum repair
+choose_by_policy (const struct rep *r, const struct loss *l)
 {
   switch (r->opt.rule)
     {
     case REP_ALWAYS_DISSOLVE:
-      return CHOOSE_DISSOLVE;
+      return REPAIR_DISSOLVE;
     case REP_ALWAYS_WAIT:
-      return CHOOSE_WAIT;
+      return REPAIR_WAIT;
     default:
-      return choose (r, l);
+      return choose_repair (r, l);
     }
 }
 
@@ -163,8 +163,8 @@
 
 /* Whether another entry has lost a member too. */
 static bool
-others_degraded (const struct rep *r, clk_ms now, const struct asn *next,
-                 const struct asn_entry *e)
+another_degraded (const struct rep *r, clk_ms now, const struct asn *next,
+                  const struct asn_entry *e)
 {
   for (size_t i = 0; i < next->n; i++)
     if (&next->entries[i] != e && is_degraded (r, now, &next->entries[i]))
@@ -173,7 +173,7 @@
 }
 
 static unsigned
-count_coming (const struct rep *r, clk_ms now, const struct asn *next)
+count_unloading (const struct rep *r, clk_ms now, const struct asn *next)
 {
   unsigned n = 0;
 
@@ -190,28 +190,28 @@
 {
   struct loss l = { .vms = (unsigned)e->nvms,
                     .spares = count_free (r, now, next),
-                    .coming = count_coming (r, now, next),
-                    .can_help = others_degraded (r, now, next, e),
+                    .unloading = count_unloading (r, now, next),
+                    .helps_another = another_degraded (r, now, next, e),
                     .load_ms = bud_load_ms (r, model) };
 
   for (size_t i = 0; i < e->nvms; i++)
     {
       const struct rep_vm *vm = rep_vm_find (r, str_from (e->vms[i]));
-      clk_ms away = vm && vm->lost_at ? now - vm->lost_at : 0;
+      clk_ms away = vm && vm->missing_since ? now - vm->missing_since : 0;
 
       if (!is_missing (r, now, e->vms[i]))
         continue;
       l.missing++;
-      l.never_back = l.never_back || !vm || vm->leaving;
-      if (away > l.away)
-        l.away = away;
+      l.no_return = l.no_return || !vm || vm->leaving_platform;
+      if (away > l.absent_ms)
+        l.absent_ms = away;
     }
   return l;
 }
 
 static bool
-swap_missing (const struct rep *r, clk_ms now, struct asn *next,
-              struct asn_entry *e)
+replace_missing (const struct rep *r, clk_ms now, struct asn *next,
+                 struct asn_entry *e)
 {
   for (size_t i = 0; i < e->nvms; i++)
     {
@@ -219,10 +219,10 @@
 
       if (!is_missing (r, now, e->vms[i]))
         continue;
-      spare = plc_spare (r, now, next);
+      spare = plc_find_spare (r, now, next);
       if (!spare)
         return false;
-      asn_swap (next, e, str_from (e->vms[i]), spare->cfg->name);
+      asn_replace_vm (next, e, str_from (e->vms[i]), spare->cfg->name);
     }
   return true;
 }
@@ -231,21 +231,21 @@
    will return together, or this node is partitioned.  Reassigning VMs helps in
    neither case, nor while the VMs return one after the other. */
 static bool
-domain_dark (struct rep *r, clk_ms now)
+has_outage (struct rep *r, clk_ms now)
 {
   size_t present = 0;
 
   for (size_t i = 0; i < r->nvms; i++)
     present += evd_present (&r->vms[i], now);
   if (2 * present < r->nvms)
-    r->dark_until = now + REP_DARK_MS;
-  return now < r->dark_until;
+    r->outage_until = now + REP_OUTAGE_MS;
+  return now < r->outage_until;
 }
 
 bool
 plc_repair (struct rep *r, clk_ms now, struct asn *next)
 {
-  if (domain_dark (r, now))
+  if (has_outage (r, now))
     return false;
   for (size_t i = 0; i < next->n; i++)
     {
@@ -257,16 +257,16 @@
           || !is_degraded (r, now, e))
         continue;
       l = assess (r, now, next, e, p->model);
-      if (!l.never_back && l.away < REP_GRACE_MS)
+      if (!l.no_return && l.absent_ms < REP_GRACE_MS)
         continue;
-      switch (choose_by_rule (r, &l))
+      switch (choose_by_policy (r, &l))
         {
-        case CHOOSE_SWAP:
-          return swap_missing (r, now, next, e);
-        case CHOOSE_DISSOLVE:
+        case REPAIR_REPLACE:
+          return replace_missing (r, now, next, e);
+        case REPAIR_DISSOLVE:
           e->phase = ASN_RELEASING;
           return true;
-        case CHOOSE_WAIT:
+        case REPAIR_WAIT:
           break;
         }
     }
@@ -274,7 +274,7 @@
 }
 
 static bool
-add_if_missing (size_t *vms, size_t *n, size_t vm)
+add_unique (size_t *vms, size_t *n, size_t vm)
 {
   for (size_t i = 0; i < *n; i++)
     if (vms[i] == vm)
@@ -286,18 +286,18 @@
 /* A VM that the configuration lists for this replica may be taken with its
    weights loaded, unless it reports another replica's name. */
 static bool
-may_take_declared (const struct rep *r, clk_ms now, const struct asn *next,
-                   const struct rep_vm *vm, const char *name)
+is_usable_for (const struct rep *r, clk_ms now, const struct asn *next,
+               const struct rep_vm *vm, const char *name)
 {
-  return evd_present (vm, now) && !vm->leaving
+  return evd_present (vm, now) && !vm->leaving_platform
          && !asn_holder (next, vm->cfg->name) && !is_reserved (r, vm)
-         && (vm->said.unloaded || !vm->said.replica.len
-             || str_is (vm->said.replica, name));
+         && (vm->reported.unloaded || !vm->reported.replica.len
+             || str_is (vm->reported.replica, name));
 }
 
 static size_t
-pick_declared (const struct rep *r, clk_ms now, const struct asn *next,
-               const struct rep_replica *p, size_t *vms, size_t want)
+pick_configured (const struct rep *r, clk_ms now, const struct asn *next,
+                 const struct rep_replica *p, size_t *vms, size_t want)
 {
   size_t n = 0;
 
@@ -305,21 +305,21 @@
     {
       struct rep_vm *vm = rep_vm_find (r, r->cfg->vms[p->cfg->vms[i]].name);
 
-      if (vm && may_take_declared (r, now, next, vm, p->name))
-        add_if_missing (vms, &n, (size_t)(vm - r->vms));
+      if (vm && is_usable_for (r, now, next, vm, p->name))
+        add_unique (vms, &n, (size_t)(vm - r->vms));
     }
   return n;
 }
 
 static size_t
-fill_with_free (const struct rep *r, clk_ms now, const struct asn *next,
-                size_t *vms, size_t n, size_t want)
+add_free_vms (const struct rep *r, clk_ms now, const struct asn *next,
+              size_t *vms, size_t n, size_t want)
 {
   for (int spares = 0; spares < 2; spares++)
     for (size_t i = 0; i < r->nvms && n < want; i++)
       if (r->vms[i].cfg->spare_only == (spares == 1)
           && is_free (r, now, next, &r->vms[i]))
-        add_if_missing (vms, &n, i);
+        add_unique (vms, &n, i);
   return n;
 }
 
@@ -358,19 +358,19 @@
 
   if (want > ASN_MAX_VMS)
     return false;
-  n = pick_declared (r, now, next, p, vms, want);
+  n = pick_configured (r, now, next, p, vms, want);
   for (size_t i = 0; i < r->nvms && n < want; i++)
-    if (may_take_declared (r, now, next, &r->vms[i], p->name)
-        && str_is (r->vms[i].said.replica, p->name))
-      add_if_missing (vms, &n, i);
-  n = fill_with_free (r, now, next, vms, n, want);
+    if (is_usable_for (r, now, next, &r->vms[i], p->name)
+        && str_is (r->vms[i].reported.replica, p->name))
+      add_unique (vms, &n, i);
+  n = add_free_vms (r, now, next, vms, n, want);
   if (n < want)
     return false;
   /* A generation that some VM has seen is never reused, even if the assignment
      was lost. */
   for (size_t i = 0; i < n; i++)
-    if (r->vms[vms[i]].said.generation > next->next_generation)
-      next->next_generation = r->vms[vms[i]].said.generation;
+    if (r->vms[vms[i]].reported.generation > next->next_generation)
+      next->next_generation = r->vms[vms[i]].reported.generation;
   e = asn_add (next, str_from (p->name), p->model->name);
   for (size_t i = 0; i < n; i++)
     asn_entry_add_vm (e, r->vms[vms[i]].cfg->name);
@@ -393,7 +393,7 @@
 }
 
 static unsigned
-whole_of_model (const struct rep *r, const struct rep_replica *p)
+count_complete (const struct rep *r, const struct rep_replica *p)
 {
   unsigned n = 0;
 
@@ -411,11 +411,11 @@
         struct rep_replica *p = &r->replicas[i];
 
         if (!p->managed || !p->model || asn_find (next, p->name)
-            || asn_is_drained (next, p->name) || whole_of_model (r, p) != live)
+            || asn_is_drained (next, p->name) || count_complete (r, p) != live)
           continue;
         if (!form_or_adopt (r, now, next, p))
           continue;
-        evd_step (r, p, "propose");
+        evd_apply_event (r, p, "propose");
         return true;
       }
   return false;
--- a/replica/replica.c
+++ b/replica/replica.c
@@ -13,7 +13,7 @@
   buf_add (&r->key, opt->key);
   buf_add (&r->owner_key, opt->owner_key);
   r->chart = chart_embedded ("replica");
-  r->turn = true;
+  r->may_load = true;
   rng_seed (&r->rng, seed);
   return r;
 }
@@ -33,10 +33,10 @@
     return;
   for (size_t i = 0; i < r->nreplicas; i++)
     free (r->replicas[i].name);
-  for (size_t i = 0; i < r->ndrains; i++)
-    free (r->drains[i].name);
-  for (size_t i = 0; i < r->nlives; i++)
-    free (r->lives[i].model);
+  for (size_t i = 0; i < r->npending_drains; i++)
+    free (r->pending_drains[i].name);
+  for (size_t i = 0; i < r->nlive_counts; i++)
+    free (r->live_counts[i].model);
   free_vms (r->vms, r->nvms);
   asn_free (&r->doc);
   asn_free (&r->next);
@@ -47,8 +47,8 @@
   buf_free (&r->owner_key);
   buf_free (&r->next_text);
   free (r->replicas);
-  free (r->drains);
-  free (r->lives);
+  free (r->pending_drains);
+  free (r->live_counts);
   free (r->queue);
   free (r->views);
   free (r);
@@ -91,7 +91,7 @@
 }
 
 struct rep_replica *
-rep_replica_named (const struct rep *r, struct str name)
+rep_replica_by_name (const struct rep *r, struct str name)
 {
   for (size_t i = 0; i < r->nreplicas; i++)
     if (str_is (name, r->replicas[i].name))
@@ -102,7 +102,7 @@
 struct rep_replica *
 rep_replica_find (const struct rep *r, const char *name)
 {
-  return rep_replica_named (r, str_from (name));
+  return rep_replica_by_name (r, str_from (name));
 }
 
 /* Keep the state of VMs whose name and address did not change; the same name
@@ -140,7 +140,7 @@
   struct rep_vm *v = rep_vm_find (r, vm);
 
   if (!v)
-    p->declared_all = false;
+    p->has_all_vms = false;
   else if (p->nvms < ASN_MAX_VMS)
     p->vms[p->nvms++] = (size_t)(v - r->vms);
 }
@@ -152,7 +152,7 @@
       = p->managed || !p->cfg ? asn_find (&r->doc, p->name) : NULL;
 
   p->nvms = 0;
-  p->declared_all = true;
+  p->has_all_vms = true;
   if (e)
     for (size_t i = 0; i < e->nvms; i++)
       add_member (r, p, str_from (e->vms[i]));
@@ -164,7 +164,7 @@
 static struct rep_replica *
 ensure_replica (struct rep *r, struct str name, clk_ms now)
 {
-  struct rep_replica *p = rep_replica_named (r, name);
+  struct rep_replica *p = rep_replica_by_name (r, name);
 
   if (p)
     return p;
@@ -179,9 +179,9 @@
 }
 
 static void
-drop_replica (struct rep *r, size_t i)
+remove_replica (struct rep *r, size_t i)
 {
-  evd_step (r, &r->replicas[i], "remove");
+  evd_apply_event (r, &r->replicas[i], "remove");
   free (r->replicas[i].name);
   r->nreplicas--;
   memmove (&r->replicas[i], &r->replicas[i + 1],
@@ -213,7 +213,7 @@
     ensure_replica (r, str_from (r->doc.entries[i].name), now);
   for (size_t i = r->nreplicas; i-- > 0;)
     if (!r->replicas[i].cfg && !asn_find (&r->doc, r->replicas[i].name))
-      drop_replica (r, i);
+      remove_replica (r, i);
     else
       set_members (r, &r->replicas[i]);
   evd_update_all (r, now);
@@ -234,14 +234,14 @@
 }
 
 static void
-update_holders (struct rep *r, clk_ms now, const struct rep_vm *vm)
+update_replicas_of (struct rep *r, clk_ms now, const struct rep_vm *vm)
 {
   size_t index = (size_t)(vm - r->vms);
 
   for (size_t i = 0; i < r->nreplicas; i++)
     {
       struct rep_replica *p = &r->replicas[i];
-      bool holds = p->managed && !r->doc_known;
+      bool holds = p->managed && !r->has_doc;
 
       for (size_t v = 0; v < p->nvms; v++)
         holds = holds || p->vms[v] == index;
@@ -257,34 +257,34 @@
   vm->answered = true;
   vm->answered_at = now;
   vm->failures = 0;
-  vm->lost_at = 0;
+  vm->missing_since = 0;
   buf_clear (&vm->replica);
   buf_add (&vm->replica, said->replica);
-  vm->said = *said;
-  vm->said.replica = buf_str (&vm->replica);
+  vm->reported = *said;
+  vm->reported.replica = buf_str (&vm->replica);
   if (said->load)
     vm->idle_since = 0;
   else if (!vm->idle_since)
     vm->idle_since = now;
-  update_holders (r, now, vm);
+  update_replicas_of (r, now, vm);
 }
 
 static void
 on_probe_failed (struct rep *r, clk_ms now, struct rep_vm *vm)
 {
   vm->failures++;
-  if (!vm->lost_at)
-    vm->lost_at = now;
-  update_holders (r, now, vm);
+  if (!vm->missing_since)
+    vm->missing_since = now;
+  update_replicas_of (r, now, vm);
 }
 
 static void
 on_platform (struct rep *r, clk_ms now, struct rep_vm *vm, bool live)
 {
-  if (vm->leaving == !live)
+  if (vm->leaving_platform == !live)
     return;
-  vm->leaving = !live;
-  update_holders (r, now, vm);
+  vm->leaving_platform = !live;
+  update_replicas_of (r, now, vm);
 }
 
 static void
@@ -306,7 +306,7 @@
 }
 
 static void
-measure (struct rep *r, clk_ms now)
+update_stats (struct rep *r, clk_ms now)
 {
   double span = r->measured_at ? (double)(now - r->measured_at) : 0;
 
@@ -329,24 +329,24 @@
 /* Record the start of a VM's absence, on which the cost of a repair depends.
  */
 static void
-note_lost (struct rep *r, clk_ms now)
+record_missing (struct rep *r, clk_ms now)
 {
   for (size_t i = 0; i < r->nvms; i++)
-    if (!r->vms[i].lost_at && !evd_present (&r->vms[i], now))
-      r->vms[i].lost_at = now;
+    if (!r->vms[i].missing_since && !evd_present (&r->vms[i], now))
+      r->vms[i].missing_since = now;
 }
 
 static void
 tick (struct rep *r, clk_ms now)
 {
-  measure (r, now);
+  update_stats (r, now);
   for (size_t i = 0; i < r->nvms; i++)
     if (now >= r->vms[i].next_probe)
       {
         r->vms[i].next_probe = now + REP_PROBE_MS;
         rep_push (r, REP_PROBE)->vm = r->vms[i].cfg;
       }
-  note_lost (r, now);
+  record_missing (r, now);
   evd_update_all (r, now);
   chg_tick (r, now);
   chg_decide (r, now);
@@ -368,7 +368,7 @@
       on_config (r, now, ev->cfg);
       break;
     case REP_ASSIGNMENT:
-      chg_set (r, now, ev->value, ev->mod_rev);
+      chg_set_doc (r, now, ev->value, ev->mod_rev);
       break;
     case REP_PROBED:
       if (vm)
@@ -384,22 +384,22 @@
       break;
     case REP_ORDER_DONE:
       if (vm)
-        ord_done (r, now, vm, ev->token, ev->on);
+        ord_on_response (r, now, vm, ev->token, ev->on);
       break;
     case REP_STORE_ANSWER:
-      chg_answer (r, now, ev->token, ev->result);
+      chg_on_response (r, now, ev->token, ev->result);
       break;
     case REP_OWNER:
       on_owner (r, now, ev->on, ev->fence);
       break;
     case REP_DRAIN:
-      drn_ask (r, ev->replica, ev->on);
+      drn_request (r, ev->replica, ev->on);
       break;
     case REP_TURN:
-      r->turn = ev->on;
+      r->may_load = ev->on;
       break;
     case REP_LIVE:
-      bud_live (r, ev->model, ev->live);
+      bud_set_live_count (r, ev->model, ev->live);
       break;
     }
 }
