--- a/replica/budget.c
+++ b/replica/budget.c
@@ -34,20 +34,20 @@
    number, else in this domain.  Replicas that are loading here are added, as
    they will be complete soon. */
 static unsigned
-live_replicas (const struct rep *r, const struct cfg_model *m)
+count_live (const struct rep *r, const struct cfg_model *m)
 {
-  unsigned whole = 0, loading = 0;
+  unsigned complete = 0, loading = 0;
 
   for (size_t i = 0; i < r->nreplicas; i++)
     if (r->replicas[i].model == m)
       {
-        whole += r->replicas[i].whole;
+        complete += r->replicas[i].whole;
         loading += r->replicas[i].has_slot;
       }
   for (size_t i = 0; i < r->nlive_counts; i++)
     if (str_is (m->name, r->live_counts[i].model))
-      whole = r->live_counts[i].live;
-  return whole + loading;
+      complete = r->live_counts[i].live;
+  return complete + loading;
 }
 
 static bool
@@ -77,23 +77,23 @@
 static bool
 slot_expired (const struct rep *r, clk_ms now, const struct rep_replica *p)
 {
-  clk_ms most = SLOT_MIN_MS;
+  clk_ms limit_ms = SLOT_MIN_MS;
 
   if (!can_load (r, now, p))
     return true;
-  most += SLOT_MAX_FACTOR * bud_load_ms (r, p->model);
-  return now - p->slot_since > most;
+  limit_ms += SLOT_MAX_FACTOR * bud_load_ms (r, p->model);
+  return now - p->slot_since > limit_ms;
 }
 
 static bool
 loads_before (const struct rep *r, const struct rep_replica *a,
               const struct rep_replica *b)
 {
-  unsigned la = live_replicas (r, a->model);
-  unsigned lb = live_replicas (r, b->model);
+  unsigned live_a = count_live (r, a->model);
+  unsigned live_b = count_live (r, b->model);
 
-  if (la != lb)
-    return la < lb;
+  if (live_a != live_b)
+    return live_a < live_b;
   /* A replica that lost its slot because its load was stuck goes last. */
   if (a->slot_since != b->slot_since)
     return a->slot_since < b->slot_since;
--- a/replica/core.h
+++ b/replica/core.h
@@ -57,10 +57,9 @@
   const struct cfg_vm *cfg;
   bool answered;
   clk_ms answered_at;
-  unsigned failures; /* consecutive */
-  clk_ms
-      missing_since; /* first failed probe since the last success; 0: none */
-  clk_ms idle_since; /* start of the period without load; 0: has load */
+  unsigned failures;     /* consecutive */
+  clk_ms missing_since;  /* first failed probe after a success; 0: none */
+  clk_ms idle_since;     /* start of the period without load; 0: has load */
   bool leaving_platform; /* absent from the platform's list */
   struct buf replica;
   struct rep_member_state reported; /* its string points into `replica` */
@@ -88,7 +87,7 @@
   uint32_t load;
   bool has_slot; /* may load weights (load budget) */
   clk_ms slot_since;
-  clk_ms expected_load_ms; /* expected time of its load on the weight store */
+  clk_ms expected_load_ms;
 };
 
 struct rep_pending_drain
@@ -127,7 +126,7 @@
   bool has_doc;
   bool doc_fresh;   /* read since this node became owner and since the last
                        write with an unknown outcome; else it is not acted on */
-  bool doc_invalid; /* invalid: no change is written, no order sent */
+  bool doc_invalid; /* no change is written and no order sent */
   int64_t mod_rev;
   clk_ms read_at;
   enum rep_call call;
--- a/replica/drain.c
+++ b/replica/drain.c
@@ -85,14 +85,15 @@
 static bool
 is_idle (const struct rep *r, const struct rep_replica *p, clk_ms now)
 {
-  clk_ms heard = p->drain_since + REP_PROPAGATION_MS;
+  clk_ms informed_at = p->drain_since + REP_PROPAGATION_MS;
 
   if (!p->whole)
-    return now >= heard || evd_member_missing (r, p, now);
+    return now >= informed_at || evd_member_missing (r, p, now);
   for (size_t i = 0; i < p->nvms; i++)
     {
       const struct rep_vm *vm = &r->vms[p->vms[i]];
-      clk_ms from = vm->idle_since > heard ? vm->idle_since : heard;
+      clk_ms from
+          = vm->idle_since > informed_at ? vm->idle_since : informed_at;
 
       if (!vm->idle_since || now - from < REP_IDLE_MS)
         return false;
--- a/replica/evidence.c
+++ b/replica/evidence.c
@@ -172,12 +172,12 @@
 }
 
 static void
-set_whole (struct rep *r, clk_ms now, struct rep_replica *p, bool whole)
+set_complete (struct rep *r, clk_ms now, struct rep_replica *p, bool complete)
 {
-  if (whole == p->whole)
+  if (complete == p->whole)
     return;
-  p->whole = whole;
-  if (whole)
+  p->whole = complete;
+  if (complete)
     p->has_slot = false;
   else
     p->down_since = now;
@@ -199,7 +199,7 @@
   if (p->nvms && (!p->managed || !r->has_doc))
     evd_apply_event (r, p, "assigned");
   aggregate_members (r, p);
-  set_whole (r, now, p, all_members_ready (r, p, now));
+  set_complete (r, now, p, all_members_ready (r, p, now));
   drn_update (r, now, p);
   evd_apply_event (r, p, p->draining ? "drain" : "undrain");
   if (p->whole)
--- a/replica/place.c
+++ b/replica/place.c
@@ -20,10 +20,10 @@
 /** State of a replica that lost members. */
 struct loss
 {
-  unsigned vms;       /* members of the replica */
-  unsigned missing;   /* members that are missing */
-  unsigned spares;    /* free VMs */
-  unsigned unloading; /* VMs that are being unloaded */
+  unsigned vms;
+  unsigned missing;
+  unsigned spares; /* free VMs */
+  unsigned unloading;
   bool helps_another; /* its present VMs could repair another replica */
   clk_ms absent_ms;   /* longest absence of a missing member */
   bool no_return;
@@ -108,23 +108,23 @@
 {
   double down = r->cfg->policy.downtime_weight;
   double held = r->cfg->policy.stranded_weight;
-  double back = expected_return_s (r, l);
+  double return_s = expected_return_s (r, l);
   double restart = (double)RESTART_MS / 1000;
-  double recall = (double)RECLAIM_MS / 1000;
+  double reclaim = (double)RECLAIM_MS / 1000;
   double load = (double)l->load_ms / 1000;
   double part = load * l->missing / l->vms + restart;
   double left = l->vms - l->missing;
-  double wait = (back + part) * (down + held * left);
-  double swap = part * (down + held * l->vms);
-  double again = recall + load + restart;
-  double dissolve = down * (back + again) + held * l->vms * again;
+  double wait = (return_s + part) * (down + held * left);
+  double replace = part * (down + held * l->vms);
+  double reload = reclaim + load + restart;
+  double dissolve = down * (return_s + reload) + held * l->vms * reload;
 
   if (l->spares >= l->missing)
-    return swap < wait ? REPAIR_REPLACE : REPAIR_WAIT;
+    return replace < wait ? REPAIR_REPLACE : REPAIR_WAIT;
   if (l->spares + l->unloading >= l->missing)
     return REPAIR_WAIT;
   if (l->helps_another)
-    dissolve -= (back - part) * (down + held * left);
+    dissolve -= (return_s - part) * (down + held * left);
   return dissolve < wait ? REPAIR_DISSOLVE : REPAIR_WAIT;
 }
 
@@ -197,14 +197,14 @@
   for (size_t i = 0; i < e->nvms; i++)
     {
       const struct rep_vm *vm = rep_vm_find (r, str_from (e->vms[i]));
-      clk_ms away = vm && vm->missing_since ? now - vm->missing_since : 0;
+      clk_ms absent = vm && vm->missing_since ? now - vm->missing_since : 0;
 
       if (!is_missing (r, now, e->vms[i]))
         continue;
       l.missing++;
       l.no_return = l.no_return || !vm || vm->leaving_platform;
-      if (away > l.absent_ms)
-        l.absent_ms = away;
+      if (absent > l.absent_ms)
+        l.absent_ms = absent;
     }
   return l;
 }
--- a/replica/replica.c
+++ b/replica/replica.c
@@ -252,17 +252,17 @@
 
 static void
 on_probed (struct rep *r, clk_ms now, struct rep_vm *vm,
-           const struct rep_member_state *said)
+           const struct rep_member_state *state)
 {
   vm->answered = true;
   vm->answered_at = now;
   vm->failures = 0;
   vm->missing_since = 0;
   buf_clear (&vm->replica);
-  buf_add (&vm->replica, said->replica);
-  vm->reported = *said;
+  buf_add (&vm->replica, state->replica);
+  vm->reported = *state;
   vm->reported.replica = buf_str (&vm->replica);
-  if (said->load)
+  if (state->load)
     vm->idle_since = 0;
   else if (!vm->idle_since)
     vm->idle_since = now;
