--- a/claim/asker.c
+++ b/claim/asker.c
@@ -8,7 +8,8 @@
   return CLM_ASKER_ASK;
 }
 
-/** With one target alone, the core that was asked releases by itself. */
+/** With only one target, the core in this process releases the claim
+    itself. */
 static enum clm_asker_do
 give_up (struct clm_asker *a, bool may_land)
 {
@@ -62,29 +63,30 @@
 clm_asker_answer (struct clm_asker *a, clk_ms now, enum clm_verdict verdict)
 {
   a->answered++;
-  /* Two nodes may grant the same attempt.  Once one grant was handed on, the
-     second must not be taken for a leftover: its release would let a repeat
-     run beside the request that is being sent. */
+  /* Two nodes may grant the same attempt.  Once one grant was passed on, the
+     second must not be released: the release would let a retry run beside the
+     call that is being sent. */
   if (a->over)
     return verdict == CLM_GRANTED && !a->granted ? CLM_ASKER_RELEASE
                                                  : CLM_ASKER_NOTHING;
   if (now >= a->deadline && verdict == CLM_GRANTED)
     {
-      /* The grant is recorded, and its caller is told that it did not run. */
+      /* The claim is recorded, but the caller is told that it was refused. */
       a->over = true;
       return CLM_ASKER_GIVE_UP_LATE;
     }
   if (now >= a->deadline)
     return give_up (a, a->answered < a->asked);
-  /* A node does not tell whether it had the ask on its way to the store. */
+  /* A node does not report whether a write of the claim is pending. */
   if (verdict == CLM_UNAVAILABLE)
     return give_up (a, true);
   a->over = true;
   a->granted = verdict == CLM_GRANTED;
-  /* A frozen home that was asked before may wake and record the claim once
-     the holder that this verdict is about has released the key.  Nobody will
-     send for it, and callers would hear "running" for the whole window; a
-     release in the store voids the record whichever lands first. */
+  /* A suspended home that was tried before may resume and record the claim
+     once the holder reported by this verdict has released the key.  No call
+     would be sent for that record, and callers would be told "running" for the
+     whole window.  A release in the store voids the record whichever of the
+     two is applied first. */
   return !a->granted && a->answered < a->asked ? CLM_ASKER_REPLY_LATE
                                                : CLM_ASKER_REPLY;
 }
--- a/claim/batch.h
+++ b/claim/batch.h
@@ -1,23 +1,24 @@
 /**
  * @file
- * Names and values of claims in the store.
+ * Keys and values of claims in the store.
  *
  * Keys of shard SS under the prefix:
- *   claim/SS/b/BASE-BOOT-SEQ  one batch of records
- *   claim/SS/head             who wrote the last batch
- * BASE is the head's mod_revision that the batch was compared with, so a
- * range that begins at a known head revision holds just what came after it
- * ("head" sorts behind "b/", so the same range shows the head).
+ *   claim/SS/b/BASE-BOOT-SEQ  a batch of records
+ *   claim/SS/head             the writer of the last batch
+ * BASE is the head's mod_revision that the batch was compared with, so a range
+ * that starts at a known head revision contains exactly the later batches
+ * ("head" sorts after "b/", so the same range includes the head).
  *
- * Every batch's BASE is the mod_revision of the batch before it; a reader
- * sees by this chain whether something is missing.
+ * The BASE of each batch is the mod_revision of the batch before it.  A reader
+ * follows this chain to detect missing batches.
  */
 #ifndef LAPISLINE_CLAIM_BATCH_H
 #define LAPISLINE_CLAIM_BATCH_H
 
 #include "claim/claim.h"
 
-/** Most records of one batch: a tenth of the store's largest value. */
+/** Maximum number of records in a batch: a tenth of the store's largest
+    value. */
 #define BAT_MAX_RECORDS ((size_t)2048)
 
 /** A change of one claim. */
@@ -41,20 +42,21 @@
 void bat_key (struct buf *out, struct str prefix, unsigned shard,
               const struct bat_name *name);
 
-/** Where the range of batches compared with @p base or later begins. */
+/** Range of the batches that were compared with @p base or later, and the
+    head. */
 void bat_range (struct buf *key, struct buf *end, struct str prefix,
                 unsigned shard, int64_t base);
 
-/** False for a key that is no batch (the head). */
+/** Returns false if the key is not a batch, for example the head. */
 bool bat_parse_key (struct str key, struct bat_name *out);
 
-/** Begin a value, then append records. */
+/** Start a value; records are appended to it. */
 void bat_begin (struct buf *out);
 void bat_add (struct buf *out, const struct bat_record *r);
 
 /**
- * Number of records.
- * @retval false  not a value of this version: the claims in it are unknown
+ * Count the records.
+ * @retval false  unknown format version: the claims in the value are unknown
  */
 bool bat_count (struct str value, size_t *n);
 void bat_get (struct str value, size_t i, struct bat_record *out);
--- a/claim/calls.c
+++ b/claim/calls.c
@@ -1,7 +1,8 @@
-/* Whether the store is taken as up or down, and the lease of batch keys. */
+/* Availability of the store, and the lease of batch keys. */
 #include "claim/core.h"
 
-/** Wait between tries while the store is down: doubles up to the last. */
+/** Delay between calls while the store is down; doubles from the first to the
+    last. */
 #define PROBE_FIRST_MS ((clk_ms)125)
 #define PROBE_LAST_MS CLK_SECOND
 
@@ -60,8 +61,6 @@
   c->probe_at = now + wait;
 }
 
-/* The lease of batch keys. */
-
 clk_ms
 core_expiry (const struct clm *c, clk_ms now)
 {
@@ -93,7 +92,7 @@
 }
 
 /** A batch must outlive window + CLM_SLACK_MS, so a lease is used only while
-    one and a half windows are left, which is half a window for a new one. */
+    one and a half windows remain, which is half a window for a new lease. */
 void
 core_lease_answer (struct clm *c, clk_ms now, const struct store_result *r)
 {
--- a/claim/claim.c
+++ b/claim/claim.c
@@ -6,8 +6,8 @@
 #define RETRY_DOWN_MS (2 * CLK_SECOND)
 #define RETRY_BUSY_MS ((clk_ms)500)
 
-/** A batch lives for one and a half windows at least, a claim must be held
-    for the window and the slack. */
+/** A batch lives for at least one and a half windows, and a claim must be held
+    for the window plus the slack. */
 #define LEAST_WINDOW_MS (2 * CLM_SLACK_MS)
 
 static void
@@ -60,7 +60,7 @@
 {
   if (window < LEAST_WINDOW_MS)
     window = LEAST_WINDOW_MS;
-  /* A lease at hand was asked for twice the old window. */
+  /* The current lease was requested with twice the old window. */
   if (window != c->opt.window)
     c->lease.id = 0;
   c->opt.window = window;
@@ -81,7 +81,7 @@
   free (c);
 }
 
-/* Lists of waiters. */
+/* Lists of waiting requests. */
 
 void
 waiter_append (struct waiter_list *l, struct waiter *w)
@@ -127,7 +127,7 @@
   return &a->action;
 }
 
-/** Forget the actions that were read, with the answers that they carry. */
+/** Free the actions that were fetched, with their responses. */
 static void
 begin_event (struct clm *c)
 {
@@ -188,9 +188,9 @@
   if (w->ask.kind != CLM_TAKE || !w->ask.final || !rec
       || rec->state == TBL_RELEASED || s->waiting.n >= CORE_MAX_WAIT)
     return;
-  /* The record is in the store or may land in it, though its asker has been
-     told that it did not run: without a release every repeat would be
-     refused for the whole window.  The asker sends nothing any more. */
+  /* The claim is or may become recorded in the store, although the requester
+     was told that it was refused.  Without a release, every retry would be
+     refused for the whole window.  The requester will not send the call. */
   release = xcalloc (1, sizeof *release);
   release->ask = w->ask;
   release->ask.kind = CLM_RELEASE;
@@ -214,7 +214,8 @@
                  && (now >= w->deadline || (all && w->ask.kind == CLM_TAKE));
       if (due)
         core_unavailable (c, s, w);
-      /* A release goes on: its asker has given up, not taken it back. */
+      /* Keep the release: the requester stopped waiting but did not cancel
+         it. */
       if (due && w->ask.kind == CLM_TAKE)
         {
           c->demand = (int)s->no;
@@ -366,7 +367,7 @@
   clk_ms call = c->fails ? c->probe_at : 0;
   unsigned normal;
 
-  /* An open call's answer comes as an event of its own. */
+  /* The response to the open call will trigger the next event. */
   if (c->lease.token || (c->fails && core_open_calls (c, &normal)))
     return wake;
   if (c->demand >= 0 && c->fails && call < wake)
--- a/claim/claim.h
+++ b/claim/claim.h
@@ -1,46 +1,48 @@
 /**
  * @dir claim
- * At most once over all nodes.
+ * At-most-once execution across all nodes.
  *
- *   claim.h  the home's side: claims are recorded in the store
- *   asker.h  the asker's side: whom it asks, and when it is over
- *   core.h   inside of claim.h, with its files
+ *   claim.h  the home node's side: recording claims in the store
+ *   asker.h  the requesting side: which nodes are tried, and until when
+ *   core.h   internal declarations of claim.h
  *   table.h, batch.h   claims in memory and in the store
  *
- * A claim is asked for, written, granted and then released or finished; a
- * shard's write goes by charts/store-write.json.  The caller is front/claims;
- * route/ knows the verdicts.
+ * A claim is requested, written, granted and then released or finished.  A
+ * shard's write follows charts/store-write.json.  The caller is front/claims;
+ * route/ uses the verdicts.
  */
 /**
  * @file
- * At most once over all nodes: claims on idempotency keys (decision core).
+ * At-most-once execution across all nodes: claims on idempotency keys
+ * (decision core).
  *
- * A claim is recorded in the store before the request goes to a backend
- * server.  Claims are spread over CLM_SHARDS shards.  Every shard has a head
- * key; one transaction compares the head's mod_revision, writes the head and
- * writes one batch key with all claims that wait (group commit, one open
- * transaction per shard).  Batch keys hang on store leases of twice the
- * window, so the store forgets them by itself.
+ * A claim is recorded in the store before the call is sent to a backend
+ * server. Claims are spread over CLM_SHARDS shards.  Each shard has a head
+ * key.  One transaction compares the head's mod_revision, writes the head and
+ * writes one batch key with all waiting claims (group commit, one open
+ * transaction per shard).  Batch keys are attached to store leases of twice
+ * the window, so the store deletes them without further calls.
  *
- * The home node of a shard (rendezvous hash) only serves speed: it keeps the
- * shard's claims in memory and needs no read before a write.  Two nodes that
- * both believe to be home can't both win, because the compare on the head
- * lets one of them through and the other reads again what it missed.
+ * Having one home node per shard (rendezvous hash) is only an optimization: it
+ * holds the shard's claims in memory and needs no read before a write.  If two
+ * nodes act as home, they can't both grant a key: the compare on the head
+ * accepts one write, and the other node reads the records that it missed.
  *
- * A claim is identified by (key, attempt).  Asking again with the same
- * attempt is answered as before, so a lost answer costs nothing, and any
- * number of homes may be asked for one attempt.
+ * A claim is identified by (key, attempt).  Repeating a request with the same
+ * attempt gives the same result, so a lost response is harmless, and any
+ * number of nodes may receive the request for one attempt.
  *
- * Frozen processes.  A home that was stopped holds an old head revision: its
- * next transaction conflicts, or nobody wrote meanwhile and it knows all.  An
- * asker that was stopped between the grant and its send could wake after the
- * window, when another attempt has the key; so a grant counts only for
- * CLM_GRANT_MS, by a clock that goes on through pauses, and the asker looks
- * at it right before it sends (clm_grant_valid()).  From the ask to the send
- * pass at most CLM_ASK_MS + CLM_GRANT_MS; a record is made after the ask or
- * at most CLM_AGAIN_MS before it, and holds for window + CLM_SLACK_MS, the
- * sum of the three.  So whoever takes the key next sends at least one window
- * after the first send.  What is left is a stop between that last look and
+ * Suspended processes.  A home that was suspended has an old head revision:
+ * its next transaction conflicts, unless no node wrote in between and its
+ * records are complete.  A requester that was suspended between grant and send
+ * could resume after the window, when another attempt holds the key.  A grant
+ * is therefore valid only for CLM_GRANT_MS, by a clock that continues during
+ * suspension, and the requester checks it immediately before sending
+ * (clm_grant_valid()).  At most CLM_ASK_MS + CLM_GRANT_MS pass between request
+ * and send.  A record is made after the request or at most CLM_AGAIN_MS before
+ * it and is held for window + CLM_SLACK_MS, where the slack is the sum of the
+ * three.  So the next attempt on the key is sent at least one window after the
+ * first one was sent. The remaining gap is a suspension between this check and
  * the system call that sends, for longer than the window.
  */
 #ifndef LAPISLINE_CLAIM_CLAIM_H
@@ -52,71 +54,72 @@
 #include "store/store.h"
 
 /**
- * Shards of the key space.  The store sees at most shards / gap transactions
- * a second; for one such rate, fewer shards allow a shorter gap and so less
- * waiting (docs/DESIGN.md has the figures).
+ * Shards of the key space.  The store receives at most shards / gap
+ * transactions a second.  For the same rate, fewer shards allow a shorter gap
+ * and so a shorter wait (docs/DESIGN.md has the figures).
  */
 #define CLM_SHARDS 8
 
-/** How long after its grant came an asker may still send. */
+/** A requester may send the call until this long after it received the
+    grant. */
 #define CLM_GRANT_MS (5 * CLK_SECOND)
 
-/** Longest wait of an asker for a grant. */
+/** Maximum time that a requester waits for a grant. */
 #define CLM_ASK_MS (3 * CLK_SECOND)
 
-/** For so long a record serves the same attempt again; later it is made
-    anew, as other homes may be about to forget it. */
+/** A record of the same attempt is reused for this long.  An older one is
+    written again, as other nodes may be about to expire it. */
 #define CLM_AGAIN_MS (2 * CLK_SECOND)
 
-/** How much longer than the window a claim is held. */
+/** Time that a claim is held beyond the window. */
 #define CLM_SLACK_MS (CLM_GRANT_MS + CLM_ASK_MS + CLM_AGAIN_MS)
 
-/** Wait of an ask that names none. */
+/** Default timeout of a request. */
 #define CLM_WAIT_MS (2 * CLK_SECOND)
 
-/** Least time between two transactions of a shard, unless options say. */
+/** Default for the minimum time between two transactions of a shard. */
 #define CLM_GAP_MS ((clk_ms)50)
 
-/** Claims held in memory, unless options say.  More are refused. */
+/** Default for the maximum number of claims in memory; more are refused. */
 #define CLM_MAX_CLAIMS ((size_t)1 << 20)
 
-/** How long a claim without a known end is answered as running. */
+/** A claim whose outcome is unknown is reported as running for this long. */
 #define CLM_RUNNING_MS (2 * CLK_MINUTE)
 
 enum clm_kind
 {
-  CLM_TAKE,    /**< before sending */
-  CLM_RELEASE, /**< surely not run: a repeat may run */
-  CLM_FINISH   /**< ran to its end: keep the answer for repeats */
+  CLM_TAKE,    /**< before the call is sent */
+  CLM_RELEASE, /**< certainly not executed: a retry may run */
+  CLM_FINISH   /**< executed: keep the response for retries */
 };
 
 enum clm_verdict
 {
-  CLM_GRANTED,     /**< recorded; this attempt may send */
-  CLM_RUNNING,     /**< another attempt holds it and has not ended */
-  CLM_ANSWERED,    /**< done; the kept answer is attached */
-  CLM_UNKNOWN,     /**< taken in the past, its end is not known */
-  CLM_MISMATCH,    /**< same key, another request (fingerprint differs) */
-  CLM_UNAVAILABLE, /**< surely not recorded and never will be for this
-                        attempt, or so the asker must not send; retry later */
-  CLM_DONE         /**< of release and finish */
+  CLM_GRANTED,     /**< recorded; this attempt may send the call */
+  CLM_RUNNING,     /**< held by another attempt that has not finished */
+  CLM_ANSWERED,    /**< finished; the stored response is attached */
+  CLM_UNKNOWN,     /**< claimed earlier; outcome unknown */
+  CLM_MISMATCH,    /**< same key, different request (fingerprint differs) */
+  CLM_UNAVAILABLE, /**< not recorded, or the requester must not send in any
+                      case; retry later */
+  CLM_DONE         /**< result of release and finish */
 };
 
 struct clm_ask
 {
-  uint64_t id;     /**< the shell's, to match the reply */
+  uint64_t id;     /**< set by the caller, returned in the reply */
   uint8_t key[16]; /**< digest of account, route and key */
   uint8_t attempt[16];
   uint8_t fingerprint[16]; /**< digest of method, path and body */
   enum clm_kind kind;
   int answer_status;
-  struct str answer; /**< of CLM_FINISH; kept in memory only */
+  struct str answer; /**< for CLM_FINISH; kept in memory only */
   clk_ms wait_ms;    /**< 0: CLM_WAIT_MS */
   /**
-   * The asker asks nobody else for this attempt, so CLM_UNAVAILABLE is its
-   * last word: if the record may still land, the core releases it.  A home
-   * that is asked by another node must not do so: the asker may since have
-   * got its grant from the next node.
+   * The requester tries no other node for this attempt, so CLM_UNAVAILABLE
+   * ends it.  If the record may still be applied, the core releases it.  A
+   * home must not do so for a request from another node, which may have
+   * received its grant from the next node in the meantime.
    */
   bool final;
 };
@@ -133,9 +136,9 @@
 enum clm_action_kind
 {
   CLM_ACT_REPLY,
-  CLM_ACT_TXN,   /**< answer by clm_store_answer() with the same token */
-  CLM_ACT_RANGE, /**< likewise */
-  CLM_ACT_GRANT  /**< a store lease of ttl, likewise */
+  CLM_ACT_TXN,   /**< pass the response to clm_store_answer(), with token */
+  CLM_ACT_RANGE, /**< the same */
+  CLM_ACT_GRANT  /**< a store lease of ttl; the same */
 };
 
 struct clm_action
@@ -143,27 +146,28 @@
   enum clm_action_kind kind;
   uint64_t token;
   struct clm_reply reply;
-  struct store_txn txn; /**< owned by the core until its answer */
+  struct store_txn txn; /**< owned by the core until the response */
   struct str key, end;
   clk_ms ttl;
 };
 
 struct clm_options
 {
-  struct str prefix; /**< of all store keys */
+  struct str prefix; /**< prefix of all store keys */
   clk_ms window;     /**< how long a key is remembered */
-  size_t kept_bytes; /**< memory for kept answers, oldest out first */
-  uint64_t boot;     /**< random: no two processes may ever share it */
-  clk_ms gap_ms;     /**< between transactions of a shard; 0: CLM_GAP_MS */
+  size_t kept_bytes; /**< memory limit of stored responses; the oldest are
+                        evicted first */
+  uint64_t boot;     /**< random; must be unique to each process */
+  clk_ms gap_ms; /**< minimum between transactions of a shard; 0: CLM_GAP_MS */
   size_t max_claims; /**< 0: CLM_MAX_CLAIMS */
 };
 
-/** Since the start, for metrics and benches. */
+/** Counters since the start, for metrics and benchmarks. */
 struct clm_counts
 {
   uint64_t txns, conflicts, uncertain, reads, whole_reads;
-  uint64_t settled_found;  /**< lost writes that turned out applied */
-  uint64_t settled_absent; /**< and those that were written again */
+  uint64_t settled_found;  /**< uncertain writes that were found applied */
+  uint64_t settled_absent; /**< uncertain writes that were sent again */
   uint64_t batch_records, batch_bytes;
   uint64_t granted, refused, unavailable, releases, late_releases;
 };
@@ -173,7 +177,7 @@
 struct clm *clm_new (const struct clm_options *opt, uint64_t seed);
 void clm_free (struct clm *c);
 
-/** Change the window for claims that come from now on. */
+/** Change the window for new claims. */
 void clm_set_window (struct clm *c, clk_ms window);
 void clm_ask (struct clm *c, clk_ms now, const struct clm_ask *ask);
 void clm_store_answer (struct clm *c, clk_ms now, uint64_t token,
@@ -181,18 +185,17 @@
 void clm_tick (struct clm *c, clk_ms now);
 bool clm_next (struct clm *c, struct clm_action *out);
 
-/** Shard of a key. */
 unsigned clm_shard (const uint8_t key[16]);
 
-/** Earliest time at which a tick may change something. */
+/** Earliest time at which clm_tick() may have work. */
 clk_ms clm_wake (const struct clm *c);
 
-/** Whether a grant that came at time @p granted still allows sending. */
+/** Whether a grant received at time @p granted still permits sending. */
 bool clm_grant_valid (clk_ms granted, clk_ms now);
 
 const struct clm_counts *clm_counts (const struct clm *c);
 
-/** Claims held in memory, for the capacity figures. */
+/** Number of claims in memory. */
 size_t clm_held (const struct clm *c);
 
 #endif
--- a/claim/core.h
+++ b/claim/core.h
@@ -1,14 +1,14 @@
 /**
  * @file
- * Inside of the claim core, shared by its files only.
+ * Internal declarations of the claim core.
  *
- *   claim.c   asks in, replies out, deadlines
- *   calls.c   store up or down, the lease
- *   decide.c  what an ask gets by what is known
- *   shard.c   one shard's open write, its settling, reads
+ *   claim.c   requests, replies, deadlines
+ *   calls.c   availability of the store, the lease
+ *   decide.c  the decision on a request from the records in memory
+ *   shard.c   a shard's open write, resolving uncertain writes, reads
  *   table.c   claims in memory
- *   batch.c   names and values in the store
- *   asker.c   the other side: whom an ask goes to, and when it is over
+ *   batch.c   keys and values in the store
+ *   asker.c   the requesting side: targets and timeouts of a request
  */
 #ifndef LAPISLINE_CLAIM_CORE_H
 #define LAPISLINE_CLAIM_CORE_H
@@ -17,19 +17,20 @@
 #include "claim/batch.h"
 #include "claim/table.h"
 
-/** A refusal by what was confirmed longer ago is checked in the store. */
+/** A refusal from records that were confirmed longer ago than this is checked
+    by a read of the store first. */
 #define CORE_FRESH_MS CLK_SECOND
 
-/** Asks that wait per shard; more are refused. */
+/** Maximum number of waiting requests per shard; more are refused. */
 #define CORE_MAX_WAIT ((size_t)8192)
 
-/** An ask that is not decided yet, or a release without an asker. */
+/** A request that is not decided yet, or a release that the core queued. */
 struct waiter
 {
   struct clm_ask ask;
   clk_ms deadline;
-  bool told;           /**< its asker has got its answer */
-  struct tbl_rec *rec; /**< while in a batch */
+  bool told;           /**< the reply was sent */
+  struct tbl_rec *rec; /**< set while in a batch */
   struct waiter *next;
 };
 
@@ -44,7 +45,7 @@
   OP_NONE,
   OP_TXN,
   OP_READ_ALL,
-  OP_READ_NEW /**< from the known head on */
+  OP_READ_NEW /**< from the last head that was read */
 };
 
 struct shard
@@ -53,8 +54,8 @@
   struct waiter_list waiting;
   struct waiter_list batch; /**< of the write that is not settled */
   int write;                /**< state of chart "store-write" */
-  bool lost;     /**< an answer of this write was lost: it may land later */
-  clk_ms formed; /**< the batch was put together */
+  bool lost; /**< a response to this write was lost: it may be applied later */
+  clk_ms formed; /**< when the batch was formed */
   struct bat_name name;
   struct buf head_key, head_value, batch_key, value, range_key, range_end;
   struct store_compare compare;
@@ -63,12 +64,12 @@
   enum shard_op op;
   uint64_t token;
   clk_ms sent;
-  bool probe; /**< the open call was begun while the store was down */
+  bool probe; /**< the open call was started while the store was down */
 
-  bool known;       /**< every claim up to `head` is in the table */
+  bool known;       /**< the table holds every claim up to `head` */
   int64_t head;     /**< mod_revision of the head key, 0: none */
-  clk_ms confirmed; /**< `head` was the last one at this time or later */
-  bool want_read;   /**< somebody waits for a newer view */
+  clk_ms confirmed; /**< `head` was current at this time or later */
+  bool want_read;   /**< a request needs a newer read */
   clk_ms next_write;
   clk_ms next_read;
 };
@@ -86,16 +87,16 @@
 {
   int64_t id; /**< 0: none */
   clk_ms usable_until;
-  uint64_t token; /**< of the open call, 0: none */
+  uint64_t token; /**< of the open call; 0: none */
   clk_ms sent;
-  clk_ms next; /**< not asked for before */
+  clk_ms next; /**< earliest time of the next request */
   bool probe;
 };
 
 struct core_action
 {
   struct clm_action action;
-  char *answer; /**< owned copy for a reply */
+  char *answer; /**< copy for a reply, owned by this entry */
 };
 
 struct clm
@@ -108,9 +109,9 @@
   struct shard shards[CLM_SHARDS];
   struct core_lease lease;
   uint64_t last_token, last_seq;
-  unsigned fails;  /**< store calls failed in a row */
-  clk_ms probe_at; /**< not before then when the last call failed */
-  int demand;      /**< shard of an ask refused while down, or -1 */
+  unsigned fails;  /**< consecutive failed store calls */
+  clk_ms probe_at; /**< earliest next call after a failed one */
+  int demand;      /**< shard of a request refused while down, or -1 */
   clk_ms next_deadline;
   struct core_action *actions;
   size_t nactions, actions_cap, actions_read;
@@ -119,12 +120,12 @@
 
 /* claim.c */
 
-/** Queue an empty action of that kind. */
+/** Queue an empty action of this kind. */
 struct clm_action *core_act (struct clm *c, enum clm_action_kind kind);
 void core_reply (struct clm *c, struct waiter *w, enum clm_verdict verdict,
                  const struct tbl_rec *holder);
 
-/** Answer CLM_UNAVAILABLE; queue the release when that is final. */
+/** Reply CLM_UNAVAILABLE; queue a release if clm_ask.final requires it. */
 void core_unavailable (struct clm *c, struct shard *s, struct waiter *w);
 
 void waiter_append (struct waiter_list *l, struct waiter *w);
@@ -132,24 +133,25 @@
 
 /* calls.c */
 
-/** Failures in a row from which on the store is taken as down.  One lost
-    answer alone is settled without refusing anybody. */
+/** Consecutive failures after which the store is considered down.  A single
+    lost response is resolved without refusing requests. */
 #define CORE_DOWN_FAILS 2
 
-/** Open calls; @p normal receives those begun while it was not down. */
+/** Number of open calls; @p normal receives the number of those that were
+    started while the store was not down. */
 unsigned core_open_calls (const struct clm *c, unsigned *normal);
 
-/** Whether the store is taken as down: asks are refused at once. */
+/** Whether the store is considered down: requests are refused immediately. */
 bool core_down (const struct clm *c);
 
-/** Whether a store call may begin now. */
+/** Whether a store call may start now. */
 bool core_may_call (const struct clm *c, clk_ms now);
 void core_call_ok (struct clm *c);
 void core_call_failed (struct clm *c, clk_ms now);
 
 bool core_lease_usable (const struct clm *c, clk_ms now);
 
-/** True when a usable lease is there; else asks for one. */
+/** Returns true if there is a usable lease; otherwise requests one. */
 bool core_lease (struct clm *c, clk_ms now);
 void core_lease_answer (struct clm *c, clk_ms now,
                         const struct store_result *r);
@@ -161,8 +163,8 @@
 {
   DECIDE_REPLY, /**< `verdict`, `holder` */
   DECIDE_WRITE,
-  DECIDE_WAIT, /**< until what is on its way has settled */
-  DECIDE_READ  /**< the known refusal is old: look again first */
+  DECIDE_WAIT, /**< until the pending write has settled */
+  DECIDE_READ  /**< the recorded refusal is old: read the store first */
 };
 
 struct decided
@@ -180,15 +182,16 @@
 void shard_init (struct clm *c, struct shard *s, unsigned no);
 void shard_free (struct shard *s);
 
-/** Begin what can begin now. */
+/** Start the store call that can start now, if any. */
 void shard_pump (struct clm *c, struct shard *s, clk_ms now);
 void shard_answer (struct clm *c, struct shard *s, clk_ms now,
                    const struct store_result *r);
 
-/** Begin a read although nobody waits, to see whether the store is back. */
+/** Start a read although no request waits, to check whether the store is
+    back. */
 void shard_probe (struct clm *c, struct shard *s, clk_ms now);
 
-/** Whether something waits for a store call to begin. */
+/** Whether a store call is needed and none is open. */
 bool shard_has_work (const struct clm *c, const struct shard *s);
 
 #endif
--- a/claim/decide.c
+++ b/claim/decide.c
@@ -21,8 +21,8 @@
     return reply_with (CLM_DONE, NULL);
   if (own && own->pending != TBL_PEND_NONE)
     return just (DECIDE_WAIT);
-  /* Also when no record is known: one may be on its way from another home,
-     and must find the release when it lands. */
+  /* Write the release even if no record is known: one may be on its way from
+     another home and must be voided when it is applied. */
   return just (DECIDE_WRITE);
 }
 
@@ -32,9 +32,9 @@
 {
   if (holder->pending == TBL_PEND_RELEASE)
     return just (DECIDE_WAIT);
-  /* The holder may have released it through another home since; without a
-     look, a caller would be refused for the rest of the window.  While the
-     store is down the old knowledge is the best there is. */
+  /* The holder may have released the claim through another home.  Without a
+     read, the caller would be refused for the rest of the window.  While the
+     store is down, the records in memory are used. */
   if (!holder->answer && !core_down (c) && now - s->confirmed > CORE_FRESH_MS)
     return just (DECIDE_READ);
   if (memcmp (holder->fingerprint, w->ask.fingerprint, 16) != 0)
@@ -47,12 +47,11 @@
 }
 
 /**
- * The same attempt again, because an answer was lost or a grant ran out.
- *
- * A record that was just written serves again.  An older one may be near its
- * end at another home, or have ended there and given way to a repeat: were it
- * granted as before, both would run.  So it is written anew, unless another
- * attempt is seen to hold the key.
+ * Decides a repeated request of the same attempt, after a lost response or an
+ * expired grant.  A record that was just written is reused.  An older one may
+ * be about to expire at another home, or may have expired there and been
+ * replaced by a retry: if it were granted as before, both would run.  So it is
+ * written again, unless another attempt holds the key.
  */
 static struct decided
 decide_again (struct clm *c, const struct shard *s, const struct waiter *w,
@@ -88,7 +87,7 @@
     return decide_taken (c, s, w, holder, now);
   if (tbl_pending_other (&c->table, key, attempt))
     return just (DECIDE_WAIT);
-  /* Never make room by forgetting a claim early: its key would run again. */
+  /* Never evict a claim to make room: its key would be executed again. */
   if (c->table.n >= c->opt.max_claims)
     return reply_with (CLM_UNAVAILABLE, NULL);
   return just (DECIDE_WRITE);
--- a/claim/shard.c
+++ b/claim/shard.c
@@ -1,25 +1,26 @@
 /*
- * One shard: its single open write and how a write of unknown end is settled.
+ * One shard: its single open write, and how a write with an unknown outcome is
+ * resolved.
  *
- * A write compares the head's mod_revision with BASE and puts the head and
- * one batch key that carries BASE, our boot and a number.  Its answer may be
- * lost, and the write may be applied at any later time.  Then:
+ * A write compares the head's mod_revision with BASE and puts the head and one
+ * batch key, which contains BASE, the process's boot number and a sequence
+ * number.  If the response is lost, the write may be applied at any later
+ * time. Then:
  *
- *  - No claim of the batch is granted and no other write of this shard begins
- *    until a read has settled it.
- *  - The read shows our batch key: it was applied; grant.
- *  - It shows another head than BASE and no batch key of ours: mod_revisions
- *    only grow, so the compare can never hold again; the batch is void and
- *    its asks are decided anew by what the read brought.
- *  - It shows the head still at BASE: the write may land at any time until
- *    the head moves.  So the head has to be moved: the same write is sent
- *    again, byte for byte.  At most one of the two copies can pass the
- *    compare, and both have the same effect, so it does not matter which: if
- *    the first one lands before the second, the second conflicts and the next
- *    read shows the batch key.
+ *  - No claim of the batch is granted and no other write of this shard starts
+ *    until a read has resolved it.
+ *  - If the read returns the batch key, the write was applied: grant.
+ *  - If it returns a head other than BASE and no such batch key, the compare
+ * can never succeed, as mod_revisions only grow.  The batch is void, and its
+ *    requests are decided again from the records that were read.
+ *  - If it returns the head still at BASE, the write may be applied at any
+ * time until the head changes.  So the same write is sent again, byte for
+ * byte, to change the head.  At most one of the two copies can pass the
+ * compare, and both have the same effect.  If the first copy is applied before
+ * the second, the second conflicts and the next read returns the batch key.
  *
- * A conflict is settled by the same read, as it may be our own earlier copy
- * that made the head move.
+ * A conflict is resolved by the same read, as an earlier copy of this write
+ * may have changed the head.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -31,7 +32,7 @@
 {
   int next = chart_step (c->chart.chart, s->write, event);
 
-  /* A refused event is a fault of this file, never of the outside. */
+  /* Only a bug in this file can cause a refused event. */
   if (next == CHART_REFUSED)
     abort ();
   s->write = next;
@@ -146,8 +147,8 @@
 }
 
 /**
- * Decide what waits: answer what is known, and put what has to be written
- * into the batch if @p write says so.
+ * Decide the waiting requests: reply where the records suffice and, if @p
+ * write is set, add those that need a write to the batch.
  */
 static void
 go_through (struct clm *c, struct shard *s, clk_ms now, bool write)
@@ -231,7 +232,7 @@
     begin_read (c, s, now);
 }
 
-/* Ends of a batch. */
+/* Outcome of a batch. */
 
 static void
 settle_take (struct clm *c, struct shard *s, struct waiter *w, clk_ms now)
@@ -265,7 +266,7 @@
     }
 }
 
-/** The batch was not applied and never will be: its asks wait again. */
+/** The batch can never be applied: its requests wait again. */
 static void
 batch_void (struct clm *c, struct shard *s)
 {
@@ -287,7 +288,7 @@
     waiter_append (&s->waiting, w);
 }
 
-/* Answers. */
+/* Store responses. */
 
 static void
 merge_record (struct clm *c, const struct bat_record *b, clk_ms now)
@@ -308,12 +309,12 @@
 struct seen
 {
   int64_t head;
-  bool own;      /**< our open batch is there */
-  bool chained;  /**< nothing is missing between the known head and now */
+  bool own;      /**< the batch of this write was found */
+  bool chained;  /**< no batch is missing between the old and the new head */
   bool readable; /**< every value could be decoded */
 };
 
-/** Batches come in the order of their BASE, which is that of writing. */
+/** Batches are ordered by BASE, which is the order of writing. */
 static struct seen
 merge_range (struct clm *c, struct shard *s, const struct store_result *r,
              clk_ms now)
@@ -396,8 +397,8 @@
   seen = merge_range (c, s, r, now);
   if (!seen.readable)
     {
-      /* Written by another version: claims in it can't be seen, so nothing
-         of this shard may be granted. */
+      /* Written by an unknown version: its claims are unknown, so no claim of
+         this shard may be granted. */
       s->known = false;
       s->next_read = now + CLK_SECOND;
       if (settling)
@@ -446,7 +447,7 @@
       break;
     }
   step (c, s, c->chart.ev_unsent);
-  /* This copy was not applied; an earlier one may be on its way yet. */
+  /* This copy was not applied; an earlier one may still be in flight. */
   if (!s->lost)
     batch_void (c, s);
 }
--- a/claim/table.h
+++ b/claim/table.h
@@ -1,25 +1,26 @@
 /**
  * @file
- * Claims in memory: records by (key, attempt), found by key, that expire in
- * the order in which they were learned; kept answers with a bound on bytes.
+ * Claims in memory: records by (key, attempt), indexed by key, which expire in
+ * the order in which they were written or read; stored responses with a limit
+ * in bytes.
  *
- * Merging is independent of order: a released attempt stays released,
- * whatever is learned about it later.
+ * The order in which records are merged does not matter: a released attempt
+ * stays released, whatever is read about it later.
  */
 #ifndef LAPISLINE_CLAIM_TABLE_H
 #define LAPISLINE_CLAIM_TABLE_H
 
 #include "claim/claim.h"
 
-/** What the store is known to hold about an attempt. */
+/** State of an attempt in the store, as far as read or written. */
 enum tbl_state
 {
-  TBL_NONE,    /**< nothing yet; only `pending` counts */
-  TBL_TAKEN,   /**< may have been sent */
-  TBL_RELEASED /**< surely not run, and never will be */
+  TBL_NONE,    /**< no record yet; only `pending` applies */
+  TBL_TAKEN,   /**< the call may have been sent */
+  TBL_RELEASED /**< certainly not executed and never will be */
 };
 
-/** What is on its way to the store. */
+/** Pending write of an attempt. */
 enum tbl_pending
 {
   TBL_PEND_NONE,
@@ -34,16 +35,17 @@
   uint8_t fingerprint[16];
   enum tbl_state state;
   enum tbl_pending pending;
-  bool ended;     /**< its asker reported the end */
-  int status;     /**< of the kept answer */
-  clk_ms since;   /**< learned: written or read */
-  clk_ms written; /**< not earlier than this; long ago when it was read */
+  bool ended;     /**< the requester reported the outcome */
+  int status;     /**< of the stored response */
+  clk_ms since;   /**< when the record was written or read */
+  clk_ms written; /**< lower bound of the time of writing; far in the past if
+                     it was read */
   clk_ms expires;
-  char *answer; /**< NULL: none kept */
+  char *answer; /**< NULL: none stored */
   size_t answer_len;
   struct tbl_rec *chain;         /**< same bucket */
-  struct tbl_rec *prev, *next;   /**< order of expiry */
-  struct tbl_rec *kprev, *knext; /**< order of kept answers */
+  struct tbl_rec *prev, *next;   /**< expiry list */
+  struct tbl_rec *kprev, *knext; /**< list of stored responses */
 };
 
 struct tbl
@@ -51,7 +53,7 @@
   struct tbl_rec **buckets;
   size_t nbuckets;
   size_t n;
-  size_t kept; /**< bytes of answers */
+  size_t kept; /**< bytes of stored responses */
   size_t kept_limit;
   struct tbl_rec *first, *last;
   struct tbl_rec *kfirst, *klast;
@@ -60,16 +62,15 @@
 void tbl_init (struct tbl *t, size_t kept_limit);
 void tbl_free (struct tbl *t);
 
-/** The record of an attempt, or NULL. */
 struct tbl_rec *tbl_find (const struct tbl *t, const uint8_t key[16],
                           const uint8_t attempt[16]);
 
-/** An attempt other than @p attempt that holds the key, or NULL.  One that is
-    known to have ended with a kept answer is preferred. */
+/** An attempt other than @p attempt that holds the key, or NULL.  One with a
+    stored response is preferred. */
 struct tbl_rec *tbl_holder (const struct tbl *t, const uint8_t key[16],
                             const uint8_t attempt[16]);
 
-/** Whether another attempt is on its way to take the key. */
+/** Whether a write of another attempt on the key is pending. */
 bool tbl_pending_other (const struct tbl *t, const uint8_t key[16],
                         const uint8_t attempt[16]);
 
@@ -78,15 +79,17 @@
                          const uint8_t fingerprint[16], clk_ms since,
                          clk_ms expires);
 
-/** Learned anew: moves to the end of the order of expiry. */
+/** Refresh a record that was written or read again: it moves to the end of the
+    expiry list. */
 void tbl_touch (struct tbl *t, struct tbl_rec *r, clk_ms since,
                 clk_ms expires);
 void tbl_remove (struct tbl *t, struct tbl_rec *r);
 
-/** Remove what has expired and is not pending. */
+/** Remove expired records that have no pending write. */
 void tbl_expire (struct tbl *t, clk_ms now);
 
-/** Keep an answer (copied); the oldest go first when bytes run out. */
+/** Store a copy of a response; the oldest are evicted at the limit in
+    bytes. */
 void tbl_keep (struct tbl *t, struct tbl_rec *r, int status,
                struct str answer);
 
