--- a/claim/asker.c
+++ b/claim/asker.c
@@ -4,18 +4,18 @@
 ask_next (struct clm_asker *a, clk_ms now)
 {
   a->asked++;
-  a->next = a->asked < a->ntargets ? now + CLM_STEP_MS : CLK_NEVER;
+  a->next = a->asked < a->ntargets ? now + CLM_FAILOVER_MS : CLK_NEVER;
   return CLM_ASKER_ASK;
 }
 
 /** With only one target, the core in this process releases the claim
     itself. */
 static enum clm_asker_do
-give_up (struct clm_asker *a, bool may_land)
+give_up (struct clm_asker *a, bool may_be_recorded)
 {
   a->over = true;
-  return may_land && a->ntargets > 1 ? CLM_ASKER_GIVE_UP_LATE
-                                     : CLM_ASKER_GIVE_UP;
+  return may_be_recorded && a->ntargets > 1 ? CLM_ASKER_GIVE_UP_LATE
+                                            : CLM_ASKER_GIVE_UP;
 }
 
 enum clm_asker_do
--- a/claim/asker.h
+++ b/claim/asker.h
@@ -3,11 +3,11 @@
  * The requesting side of a claim: which node receives the request, when the
  * next node is tried and when the request ends (decision core of one request).
  *
- * The home node is tried first and, after each CLM_STEP_MS without a response,
- * the next node, always with the same attempt, which is recorded only once.
- * Any response is final, including CLM_UNAVAILABLE: if every refusal led to
- * requests at the other targets, each call that is refused while the store is
- * down would cost three requests.
+ * The home node is tried first and, after each CLM_FAILOVER_MS without a
+ * response, the next node, always with the same attempt, which is recorded
+ * only once. Any response is final, including CLM_UNAVAILABLE: if every
+ * refusal led to requests at the other targets, each call that is refused
+ * while the store is down would cost three requests.
  *
  * The core in this process is always the last target, and the only one if this
  * node is the home.  The process is running, so a missing response of its own
@@ -25,7 +25,7 @@
 #include "claim/claim.h"
 
 /** Time without a response after which the next node is tried. */
-#define CLM_STEP_MS ((clk_ms)300)
+#define CLM_FAILOVER_MS ((clk_ms)300)
 
 /** Maximum number of nodes tried for one attempt. */
 #define CLM_TARGETS 3
--- a/claim/calls.c
+++ b/claim/calls.c
@@ -3,31 +3,31 @@
 
 /** Delay between calls while the store is down; doubles from the first to the
     last. */
-#define PROBE_FIRST_MS ((clk_ms)125)
-#define PROBE_LAST_MS CLK_SECOND
+#define PROBE_MIN_MS ((clk_ms)125)
+#define PROBE_MAX_MS CLK_SECOND
 
 unsigned
 core_open_calls (const struct clm *c, unsigned *normal)
 {
   unsigned n = c->lease.token != 0;
 
-  *normal = n && !c->lease.probe;
+  *normal = n && !c->lease.is_probe;
   for (unsigned i = 0; i < CLM_SHARDS; i++)
     if (c->shards[i].op != OP_NONE)
       {
         n++;
-        *normal += !c->shards[i].probe;
+        *normal += !c->shards[i].is_probe;
       }
   return n;
 }
 
 bool
-core_down (const struct clm *c)
+core_store_down (const struct clm *c)
 {
   unsigned normal;
 
   core_open_calls (c, &normal);
-  return c->fails >= CORE_DOWN_FAILS && normal == 0;
+  return c->nfailures >= CORE_DOWN_FAILURES && normal == 0;
 }
 
 bool
@@ -35,15 +35,15 @@
 {
   unsigned normal;
 
-  if (c->fails == 0)
+  if (c->nfailures == 0)
     return true;
   return now >= c->probe_at && core_open_calls (c, &normal) == 0;
 }
 
 void
-core_call_ok (struct clm *c)
+core_call_succeeded (struct clm *c)
 {
-  c->fails = 0;
+  c->nfailures = 0;
 }
 
 void
@@ -51,18 +51,18 @@
 {
   clk_ms wait = 0;
 
-  c->fails++;
-  if (c->fails >= CORE_DOWN_FAILS)
+  c->nfailures++;
+  if (c->nfailures >= CORE_DOWN_FAILURES)
     {
-      unsigned doublings = c->fails - CORE_DOWN_FAILS;
-      wait = doublings > 2 ? PROBE_LAST_MS : PROBE_FIRST_MS << doublings;
+      unsigned doublings = c->nfailures - CORE_DOWN_FAILURES;
+      wait = doublings > 2 ? PROBE_MAX_MS : PROBE_MIN_MS << doublings;
       wait += (clk_ms)rng_below (&c->rng, (uint64_t)wait / 4 + 1);
     }
   c->probe_at = now + wait;
 }
 
 clk_ms
-core_expiry (const struct clm *c, clk_ms now)
+core_claim_expiry (const struct clm *c, clk_ms now)
 {
   return now + c->opt.window + CLM_SLACK_MS;
 }
@@ -74,20 +74,20 @@
 }
 
 bool
-core_lease (struct clm *c, clk_ms now)
+core_ensure_lease (struct clm *c, clk_ms now)
 {
   struct clm_action *a;
 
   if (core_lease_usable (c, now))
     return true;
-  if (c->lease.token || now < c->lease.next)
+  if (c->lease.token || now < c->lease.next_request)
     return false;
-  a = core_act (c, CLM_ACT_GRANT);
+  a = core_push_action (c, CLM_ACT_GRANT);
   a->ttl = 2 * c->opt.window;
-  c->lease.probe = core_down (c);
+  c->lease.is_probe = core_store_down (c);
   a->token = c->lease.token = ++c->last_token;
   c->lease.id = 0;
-  c->lease.sent = now;
+  c->lease.sent_at = now;
   return false;
 }
 
@@ -97,7 +97,7 @@
 core_lease_answer (struct clm *c, clk_ms now, const struct store_result *r)
 {
   c->lease.token = 0;
-  c->lease.next = now + c->opt.gap_ms;
+  c->lease.next_request = now + c->opt.gap_ms;
   if (r->status == STORE_OVER_BUDGET)
     return;
   if (r->status != STORE_OK || r->ttl <= c->opt.window * 3 / 2)
@@ -105,7 +105,7 @@
       core_call_failed (c, now);
       return;
     }
-  core_call_ok (c);
+  core_call_succeeded (c);
   c->lease.id = r->lease;
-  c->lease.usable_until = c->lease.sent + r->ttl - c->opt.window * 3 / 2;
+  c->lease.usable_until = c->lease.sent_at + r->ttl - c->opt.window * 3 / 2;
 }
--- a/claim/claim.c
+++ b/claim/claim.c
@@ -8,7 +8,7 @@
 
 /** A batch lives for at least one and a half windows, and a claim must be held
     for the window plus the slack. */
-#define LEAST_WINDOW_MS (2 * CLM_SLACK_MS)
+#define MIN_WINDOW_MS (2 * CLM_SLACK_MS)
 
 static void
 chart_init (struct write_chart *w)
@@ -42,13 +42,13 @@
   c->opt.prefix = str_make (c->prefix, opt->prefix.len);
   clm_set_window (c, opt->window);
   if (!c->opt.gap_ms)
-    c->opt.gap_ms = CLM_GAP_MS;
+    c->opt.gap_ms = CLM_DEFAULT_GAP_MS;
   if (!c->opt.max_claims)
     c->opt.max_claims = CLM_MAX_CLAIMS;
   chart_init (&c->chart);
   rng_seed (&c->rng, seed);
   tbl_init (&c->table, opt->kept_bytes);
-  c->demand = -1;
+  c->probe_shard = -1;
   c->next_deadline = CLK_NEVER;
   for (unsigned i = 0; i < CLM_SHARDS; i++)
     shard_init (c, &c->shards[i], i);
@@ -58,8 +58,8 @@
 void
 clm_set_window (struct clm *c, clk_ms window)
 {
-  if (window < LEAST_WINDOW_MS)
-    window = LEAST_WINDOW_MS;
+  if (window < MIN_WINDOW_MS)
+    window = MIN_WINDOW_MS;
   /* The current lease was requested with twice the old window. */
   if (window != c->opt.window)
     c->lease.id = 0;
@@ -75,7 +75,7 @@
     shard_free (&c->shards[i]);
   tbl_free (&c->table);
   for (size_t i = 0; i < c->nactions; i++)
-    free (c->actions[i].answer);
+    free (c->actions[i].response);
   free (c->actions);
   free (c->prefix);
   free (c);
@@ -112,7 +112,7 @@
 /* Actions. */
 
 struct clm_action *
-core_act (struct clm *c, enum clm_action_kind kind)
+core_push_action (struct clm *c, enum clm_action_kind kind)
 {
   struct core_action *a;
 
@@ -129,12 +129,12 @@
 
 /** Free the actions that were fetched, with their responses. */
 static void
-begin_event (struct clm *c)
+free_fetched_actions (struct clm *c)
 {
   if (c->actions_read < c->nactions)
     return;
   for (size_t i = 0; i < c->nactions; i++)
-    free (c->actions[i].answer);
+    free (c->actions[i].response);
   c->nactions = c->actions_read = 0;
 }
 
@@ -148,10 +148,10 @@
 }
 
 static clk_ms
-retry_of (const struct clm *c, enum clm_verdict verdict)
+retry_after_ms (const struct clm *c, enum clm_verdict verdict)
 {
   if (verdict == CLM_UNAVAILABLE)
-    return core_down (c) ? RETRY_DOWN_MS : RETRY_BUSY_MS;
+    return core_store_down (c) ? RETRY_DOWN_MS : RETRY_BUSY_MS;
   return verdict == CLM_RUNNING ? CLK_SECOND : 0;
 }
 
@@ -159,19 +159,19 @@
 core_reply (struct clm *c, struct waiter *w, enum clm_verdict verdict,
             const struct tbl_rec *holder)
 {
-  struct clm_reply *r = &core_act (c, CLM_ACT_REPLY)->reply;
+  struct clm_reply *r = &core_push_action (c, CLM_ACT_REPLY)->reply;
 
   r->id = w->ask.id;
   r->verdict = verdict;
-  r->retry_ms = retry_of (c, verdict);
+  r->retry_ms = retry_after_ms (c, verdict);
   if (verdict == CLM_ANSWERED)
     {
-      char *copy = str_dup (str_make (holder->answer, holder->answer_len));
-      c->actions[c->nactions - 1].answer = copy;
-      r->answer = str_make (copy, holder->answer_len);
-      r->answer_status = holder->status;
+      char *copy = str_dup (str_make (holder->response, holder->response_len));
+      c->actions[c->nactions - 1].response = copy;
+      r->answer = str_make (copy, holder->response_len);
+      r->answer_status = holder->response_status;
     }
-  w->told = true;
+  w->replied = true;
   c->counts.granted += verdict == CLM_GRANTED;
   c->counts.unavailable += verdict == CLM_UNAVAILABLE;
   c->counts.refused += verdict != CLM_GRANTED && verdict != CLM_DONE
@@ -179,14 +179,14 @@
 }
 
 void
-core_unavailable (struct clm *c, struct shard *s, struct waiter *w)
+core_reply_unavailable (struct clm *c, struct shard *s, struct waiter *w)
 {
   const struct tbl_rec *rec = tbl_find (&c->table, w->ask.key, w->ask.attempt);
   struct waiter *release;
 
   core_reply (c, w, CLM_UNAVAILABLE, NULL);
   if (w->ask.kind != CLM_TAKE || !w->ask.final || !rec
-      || rec->state == TBL_RELEASED || s->waiting.n >= CORE_MAX_WAIT)
+      || rec->state == TBL_RELEASED || s->waiting.n >= CORE_MAX_WAITING)
     return;
   /* The claim is or may become recorded in the store, although the requester
      was told that it was refused.  Without a release, every retry would be
@@ -195,7 +195,7 @@
   release->ask = w->ask;
   release->ask.kind = CLM_RELEASE;
   release->deadline = CLK_NEVER;
-  release->told = true;
+  release->replied = true;
   waiter_append (&s->waiting, release);
   c->counts.late_releases++;
 }
@@ -210,19 +210,19 @@
   memset (&s->waiting, 0, sizeof s->waiting);
   for (struct waiter *w; (w = waiter_pop (&old));)
     {
-      bool due = !w->told
+      bool due = !w->replied
                  && (now >= w->deadline || (all && w->ask.kind == CLM_TAKE));
       if (due)
-        core_unavailable (c, s, w);
+        core_reply_unavailable (c, s, w);
       /* Keep the release: the requester stopped waiting but did not cancel
          it. */
       if (due && w->ask.kind == CLM_TAKE)
         {
-          c->demand = (int)s->no;
+          c->probe_shard = (int)s->no;
           free (w);
           continue;
         }
-      if (!w->told && w->deadline < c->next_deadline)
+      if (!w->replied && w->deadline < c->next_deadline)
         c->next_deadline = w->deadline;
       waiter_append (&s->waiting, w);
     }
@@ -232,16 +232,16 @@
 expire_batch (struct clm *c, struct shard *s, clk_ms now)
 {
   for (struct waiter *w = s->batch.first; w; w = w->next)
-    if (!w->told && now >= w->deadline)
-      core_unavailable (c, s, w);
-    else if (!w->told && w->deadline < c->next_deadline)
+    if (!w->replied && now >= w->deadline)
+      core_reply_unavailable (c, s, w);
+    else if (!w->replied && w->deadline < c->next_deadline)
       c->next_deadline = w->deadline;
 }
 
 static void
 expire (struct clm *c, clk_ms now)
 {
-  bool down = core_down (c);
+  bool down = core_store_down (c);
 
   tbl_expire (&c->table, now);
   if (!down && now < c->next_deadline)
@@ -255,15 +255,16 @@
 }
 
 static void
-run (struct clm *c, clk_ms now)
+run_shards (struct clm *c, clk_ms now)
 {
   expire (c, now);
   for (unsigned i = 0; i < CLM_SHARDS; i++)
-    shard_pump (c, &c->shards[i], now);
-  if (c->fails >= CORE_DOWN_FAILS && c->demand >= 0 && core_may_call (c, now))
+    shard_start_call (c, &c->shards[i], now);
+  if (c->nfailures >= CORE_DOWN_FAILURES && c->probe_shard >= 0
+      && core_may_call (c, now))
     {
-      shard_probe (c, &c->shards[c->demand], now);
-      c->demand = -1;
+      shard_probe (c, &c->shards[c->probe_shard], now);
+      c->probe_shard = -1;
     }
 }
 
@@ -276,7 +277,7 @@
   struct waiter w = { .ask = *ask };
 
   if (r && r->state == TBL_TAKEN)
-    tbl_keep (&c->table, r, ask->answer_status, ask->answer);
+    tbl_store_response (&c->table, r, ask->answer_status, ask->answer);
   core_reply (c, &w, CLM_DONE, NULL);
 }
 
@@ -287,7 +288,7 @@
 
   w->ask = *ask;
   w->ask.answer = STR_EMPTY;
-  w->deadline = now + (ask->wait_ms ? ask->wait_ms : CLM_WAIT_MS);
+  w->deadline = now + (ask->wait_ms ? ask->wait_ms : CLM_DEFAULT_WAIT_MS);
   return w;
 }
 
@@ -296,9 +297,9 @@
 {
   struct shard *s = &c->shards[clm_shard (ask->key)];
   struct waiter *w;
-  struct decided d;
+  struct decision_result d;
 
-  begin_event (c);
+  free_fetched_actions (c);
   if (ask->kind == CLM_FINISH)
     {
       finish (c, ask);
@@ -309,30 +310,30 @@
   d = decide (c, s, w, now);
   if (d.what == DECIDE_REPLY)
     core_reply (c, w, d.verdict, d.holder);
-  else if (s->waiting.n >= CORE_MAX_WAIT
-           || (ask->kind == CLM_TAKE && core_down (c)))
+  else if (s->waiting.n >= CORE_MAX_WAITING
+           || (ask->kind == CLM_TAKE && core_store_down (c)))
     {
-      core_unavailable (c, s, w);
-      c->demand = (int)s->no;
+      core_reply_unavailable (c, s, w);
+      c->probe_shard = (int)s->no;
     }
-  if (w->told)
+  if (w->replied)
     free (w);
   else
     {
       if (w->deadline < c->next_deadline)
         c->next_deadline = w->deadline;
-      s->want_read |= d.what == DECIDE_READ;
+      s->needs_read |= d.what == DECIDE_READ;
       waiter_append (&s->waiting, w);
       c->counts.releases += ask->kind == CLM_RELEASE;
     }
-  run (c, now);
+  run_shards (c, now);
 }
 
 void
 clm_store_answer (struct clm *c, clk_ms now, uint64_t token,
                   const struct store_result *r)
 {
-  begin_event (c);
+  free_fetched_actions (c);
   if (token == c->lease.token && token != 0)
     core_lease_answer (c, now, r);
   for (unsigned i = 0; i < CLM_SHARDS; i++)
@@ -341,14 +342,14 @@
         shard_answer (c, &c->shards[i], now, r);
         break;
       }
-  run (c, now);
+  run_shards (c, now);
 }
 
 void
 clm_tick (struct clm *c, clk_ms now)
 {
-  begin_event (c);
-  run (c, now);
+  free_fetched_actions (c);
+  run_shards (c, now);
 }
 
 static bool
@@ -364,25 +365,25 @@
 clm_wake (const struct clm *c)
 {
   clk_ms wake = any_waiter (c) ? c->next_deadline : CLK_NEVER;
-  clk_ms call = c->fails ? c->probe_at : 0;
+  clk_ms call = c->nfailures ? c->probe_at : 0;
   unsigned normal;
 
   /* The response to the open call will trigger the next event. */
-  if (c->lease.token || (c->fails && core_open_calls (c, &normal)))
+  if (c->lease.token || (c->nfailures && core_open_calls (c, &normal)))
     return wake;
-  if (c->demand >= 0 && c->fails && call < wake)
+  if (c->probe_shard >= 0 && c->nfailures && call < wake)
     wake = call;
   for (unsigned i = 0; i < CLM_SHARDS; i++)
     {
       const struct shard *s = &c->shards[i];
-      bool reads = s->write == c->chart.uncertain || !s->known;
+      bool reads = s->write == c->chart.uncertain || !s->has_all;
       clk_ms at = reads ? s->next_read : s->next_write;
       if (!shard_has_work (c, s))
         continue;
       if (at < call)
         at = call;
-      if (!reads && !c->lease.id && at < c->lease.next)
-        at = c->lease.next;
+      if (!reads && !c->lease.id && at < c->lease.next_request)
+        at = c->lease.next_request;
       if (at < wake)
         wake = at;
     }
--- a/claim/claim.h
+++ b/claim/claim.h
@@ -39,7 +39,7 @@
  * is therefore valid only for CLM_GRANT_MS, by a clock that continues during
  * suspension, and the requester checks it immediately before sending
  * (clm_grant_valid()).  At most CLM_ASK_MS + CLM_GRANT_MS pass between request
- * and send.  A record is made after the request or at most CLM_AGAIN_MS before
+ * and send.  A record is made after the request or at most CLM_REUSE_MS before
  * it and is held for window + CLM_SLACK_MS, where the slack is the sum of the
  * three.  So the next attempt on the key is sent at least one window after the
  * first one was sent. The remaining gap is a suspension between this check and
@@ -69,16 +69,16 @@
 
 /** A record of the same attempt is reused for this long.  An older one is
     written again, as other nodes may be about to expire it. */
-#define CLM_AGAIN_MS (2 * CLK_SECOND)
+#define CLM_REUSE_MS (2 * CLK_SECOND)
 
 /** Time that a claim is held beyond the window. */
-#define CLM_SLACK_MS (CLM_GRANT_MS + CLM_ASK_MS + CLM_AGAIN_MS)
+#define CLM_SLACK_MS (CLM_GRANT_MS + CLM_ASK_MS + CLM_REUSE_MS)
 
 /** Default timeout of a request. */
-#define CLM_WAIT_MS (2 * CLK_SECOND)
+#define CLM_DEFAULT_WAIT_MS (2 * CLK_SECOND)
 
 /** Default for the minimum time between two transactions of a shard. */
-#define CLM_GAP_MS ((clk_ms)50)
+#define CLM_DEFAULT_GAP_MS ((clk_ms)50)
 
 /** Default for the maximum number of claims in memory; more are refused. */
 #define CLM_MAX_CLAIMS ((size_t)1 << 20)
@@ -114,7 +114,7 @@
   enum clm_kind kind;
   int answer_status;
   struct str answer; /**< for CLM_FINISH; kept in memory only */
-  clk_ms wait_ms;    /**< 0: CLM_WAIT_MS */
+  clk_ms wait_ms;    /**< 0: CLM_DEFAULT_WAIT_MS */
   /**
    * The requester tries no other node for this attempt, so CLM_UNAVAILABLE
    * ends it.  If the record may still be applied, the core releases it.  A
@@ -158,7 +158,8 @@
   size_t kept_bytes; /**< memory limit of stored responses; the oldest are
                         evicted first */
   uint64_t boot;     /**< random; must be unique to each process */
-  clk_ms gap_ms; /**< minimum between transactions of a shard; 0: CLM_GAP_MS */
+  clk_ms gap_ms;     /**< minimum between transactions of a shard; 0:
+                        CLM_DEFAULT_GAP_MS */
   size_t max_claims; /**< 0: CLM_MAX_CLAIMS */
 };
 
--- a/claim/core.h
+++ b/claim/core.h
@@ -22,14 +22,14 @@
 #define CORE_FRESH_MS CLK_SECOND
 
 /** Maximum number of waiting requests per shard; more are refused. */
-#define CORE_MAX_WAIT ((size_t)8192)
+#define CORE_MAX_WAITING ((size_t)8192)
 
 /** A request that is not decided yet, or a release that the core queued. */
 struct waiter
 {
   struct clm_ask ask;
   clk_ms deadline;
-  bool told;           /**< the reply was sent */
+  bool replied;
   struct tbl_rec *rec; /**< set while in a batch */
   struct waiter *next;
 };
@@ -54,8 +54,8 @@
   struct waiter_list waiting;
   struct waiter_list batch; /**< of the write that is not settled */
   int write;                /**< state of chart "store-write" */
-  bool lost; /**< a response to this write was lost: it may be applied later */
-  clk_ms formed; /**< when the batch was formed */
+  bool response_lost;       /**< of this write, which may be applied later */
+  clk_ms formed_at;
   struct bat_name name;
   struct buf head_key, head_value, batch_key, value, range_key, range_end;
   struct store_compare compare;
@@ -63,13 +63,13 @@
 
   enum shard_op op;
   uint64_t token;
-  clk_ms sent;
-  bool probe; /**< the open call was started while the store was down */
+  clk_ms sent_at;
+  bool is_probe; /**< the open call was started while the store was down */
 
-  bool known;       /**< the table holds every claim up to `head` */
-  int64_t head;     /**< mod_revision of the head key, 0: none */
-  clk_ms confirmed; /**< `head` was current at this time or later */
-  bool want_read;   /**< a request needs a newer read */
+  bool has_all;        /**< the table holds every claim up to `head` */
+  int64_t head;        /**< mod_revision of the head key, 0: none */
+  clk_ms confirmed_at; /**< `head` was current at this time or later */
+  bool needs_read;     /**< a request needs a newer read */
   clk_ms next_write;
   clk_ms next_read;
 };
@@ -88,15 +88,15 @@
   int64_t id; /**< 0: none */
   clk_ms usable_until;
   uint64_t token; /**< of the open call; 0: none */
-  clk_ms sent;
-  clk_ms next; /**< earliest time of the next request */
-  bool probe;
+  clk_ms sent_at;
+  clk_ms next_request; /**< earliest time of the next request */
+  bool is_probe;
 };
 
 struct core_action
 {
   struct clm_action action;
-  char *answer; /**< copy for a reply, owned by this entry */
+  char *response; /**< copy for a reply, owned by this entry */
 };
 
 struct clm
@@ -109,9 +109,9 @@
   struct shard shards[CLM_SHARDS];
   struct core_lease lease;
   uint64_t last_token, last_seq;
-  unsigned fails;  /**< consecutive failed store calls */
-  clk_ms probe_at; /**< earliest next call after a failed one */
-  int demand;      /**< shard of a request refused while down, or -1 */
+  unsigned nfailures; /**< consecutive failed store calls */
+  clk_ms probe_at;    /**< earliest next call after a failed one */
+  int probe_shard;    /**< shard of a request refused while down, or -1 */
   clk_ms next_deadline;
   struct core_action *actions;
   size_t nactions, actions_cap, actions_read;
@@ -121,12 +121,12 @@
 /* claim.c */
 
 /** Queue an empty action of this kind. */
-struct clm_action *core_act (struct clm *c, enum clm_action_kind kind);
+struct clm_action *core_push_action (struct clm *c, enum clm_action_kind kind);
 void core_reply (struct clm *c, struct waiter *w, enum clm_verdict verdict,
                  const struct tbl_rec *holder);
 
 /** Reply CLM_UNAVAILABLE; queue a release if clm_ask.final requires it. */
-void core_unavailable (struct clm *c, struct shard *s, struct waiter *w);
+void core_reply_unavailable (struct clm *c, struct shard *s, struct waiter *w);
 
 void waiter_append (struct waiter_list *l, struct waiter *w);
 struct waiter *waiter_pop (struct waiter_list *l);
@@ -135,27 +135,27 @@
 
 /** Consecutive failures after which the store is considered down.  A single
     lost response is resolved without refusing requests. */
-#define CORE_DOWN_FAILS 2
+#define CORE_DOWN_FAILURES 2
 
 /** Number of open calls; @p normal receives the number of those that were
     started while the store was not down. */
 unsigned core_open_calls (const struct clm *c, unsigned *normal);
 
 /** Whether the store is considered down: requests are refused immediately. */
-bool core_down (const struct clm *c);
+bool core_store_down (const struct clm *c);
 
 /** Whether a store call may start now. */
 bool core_may_call (const struct clm *c, clk_ms now);
-void core_call_ok (struct clm *c);
+void core_call_succeeded (struct clm *c);
 void core_call_failed (struct clm *c, clk_ms now);
 
 bool core_lease_usable (const struct clm *c, clk_ms now);
 
 /** Returns true if there is a usable lease; otherwise requests one. */
-bool core_lease (struct clm *c, clk_ms now);
+bool core_ensure_lease (struct clm *c, clk_ms now);
 void core_lease_answer (struct clm *c, clk_ms now,
                         const struct store_result *r);
-clk_ms core_expiry (const struct clm *c, clk_ms now);
+clk_ms core_claim_expiry (const struct clm *c, clk_ms now);
 
 /* decide.c */
 
@@ -167,15 +167,15 @@
   DECIDE_READ  /**< the recorded refusal is old: read the store first */
 };
 
-struct decided
+struct decision_result
 {
   enum decision what;
   enum clm_verdict verdict;
   const struct tbl_rec *holder;
 };
 
-struct decided decide (struct clm *c, const struct shard *s,
-                       const struct waiter *w, clk_ms now);
+struct decision_result decide (struct clm *c, const struct shard *s,
+                               const struct waiter *w, clk_ms now);
 
 /* shard.c */
 
@@ -183,7 +183,7 @@
 void shard_free (struct shard *s);
 
 /** Start the store call that can start now, if any. */
-void shard_pump (struct clm *c, struct shard *s, clk_ms now);
+void shard_start_call (struct clm *c, struct shard *s, clk_ms now);
 void shard_answer (struct clm *c, struct shard *s, clk_ms now,
                    const struct store_result *r);
 
--- a/claim/decide.c
+++ b/claim/decide.c
@@ -2,46 +2,47 @@
 
 #include "claim/core.h"
 
-static struct decided
+static struct decision_result
 reply_with (enum clm_verdict verdict, const struct tbl_rec *holder)
 {
-  return (struct decided){ DECIDE_REPLY, verdict, holder };
+  return (struct decision_result){ DECIDE_REPLY, verdict, holder };
 }
 
-static struct decided
-just (enum decision what)
+static struct decision_result
+without_verdict (enum decision what)
 {
-  return (struct decided){ what, CLM_UNAVAILABLE, NULL };
+  return (struct decision_result){ what, CLM_UNAVAILABLE, NULL };
 }
 
-static struct decided
+static struct decision_result
 decide_release (const struct tbl_rec *own)
 {
   if (own && own->state == TBL_RELEASED)
     return reply_with (CLM_DONE, NULL);
   if (own && own->pending != TBL_PEND_NONE)
-    return just (DECIDE_WAIT);
+    return without_verdict (DECIDE_WAIT);
   /* Write the release even if no record is known: one may be on its way from
      another home and must be voided when it is applied. */
-  return just (DECIDE_WRITE);
+  return without_verdict (DECIDE_WRITE);
 }
 
-static struct decided
-decide_taken (struct clm *c, const struct shard *s, const struct waiter *w,
-              const struct tbl_rec *holder, clk_ms now)
+static struct decision_result
+decide_held (struct clm *c, const struct shard *s, const struct waiter *w,
+             const struct tbl_rec *holder, clk_ms now)
 {
   if (holder->pending == TBL_PEND_RELEASE)
-    return just (DECIDE_WAIT);
+    return without_verdict (DECIDE_WAIT);
   /* The holder may have released the claim through another home.  Without a
      read, the caller would be refused for the rest of the window.  While the
      store is down, the records in memory are used. */
-  if (!holder->answer && !core_down (c) && now - s->confirmed > CORE_FRESH_MS)
-    return just (DECIDE_READ);
+  if (!holder->response && !core_store_down (c)
+      && now - s->confirmed_at > CORE_FRESH_MS)
+    return without_verdict (DECIDE_READ);
   if (memcmp (holder->fingerprint, w->ask.fingerprint, 16) != 0)
     return reply_with (CLM_MISMATCH, holder);
-  if (holder->answer)
+  if (holder->response)
     return reply_with (CLM_ANSWERED, holder);
-  if (!holder->ended && now - holder->since < CLM_RUNNING_MS)
+  if (!holder->finished && now - holder->recorded_at < CLM_RUNNING_MS)
     return reply_with (CLM_RUNNING, holder);
   return reply_with (CLM_UNKNOWN, holder);
 }
@@ -53,23 +54,24 @@
  * replaced by a retry: if it were granted as before, both would run.  So it is
  * written again, unless another attempt holds the key.
  */
-static struct decided
-decide_again (struct clm *c, const struct shard *s, const struct waiter *w,
-              const struct tbl_rec *own, clk_ms now)
+static struct decision_result
+decide_repeated (struct clm *c, const struct shard *s, const struct waiter *w,
+                 const struct tbl_rec *own, clk_ms now)
 {
   const struct tbl_rec *holder;
 
   if (own->pending != TBL_PEND_NONE)
-    return just (DECIDE_WAIT);
+    return without_verdict (DECIDE_WAIT);
   if (own->state == TBL_RELEASED)
     return reply_with (CLM_UNAVAILABLE, NULL);
-  if (now - own->written < CLM_AGAIN_MS)
+  if (now - own->written_at < CLM_REUSE_MS)
     return reply_with (CLM_GRANTED, NULL);
   holder = tbl_holder (&c->table, w->ask.key, w->ask.attempt);
-  return holder ? decide_taken (c, s, w, holder, now) : just (DECIDE_WRITE);
+  return holder ? decide_held (c, s, w, holder, now)
+                : without_verdict (DECIDE_WRITE);
 }
 
-struct decided
+struct decision_result
 decide (struct clm *c, const struct shard *s, const struct waiter *w,
         clk_ms now)
 {
@@ -81,14 +83,14 @@
   if (w->ask.kind == CLM_RELEASE)
     return decide_release (own);
   if (own)
-    return decide_again (c, s, w, own, now);
+    return decide_repeated (c, s, w, own, now);
   holder = tbl_holder (&c->table, key, attempt);
   if (holder)
-    return decide_taken (c, s, w, holder, now);
+    return decide_held (c, s, w, holder, now);
   if (tbl_pending_other (&c->table, key, attempt))
-    return just (DECIDE_WAIT);
+    return without_verdict (DECIDE_WAIT);
   /* Never evict a claim to make room: its key would be executed again. */
   if (c->table.n >= c->opt.max_claims)
     return reply_with (CLM_UNAVAILABLE, NULL);
-  return just (DECIDE_WRITE);
+  return without_verdict (DECIDE_WRITE);
 }
--- a/claim/shard.c
+++ b/claim/shard.c
@@ -28,7 +28,7 @@
 #include "claim/core.h"
 
 static void
-step (struct clm *c, struct shard *s, int event)
+apply_event (struct clm *c, struct shard *s, int event)
 {
   int next = chart_step (c->chart.chart, s->write, event);
 
@@ -44,7 +44,7 @@
   memset (s, 0, sizeof *s);
   s->no = no;
   s->write = c->chart.idle;
-  s->confirmed = INT64_MIN / 2;
+  s->confirmed_at = INT64_MIN / 2;
   s->next_write = s->next_read = INT64_MIN / 2;
   bat_head_key (&s->head_key, c->opt.prefix, no);
 }
@@ -82,11 +82,11 @@
 begin_call (struct clm *c, struct shard *s, enum shard_op op, clk_ms now)
 {
   struct clm_action *a
-      = core_act (c, op == OP_TXN ? CLM_ACT_TXN : CLM_ACT_RANGE);
+      = core_push_action (c, op == OP_TXN ? CLM_ACT_TXN : CLM_ACT_RANGE);
 
-  s->probe = core_down (c);
+  s->is_probe = core_store_down (c);
   s->op = op;
-  s->sent = now;
+  s->sent_at = now;
   s->token = a->token = ++c->last_token;
   return a;
 }
@@ -94,14 +94,14 @@
 static void
 begin_read (struct clm *c, struct shard *s, clk_ms now)
 {
-  enum shard_op op = s->known ? OP_READ_NEW : OP_READ_ALL;
+  enum shard_op op = s->has_all ? OP_READ_NEW : OP_READ_ALL;
   struct clm_action *a = begin_call (c, s, op, now);
 
   bat_range (&s->range_key, &s->range_end, c->opt.prefix, s->no,
-             s->known ? s->head : 0);
+             s->has_all ? s->head : 0);
   a->key = buf_str (&s->range_key);
   a->end = buf_str (&s->range_end);
-  s->want_read = false;
+  s->needs_read = false;
   c->counts.reads++;
   c->counts.whole_reads += op == OP_READ_ALL;
 }
@@ -111,7 +111,7 @@
 {
   struct clm_action *a;
 
-  step (c, s, c->chart.ev_write);
+  apply_event (c, s, c->chart.ev_write);
   a = begin_call (c, s, OP_TXN, now);
   s->compare = (struct store_compare){ buf_str (&s->head_key), s->name.base };
   s->puts[0] = (struct store_put){ buf_str (&s->head_key),
@@ -129,7 +129,7 @@
 /* Forming a batch. */
 
 static void
-put_in_batch (struct clm *c, struct shard *s, struct waiter *w, clk_ms now)
+add_to_batch (struct clm *c, struct shard *s, struct waiter *w, clk_ms now)
 {
   struct bat_record r = { .kind = w->ask.kind };
   struct tbl_rec *rec = tbl_find (&c->table, w->ask.key, w->ask.attempt);
@@ -140,7 +140,7 @@
   bat_add (&s->value, &r);
   if (!rec)
     rec = tbl_add (&c->table, w->ask.key, w->ask.attempt, w->ask.fingerprint,
-                   now, core_expiry (c, now));
+                   now, core_claim_expiry (c, now));
   rec->pending = w->ask.kind == CLM_TAKE ? TBL_PEND_TAKE : TBL_PEND_RELEASE;
   w->rec = rec;
   waiter_append (&s->batch, w);
@@ -151,25 +151,25 @@
  * write is set, add those that need a write to the batch.
  */
 static void
-go_through (struct clm *c, struct shard *s, clk_ms now, bool write)
+decide_waiting (struct clm *c, struct shard *s, clk_ms now, bool write)
 {
   struct waiter_list all = s->waiting;
 
   memset (&s->waiting, 0, sizeof s->waiting);
-  s->want_read = false;
+  s->needs_read = false;
   for (struct waiter *w; (w = waiter_pop (&all));)
     {
-      struct decided d = decide (c, s, w, now);
+      struct decision_result d = decide (c, s, w, now);
       if (d.what == DECIDE_REPLY)
         {
-          if (!w->told)
+          if (!w->replied)
             core_reply (c, w, d.verdict, d.holder);
           free (w);
           continue;
         }
-      s->want_read |= d.what == DECIDE_READ;
+      s->needs_read |= d.what == DECIDE_READ;
       if (write && d.what == DECIDE_WRITE && s->batch.n < BAT_MAX_RECORDS)
-        put_in_batch (c, s, w, now);
+        add_to_batch (c, s, w, now);
       else
         waiter_append (&s->waiting, w);
     }
@@ -179,11 +179,11 @@
 form_batch (struct clm *c, struct shard *s, clk_ms now)
 {
   bat_begin (&s->value);
-  go_through (c, s, now, true);
+  decide_waiting (c, s, now, true);
   if (!s->batch.n)
     return;
-  s->lost = false;
-  s->formed = now;
+  s->response_lost = false;
+  s->formed_at = now;
   s->write = chart_initial (c->chart.chart);
   s->name = (struct bat_name){ s->head, c->opt.boot, ++c->last_seq };
   bat_key (&s->batch_key, c->opt.prefix, s->no, &s->name);
@@ -195,33 +195,33 @@
 }
 
 void
-shard_pump (struct clm *c, struct shard *s, clk_ms now)
+shard_start_call (struct clm *c, struct shard *s, clk_ms now)
 {
   if (!shard_has_work (c, s) || !core_may_call (c, now))
     return;
-  if (s->write == c->chart.uncertain || (!s->batch.n && !s->known))
+  if (s->write == c->chart.uncertain || (!s->batch.n && !s->has_all))
     {
       if (now < s->next_read)
         return;
       if (s->write == c->chart.uncertain)
-        step (c, s, c->chart.ev_read);
+        apply_event (c, s, c->chart.ev_read);
       begin_read (c, s, now);
       return;
     }
   if (now < s->next_write)
     return;
-  if (!s->batch.n && s->want_read && !core_lease_usable (c, now))
+  if (!s->batch.n && s->needs_read && !core_lease_usable (c, now))
     {
       begin_read (c, s, now);
       return;
     }
-  if (!core_lease (c, now))
+  if (!core_ensure_lease (c, now))
     return;
   if (!s->batch.n)
     form_batch (c, s, now);
   if (s->batch.n)
     begin_write (c, s, now);
-  else if (s->want_read)
+  else if (s->needs_read)
     begin_read (c, s, now);
 }
 
@@ -235,40 +235,40 @@
 /* Outcome of a batch. */
 
 static void
-settle_take (struct clm *c, struct shard *s, struct waiter *w, clk_ms now)
+finish_take (struct clm *c, struct shard *s, struct waiter *w, clk_ms now)
 {
   if (w->rec->state == TBL_NONE)
     w->rec->state = TBL_TAKEN;
-  w->rec->written = s->formed;
-  if (w->told)
+  w->rec->written_at = s->formed_at;
+  if (w->replied)
     return;
   if (w->rec->state == TBL_RELEASED || now >= w->deadline)
-    core_unavailable (c, s, w);
+    core_reply_unavailable (c, s, w);
   else
     core_reply (c, w, CLM_GRANTED, NULL);
 }
 
 static void
-batch_applied (struct clm *c, struct shard *s, clk_ms now)
+finish_batch (struct clm *c, struct shard *s, clk_ms now)
 {
   for (struct waiter *w; (w = waiter_pop (&s->batch)); free (w))
     {
       w->rec->pending = TBL_PEND_NONE;
-      tbl_touch (&c->table, w->rec, now, core_expiry (c, now));
+      tbl_refresh (&c->table, w->rec, now, core_claim_expiry (c, now));
       if (w->ask.kind == CLM_TAKE)
         {
-          settle_take (c, s, w, now);
+          finish_take (c, s, w, now);
           continue;
         }
       w->rec->state = TBL_RELEASED;
-      if (!w->told)
+      if (!w->replied)
         core_reply (c, w, CLM_DONE, NULL);
     }
 }
 
 /** The batch can never be applied: its requests wait again. */
 static void
-batch_void (struct clm *c, struct shard *s)
+void_batch (struct clm *c, struct shard *s)
 {
   struct waiter_list later = s->waiting;
 
@@ -279,7 +279,7 @@
       if (w->rec->state == TBL_NONE)
         tbl_remove (&c->table, w->rec);
       w->rec = NULL;
-      if (w->told && w->ask.kind == CLM_TAKE)
+      if (w->replied && w->ask.kind == CLM_TAKE)
         free (w);
       else
         waiter_append (&s->waiting, w);
@@ -296,17 +296,17 @@
   struct tbl_rec *r = tbl_find (&c->table, b->key, b->attempt);
 
   if (r)
-    tbl_touch (&c->table, r, r->since, core_expiry (c, now));
+    tbl_refresh (&c->table, r, r->recorded_at, core_claim_expiry (c, now));
   else
     r = tbl_add (&c->table, b->key, b->attempt, b->fingerprint, now,
-                 core_expiry (c, now));
+                 core_claim_expiry (c, now));
   if (b->kind == CLM_RELEASE)
     r->state = TBL_RELEASED;
   else if (r->state == TBL_NONE)
     r->state = TBL_TAKEN;
 }
 
-struct seen
+struct range_result
 {
   int64_t head;
   bool own;      /**< the batch of this write was found */
@@ -315,11 +315,11 @@
 };
 
 /** Batches are ordered by BASE, which is the order of writing. */
-static struct seen
+static struct range_result
 merge_range (struct clm *c, struct shard *s, const struct store_result *r,
              clk_ms now)
 {
-  struct seen seen = { .chained = true, .readable = true };
+  struct range_result found = { .chained = true, .readable = true };
   int64_t at = s->head;
 
   for (size_t i = 0; i < r->nkvs; i++)
@@ -329,19 +329,19 @@
       struct bat_record rec;
       size_t n;
       if (str_eq (kv->key, buf_str (&s->head_key)))
-        seen.head = kv->mod_rev;
+        found.head = kv->mod_rev;
       if (!bat_parse_key (kv->key, &name))
         continue;
-      seen.chained &= name.base == at;
+      found.chained &= name.base == at;
       at = kv->mod_rev;
       if (s->batch.n && name.boot == s->name.boot && name.seq == s->name.seq)
         {
-          seen.own = true;
+          found.own = true;
           continue;
         }
       if (!bat_count (kv->value, &n))
         {
-          seen.readable = false;
+          found.readable = false;
           continue;
         }
       for (size_t k = 0; k < n; k++)
@@ -350,29 +350,29 @@
           merge_record (c, &rec, now);
         }
     }
-  seen.chained &= at == seen.head;
-  return seen;
+  found.chained &= at == found.head;
+  return found;
 }
 
 static void
-settle_by_read (struct clm *c, struct shard *s, const struct seen *seen,
-                clk_ms now)
+resolve_by_read (struct clm *c, struct shard *s,
+                 const struct range_result *found, clk_ms now)
 {
-  if (seen->own)
+  if (found->own)
     {
-      step (c, s, c->chart.ev_found);
-      c->counts.settled_found += s->lost;
-      batch_applied (c, s, now);
+      apply_event (c, s, c->chart.ev_found);
+      c->counts.settled_found += s->response_lost;
+      finish_batch (c, s, now);
     }
-  else if (seen->head == s->name.base)
+  else if (found->head == s->name.base)
     {
-      step (c, s, c->chart.ev_absent);
+      apply_event (c, s, c->chart.ev_absent);
       c->counts.settled_absent++;
     }
   else
     {
-      step (c, s, c->chart.ev_moved);
-      batch_void (c, s);
+      apply_event (c, s, c->chart.ev_moved);
+      void_batch (c, s);
     }
 }
 
@@ -381,7 +381,7 @@
              const struct store_result *r)
 {
   bool settling = s->write == c->chart.settling;
-  struct seen seen;
+  struct range_result found;
 
   if (r->status == STORE_OVER_BUDGET)
     s->next_read = now + c->opt.gap_ms;
@@ -390,26 +390,26 @@
   if (r->status != STORE_OK)
     {
       if (settling)
-        step (c, s, c->chart.ev_silent);
+        apply_event (c, s, c->chart.ev_silent);
       return;
     }
-  core_call_ok (c);
-  seen = merge_range (c, s, r, now);
-  if (!seen.readable)
+  core_call_succeeded (c);
+  found = merge_range (c, s, r, now);
+  if (!found.readable)
     {
       /* Written by an unknown version: its claims are unknown, so no claim of
          this shard may be granted. */
-      s->known = false;
+      s->has_all = false;
       s->next_read = now + CLK_SECOND;
       if (settling)
-        step (c, s, c->chart.ev_silent);
+        apply_event (c, s, c->chart.ev_silent);
       return;
     }
-  s->known = op == OP_READ_ALL || seen.chained;
-  s->head = seen.head;
-  s->confirmed = s->sent;
+  s->has_all = op == OP_READ_ALL || found.chained;
+  s->head = found.head;
+  s->confirmed_at = s->sent_at;
   if (settling)
-    settle_by_read (c, s, &seen, now);
+    resolve_by_read (c, s, &found, now);
 }
 
 static void
@@ -419,25 +419,25 @@
   switch (r->status)
     {
     case STORE_OK:
-      core_call_ok (c);
-      step (c, s, c->chart.ev_applied);
+      core_call_succeeded (c);
+      apply_event (c, s, c->chart.ev_applied);
       s->head = r->revision;
-      s->confirmed = s->sent;
-      batch_applied (c, s, now);
+      s->confirmed_at = s->sent_at;
+      finish_batch (c, s, now);
       return;
     case STORE_CONFLICT:
-      core_call_ok (c);
+      core_call_succeeded (c);
       c->counts.conflicts++;
-      step (c, s, c->chart.ev_conflict);
+      apply_event (c, s, c->chart.ev_conflict);
       return;
     case STORE_UNCERTAIN:
       c->counts.uncertain++;
-      s->lost = true;
+      s->response_lost = true;
       core_call_failed (c, now);
-      step (c, s, c->chart.ev_lost);
+      apply_event (c, s, c->chart.ev_lost);
       return;
     case STORE_GONE:
-      core_call_ok (c);
+      core_call_succeeded (c);
       c->lease.id = 0;
       break;
     case STORE_UNAVAILABLE:
@@ -446,10 +446,10 @@
     case STORE_OVER_BUDGET:
       break;
     }
-  step (c, s, c->chart.ev_unsent);
+  apply_event (c, s, c->chart.ev_unsent);
   /* This copy was not applied; an earlier one may still be in flight. */
-  if (!s->lost)
-    batch_void (c, s);
+  if (!s->response_lost)
+    void_batch (c, s);
 }
 
 void
@@ -464,5 +464,5 @@
   else
     read_answer (c, s, op, now, r);
   if (s->waiting.n)
-    go_through (c, s, now, false);
+    decide_waiting (c, s, now, false);
 }
--- a/claim/table.c
+++ b/claim/table.c
@@ -12,18 +12,18 @@
 }
 
 static bool
-same (const uint8_t a[16], const uint8_t b[16])
+same_id (const uint8_t a[16], const uint8_t b[16])
 {
   return memcmp (a, b, 16) == 0;
 }
 
 void
-tbl_init (struct tbl *t, size_t kept_limit)
+tbl_init (struct tbl *t, size_t response_limit)
 {
   memset (t, 0, sizeof *t);
   t->nbuckets = FIRST_BUCKETS;
   t->buckets = xcalloc (t->nbuckets, sizeof *t->buckets);
-  t->kept_limit = kept_limit;
+  t->response_limit = response_limit;
 }
 
 void
@@ -40,7 +40,7 @@
 {
   struct tbl_rec *r = t->buckets[bucket_of (t, key)];
 
-  while (r && !(same (r->key, key) && same (r->attempt, attempt)))
+  while (r && !(same_id (r->key, key) && same_id (r->attempt, attempt)))
     r = r->chain;
   return r;
 }
@@ -52,8 +52,8 @@
   struct tbl_rec *found = NULL;
 
   for (struct tbl_rec *r = t->buckets[bucket_of (t, key)]; r; r = r->chain)
-    if (same (r->key, key) && !same (r->attempt, attempt)
-        && r->state == TBL_TAKEN && (!found || r->answer))
+    if (same_id (r->key, key) && !same_id (r->attempt, attempt)
+        && r->state == TBL_TAKEN && (!found || r->response))
       found = r;
   return found;
 }
@@ -63,14 +63,14 @@
                    const uint8_t attempt[16])
 {
   for (struct tbl_rec *r = t->buckets[bucket_of (t, key)]; r; r = r->chain)
-    if (same (r->key, key) && !same (r->attempt, attempt)
+    if (same_id (r->key, key) && !same_id (r->attempt, attempt)
         && r->pending == TBL_PEND_TAKE)
       return true;
   return false;
 }
 
 static void
-grow (struct tbl *t)
+grow_buckets (struct tbl *t)
 {
   struct tbl_rec **old = t->buckets;
   size_t nold = t->nbuckets;
@@ -89,7 +89,7 @@
 }
 
 static void
-order_append (struct tbl *t, struct tbl_rec *r)
+expiry_append (struct tbl *t, struct tbl_rec *r)
 {
   r->next = NULL;
   r->prev = t->last;
@@ -101,7 +101,7 @@
 }
 
 static void
-order_unlink (struct tbl *t, struct tbl_rec *r)
+expiry_unlink (struct tbl *t, struct tbl_rec *r)
 {
   if (r->prev)
     r->prev->next = r->next;
@@ -115,54 +115,55 @@
 
 struct tbl_rec *
 tbl_add (struct tbl *t, const uint8_t key[16], const uint8_t attempt[16],
-         const uint8_t fingerprint[16], clk_ms since, clk_ms expires)
+         const uint8_t fingerprint[16], clk_ms recorded_at, clk_ms expires)
 {
   struct tbl_rec *r = xcalloc (1, sizeof *r);
   size_t b;
 
   if (t->n >= t->nbuckets)
-    grow (t);
+    grow_buckets (t);
   b = bucket_of (t, key);
   memcpy (r->key, key, 16);
   memcpy (r->attempt, attempt, 16);
   memcpy (r->fingerprint, fingerprint, 16);
-  r->since = since;
-  r->written = INT64_MIN / 2;
+  r->recorded_at = recorded_at;
+  r->written_at = INT64_MIN / 2;
   r->expires = expires;
   r->chain = t->buckets[b];
   t->buckets[b] = r;
-  order_append (t, r);
+  expiry_append (t, r);
   t->n++;
   return r;
 }
 
 void
-tbl_touch (struct tbl *t, struct tbl_rec *r, clk_ms since, clk_ms expires)
+tbl_refresh (struct tbl *t, struct tbl_rec *r, clk_ms recorded_at,
+             clk_ms expires)
 {
-  order_unlink (t, r);
-  r->since = since;
+  expiry_unlink (t, r);
+  r->recorded_at = recorded_at;
   r->expires = expires;
-  order_append (t, r);
+  expiry_append (t, r);
 }
 
 static void
-drop_answer (struct tbl *t, struct tbl_rec *r)
+drop_response (struct tbl *t, struct tbl_rec *r)
 {
-  if (!r->answer)
+  if (!r->response)
     return;
-  if (r->kprev)
-    r->kprev->knext = r->knext;
+  if (r->response_prev)
+    r->response_prev->response_next = r->response_next;
   else
-    t->kfirst = r->knext;
-  if (r->knext)
-    r->knext->kprev = r->kprev;
+    t->response_first = r->response_next;
+  if (r->response_next)
+    r->response_next->response_prev = r->response_prev;
   else
-    t->klast = r->kprev;
-  r->kprev = r->knext = NULL;
-  t->kept -= r->answer_len;
-  free (r->answer);
-  r->answer = NULL;
-  r->answer_len = 0;
+    t->response_last = r->response_prev;
+  r->response_prev = r->response_next = NULL;
+  t->response_bytes -= r->response_len;
+  free (r->response);
+  r->response = NULL;
+  r->response_len = 0;
 }
 
 void
@@ -173,8 +174,8 @@
   while (*at != r)
     at = &(*at)->chain;
   *at = r->chain;
-  order_unlink (t, r);
-  drop_answer (t, r);
+  expiry_unlink (t, r);
+  drop_response (t, r);
   t->n--;
   free (r);
 }
@@ -193,22 +194,23 @@
 }
 
 void
-tbl_keep (struct tbl *t, struct tbl_rec *r, int status, struct str answer)
+tbl_store_response (struct tbl *t, struct tbl_rec *r, int status,
+                    struct str response)
 {
-  drop_answer (t, r);
-  r->ended = true;
-  r->status = status;
-  if (answer.len > t->kept_limit)
+  drop_response (t, r);
+  r->finished = true;
+  r->response_status = status;
+  if (response.len > t->response_limit)
     return;
-  while (t->kept + answer.len > t->kept_limit)
-    drop_answer (t, t->kfirst);
-  r->answer = str_dup (answer);
-  r->answer_len = answer.len;
-  t->kept += answer.len;
-  r->kprev = t->klast;
-  if (t->klast)
-    t->klast->knext = r;
+  while (t->response_bytes + response.len > t->response_limit)
+    drop_response (t, t->response_first);
+  r->response = str_dup (response);
+  r->response_len = response.len;
+  t->response_bytes += response.len;
+  r->response_prev = t->response_last;
+  if (t->response_last)
+    t->response_last->response_next = r;
   else
-    t->kfirst = r;
-  t->klast = r;
+    t->response_first = r;
+  t->response_last = r;
 }
--- a/claim/table.h
+++ b/claim/table.h
@@ -35,17 +35,16 @@
   uint8_t fingerprint[16];
   enum tbl_state state;
   enum tbl_pending pending;
-  bool ended;     /**< the requester reported the outcome */
-  int status;     /**< of the stored response */
-  clk_ms since;   /**< when the record was written or read */
-  clk_ms written; /**< lower bound of the time of writing; far in the past if
-                     it was read */
+  bool finished; /**< the requester reported the outcome */
+  int response_status;
+  clk_ms recorded_at; /**< when the record was written or read */
+  clk_ms written_at;  /**< not written before this; far in the past if read */
   clk_ms expires;
-  char *answer; /**< NULL: none stored */
-  size_t answer_len;
-  struct tbl_rec *chain;         /**< same bucket */
-  struct tbl_rec *prev, *next;   /**< expiry list */
-  struct tbl_rec *kprev, *knext; /**< list of stored responses */
+  char *response; /**< NULL: none stored */
+  size_t response_len;
+  struct tbl_rec *chain;       /**< same bucket */
+  struct tbl_rec *prev, *next; /**< expiry list */
+  struct tbl_rec *response_prev, *response_next;
 };
 
 struct tbl
@@ -53,13 +52,13 @@
   struct tbl_rec **buckets;
   size_t nbuckets;
   size_t n;
-  size_t kept; /**< bytes of stored responses */
-  size_t kept_limit;
+  size_t response_bytes;
+  size_t response_limit;
   struct tbl_rec *first, *last;
-  struct tbl_rec *kfirst, *klast;
+  struct tbl_rec *response_first, *response_last;
 };
 
-void tbl_init (struct tbl *t, size_t kept_limit);
+void tbl_init (struct tbl *t, size_t response_limit);
 void tbl_free (struct tbl *t);
 
 struct tbl_rec *tbl_find (const struct tbl *t, const uint8_t key[16],
@@ -76,13 +75,13 @@
 
 struct tbl_rec *tbl_add (struct tbl *t, const uint8_t key[16],
                          const uint8_t attempt[16],
-                         const uint8_t fingerprint[16], clk_ms since,
+                         const uint8_t fingerprint[16], clk_ms recorded_at,
                          clk_ms expires);
 
 /** Refresh a record that was written or read again: it moves to the end of the
     expiry list. */
-void tbl_touch (struct tbl *t, struct tbl_rec *r, clk_ms since,
-                clk_ms expires);
+void tbl_refresh (struct tbl *t, struct tbl_rec *r, clk_ms recorded_at,
+                  clk_ms expires);
 void tbl_remove (struct tbl *t, struct tbl_rec *r);
 
 /** Remove expired records that have no pending write. */
@@ -90,7 +89,7 @@
 
 /** Store a copy of a response; the oldest are evicted at the limit in
     bytes. */
-void tbl_keep (struct tbl *t, struct tbl_rec *r, int status,
-               struct str answer);
+void tbl_store_response (struct tbl *t, struct tbl_rec *r, int status,
+                         struct str response);
 
 #endif
