--- a/t/lib-claim-walk.c
+++ b/t/lib-claim-walk.c
@@ -8,7 +8,7 @@
   return rng_below (&k->rng, n);
 }
 
-/* All keys are of one shard, so that they meet in one head. */
+/* All keys are in one shard, so that they share one head. */
 static void
 key_bytes (int key, uint8_t out[16])
 {
@@ -61,7 +61,8 @@
   cw_drain (&k->w, home);
 }
 
-/* The asker's release: to its own core, which keeps it until it is written. */
+/* The requester releases through its own core, which keeps the release until
+   it is written. */
 static void
 release (struct cwk_walk *k, const struct cwk_req *q)
 {
@@ -130,7 +131,7 @@
     do_asker (k, q, clm_asker_answer (&q->asker, k->w.now, verdict), verdict);
 }
 
-/* A core's reply goes to the gateway whose request it was. */
+/* Send a core's reply to the gateway of the request. */
 static void
 on_reply (void *ctx, int home, const struct clm_reply *r)
 {
@@ -146,7 +147,7 @@
                                   .verdict = r->verdict });
 }
 
-/* Steps of the walk. */
+/* Steps of the randomized test. */
 
 static bool
 start_request (struct cwk_walk *k)
@@ -165,7 +166,8 @@
     }
   q->key = (int)below (k, CWK_KEYS);
   q->ask = ++k->last_ask;
-  /* Views differ: any order of homes, ending with the own one. */
+  /* Nodes may disagree on the home: any order of homes, ending with the local
+     one. */
   for (int h = (int)below (k, CW_HOMES); n < CLM_TARGETS; h++)
     {
       q->targets[n++] = h % CW_HOMES;
@@ -179,7 +181,7 @@
   return true;
 }
 
-/* A grant has run out: the request core asks again for the same attempt. */
+/* The grant has expired: request again for the same attempt. */
 static void
 ask_again (struct cwk_walk *k, struct cwk_req *q)
 {
@@ -284,7 +286,7 @@
     return false;
   if (c->answered)
     {
-      /* Told uncertain: lands now, later or never. */
+      /* Reported as uncertain: applied now, later or never. */
       if (what < 4)
         cw_apply (&k->w, c);
       else if (what == 4)
@@ -397,7 +399,7 @@
     k->slow[home] = what < 40;
 }
 
-/** Returns whether anything could happen. */
+/** Returns whether a step was possible. */
 static bool
 one_step (struct cwk_walk *k)
 {
@@ -444,7 +446,7 @@
   return done;
 }
 
-/** Everything works again: what was held is answered, messages arrive. */
+/** End all faults: respond to pending calls and deliver all messages. */
 static void
 calm (struct cwk_walk *k, clk_ms ms)
 {
--- a/t/lib-claim-walk.h
+++ b/t/lib-claim-walk.h
@@ -1,14 +1,13 @@
 /**
  * @file
- * A seeded walk over interleavings of the claim core: three gateways, each
- * with its own core and its own requests, a store that applies calls late,
- * twice over or never and loses answers, messages between gateways that are
- * lost and late, freezes, restarts, lapses of leases.  The same seed gives
- * the same walk.
+ * A randomized test of the claim core: three gateways, each with a core and
+ * requests, and a store that applies calls late, twice or never and loses
+ * responses.  Messages between gateways are lost and delayed, processes are
+ * suspended and restarted, leases expire.  A seed determines the whole run.
  *
- * Judged: no key is sent twice within the window.  A walk that sends nothing
- * would prove nothing, so sends, repeats after a release and settled writes
- * are counted too; and planted faults have to be found.
+ * Checked: no key is sent twice within the window.  To detect a run that
+ * proves nothing, sends, retries after a release and resolved writes are
+ * counted too, and injected faults must be found.
  */
 #ifndef LAPISLINE_T_LIB_CLAIM_WALK_H
 #define LAPISLINE_T_LIB_CLAIM_WALK_H
@@ -23,12 +22,14 @@
 enum cwk_fault
 {
   CWK_FAULT_NONE,
-  CWK_FAULT_LOST_AS_APPLIED, /**< a lost answer is taken for "written" */
+  CWK_FAULT_LOST_AS_APPLIED, /**< treats a lost response as "applied" */
   CWK_FAULT_NO_GRANT_CHECK,  /**< sends without clm_grant_valid() */
-  CWK_FAULT_HOME_RELEASES, /**< a home releases what another node asked for */
-  CWK_FAULT_OWN_RELEASES,  /**< likewise, what it asked itself after others */
-  CWK_FAULT_FORGETS_GRANT, /**< an asker takes a second grant for a leftover */
-  CWK_FAULT_SAME_BOOT      /**< homes that started in the same millisecond */
+  CWK_FAULT_HOME_RELEASES, /**< a home releases the request of another node */
+  CWK_FAULT_OWN_RELEASES, /**< the local core releases after other targets were
+                             tried */
+  CWK_FAULT_FORGETS_GRANT, /**< the requester releases a second grant */
+  CWK_FAULT_SAME_BOOT /**< homes share a boot number, as if derived from the
+                         same start time */
 };
 
 enum cwk_req_state
@@ -36,15 +37,15 @@
   REQ_FREE,
   REQ_ASKING,
   REQ_GRANTED, /**< not sent yet */
-  REQ_OVER     /**< kept while answers may still come */
+  REQ_OVER     /**< kept while responses may still arrive */
 };
 
 struct cwk_req
 {
   enum cwk_req_state state;
   uint64_t no;  /**< its attempt */
-  uint64_t ask; /**< its last ask, so that late answers to earlier ones and
-                     to requests that are gone fit none */
+  uint64_t ask; /**< its last request, so that late responses to earlier ones
+                   match nothing */
   int gateway;
   int key;
   clk_ms granted;
@@ -70,7 +71,7 @@
   struct cwk_req reqs[CWK_REQUESTS];
   struct cwk_message messages[CWK_MESSAGES];
   bool frozen[CW_HOMES];
-  bool slow[CW_HOMES]; /**< the store answers it seldom */
+  bool slow[CW_HOMES]; /**< the store responds rarely to this home */
   uint64_t last_req, last_ask;
   uint64_t boots;
   clk_ms last_send[CWK_KEYS];
@@ -78,13 +79,13 @@
   const char *violation;
 };
 
-/** Walk until a violation or for @p steps; returns the steps taken.  Followed
-    by cw_clear (&k->w). */
+/** Run until a violation or for @p steps steps; returns the number of steps.
+    Call cw_clear (&k->w) afterwards. */
 uint64_t cwk_walk (struct cwk_walk *k, uint64_t seed, uint64_t steps,
                    enum cwk_fault fault);
 
-/** How many of the CWK_KEYS keys can be used after the trouble has ended and
-    the window has passed. */
+/** Number of keys that can be used after all faults have ended and the window
+    has passed. */
 int cwk_usable_keys (struct cwk_walk *k);
 
 #endif
--- a/t/lib-claim.c
+++ b/t/lib-claim.c
@@ -325,7 +325,7 @@
 
   c->answered = true;
   clm_store_answer (w->homes[home], w->now, token, r);
-  /* A write of which only the answer was lost may still be applied. */
+  /* A write whose response was lost may still be applied. */
   if (c->applied || lost != STORE_UNCERTAIN)
     cw_forget (c);
   cw_drain (w, home);
--- a/t/lib-claim.h
+++ b/t/lib-claim.h
@@ -1,8 +1,8 @@
 /**
  * @file
- * A small store and several claim cores in one process, driven by a script
- * or by a walk: every store call is held until the driver applies it, answers
- * it, loses its answer, or any order of these.
+ * A small store and several claim cores in one process, driven by a script or
+ * a randomized test.  Each store call is held until the driver applies it,
+ * responds to it or loses the response, in any order.
  */
 #ifndef LAPISLINE_T_LIB_CLAIM_H
 #define LAPISLINE_T_LIB_CLAIM_H
@@ -46,22 +46,22 @@
 void kv_revoke (struct kv *kv, int64_t lease);
 int64_t kv_grant (struct kv *kv, clk_ms now, clk_ms ttl);
 
-/** A store call of a core, from its action to its answer. */
+/** A store call of a core, from its action to its response. */
 struct cw_call
 {
   bool used;
   int home;
-  unsigned no; /**< as shown in logs */
+  unsigned no; /**< number in logs */
   enum clm_action_kind kind;
   uint64_t token;
   struct buf key, end;  /**< of a range */
-  struct store_txn txn; /**< of the copies below */
+  struct store_txn txn; /**< points to the copies below */
   struct store_compare compare;
   struct store_put puts[2];
   struct buf copy[5];
   clk_ms ttl;
-  bool applied;  /**< the store has executed it */
-  bool answered; /**< the core was told something; it may still be applied */
+  bool applied;  /**< executed by the store */
+  bool answered; /**< the core got a response; the call may still be applied */
   struct store_result result;
   struct store_kv *kvs; /**< owned, with their strings */
 };
@@ -71,32 +71,32 @@
   struct kv kv;
   clk_ms now;
   struct clm *homes[CW_HOMES];
-  bool same_boot; /**< planted fault: homes share their boot */
+  bool same_boot; /**< injected fault: homes share a boot number */
   size_t nhomes;
   struct cw_call calls[CW_CALLS];
   unsigned last_call;
   struct buf *log; /**< NULL: none */
-  /** A core's reply; the driver's own. */
+  /** Called for each reply of a core. */
   void (*on_reply) (void *ctx, int home, const struct clm_reply *reply);
   void *ctx;
 };
 
-/** @p w is all zero but for `same_boot`. */
+/** @p w is zero-initialized except for `same_boot`. */
 void cw_init (struct cw *w, size_t homes, const struct clm_options *opt,
               uint64_t seed);
 void cw_clear (struct cw *w);
 
-/** Replace a home by a new process of another boot. */
+/** Replace a home by a new process with another boot number. */
 void cw_restart (struct cw *w, int home, const struct clm_options *opt,
                  uint64_t seed);
 
-/** Take the actions of a core: calls are held, replies handed on. */
+/** Fetch the actions of a core: hold its calls, pass on its replies. */
 void cw_drain (struct cw *w, int home);
 
 struct cw_call *cw_call (struct cw *w, unsigned no);
 void cw_apply (struct cw *w, struct cw_call *c);
 
-/** Tell the core the result; the call is gone if it was applied. */
+/** Give the core the result; removes the call if it was applied. */
 void cw_answer (struct cw *w, struct cw_call *c, enum store_status lost);
 void cw_forget (struct cw_call *c);
 
--- a/t/t4003-bounds.c
+++ b/t/t4003-bounds.c
@@ -1,13 +1,13 @@
-/* What bounds the claim core, and what it can not read. */
+/* Limits of the claim core, and data that it can't read. */
 #include <criterion/criterion.h>
 #include <string.h>
 
 #include "claim/batch.h"
 #include "t/lib-claim-script.h"
 
-/* Morning rush: a thousand bookings reach one home in the same tick.  Were
-   each a write of its own, the store's whole rate of several hundred a second
-   would be gone; with group commit they are two writes per shard. */
+/* A thousand requests reach one home in the same tick.  With one write per
+   request they would use the store's whole rate of several hundred a second;
+   group commit makes them at most two writes per shard. */
 Test (bounds, group_commit)
 {
   struct csc run;
@@ -30,8 +30,8 @@
   csc_down (&run);
 }
 
-/* Memory is bounded: claims beyond the bound are refused.  Forgetting an old
-   one to make room would let its key run again. */
+/* Memory is limited: claims beyond the limit are refused.  Evicting an old
+   claim would let its key run again. */
 Test (bounds, full_table_refuses)
 {
   struct csc run;
@@ -51,10 +51,10 @@
   csc_down (&run);
 }
 
-/* Somebody deletes a head key, and another home begins it anew.  Its batches
-   carry a lower base than the head that home 1 knows, so a read from there on
-   would miss them and a key that is taken would look free.  The broken chain
-   of bases shows it, and the whole shard is read. */
+/* A head key is deleted and another home creates it again.  The new batches
+   carry a lower base than the head that home 1 last read, so a read from there
+   would miss them and a taken key would look free.  The broken chain of bases
+   reveals this, and the whole shard is read. */
 Test (bounds, head_deleted)
 {
   struct csc run;
@@ -85,9 +85,9 @@
   csc_down (&run);
 }
 
-/* The same, and the shard has since got a second batch.  That one alone is
-   seen by a read from home 1's head, and it is the last before the new head;
-   that its base is not what home 1 knows tells of the one before it. */
+/* The same, with a second batch in the shard.  A read from home 1's head
+   returns only that batch, which is the last one before the new head.  Its
+   base differs from home 1's head, which reveals the missing batch. */
 Test (bounds, head_deleted_and_two_batches)
 {
   struct csc run;
@@ -119,9 +119,10 @@
   csc_down (&run);
 }
 
-/* Operators set a window shorter than what an ask and a grant may take, or
-   a longer one while a lease of the old is at hand.  Batches must outlive
-   every claim in them: the lease is asked for twice the window that counts. */
+/* Operators set a window shorter than the maximum time of a request and grant,
+   or a longer one while a lease with the old window is in use.  Batches must
+   outlive all their claims: the lease is requested with twice the effective
+   window. */
 Test (bounds, lease_follows_the_window)
 {
   struct csc run;
@@ -148,8 +149,8 @@
   csc_down (&run);
 }
 
-/* A batch written by another version can't be read, so the claims in it are
-   not known.  Nothing of that shard may be granted on top of it. */
+/* A batch of an unknown version can't be read, so its claims are unknown.  No
+   claim of that shard may be granted. */
 Test (bounds, unreadable_batch_refuses)
 {
   struct csc run;
@@ -173,9 +174,9 @@
   csc_down (&run);
 }
 
-/* A record whose kind this version does not know is neither a take nor a
-   release.  Passed over, its key would look free and a booking would run
-   twice; so the whole batch counts as unreadable. */
+/* A record of an unknown kind is neither a take nor a release.  If it were
+   skipped, its key would look free and a call would run twice; so the whole
+   batch counts as unreadable. */
 Test (bounds, unknown_kind_is_unreadable)
 {
   static const struct
@@ -200,7 +201,7 @@
     }
 }
 
-/* Only a key as bat_key() writes it is a batch. */
+/* Only keys in the format of bat_key() are batches. */
 Test (bounds, batch_keys)
 {
 #define D "0123456789abcde"
@@ -227,10 +228,9 @@
 #undef D
 }
 
-/* A gateway is stopped between the grant and its send and wakes after the
-   window: by then another attempt may hold the key.  The grant counts from
-   the ask, so it is no longer valid; nor is it when the clock stands before
-   the ask. */
+/* A gateway is suspended between grant and send and resumes after the window,
+   when another attempt may hold the key.  The grant has expired by then.  It
+   is also invalid if the clock is before the time of the grant. */
 Test (bounds, grant_runs_out)
 {
   cr_expect (clm_grant_valid (1000, 1000));
--- a/t/t4900-walk.c
+++ b/t/t4900-walk.c
@@ -1,11 +1,10 @@
-/* Claims by a seeded walk; see t/lib-claim-walk.h. */
+/* Randomized tests of claims; see t/lib-claim-walk.h. */
 #include <criterion/criterion.h>
 
 #include "t/lib-claim-walk.h"
 
-/* Callers repeat bookings through three gateways while everything that may
-   fail does, alone and together; whatever the order, no booking may run
-   twice within the window. */
+/* Callers retry calls through three gateways with all kinds of faults, alone
+   and combined.  No call may run twice within the window. */
 Test (walk, no_key_is_sent_twice)
 {
   static struct cwk_walk k;
@@ -74,7 +73,8 @@
   must_find (CWK_FAULT_HOME_RELEASES);
 }
 
-/* The walk itself found these two in the first version of the asker. */
+/* The randomized test found this fault and the next one in the first version
+   of the requester. */
 Test (walk, finds_own_core_that_releases_after_others_were_asked)
 {
   must_find (CWK_FAULT_OWN_RELEASES);
@@ -85,9 +85,9 @@
   must_find (CWK_FAULT_FORGETS_GRANT);
 }
 
-/* Gateways took the millisecond of their start as the name of their batches.
-   After a deployment two of them share it, and one takes the other's batch
-   for its own. */
+/* Gateways used the millisecond of their start to name their batches.  After a
+   deployment, two gateways may share it, and one takes the other's batch for
+   its own. */
 Test (walk, finds_homes_that_share_their_boot)
 {
   must_find (CWK_FAULT_SAME_BOOT);
--- a/t/t6001-owner.c
+++ b/t/t6001-owner.c
@@ -5,8 +5,8 @@
 
 #include "replica/owner.h"
 
-/* Transcripts: one step a line, "TIME VERB ARG:", and behind it what has to
-   come of it: actions, the state, and whether an order may go then. */
+/* Transcripts with one step per line, "TIME VERB ARG:", followed by the
+   expected actions, the state and whether an order may be sent. */
 
 static const char *const state_names[]
     = { "idle", "granting", "taking", "waiting", "holding", "lapsed" };
@@ -107,8 +107,8 @@
                                              .checks_fence = true,
                                              .order_flight_ms = 2000 };
 
-/* The usual way: lease, key, renewals; the time to stop counts from the
-   sending of the renewal that succeeded, not from its answer. */
+/* Regular sequence: lease, key, renewals.  The time to stop counts from the
+   sending of the successful renewal, not from its response. */
 Test (owner, takes_renews_and_gives_back)
 {
   check (&checking, "0 want 1: [idle]\n"
@@ -123,10 +123,9 @@
                     "7000 want 0: lost revoke [idle]\n");
 }
 
-/* The owner is stopped for longer than its lease and wakes in the middle of
-   sending.  Its own idea of time is old; the question right before the bytes
-   go must say no, even before the first tick, and the next tick must read
-   the key again: somebody else has it. */
+/* The owner is suspended for longer than its lease and resumes while sending.
+   own_may_order() must return false even before the first tick, and the next
+   tick must read the key again: another node has taken it. */
 Test (owner, frozen_past_its_lease_sends_nothing)
 {
   check (&checking, "0 want 1: [idle]\n"
@@ -142,8 +141,9 @@
                     "12020 conflict: revoke [idle]\n");
 }
 
-/* A pause shorter than the lease: the key may still be ours, but what we know
-   is old.  No order goes until it was renewed and read again. */
+/* A pause shorter than the lease: the node may still hold the key, but its
+   state is outdated.  No order is sent before the lease is renewed and the key
+   is read again. */
 Test (owner, short_pause_reads_again)
 {
   check (&checking, "0 want 1: [idle]\n"
@@ -158,7 +158,7 @@
 }
 
 /* The store is down: renewals fail and the owner stops at two thirds of the
-   lease, before the store can have given the key to anybody else. */
+   lease, before the store can give the key to another node. */
 Test (owner, store_down_stops_orders_at_two_thirds)
 {
   check (&checking, "0 want 1: [idle]\n"
@@ -175,8 +175,9 @@
                     "4001 tick: lost keep [lapsed]\n");
 }
 
-/* The write that took the key had its answer lost.  Writing again blindly
-   would meet our own key and give the domain up; reading tells. */
+/* The response to the write that took the key is lost.  Writing again would
+   conflict with this node's own key and release the domain; a read resolves
+   it. */
 Test (owner, lost_answer_is_settled_by_reading)
 {
   check (&checking, "0 want 1: [idle]\n"
@@ -188,7 +189,7 @@
                     "50 ours 42: gained(42) [holding, orders]\n");
 }
 
-/* Two believe that they own the domain; the other's key is there. */
+/* Two nodes try to become owner, and the other node's key is found. */
 Test (owner, loses_the_race_and_gives_its_lease_back)
 {
   check (&checking, "0 want 1: [idle]\n"
@@ -198,9 +199,9 @@
                     "30 theirs 41: revoke [idle]\n");
 }
 
-/* Backend servers that obey any order: an order of the owner before us may
-   still be on its way when our key is written.  Nothing is ordered until a
-   lease and the longest flight of an order have passed. */
+/* Backend servers ignore fencing numbers: an order of the previous owner may
+   be in flight when the key is written.  No order is sent until a lease and
+   the maximum flight time of an order have passed. */
 Test (owner, waits_out_old_orders_without_fencing)
 {
   struct own_options opt = checking;
@@ -221,8 +222,8 @@
                "8020 tick: gained(42) [holding, orders]\n");
 }
 
-/* Not wanted any more while the grant is under way: the lease that comes late
-   is given back instead of being left to run out. */
+/* The node stops being a candidate while the lease is being granted: the lease
+   that arrives later is revoked instead of being left to expire. */
 Test (owner, late_grant_is_revoked)
 {
   check (&checking, "0 want 1: [idle]\n"
--- a/t/t6002-replica.c
+++ b/t/t6002-replica.c
@@ -42,11 +42,11 @@
         .checks_fence = true,
         .load_ms = 2000 };
 
-/* Backend servers that obey whatever reaches them last. */
+/* Backend servers that ignore fencing numbers. */
 static const struct dom_options deaf
     = { .config = CONFIG (REPLICA ("r1", "manage", "")), .load_ms = 2000 };
 
-/* The core takes its states by their place in the chart. */
+/* The core's state enums must match the order of states in the charts. */
 Test (replica, states_stand_in_the_order_of_the_chart)
 {
   static const char *const names[]
@@ -61,7 +61,7 @@
     cr_expect_eq (chart_state (chart_embedded ("owner"), owner_names[i]), i);
 }
 
-/* One replica is ours, the other one is still run by old scripts. */
+/* One replica is managed; the other one is run by scripts. */
 static const struct dom_options mixed
     = { .config = CONFIG (REPLICA ("r1", "manage", "") "," REPLICA (
             "r2", "observe", "\"v3\",\"v4\"")),
@@ -78,7 +78,7 @@
         .checks_fence = true,
         .load_ms = 20000 };
 
-/* Two replicas of one model and, declared last, the only one of another. */
+/* Two replicas of one model and, configured last, the only one of another. */
 static const struct dom_options scarce
     = { .config = "{\"domains\":{\"d\":{\"zone\":\"z\",\"vms\":{"
                   "\"v1\":{\"addr\":\"127.0.0.1:1\"},"
@@ -97,7 +97,7 @@
                   "\"manage\",\"vms\":[]}}}",
         .load_ms = 6000 };
 
-/* What comes first in most logs: the declared replicas are formed. */
+/* Common start of most logs: the configured replicas are formed. */
 #define ONE_LOADS                                                             \
   "0 r1/0 absent\n"                                                           \
   "3000 write r1/1=v1+v2\n"                                                   \
@@ -121,8 +121,8 @@
   "5300 load v4: r2/2 1 of 2\n"                                               \
   "7600 r2/2 whole serves\n"
 
-/* Two replicas of two VMs and a spare: each is formed by one write, and the
-   weights are loaded by one replica at a time. */
+/* Two replicas of two VMs and a spare: each is formed by one write, and one
+   replica at a time loads its weights. */
 Test (replica, forms_one_after_the_other)
 {
   dom_check (&two,
@@ -131,10 +131,11 @@
              TWO_WHOLE);
 }
 
-/* A member goes silent.  Callers must stop being sent to its replica within
-   the evidence time of 3 s (here 2.1 s, its last answer was at 9.1 s); after
-   the grace time the spare takes its place under a new generation.  When the
-   old VM comes back it still reports the old one, and is told to unload. */
+/* A member stops responding.  Its replica must be withdrawn within the 3 s of
+   REP_EVIDENCE_MS (here after 2.1 s, as the last response was at 9.1 s); after
+   the grace time the spare replaces the member under a new generation.  When
+   the old VM returns it still reports the old generation and must be
+   unloaded. */
 Test (replica, silent_member_is_found_and_replaced)
 {
   dom_check (&one,
@@ -153,8 +154,8 @@
                        "40200 unload v1: r1/1\n");
 }
 
-/* A member is restarted quickly and still reports its place: nothing is
-   ordered and nothing is written. */
+/* A member is restarted quickly and still reports its replica: no order is
+   sent and nothing is written. */
 Test (replica, returns_within_the_grace_time)
 {
   dom_check (&one,
@@ -167,9 +168,9 @@
                        "14100 r1/1 whole serves\n");
 }
 
-/* The whole domain loses power and comes back without weights.  Nothing is
-   reassigned while it is dark or while it returns, and the two replicas load
-   one after the other instead of both at half the rate. */
+/* The whole domain loses power and returns without weights.  Nothing is
+   reassigned during the outage or the return, and the two replicas load one
+   after the other instead of both at half the rate. */
 Test (replica, dark_domain_comes_back_in_turn)
 {
   dom_check (&two,
@@ -196,9 +197,9 @@
                        "105600 r2/2 whole serves\n");
 }
 
-/* Replicas that old scripts run, of modes route and observe: declared members
-   that name no replica count, a lost one is seen, and no order nor write ever
-   goes out. */
+/* Replicas of modes route and observe, which scripts run: configured members
+   that report no replica name count, a lost one is detected, and no order or
+   write is ever sent. */
 Test (replica, observed_and_routed_get_no_orders)
 {
   dom_check (&observed,
@@ -220,9 +221,9 @@
              "30400 r2/0 degraded\n");
 }
 
-/* The platform lists a member as leaving while requests run.  New work stops
-   at once; the spare loads meanwhile; the members change only when the last
-   request is done, and the leaving VM is unloaded. */
+/* The platform lists a member as leaving while requests run.  The replica
+   accepts no new requests and the spare loads meanwhile.  The members change
+   only after the last request, and the leaving VM is unloaded. */
 Test (replica, leaving_member_is_replaced_first)
 {
   dom_check (&one,
@@ -243,7 +244,7 @@
                        "34200 r1/2 whole serves\n");
 }
 
-/* The list takes its word back before the member left: it stays. */
+/* The platform lists the VM again before it was replaced: it stays. */
 Test (replica, leaving_was_a_mistake)
 {
   dom_check (&one,
@@ -288,9 +289,10 @@
                        "53200 r1/2 whole serves\n");
 }
 
-/* An operator's push leaves a replica and its model out while requests run. It
-   takes no new work, its VMs are released only once they report no load, and
-   then the domain's assignment is empty: it can be left out as well. */
+/* A new configuration omits a replica and its model while requests run.  The
+   replica accepts no new requests, and its VMs are released only once they
+   report no load.  Then the domain's assignment is empty, so that the domain
+   can be removed as well. */
 Test (replica, left_out_of_the_configuration)
 {
   dom_check (&shrinking,
@@ -307,9 +309,9 @@
                        "34200 write\n");
 }
 
-/* The answer to the first write is lost although it took effect; a later
-   write is beaten by another writer.  In both cases the store is read, and
-   what it holds counts. */
+/* The response to the first write is lost although it was applied; a later
+   write conflicts with another writer.  Both times the store is read, and its
+   document is used. */
 Test (replica, lost_and_lost_races_are_read_again)
 {
   dom_check (&one,
@@ -333,9 +335,9 @@
              "14800 r1/2 whole serves\n");
 }
 
-/* The store goes down and ownership lapses with it.  The whole replica goes
-   on, a lost member is seen as always, no order goes out; once the store is
-   back nothing has to be put right. */
+/* The store goes down and ownership lapses.  The complete replica stays in
+   service, a lost member is detected as usual and no order is sent; once the
+   store is back nothing has to be repaired. */
 Test (replica, store_down_keeps_serving)
 {
   dom_check (&one,
@@ -351,9 +353,9 @@
                        "20100 r1/1 whole serves\n");
 }
 
-/* This node starts while the store is down and could never read who belongs to
-   what.  VMs that report the same replica and generation, as many as its model
-   has, serve; one short they don't. */
+/* This node starts while the store is down and never read the assignment.  VMs
+   that report the same replica and generation serve if their number is the one
+   that the model requires; with one less they don't. */
 Test (replica, store_down_at_start_serves_what_reports_itself)
 {
   dom_check (&one,
@@ -368,9 +370,9 @@
              "6400 r1/4 degraded\n");
 }
 
-/* A member is replaced between two probes by a new VM of the same name, so
-   that no probe ever fails.  It reports no replica: not whole at once, loaded,
-   then whole. */
+/* A member is replaced between two probes by a new VM with the same name, so
+   no probe fails.  It reports no replica: the replica is incomplete
+   immediately, is loaded and is complete again. */
 Test (replica, vm_replaced_under_the_same_name)
 {
   dom_check (&one,
@@ -382,8 +384,8 @@
                        "9200 r1/1 whole serves\n");
 }
 
-/* Replicas run already, and their VMs report name and generation: they are
-   taken over as they are, without any order. */
+/* Replicas are running and their VMs report name and generation: they are
+   adopted without any order. */
 Test (replica, adopts_what_runs)
 {
   dom_check (&two,
@@ -401,8 +403,8 @@
              "3100 r2/9 whole serves\n");
 }
 
-/* A new owner finds one VM of a running replica and not the other.  It must
-   not unload or reuse it at once: the other one returns. */
+/* A new owner finds only one VM of a running replica.  It must not unload or
+   reuse that VM at once, as the other one returns. */
 Test (replica, waits_to_adopt_a_replica_with_a_member_away)
 {
   dom_check (&two,
@@ -423,9 +425,10 @@
              "20300 r1/7 whole serves\n");
 }
 
-/* Backend servers ignore fencing numbers, and orders of an earlier owner
-   arrive late: one loads a spare, one puts an old generation on a member.  The
-   spare is unloaded; the replica stops serving until the member is right. */
+/* Backend servers ignore fencing numbers, and delayed orders of a previous
+   owner arrive: one loads a spare, the other sets an old generation on a
+   member.  The spare is unloaded, and the replica does not serve until the
+   member is loaded again. */
 Test (replica, late_order_without_fencing)
 {
   dom_check (&deaf,
@@ -439,9 +442,10 @@
                        "8200 r1/1 whole serves\n");
 }
 
-/* Another node took the domain and this one does not know yet.  The new owner
-   has put v1 to other work.  The old one's orders carry the lower number and
-   are refused, and its write fails as it compares the owner key. */
+/* Another node became owner, which this node has not noticed.  The new owner
+   has assigned v1 to another replica.  The old owner's orders carry a lower
+   number and are refused, and its write fails because it compares the owner
+   key. */
 Test (replica, usurped_owner_changes_nothing)
 {
   dom_check (&one,
@@ -464,9 +468,8 @@
                        "14700 write r1/2=v1+v5 (conflict)\n");
 }
 
-/* The old scripts restart r2, so that its VMs hold no weights for a while, as
-   free VMs do.  r1 needs a second VM meanwhile: it takes the spare, not those.
- */
+/* The scripts restart r2, so its VMs hold no weights for a while, like free
+   VMs.  r1 needs a second VM meanwhile and must take the spare, not those. */
 Test (replica, undeclared_use_is_left_alone)
 {
   dom_check (&mixed,
@@ -482,8 +485,8 @@
              "5800 r1/1 whole serves\n");
 }
 
-/* With r1 drained there are enough free VMs for r2, which is absent, but r2 is
-   only observed. */
+/* With r1 drained there are enough free VMs for the absent r2, but r2 is only
+   observed. */
 Test (replica, observed_replica_is_never_formed)
 {
   dom_check (&mixed,
@@ -496,9 +499,9 @@
              "200 write drained r1\n");
 }
 
-/* The replica has no work left long before the spare has loaded.  It stays
-   ready to go on in case the list takes its word back; the members change once
-   the spare is ready. */
+/* The replica has no requests left long before the spare has loaded.  It stays
+   ready in case the platform lists the VM again; the members change once the
+   spare is ready. */
 Test (replica, leaving_waits_for_the_spare)
 {
   dom_check (&slow,
@@ -517,7 +520,7 @@
 }
 
 /* A domain starts without weights.  Once one replica of a model serves, the
-   only one of the other model goes before its second. */
+   only replica of the other model loads before the second one. */
 Test (replica, scarcest_model_loads_first)
 {
   dom_check (&scarce,
--- a/t/t6003-replica-walk.c
+++ b/t/t6003-replica-walk.c
@@ -28,7 +28,7 @@
       "\"policy\":{\"downtime_weight\":1,\"stranded_weight\":2,"
       "\"weight_gb_per_s\":10,\"vm_return_ms\":60000}}";
 
-/** What one walk did, summed over all seeds. */
+/** Totals over all seeds. */
 struct sums
 {
   unsigned events, orders, wrong_loads, false_whole;
@@ -51,8 +51,8 @@
   return names[rng_below (rng, 3)];
 }
 
-/* The other core gets the domain, the first one having stopped before, as
-   replica/owner.h sees to. */
+/* Move ownership to the other core after the first one has stopped, as
+   replica/owner.h guarantees. */
 static void
 hand_over (struct dom *d, struct rng *rng, int *fence)
 {
@@ -121,13 +121,13 @@
 }
 
 /*
- * VMs die, come back blank or as something else, leave and stay; old orders
- * arrive late; the store refuses, loses answers and lets others win; the
- * domain changes hands between two cores.  In any order: every document
- * written has no VM twice (the fake store parses each), no load order is
- * obeyed by a VM that the document does not give to that replica, and no
- * replica is shown whole for longer than the evidence time after a member
- * stopped being right.
+ * VMs fail, return blank or with another replica, and are listed as leaving or
+ * live; old orders arrive late; the store refuses writes, loses responses and
+ * accepts competing writes; ownership moves between two cores.  In any order:
+ * no written document contains a VM twice (the fake store parses each), no VM
+ * obeys a load order for a replica that the document does not assign to it,
+ * and no replica is reported as complete for longer than REP_EVIDENCE_MS after
+ * a member became wrong.
  */
 Test (replica_walk, no_vm_in_two_replicas)
 {
--- a/t/t6004-domains.c
+++ b/t/t6004-domains.c
@@ -10,14 +10,14 @@
 #include "t/lib-latekv.h"
 #include "t/lib-net.h"
 
-/* The shell of control/domains.c with a real loop and a real backend server,
-   over a store in memory.  Membership and peer links are the stubs below;
-   lines of the log end with the phase of the script in which they came. */
+/* control/domains.c with a real event loop and a real backend server, and a
+   store in memory.  Membership and peer links are stubbed.  Lines of the log
+   end with the phase of the script in which they were written. */
 
-/* Two thirds of the lease, counted from a renewal, and a bit. */
+/* Two thirds of the lease, from a renewal, plus a margin. */
 #define RIGHT_MS ((clk_ms)4050)
-/* After a renewal: late enough that the right ends before an order's
-   deadline, early enough that a probe and an order still fit in. */
+/* Time after a renewal: late enough that the owner's time for orders ends
+   before an order's deadline, early enough for a probe and an order. */
 #define LATE_MS ((clk_ms)2300)
 
 struct world
@@ -32,15 +32,15 @@
   bool unloaded;
   struct latekv store;
   char last_evidence[64];
-  bool whole; /* as the last full evidence says */
+  bool whole; /* by the last full evidence */
   bool freeze;
-  bool told_forms; /* log which form evidence has */
+  bool told_forms; /* log whether evidence is full or short */
 };
 
 static struct world the_world;
 static struct world *const world = &the_world;
 
-/* ---- membership and links ---- */
+/* Stubs of membership and links. */
 
 const struct mbr_node *const *
 ctl_swim_nodes (const struct ctl_swim *s, size_t *n)
@@ -65,7 +65,7 @@
   char line[64];
   bool whole;
 
-  /* The short form says that what the full one said still holds. */
+  /* Short evidence extends the validity of the last full evidence. */
   if (!e->full_seq)
     world->whole = e->n_replicas && e->replicas[0]->whole;
   whole = world->whole;
@@ -87,7 +87,7 @@
     }
 }
 
-/* ---- the backend server ---- */
+/* The backend server. */
 
 static void
 obey (struct str body)
@@ -130,9 +130,9 @@
   httpd_answer (req, 200, NULL, 0, str_from (state));
 }
 
-/* ---- the script ---- */
+/* Scripts. */
 
-/* Five domains of zone y, that come before "d" in the order of turns. */
+/* Five domains of zone y, which precede "d" in the order of weight loads. */
 static const char *const elsewhere[] = { "f", "i", "u", "y", "e1" };
 
 static void
@@ -177,7 +177,7 @@
   buf_free (&text);
 }
 
-/* Another node, if there is one, is home of "d" or of what is elsewhere. */
+/* Whether there is another node, and which domains have it as home. */
 enum other
 {
   ALONE,
@@ -209,7 +209,7 @@
 
   run_init (&world->run);
   latekv_init (&world->store, &world->run.loop);
-  /* Fencing numbers of the logs begin at 11. */
+  /* Fencing numbers in the logs start at 11. */
   for (int i = 0; i < 10; i++)
     memkv_txn (world->store.kv, &(struct store_txn){ 0 });
   world->unloaded = true;
@@ -272,7 +272,7 @@
   ctl_domains_evidence (world->ctl.domains, &e);
 }
 
-/* The short form, for the full one of a number; theirs is 1. */
+/* Short evidence; @p rest names the full evidence, whose number here is 1. */
 static void
 remote_short (struct str rest)
 {
@@ -303,7 +303,8 @@
            left < REP_EVIDENCE_MS / 2 ? " soon over" : "");
 }
 
-/* Turn the loop until a renewal is LATE_MS old, with the store down since. */
+/* Run the loop until a renewal is LATE_MS old, with the store down since
+   then. */
 static void
 let_renewals_fail (void)
 {
@@ -371,7 +372,7 @@
     show ();
 }
 
-/* Start a world and run a script in it; end_world() compares. */
+/* Start the setup and run a script; end_world() compares the log. */
 static void
 play (const char *mode, enum other other, const char *script)
 {
@@ -382,10 +383,10 @@
 TestSuite (domains, .timeout = 60);
 
 /*
- * The store goes down under an owner.  Its lease runs out and with it the
- * right to order, while probes and evidence go on: a caller is served as long
- * as the replica is whole, and is not once its VM came back blank.  With the
- * store back, the owner loads the VM.
+ * The store goes down.  The owner's lease expires and it may send no orders,
+ * while probes and evidence continue: the replica serves as long as it is
+ * complete, and stops once its VM has returned blank.  When the store is back,
+ * the owner loads the VM.
  */
 Test (domains, store_down_stops_orders_not_evidence)
 {
@@ -410,10 +411,10 @@
 
 /*
  * Renewals fail, the owner decides to load a blank VM while it still may, and
- * is stopped between the decision and the connection's being ready until its
- * right is over; another node gets the domain.  When it wakes, the connection
- * is there and the bytes would go: the question asked right then, with the
- * time read then, says no.
+ * is suspended between that decision and the completion of the connection
+ * until its lease is over.  Another node takes the domain.  When the owner
+ * resumes, the connection is ready: own_may_order() with the current time must
+ * prevent the order from being sent.
  */
 Test (domains, frozen_before_sending)
 {
@@ -434,8 +435,8 @@
              "evidence whole of the owner c\n");
 }
 
-/* A replica of mode route is probed and told of, and nothing is ever asked of
-   the store's leases nor of the VM, though it stands there without weights. */
+/* A replica of mode route is probed and reported, but no lease is requested
+   and no order sent, although its VM holds no weights. */
 Test (domains, route_is_evidence_only)
 {
   play ("route", ALONE,
@@ -449,10 +450,10 @@
 }
 
 /*
- * Another node is home.  An older owner, frozen and awake again, sends what it
- * saw before: its number is lower and it is ignored; so is evidence without a
- * number while the owner is heard.  No evidence counts for longer than its
- * time, whatever its sender says.
+ * Another node is home.  A previous owner resumes after a suspension and sends
+ * old evidence: its fencing number is lower, so the evidence is ignored; so is
+ * evidence without a number while the owner sends.  Evidence is never valid
+ * for longer than REP_EVIDENCE_MS, whatever time its sender states.
  */
 Test (domains, evidence_of_an_old_owner_is_ignored)
 {
@@ -467,9 +468,9 @@
 }
 
 /*
- * After an outage five domains of other owners wait for weights as well and
- * come first.  This owner has its lease and could load, but four of them are
- * loading: the weight store is left to them until they are whole.
+ * After an outage, five domains of other owners also wait for weights and come
+ * first.  This owner has its lease and could load, but four of the others are
+ * loading, so it waits until they are complete.
  */
 Test (domains, waits_for_its_turn_to_load)
 {
@@ -484,9 +485,9 @@
 }
 
 /*
- * The short form of evidence renews what the full one said and brings the
- * loads.  It says nothing by itself: of another owner, of other replicas, or
- * with evidence that is old, it must not keep a replica in service.
+ * Short evidence renews the full evidence and carries the loads.  It must not
+ * keep a replica in service if it is from another owner, about another set of
+ * replicas, or old.
  */
 Test (domains, short_evidence_renews)
 {
@@ -504,10 +505,9 @@
 }
 
 /*
- * A node starts anew and links.  It has missed the full evidence and can do
- * nothing with the short form: were it told no more, its callers would hear
- * for up to five seconds that there is no replica, while the node is already
- * named in address answers.
+ * A starting node links after the last full evidence and can't use the short
+ * form.  Without full evidence its callers would get "no replica" for up to
+ * five seconds, although address responses already list the node.
  */
 Test (domains, a_new_peer_is_told_in_full)
 {
--- a/t/t6010-replica-processes.c
+++ b/t/t6010-replica-processes.c
@@ -1,5 +1,5 @@
-/* Fabric domains over real processes: two control processes of one zone, the
-   store's and the platform's stand-ins, three VMs of one domain. */
+/* Fabric domains with real processes: two control processes of one zone,
+   stand-ins of the store and the platform, three VMs of one domain. */
 #include <criterion/criterion.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -93,14 +93,14 @@
   web_free (&a);
 }
 
-/* What a node says of the replica, or a VM of itself. */
+/* The state of the replica by a node, or of a VM by the VM. */
 static void
 get (const char *addr, const char *path, struct web_answer *a)
 {
   cr_assert (web_call (addr, "GET", path, AUTH, NULL, a));
 }
 
-/* Node that owns the domain, as node 0 knows it. */
+/* Index of the node that owns the domain, by node 0. */
 static int
 owner (void)
 {
@@ -113,7 +113,7 @@
   return which;
 }
 
-/* The number after a key of an answer. */
+/* The number after @p key in a response. */
 static long
 number (const char *addr, const char *path, const char *key)
 {
@@ -135,7 +135,7 @@
   return number (proc_addr (vms[vm], "http"), "/lapis/v1/state", key);
 }
 
-/* Wait until a node orders under a number above @p fence. */
+/* Wait until a node's fencing number is above @p fence. */
 static void
 until_owner_above (int node, long fence)
 {
@@ -149,9 +149,9 @@
 }
 
 /*
- * The leader's VM is killed.  Both nodes stop showing the replica as whole,
- * the spare takes its place under a new generation, and both show it again,
- * with another leader.
+ * The leader's VM is killed.  Both nodes stop reporting the replica as
+ * complete, the spare replaces the VM under a new generation, and both report
+ * the replica as complete with another leader.
  */
 Test (replica_processes, killed_vm_is_replaced)
 {
@@ -171,10 +171,10 @@
 }
 
 /*
- * The owner is stopped past its lease and the other node takes the domain.
- * Then a VM loses its weights and the old owner wakes: both see a reason to
- * order.  Only an order under a newer number than the old one's reaches the
- * VM, and none that it has to refuse.
+ * The owner is suspended past its lease and the other node takes the domain.
+ * Then a VM loses its weights and the old owner resumes, so both have a reason
+ * to send an order.  Only an order with a newer fencing number may reach the
+ * VM, and none that the VM has to refuse.
  */
 Test (replica_processes, frozen_owner_wakes)
 {
@@ -198,8 +198,8 @@
   cr_expect_eq (vm_says (1, "\"old_orders\""), 0);
 }
 
-/* The store stops answering for longer than a lease, and a member is killed.
-   Nothing can be reassigned, but what both nodes say stays true. */
+/* The store stops responding for longer than a lease, and a member is killed.
+   Nothing can be reassigned, but both nodes must report the correct state. */
 Test (replica_processes, store_frozen)
 {
   struct web_answer a = { 0 };
@@ -217,8 +217,8 @@
   until_both ("\"whole\":true");
 }
 
-/* A member is listed as leaving: new work stops, the spare takes its place,
-   and the leaving VM ends without weights. */
+/* A member is listed as leaving: the replica accepts no new requests, the
+   spare replaces the VM, and the VM ends without weights. */
 Test (replica_processes, leaving_vm)
 {
   start_all ();
@@ -232,8 +232,7 @@
                         "\"unloaded\": true", PROC_WAIT_MS));
 }
 
-/* An operator drains the replica by the node that does not own it, and takes
-   it back. */
+/* An operator drains the replica through the node that is not the owner. */
 Test (replica_processes, operator_drains)
 {
   start_all ();
--- a/t/t6900-owner-walk.c
+++ b/t/t6900-owner-walk.c
@@ -1,12 +1,12 @@
 /*
- * A seeded walk over interleavings of the ownership core: three nodes that
- * all want one fabric domain, a store that applies calls late or never and
- * loses answers, leases that lapse, freezes, restarts, and orders that take
- * their time to reach a VM.  The same seed gives the same walk.
+ * A randomized test of the ownership core: three nodes that all are candidates
+ * for one fabric domain, a store that applies calls late or never and loses
+ * responses, leases that expire, suspensions, restarts, and delayed orders to
+ * a VM.  A seed determines the whole run.
  *
- * Judged at the VM: it never obeys an order of an older owner after one of a
- * newer owner.  Where backend servers check fencing numbers, they see to it;
- * where they ignore them, the owners' clocks and waits have to.
+ * Checked at the VM: it never obeys an order of an older owner after one of a
+ * newer owner.  Backend servers that check fencing numbers ensure this;
+ * otherwise the owners' clocks and waiting times must.
  */
 #include <criterion/criterion.h>
 #include <string.h>
@@ -23,8 +23,9 @@
 enum fault
 {
   FAULT_NONE,
-  FAULT_NO_CLOCK,     /**< orders while it believes, without own_may_order() */
-  FAULT_FENCE_IGNORED /**< servers said to check fencing numbers do not */
+  FAULT_NO_CLOCK,     /**< sends orders in state OWN_HOLDING without
+                         own_may_order() */
+  FAULT_FENCE_IGNORED /**< servers don't check them as configured */
 };
 
 struct call
@@ -59,7 +60,7 @@
   struct call calls[CALLS];
   struct order orders[ORDERS];
   uint64_t boots;
-  int64_t highest; /**< fencing number that the VM has obeyed */
+  int64_t highest; /**< highest fencing number that the VM obeyed */
   uint64_t obeyed, refused, owners;
   const char *violation;
 };
@@ -77,7 +78,7 @@
 
   while (c < k->calls + CALLS && c->used)
     c++;
-  /* Full of lost writes: the oldest will never land. */
+  /* Full of lost writes: drop one of them, which is never applied. */
   if (c == k->calls + CALLS)
     c = &k->calls[below (k, CALLS)];
   c->used = true;
@@ -234,7 +235,7 @@
     return false;
   o->used = false;
   if (k->now - o->sent > FLIGHT)
-    return true; /* its call has timed out and its connection is closed */
+    return true; /* the call has timed out and its connection is closed */
   if (k->checks_fence && k->fault != FAULT_FENCE_IGNORED
       && o->fence < k->highest)
     {
@@ -248,7 +249,8 @@
   return true;
 }
 
-/* A frozen node runs on as if no time had passed: it may send first. */
+/* A resumed node runs as if no time had passed: it may send before its
+   tick. */
 static void
 tick_all (struct walk *k)
 {
@@ -394,12 +396,12 @@
   cr_expect (!checks_fence || refused > 0);
 }
 
-/* An owner is frozen past its lease, another takes the domain and gives
-   orders, the first wakes and goes on.  The VM refuses its fencing number. */
+/* An owner is suspended past its lease, another node takes the domain and
+   sends orders, and the first resumes.  The VM refuses its fencing number. */
 Test (owner_walk, servers_that_check_fences) { must_hold (true); }
 
-/* The same with a VM that obeys whatever reaches it last: the old owner's
-   clock must stop it, and the new owner must wait for what is on its way. */
+/* The same with a VM that obeys the last order that arrives: the old owner's
+   clock must stop it, and the new owner must wait for orders in flight. */
 Test (owner_walk, servers_that_ignore_fences) { must_hold (false); }
 
 static void
