--- a/t/lib-claim-script.c
+++ b/t/lib-claim-script.c
@@ -30,7 +30,7 @@
 
   a.key[0] = (uint8_t)key;
   a.attempt[0] = (uint8_t)attempt;
-  a.final = strcmp (kind, "last") == 0;
+  a.final = strcmp (kind, "final") == 0;
   if (strcmp (kind, "release") == 0)
     a.kind = CLM_RELEASE;
   else if (strcmp (kind, "finish") == 0)
--- a/t/t4001-claim.c
+++ b/t/t4001-claim.c
@@ -1,4 +1,4 @@
-/* Scripts of failures around one claim; see t/lib-claim-script.h. */
+/* Failure scenarios of one claim; see t/lib-claim-script.h. */
 #include <criterion/criterion.h>
 
 #include "t/lib-claim-script.h"
@@ -25,10 +25,10 @@
               "  h1 k/D answered 200 booked\n");
 }
 
-/* A caller repeats a booking through another gateway while two nodes believe
-   to be the key's home (their views differ).  Home 1 has recorded attempt A;
-   home 2, which read before that, tries to record B.  The compare on the head
-   stops it, the read shows A, and the repeat is refused. */
+/* A caller retries a call through another gateway while two nodes act as the
+   key's home (their views differ).  Home 1 has recorded attempt A; home 2,
+   which read the shard before that, tries to record B.  The compare on the
+   head rejects the write, the read returns A, and the retry is refused. */
 Test (claim, two_homes_that_both_believe)
 {
   csc_expect ("h1 take j Z\n"
@@ -55,13 +55,13 @@
               "  h2 k/B running\n");
 }
 
-/* Home 1 is stopped after it sent the write of attempt A; its caller gives
-   up and repeats through home 2, which reads the record.  When home 1 wakes,
-   A's wait is over: it is not granted, though it was recorded, and it is
-   released because nobody else was asked for it.  Then the key is free. */
+/* Home 1 is suspended after sending the write of attempt A.  Its caller gives
+   up and retries through home 2, which reads the record.  When home 1 resumes,
+   the deadline of A has passed: A is recorded, but must not be granted, and is
+   released because no other node was tried.  Then the key is free. */
 Test (claim, frozen_home_wakes)
 {
-  csc_expect ("h1 last k A\n"
+  csc_expect ("h1 final k A\n"
               "  h1 #1 read from 0\n"
               "ok 1\n"
               "  h1 #2 grant 120000\n"
@@ -88,8 +88,9 @@
               "  h2 k/C granted\n");
 }
 
-/* The store applies a write and the answer is lost.  The claim is granted
-   only after the read has shown the batch key; nothing is written twice. */
+/* The store applies a write and its response is lost.  The claim is granted
+   only after a read has returned the batch key, and nothing is written
+   twice. */
 Test (claim, lost_answer_of_an_applied_write)
 {
   csc_expect ("h1 take k A\n"
@@ -107,10 +108,10 @@
               "  h1 k/B running\n");
 }
 
-/* The answer is lost and the write is still on its way when the read comes.
-   The read shows the old head, so the same write is sent again.  The first
-   copy lands in between; the second one conflicts, the read shows the batch,
-   and the claim is granted once. */
+/* The response is lost and the write is still in flight during the read. The
+   read returns the old head, so the same write is sent again.  The first copy
+   is applied in between, so the second conflicts, the next read returns the
+   batch, and the claim is granted once. */
 Test (claim, lost_write_that_lands_late)
 {
   csc_expect ("h1 take k A\n"
@@ -131,9 +132,9 @@
               "  h1 k/A granted\n");
 }
 
-/* The answer is lost, the write does not land before another home's does.
-   The head has moved past its compare, so it never can: the ask is decided
-   anew by what the other home wrote, and the late copy changes nothing. */
+/* The response is lost and another home's write is applied first.  The head
+   has changed, so the lost write can never pass its compare: the request is
+   decided from the other home's records, and the late copy changes nothing. */
 Test (claim, lost_write_that_can_land_no_more)
 {
   csc_expect ("h1 take k A\n"
@@ -159,8 +160,8 @@
               "  h2 k/C running\n");
 }
 
-/* The store is down.  The first caller waits for two tries; from then on
-   every ask is refused at once, and one read at a time looks whether the
+/* The store is down.  The first caller waits for two calls; after that, every
+   request is refused immediately, and one read at a time checks whether the
    store is back. */
 Test (claim, store_down_and_back)
 {
@@ -189,12 +190,12 @@
               "  h1 k/D granted\n");
 }
 
-/* The store is slow: the answer to a write comes after its asker has been
-   told "not run".  The claim must not stay, or the caller's repeat would be
-   refused for the whole window; the core releases it. */
+/* The store is slow: the response to a write arrives after the requester was
+   told "not run".  If the claim stayed, a retry would be refused for the whole
+   window, so the core releases it. */
 Test (claim, slow_store_releases_what_nobody_waits_for)
 {
-  csc_expect ("h1 last k A\n"
+  csc_expect ("h1 final k A\n"
               "  h1 #1 read from 0\n"
               "ok 1\n"
               "  h1 #2 grant 120000\n"
@@ -212,9 +213,9 @@
               "  h1 k/B granted\n");
 }
 
-/* The same, but the ask came from another node, which has meanwhile asked
-   the next home for the same attempt and may have its grant: this home must
-   not release it. */
+/* The same with a request from another node, which has meanwhile sent the same
+   attempt to the next home and may have a grant from it: this home must not
+   release the claim. */
 Test (claim, slow_store_keeps_what_others_may_have_granted)
 {
   csc_expect ("h1 take k A\n"
@@ -237,9 +238,9 @@
               "  h1 k/B running\n");
 }
 
-/* A request that was granted could not be sent (no connection): its gateway
-   releases it.  A repeat that comes before the release is recorded waits for
-   it; then it may run.  The released attempt itself never may. */
+/* A granted call could not be sent (no connection), so its gateway releases
+   the claim.  A retry that arrives before the release is recorded waits for it
+   and may then run.  The released attempt may never run. */
 Test (claim, release_then_rerun)
 {
   csc_expect ("h1 take k A\n"
@@ -262,10 +263,10 @@
               "  h1 k/A unavailable\n");
 }
 
-/* A key is remembered for the window and the life of a grant, then it is
-   free again, in memory and in the store.  Kept answers are bounded: with
-   room for 64 bytes the older answer is forgotten first, and then a repeat
-   learns that the end is not known instead of running again. */
+/* A key is remembered for the window plus the slack; then it is free again, in
+   memory and in the store.  Memory for responses is limited: with 64 bytes the
+   older response is evicted first, and a retry gets "unknown" instead of
+   running again. */
 Test (claim, expiry_and_bounded_answers)
 {
   csc_expect ("h1 take k A\n"
@@ -303,10 +304,10 @@
               "  h1 m/B granted\n");
 }
 
-/* A grant was not used in time and its request asks again for the same
-   attempt.  Were it granted as before, the record might end while the request
-   is being sent, and a repeat could run beside it; so it is written anew.  It
-   is refused once a repeat has the key. */
+/* A grant was not used in time, and its gateway repeats the request for the
+   same attempt.  If it were granted again, the record could expire while the
+   call is being sent, and a retry could run beside it; so the record is
+   written again.  The attempt is refused once a retry holds the key. */
 Test (claim, old_record_is_written_anew)
 {
   csc_expect ("h1 take k A\n"
@@ -340,10 +341,9 @@
               "  h2 k/A running\n");
 }
 
-/* The asker gives up on A while A's write at home 1 is settled by a read, and
-   releases it through home 2.  The read shows both the record and the
-   release: A is over, and a late grant must not let it be sent beside a
-   repeat that found the key free. */
+/* The requester gives up on A and releases it through home 2, while home 1
+   resolves the write of A by a read.  The read returns both the record and the
+   release: A must not be granted, as a retry may have found the key free. */
 Test (claim, released_elsewhere_while_settling)
 {
   csc_expect ("h1 take k A\n"
@@ -367,13 +367,13 @@
               "  h1 k/A unavailable\n");
 }
 
-/* A write's answer is lost, the same write is sent again and that copy is
-   refused; the first may still land.  Its asker is told "not run", so the
-   release must follow: without it the key would stay taken for the whole
-   window once the first copy lands. */
+/* The response to a write is lost, the same write is sent again and that copy
+   is refused, but the first may still be applied.  The requester was told "not
+   run", so a release must follow: otherwise the key would stay taken for the
+   whole window once the first copy is applied. */
 Test (claim, second_copy_refused_while_the_first_may_land)
 {
-  csc_expect ("h1 last k A\n"
+  csc_expect ("h1 final k A\n"
               "  h1 #1 read from 0\n"
               "ok 1\n"
               "  h1 #2 grant 120000\n"
--- a/t/t4002-asker.c
+++ b/t/t4002-asker.c
@@ -1,11 +1,11 @@
 /*
- * Scripts for the asker of one claim.  Steps of a script, one a word:
+ * Scripts for the requester of one claim.  Steps, one word each:
  *   +MS            time passes
- *   stopped:MS     time passes and the process does not run
- *   granted, running, unavailable   an answer comes
- *   unreachable    the last node asked could not be connected to
- *   silent         the last node asked went away with the ask
- * Each step's action follows it after ">"; without one nothing happens.
+ *   stopped:MS     time passes while the process is suspended
+ *   granted, running, unavailable   a verdict arrives
+ *   unreachable    the last target could not be connected to
+ *   lost           the last target received the request, then failed
+ * The action of a step follows after ">"; without it, there is none.
  */
 #include <criterion/criterion.h>
 #include <stdio.h>
@@ -14,7 +14,7 @@
 
 #include "claim/asker.h"
 
-static const char *const actions[] = { "",        "ask",
+static const char *const actions[] = { "",        "send",
                                        "reply",   "reply-and-release",
                                        "give-up", "give-up-and-release",
                                        "release" };
@@ -34,7 +34,7 @@
     }
   if (strcmp (word, "unreachable") == 0)
     return clm_asker_unreachable (a, *now);
-  if (strcmp (word, "silent") == 0)
+  if (strcmp (word, "lost") == 0)
     return clm_asker_silent (a, *now);
   if (strcmp (word, "granted") == 0)
     return clm_asker_answer (a, *now, CLM_GRANTED);
@@ -44,7 +44,7 @@
   return clm_asker_answer (a, *now, CLM_UNAVAILABLE);
 }
 
-/** @p expected holds steps and actions; the actions are compared. */
+/** @p expected contains steps and actions; the actions are compared. */
 static void
 expect (unsigned targets, clk_ms wait_ms, const char *expected)
 {
@@ -69,63 +69,64 @@
   free (text);
 }
 
-/* The home is frozen: after 300 ms the next node is asked, then the own core,
-   which is waited for until the caller's patience ends.  The home may have
-   recorded the claim, so giving up releases it. */
+/* The home is suspended: after 300 ms the next node is tried, then the local
+   core until the caller's timeout.  The home may have recorded the claim, so
+   giving up releases it. */
 Test (asker, silent_home)
 {
   expect (3, 2000,
-          "+299 +1 >ask +299 +1 >ask +1399 +1 >give-up-and-release +1");
-  expect (2, 2000, "+300 >ask granted >reply");
+          "+299 +1 >send +299 +1 >send +1399 +1 >give-up-and-release +1");
+  expect (2, 2000, "+300 >send granted >reply");
 }
 
-/* The home can't be connected to: nothing was handed over, so the next one is
-   asked at once, and with nobody left there is nothing to release. */
+/* The home can't be connected to: the request was not delivered, so the next
+   target is tried immediately, and with no target left there is nothing to
+   release. */
 Test (asker, unreachable_home)
 {
-  expect (2, 2000, "unreachable >ask granted >reply");
-  expect (2, 2000, "unreachable >ask unreachable >give-up");
+  expect (2, 2000, "unreachable >send granted >reply");
+  expect (2, 2000, "unreachable >send unreachable >give-up");
   expect (3, 2000,
-          "silent >ask silent >ask silent +2000 "
+          "lost >send lost >send lost +2000 "
           ">give-up-and-release");
 }
 
-/* The home says that the store is down.  Asking two more nodes would make
-   each refused call cost three tries at a store that has trouble already. */
+/* The home reports that the store is down.  Trying two more nodes would make
+   each refused call cost three requests to an already failing store. */
 Test (asker, unavailable_is_the_last_word)
 {
   expect (3, 2000, "unavailable >give-up-and-release");
   expect (1, 2000, "unavailable >give-up");
 }
 
-/* Two nodes grant the same attempt, as they may.  The first grant is being
-   sent on when the second one comes; were that one taken for a leftover and
-   released, a repeat could run beside it. */
+/* Two nodes may grant the same attempt.  The second grant arrives while the
+   call is being sent after the first: if it were released, a retry could run
+   beside that call. */
 Test (asker, second_grant_is_no_leftover)
 {
-  expect (2, 2000, "+300 >ask granted >reply granted");
+  expect (2, 2000, "+300 >send granted >reply granted");
 }
 
-/* The first node is frozen with the ask, the next one refuses for a holder
-   that releases the key right after.  The first one wakes, finds the key free
-   and records a claim that nobody will use; unless it is released, the key
-   is refused for the rest of the window though nothing ran. */
+/* The first node is suspended with the request, and the next one refuses
+   because of a holder that releases the key right after.  The first node
+   resumes, finds the key free and records a claim that is never used; without
+   a release the key is refused for the rest of the window although nothing
+   ran. */
 Test (asker, refusal_beside_a_silent_home)
 {
-  expect (2, 2000, "+300 >ask running >reply-and-release granted >release");
-  expect (2, 2000, "unreachable >ask running >reply");
+  expect (2, 2000, "+300 >send running >reply-and-release granted >release");
+  expect (2, 2000, "unreachable >send running >reply");
   expect (2, 2000, "running >reply");
 }
 
-/* A grant that comes after the caller was told "not run" is given back, also
-   when the process was stopped and finds it beside the passed deadline. */
+/* A grant that arrives after the caller was told "not run" is released, also
+   if the process was suspended and finds the grant after the deadline. */
 Test (asker, late_grant_is_released)
 {
-  expect (2, 500, "+300 >ask +200 >give-up-and-release granted >release");
+  expect (2, 500, "+300 >send +200 >give-up-and-release granted >release");
   expect (1, 500, "+500 >give-up granted >release");
   expect (2, 500, "stopped:9000 granted >give-up-and-release +1");
 }
 
-/* A caller's patience longer than CLM_ASK_MS would let a grant outlive what
-   the record promises. */
+/* With a timeout longer than CLM_ASK_MS, a grant could outlive its record. */
 Test (asker, wait_is_bounded) { expect (1, 60000, "+2999 +1 >give-up"); }
