--- a/t/t4001-claim.c
+++ b/t/t4001-claim.c
@@ -29,7 +29,7 @@
    key's home (their views differ).  Home 1 has recorded attempt A; home 2,
    which read the shard before that, tries to record B.  The compare on the
    head rejects the write, the read returns A, and the retry is refused. */
-Test (claim, two_homes_that_both_believe)
+Test (claim, two_homes_conflict)
 {
   csc_expect ("h1 take j Z\n"
               "  h1 #1 read from 0\n"
@@ -59,7 +59,7 @@
    up and retries through home 2, which reads the record.  When home 1 resumes,
    the deadline of A has passed: A is recorded, but must not be granted, and is
    released because no other node was tried.  Then the key is free. */
-Test (claim, frozen_home_wakes)
+Test (claim, suspended_home_resumes)
 {
   csc_expect ("h1 final k A\n"
               "  h1 #1 read from 0\n"
@@ -91,7 +91,7 @@
 /* The store applies a write and its response is lost.  The claim is granted
    only after a read has returned the batch key, and nothing is written
    twice. */
-Test (claim, lost_answer_of_an_applied_write)
+Test (claim, lost_response_to_an_applied_write)
 {
   csc_expect ("h1 take k A\n"
               "  h1 #1 read from 0\n"
@@ -112,7 +112,7 @@
    read returns the old head, so the same write is sent again.  The first copy
    is applied in between, so the second conflicts, the next read returns the
    batch, and the claim is granted once. */
-Test (claim, lost_write_that_lands_late)
+Test (claim, lost_write_is_applied_before_its_retry)
 {
   csc_expect ("h1 take k A\n"
               "  h1 #1 read from 0\n"
@@ -135,7 +135,7 @@
 /* The response is lost and another home's write is applied first.  The head
    has changed, so the lost write can never pass its compare: the request is
    decided from the other home's records, and the late copy changes nothing. */
-Test (claim, lost_write_that_can_land_no_more)
+Test (claim, lost_write_is_void_after_head_change)
 {
   csc_expect ("h1 take k A\n"
               "  h1 #1 read from 0\n"
@@ -193,7 +193,7 @@
 /* The store is slow: the response to a write arrives after the requester was
    told "not run".  If the claim stayed, a retry would be refused for the whole
    window, so the core releases it. */
-Test (claim, slow_store_releases_what_nobody_waits_for)
+Test (claim, late_write_is_released)
 {
   csc_expect ("h1 final k A\n"
               "  h1 #1 read from 0\n"
@@ -216,7 +216,7 @@
 /* The same with a request from another node, which has meanwhile sent the same
    attempt to the next home and may have a grant from it: this home must not
    release the claim. */
-Test (claim, slow_store_keeps_what_others_may_have_granted)
+Test (claim, late_write_is_kept_for_other_nodes)
 {
   csc_expect ("h1 take k A\n"
               "  h1 #1 read from 0\n"
@@ -241,7 +241,7 @@
 /* A granted call could not be sent (no connection), so its gateway releases
    the claim.  A retry that arrives before the release is recorded waits for it
    and may then run.  The released attempt may never run. */
-Test (claim, release_then_rerun)
+Test (claim, retry_after_release)
 {
   csc_expect ("h1 take k A\n"
               "  h1 #1 read from 0\n"
@@ -267,7 +267,7 @@
    memory and in the store.  Memory for responses is limited: with 64 bytes the
    older response is evicted first, and a retry gets "unknown" instead of
    running again. */
-Test (claim, expiry_and_bounded_answers)
+Test (claim, expiry_and_response_limit)
 {
   csc_expect ("h1 take k A\n"
               "  h1 #1 read from 0\n"
@@ -308,7 +308,7 @@
    same attempt.  If it were granted again, the record could expire while the
    call is being sent, and a retry could run beside it; so the record is
    written again.  The attempt is refused once a retry holds the key. */
-Test (claim, old_record_is_written_anew)
+Test (claim, old_record_is_written_again)
 {
   csc_expect ("h1 take k A\n"
               "  h1 #1 read from 0\n"
@@ -344,7 +344,7 @@
 /* The requester gives up on A and releases it through home 2, while home 1
    resolves the write of A by a read.  The read returns both the record and the
    release: A must not be granted, as a retry may have found the key free. */
-Test (claim, released_elsewhere_while_settling)
+Test (claim, released_at_other_home_during_read)
 {
   csc_expect ("h1 take k A\n"
               "  h1 #1 read from 0\n"
@@ -371,7 +371,7 @@
    is refused, but the first may still be applied.  The requester was told "not
    run", so a release must follow: otherwise the key would stay taken for the
    whole window once the first copy is applied. */
-Test (claim, second_copy_refused_while_the_first_may_land)
+Test (claim, retry_refused_while_first_copy_is_pending)
 {
   csc_expect ("h1 final k A\n"
               "  h1 #1 read from 0\n"
--- a/t/t4002-asker.c
+++ b/t/t4002-asker.c
@@ -72,7 +72,7 @@
 /* The home is suspended: after 300 ms the next node is tried, then the local
    core until the caller's timeout.  The home may have recorded the claim, so
    giving up releases it. */
-Test (asker, silent_home)
+Test (requester, unresponsive_home)
 {
   expect (3, 2000,
           "+299 +1 >send +299 +1 >send +1399 +1 >give-up-and-release +1");
@@ -82,7 +82,7 @@
 /* The home can't be connected to: the request was not delivered, so the next
    target is tried immediately, and with no target left there is nothing to
    release. */
-Test (asker, unreachable_home)
+Test (requester, unreachable_home)
 {
   expect (2, 2000, "unreachable >send granted >reply");
   expect (2, 2000, "unreachable >send unreachable >give-up");
@@ -93,7 +93,7 @@
 
 /* The home reports that the store is down.  Trying two more nodes would make
    each refused call cost three requests to an already failing store. */
-Test (asker, unavailable_is_the_last_word)
+Test (requester, unavailable_is_final)
 {
   expect (3, 2000, "unavailable >give-up-and-release");
   expect (1, 2000, "unavailable >give-up");
@@ -102,7 +102,7 @@
 /* Two nodes may grant the same attempt.  The second grant arrives while the
    call is being sent after the first: if it were released, a retry could run
    beside that call. */
-Test (asker, second_grant_is_no_leftover)
+Test (requester, second_grant_is_not_released)
 {
   expect (2, 2000, "+300 >send granted >reply granted");
 }
@@ -112,7 +112,7 @@
    resumes, finds the key free and records a claim that is never used; without
    a release the key is refused for the rest of the window although nothing
    ran. */
-Test (asker, refusal_beside_a_silent_home)
+Test (requester, refusal_with_unresponsive_home)
 {
   expect (2, 2000, "+300 >send running >reply-and-release granted >release");
   expect (2, 2000, "unreachable >send running >reply");
@@ -121,7 +121,7 @@
 
 /* A grant that arrives after the caller was told "not run" is released, also
    if the process was suspended and finds the grant after the deadline. */
-Test (asker, late_grant_is_released)
+Test (requester, late_grant_is_released)
 {
   expect (2, 500, "+300 >send +200 >give-up-and-release granted >release");
   expect (1, 500, "+500 >give-up granted >release");
@@ -129,4 +129,4 @@
 }
 
 /* With a timeout longer than CLM_ASK_MS, a grant could outlive its record. */
-Test (asker, wait_is_bounded) { expect (1, 60000, "+2999 +1 >give-up"); }
+Test (requester, wait_is_bounded) { expect (1, 60000, "+2999 +1 >give-up"); }
--- a/t/t4003-bounds.c
+++ b/t/t4003-bounds.c
@@ -32,7 +32,7 @@
 
 /* Memory is limited: claims beyond the limit are refused.  Evicting an old
    claim would let its key run again. */
-Test (bounds, full_table_refuses)
+Test (bounds, full_table_refuses_new_claims)
 {
   struct csc run;
   struct clm_options opt = csc_options ();
@@ -151,7 +151,7 @@
 
 /* A batch of an unknown version can't be read, so its claims are unknown.  No
    claim of that shard may be granted. */
-Test (bounds, unreadable_batch_refuses)
+Test (bounds, unreadable_batch_blocks_its_shard)
 {
   struct csc run;
   struct clm_options opt = csc_options ();
@@ -231,7 +231,7 @@
 /* A gateway is suspended between grant and send and resumes after the window,
    when another attempt may hold the key.  The grant has expired by then.  It
    is also invalid if the clock is before the time of the grant. */
-Test (bounds, grant_runs_out)
+Test (bounds, grant_expires)
 {
   cr_expect (clm_grant_valid (1000, 1000));
   cr_expect (clm_grant_valid (1000, 5999));
--- a/t/t4900-walk.c
+++ b/t/t4900-walk.c
@@ -5,7 +5,7 @@
 
 /* Callers retry calls through three gateways with all kinds of faults, alone
    and combined.  No call may run twice within the window. */
-Test (walk, no_key_is_sent_twice)
+Test (claim_walk, no_key_is_sent_twice)
 {
   static struct cwk_walk k;
   uint64_t sends = 0, found = 0, absent = 0, late = 0, stale = 0;
@@ -58,29 +58,29 @@
   cr_expect_not_null (k.violation);
 }
 
-Test (walk, finds_lost_answer_taken_for_applied)
+Test (claim_walk, finds_lost_response_treated_as_applied)
 {
   must_find (CWK_FAULT_LOST_AS_APPLIED);
 }
 
-Test (walk, finds_missing_check_of_the_grant)
+Test (claim_walk, finds_missing_grant_check)
 {
   must_find (CWK_FAULT_NO_GRANT_CHECK);
 }
 
-Test (walk, finds_home_that_releases_for_others)
+Test (claim_walk, finds_home_releasing_for_other_nodes)
 {
   must_find (CWK_FAULT_HOME_RELEASES);
 }
 
 /* The randomized test found this fault and the next one in the first version
    of the requester. */
-Test (walk, finds_own_core_that_releases_after_others_were_asked)
+Test (claim_walk, finds_local_core_releasing_after_other_targets)
 {
   must_find (CWK_FAULT_OWN_RELEASES);
 }
 
-Test (walk, finds_second_grant_taken_for_a_leftover)
+Test (claim_walk, finds_release_of_second_grant)
 {
   must_find (CWK_FAULT_FORGETS_GRANT);
 }
@@ -88,7 +88,7 @@
 /* Gateways used the millisecond of their start to name their batches.  After a
    deployment, two gateways may share it, and one takes the other's batch for
    its own. */
-Test (walk, finds_homes_that_share_their_boot)
+Test (claim_walk, finds_shared_boot_number)
 {
   must_find (CWK_FAULT_SAME_BOOT);
 }
--- a/t/t6001-owner.c
+++ b/t/t6001-owner.c
@@ -109,7 +109,7 @@
 
 /* Regular sequence: lease, key, renewals.  The time to stop counts from the
    sending of the successful renewal, not from its response. */
-Test (owner, takes_renews_and_gives_back)
+Test (owner, acquire_renew_and_release)
 {
   check (&checking, "0 want 1: [idle]\n"
                     "0 tick: grant [granting]\n"
@@ -126,7 +126,7 @@
 /* The owner is suspended for longer than its lease and resumes while sending.
    own_may_order() must return false even before the first tick, and the next
    tick must read the key again: another node has taken it. */
-Test (owner, frozen_past_its_lease_sends_nothing)
+Test (owner, suspended_past_lease_sends_nothing)
 {
   check (&checking, "0 want 1: [idle]\n"
                     "0 tick: grant [granting]\n"
@@ -178,7 +178,7 @@
 /* The response to the write that took the key is lost.  Writing again would
    conflict with this node's own key and release the domain; a read resolves
    it. */
-Test (owner, lost_answer_is_settled_by_reading)
+Test (owner, lost_response_is_resolved_by_read)
 {
   check (&checking, "0 want 1: [idle]\n"
                     "0 tick: grant [granting]\n"
@@ -190,7 +190,7 @@
 }
 
 /* Two nodes try to become owner, and the other node's key is found. */
-Test (owner, loses_the_race_and_gives_its_lease_back)
+Test (owner, losing_candidate_revokes_its_lease)
 {
   check (&checking, "0 want 1: [idle]\n"
                     "0 tick: grant [granting]\n"
@@ -202,7 +202,7 @@
 /* Backend servers ignore fencing numbers: an order of the previous owner may
    be in flight when the key is written.  No order is sent until a lease and
    the maximum flight time of an order have passed. */
-Test (owner, waits_out_old_orders_without_fencing)
+Test (owner, waits_for_old_orders_without_fencing)
 {
   struct own_options opt = checking;
 
--- a/t/t6002-replica.c
+++ b/t/t6002-replica.c
@@ -47,7 +47,7 @@
     = { .config = CONFIG (REPLICA ("r1", "manage", "")), .load_ms = 2000 };
 
 /* The core's state enums must match the order of states in the charts. */
-Test (replica, states_stand_in_the_order_of_the_chart)
+Test (replica, state_enums_match_the_charts)
 {
   static const char *const names[]
       = { "absent",   "forming",  "loading",   "whole",
@@ -123,7 +123,7 @@
 
 /* Two replicas of two VMs and a spare: each is formed by one write, and one
    replica at a time loads its weights. */
-Test (replica, forms_one_after_the_other)
+Test (replica, replicas_load_one_at_a_time)
 {
   dom_check (&two,
              "0 owner 20\n"
@@ -136,7 +136,7 @@
    the grace time the spare replaces the member under a new generation.  When
    the old VM returns it still reports the old generation and must be
    unloaded. */
-Test (replica, silent_member_is_found_and_replaced)
+Test (replica, unresponsive_member_is_replaced)
 {
   dom_check (&one,
              "0 owner 20\n"
@@ -156,7 +156,7 @@
 
 /* A member is restarted quickly and still reports its replica: no order is
    sent and nothing is written. */
-Test (replica, returns_within_the_grace_time)
+Test (replica, member_returns_within_grace_time)
 {
   dom_check (&one,
              "0 owner 20\n"
@@ -171,7 +171,7 @@
 /* The whole domain loses power and returns without weights.  Nothing is
    reassigned during the outage or the return, and the two replicas load one
    after the other instead of both at half the rate. */
-Test (replica, dark_domain_comes_back_in_turn)
+Test (replica, replicas_load_in_turn_after_domain_outage)
 {
   dom_check (&two,
              "0 owner 20\n"
@@ -200,7 +200,7 @@
 /* Replicas of modes route and observe, which scripts run: configured members
    that report no replica name count, a lost one is detected, and no order or
    write is ever sent. */
-Test (replica, observed_and_routed_get_no_orders)
+Test (replica, unmanaged_replicas_get_no_orders)
 {
   dom_check (&observed,
              "0 start v1 - 0\n"
@@ -224,7 +224,7 @@
 /* The platform lists a member as leaving while requests run.  The replica
    accepts no new requests and the spare loads meanwhile.  The members change
    only after the last request, and the leaving VM is unloaded. */
-Test (replica, leaving_member_is_replaced_first)
+Test (replica, leaving_member_is_replaced)
 {
   dom_check (&one,
              "0 owner 20\n"
@@ -245,7 +245,7 @@
 }
 
 /* The platform lists the VM again before it was replaced: it stays. */
-Test (replica, leaving_was_a_mistake)
+Test (replica, leaving_is_withdrawn)
 {
   dom_check (&one,
              "0 owner 20\n"
@@ -263,7 +263,7 @@
 
 /* An operator drains a replica with requests in flight.  Its VMs are released
    only once they report no load and then no weights. */
-Test (replica, operator_drains_and_takes_back)
+Test (replica, operator_drain_and_undrain)
 {
   dom_check (&one,
              "0 owner 20\n"
@@ -293,7 +293,7 @@
    replica accepts no new requests, and its VMs are released only once they
    report no load.  Then the domain's assignment is empty, so that the domain
    can be removed as well. */
-Test (replica, left_out_of_the_configuration)
+Test (replica, removed_from_the_configuration)
 {
   dom_check (&shrinking,
              "0 owner 20\n"
@@ -312,7 +312,7 @@
 /* The response to the first write is lost although it was applied; a later
    write conflicts with another writer.  Both times the store is read, and its
    document is used. */
-Test (replica, lost_and_lost_races_are_read_again)
+Test (replica, lost_response_and_conflict_are_reread)
 {
   dom_check (&one,
              "0 owner 20\n"
@@ -356,7 +356,7 @@
 /* This node starts while the store is down and never read the assignment.  VMs
    that report the same replica and generation serve if their number is the one
    that the model requires; with one less they don't. */
-Test (replica, store_down_at_start_serves_what_reports_itself)
+Test (replica, store_down_at_start_serves_by_reports)
 {
   dom_check (&one,
              "0 store down\n"
@@ -386,7 +386,7 @@
 
 /* Replicas are running and their VMs report name and generation: they are
    adopted without any order. */
-Test (replica, adopts_what_runs)
+Test (replica, running_replicas_are_adopted)
 {
   dom_check (&two,
              "0 start v1 r1 7\n"
@@ -405,7 +405,7 @@
 
 /* A new owner finds only one VM of a running replica.  It must not unload or
    reuse that VM at once, as the other one returns. */
-Test (replica, waits_to_adopt_a_replica_with_a_member_away)
+Test (replica, adoption_waits_for_missing_member)
 {
   dom_check (&two,
              "0 start v1 r1 7\n"
@@ -429,7 +429,7 @@
    owner arrive: one loads a spare, the other sets an old generation on a
    member.  The spare is unloaded, and the replica does not serve until the
    member is loaded again. */
-Test (replica, late_order_without_fencing)
+Test (replica, delayed_order_without_fencing)
 {
   dom_check (&deaf,
              "0 owner 20\n"
@@ -446,7 +446,7 @@
    has assigned v1 to another replica.  The old owner's orders carry a lower
    number and are refused, and its write fails because it compares the owner
    key. */
-Test (replica, usurped_owner_changes_nothing)
+Test (replica, superseded_owner_changes_nothing)
 {
   dom_check (&one,
              "0 owner 20\n"
@@ -470,7 +470,7 @@
 
 /* The scripts restart r2, so its VMs hold no weights for a while, like free
    VMs.  r1 needs a second VM meanwhile and must take the spare, not those. */
-Test (replica, undeclared_use_is_left_alone)
+Test (replica, unmanaged_vms_are_not_taken)
 {
   dom_check (&mixed,
              "0 kill v1\n"
@@ -502,7 +502,7 @@
 /* The replica has no requests left long before the spare has loaded.  It stays
    ready in case the platform lists the VM again; the members change once the
    spare is ready. */
-Test (replica, leaving_waits_for_the_spare)
+Test (replica, replacement_waits_for_the_spare)
 {
   dom_check (&slow,
              "0 owner 20\n"
@@ -521,7 +521,7 @@
 
 /* A domain starts without weights.  Once one replica of a model serves, the
    only replica of the other model loads before the second one. */
-Test (replica, scarcest_model_loads_first)
+Test (replica, model_with_fewest_replicas_loads_first)
 {
   dom_check (&scarce,
              "0 owner 20\n"
--- a/t/t6004-domains.c
+++ b/t/t6004-domains.c
@@ -388,7 +388,7 @@
  * complete, and stops once its VM has returned blank.  When the store is back,
  * the owner loads the VM.
  */
-Test (domains, store_down_stops_orders_not_evidence)
+Test (domains, store_down_stops_orders_but_not_evidence)
 {
   play ("manage", ALONE,
         "phase a\n"
@@ -416,7 +416,7 @@
  * resumes, the connection is ready: own_may_order() with the current time must
  * prevent the order from being sent.
  */
-Test (domains, frozen_before_sending)
+Test (domains, suspended_before_sending)
 {
   play ("manage", ALONE,
         "phase a\n"
@@ -437,7 +437,7 @@
 
 /* A replica of mode route is probed and reported, but no lease is requested
    and no order sent, although its VM holds no weights. */
-Test (domains, route_is_evidence_only)
+Test (domains, route_mode_sends_evidence_only)
 {
   play ("route", ALONE,
         "phase a\n"
@@ -455,7 +455,7 @@
  * evidence without a number while the owner sends.  Evidence is never valid
  * for longer than REP_EVIDENCE_MS, whatever time its sender states.
  */
-Test (domains, evidence_of_an_old_owner_is_ignored)
+Test (domains, evidence_of_previous_owner_is_ignored)
 {
   play ("manage", HOME_OF_D,
         "show\n remote 5 whole\n show\n remote 4 broken\n show\n"
@@ -472,7 +472,7 @@
  * first.  This owner has its lease and could load, but four of the others are
  * loading, so it waits until they are complete.
  */
-Test (domains, waits_for_its_turn_to_load)
+Test (domains, load_waits_for_other_domains)
 {
   play ("manage", HOME_ELSEWHERE,
         "phase a\n"
@@ -489,7 +489,7 @@
  * keep a replica in service if it is from another owner, about another set of
  * replicas, or old.
  */
-Test (domains, short_evidence_renews)
+Test (domains, short_evidence_renews_full_evidence)
 {
   play ("manage", HOME_OF_D,
         "short 5 100 1 1\n show\n remote 5 whole\n"
@@ -509,7 +509,7 @@
  * form.  Without full evidence its callers would get "no replica" for up to
  * five seconds, although address responses already list the node.
  */
-Test (domains, a_new_peer_is_told_in_full)
+Test (domains, new_peer_receives_full_evidence)
 {
   play ("route", ALONE,
         "phase a\n ready\n wait evidence whole without a lease a\n"
--- a/t/t6010-replica-processes.c
+++ b/t/t6010-replica-processes.c
@@ -176,7 +176,7 @@
  * to send an order.  Only an order with a newer fencing number may reach the
  * VM, and none that the VM has to refuse.
  */
-Test (replica_processes, frozen_owner_wakes)
+Test (replica_processes, suspended_owner_resumes)
 {
   int old;
   long fence;
@@ -200,7 +200,7 @@
 
 /* The store stops responding for longer than a lease, and a member is killed.
    Nothing can be reassigned, but both nodes must report the correct state. */
-Test (replica_processes, store_frozen)
+Test (replica_processes, store_suspended)
 {
   struct web_answer a = { 0 };
 
@@ -219,7 +219,7 @@
 
 /* A member is listed as leaving: the replica accepts no new requests, the
    spare replaces the VM, and the VM ends without weights. */
-Test (replica_processes, leaving_vm)
+Test (replica_processes, leaving_vm_is_replaced)
 {
   start_all ();
   post (proc_addr (platform, "http"), "/control/set",
--- a/t/t6900-owner-walk.c
+++ b/t/t6900-owner-walk.c
@@ -398,11 +398,11 @@
 
 /* An owner is suspended past its lease, another node takes the domain and
    sends orders, and the first resumes.  The VM refuses its fencing number. */
-Test (owner_walk, servers_that_check_fences) { must_hold (true); }
+Test (owner_walk, servers_check_fencing_numbers) { must_hold (true); }
 
 /* The same with a VM that obeys the last order that arrives: the old owner's
    clock must stop it, and the new owner must wait for orders in flight. */
-Test (owner_walk, servers_that_ignore_fences) { must_hold (false); }
+Test (owner_walk, servers_ignore_fencing_numbers) { must_hold (false); }
 
 static void
 must_find (bool checks_fence, enum fault fault)
@@ -421,12 +421,12 @@
   cr_expect_not_null (k.violation);
 }
 
-Test (owner_walk, finds_order_without_a_look_at_the_clock)
+Test (owner_walk, finds_order_without_clock_check)
 {
   must_find (false, FAULT_NO_CLOCK);
 }
 
-Test (owner_walk, finds_servers_that_ignore_fences_unannounced)
+Test (owner_walk, finds_servers_ignoring_fencing_unannounced)
 {
   must_find (true, FAULT_FENCE_IGNORED);
 }
