--- a/t/lib-claim-script.c
+++ b/t/lib-claim-script.c
@@ -23,8 +23,8 @@
 }
 
 void
-csc_ask (struct csc *run, int home, const char *kind, char key, char attempt,
-         const char *rest)
+csc_request (struct csc *run, int home, const char *kind, char key,
+             char attempt, const char *rest)
 {
   struct clm_ask a = { .id = (uint64_t)key << 8 | (uint64_t)attempt };
 
@@ -42,11 +42,11 @@
   else
     a.fingerprint[0] = (uint8_t)rest[0];
   clm_ask (run->w.homes[home], run->w.now, &a);
-  cw_drain (&run->w, home);
+  cw_fetch_actions (&run->w, home);
 }
 
 void
-csc_all (struct csc *run)
+csc_complete_all (struct csc *run)
 {
   bool again = true;
 
@@ -59,20 +59,20 @@
           if (!c->used || c->answered)
             continue;
           cw_apply (&run->w, c);
-          cw_answer (&run->w, c, STORE_OK);
+          cw_respond (&run->w, c, STORE_OK);
           again = true;
         }
     }
 }
 
 void
-csc_pass (struct csc *run, clk_ms ms)
+csc_advance (struct csc *run, clk_ms ms)
 {
   run->w.now += ms;
   for (size_t i = 0; i < run->w.nhomes; i++)
     {
       clm_tick (run->w.homes[i], run->w.now);
-      cw_drain (&run->w, (int)i);
+      cw_fetch_actions (&run->w, (int)i);
     }
 }
 
@@ -81,15 +81,15 @@
 {
   struct cw_call *c = cw_call (&run->w, no);
 
-  cr_assert (c, "no call %u", no);
+  cr_assert (c, "call %u is not open", no);
   if (strcmp (verb, "ok") == 0 || strcmp (verb, "apply") == 0)
     cw_apply (&run->w, c);
   if (strcmp (verb, "ok") == 0 || strcmp (verb, "answer") == 0)
-    cw_answer (&run->w, c, STORE_OK);
+    cw_respond (&run->w, c, STORE_OK);
   if (strcmp (verb, "lost") == 0)
-    cw_answer (&run->w, c, STORE_UNCERTAIN);
+    cw_respond (&run->w, c, STORE_UNCERTAIN);
   if (strcmp (verb, "down") == 0)
-    cw_answer (&run->w, c, STORE_UNAVAILABLE);
+    cw_respond (&run->w, c, STORE_UNAVAILABLE);
 }
 
 static void
@@ -101,17 +101,17 @@
   buf_addf (&run->log, "%s\n", l);
   if (sscanf (l, "h%d %15s %c %c %31s", &home, verb, &key, &attempt, rest)
       >= 4)
-    csc_ask (run, home - 1, verb, key, attempt, rest);
+    csc_request (run, home - 1, verb, key, attempt, rest);
   else if (sscanf (l, "+%d", &ms) == 1)
-    csc_pass (run, ms);
+    csc_advance (run, ms);
   else if (sscanf (l, "sleep %d", &ms) == 1)
     run->w.now += ms;
   else if (strcmp (l, "all") == 0)
-    csc_all (run);
+    csc_complete_all (run);
   else if (sscanf (l, "%15s %d", verb, &home) == 2)
     on_call (run, verb, (unsigned)home);
   else
-    cr_assert_fail ("bad line: %s", l);
+    cr_assert_fail ("invalid script line: %s", l);
 }
 
 struct clm_options
@@ -124,7 +124,7 @@
 }
 
 void
-csc_up (struct csc *run, size_t homes, const struct clm_options *opt)
+csc_start (struct csc *run, size_t homes, const struct clm_options *opt)
 {
   memset (run, 0, sizeof *run);
   cw_init (&run->w, homes, opt, 7);
@@ -133,7 +133,7 @@
 }
 
 void
-csc_down (struct csc *run)
+csc_stop (struct csc *run)
 {
   cw_clear (&run->w);
   buf_free (&run->log);
@@ -147,7 +147,7 @@
   char *text = xstrdup (expected);
   char *save = NULL;
 
-  csc_up (&run, 2, &opt);
+  csc_start (&run, 2, &opt);
   run.w.log = &run.log;
   for (char *l = strtok_r (text, "\n", &save); l;
        l = strtok_r (NULL, "\n", &save))
@@ -155,6 +155,6 @@
       line (&run, l);
   cr_expect_str_eq (buf_c (&run.log), expected, "\n--- got\n%s--- want\n%s",
                     buf_c (&run.log), expected);
-  csc_down (&run);
+  csc_stop (&run);
   free (text);
 }
--- a/t/lib-claim-script.h
+++ b/t/lib-claim-script.h
@@ -23,18 +23,18 @@
 
 /** Options of the scripts: a window of 60 s, 64 bytes for responses. */
 struct clm_options csc_options (void);
-void csc_up (struct csc *run, size_t homes, const struct clm_options *opt);
-void csc_down (struct csc *run);
+void csc_start (struct csc *run, size_t homes, const struct clm_options *opt);
+void csc_stop (struct csc *run);
 
 /** One line "hN KIND KEY ATTEMPT REST". */
-void csc_ask (struct csc *run, int home, const char *kind, char key,
-              char attempt, const char *rest);
+void csc_request (struct csc *run, int home, const char *kind, char key,
+                  char attempt, const char *rest);
 
 /** Apply and respond to every call until none is open. */
-void csc_all (struct csc *run);
+void csc_complete_all (struct csc *run);
 
 /** Advance time; every core ticks. */
-void csc_pass (struct csc *run, clk_ms ms);
+void csc_advance (struct csc *run, clk_ms ms);
 
 /** Run a script and compare the log.  In @p expected, lines that start with a
     blank are outcomes; the others are the script. */
--- a/t/lib-claim-walk.c
+++ b/t/lib-claim-walk.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 static uint64_t
-below (struct cwk_walk *k, uint64_t n)
+random_below (struct cwk_run *k, uint64_t n)
 {
   return rng_below (&k->rng, n);
 }
@@ -23,7 +23,7 @@
 }
 
 static struct clm_ask
-ask_of (const struct cwk_req *q, enum clm_kind kind)
+make_request (const struct cwk_req *q, enum clm_kind kind)
 {
   struct clm_ask a = { .id = q->ask, .kind = kind };
 
@@ -34,7 +34,7 @@
 }
 
 static struct cwk_req *
-req_of (struct cwk_walk *k, uint64_t ask)
+find_req (struct cwk_run *k, uint64_t ask)
 {
   for (size_t i = 0; i < CWK_REQUESTS; i++)
     if (k->reqs[i].state != REQ_FREE && k->reqs[i].ask == ask)
@@ -43,7 +43,7 @@
 }
 
 static void
-post (struct cwk_walk *k, const struct cwk_message *m)
+post_message (struct cwk_run *k, const struct cwk_message *m)
 {
   for (size_t i = 0; i < CWK_MESSAGES; i++)
     if (!k->messages[i].used)
@@ -55,26 +55,26 @@
 }
 
 static void
-core_ask (struct cwk_walk *k, int home, struct clm_ask a)
+core_request (struct cwk_run *k, int home, struct clm_ask a)
 {
   clm_ask (k->w.homes[home], k->w.now, &a);
-  cw_drain (&k->w, home);
+  cw_fetch_actions (&k->w, home);
 }
 
 /* The requester releases through its own core, which keeps the release until
    it is written. */
 static void
-release (struct cwk_walk *k, const struct cwk_req *q)
+release (struct cwk_run *k, const struct cwk_req *q)
 {
-  struct clm_ask a = ask_of (q, CLM_RELEASE);
+  struct clm_ask a = make_request (q, CLM_RELEASE);
 
   a.id = 0;
-  core_ask (k, q->gateway, a);
+  core_request (k, q->gateway, a);
 }
 
 static void
-do_asker (struct cwk_walk *k, struct cwk_req *q, enum clm_asker_do what,
-          enum clm_verdict verdict)
+run_action (struct cwk_run *k, struct cwk_req *q, enum clm_asker_do what,
+            enum clm_verdict verdict)
 {
   struct clm_ask a;
   int target;
@@ -84,35 +84,35 @@
     case CLM_ASKER_NOTHING:
       return;
     case CLM_ASKER_ASK:
-      a = ask_of (q, CLM_TAKE);
+      a = make_request (q, CLM_TAKE);
       target = q->targets[q->asker.asked - 1];
       a.wait_ms = q->asker.deadline - k->w.now;
-      a.final
-          = q->asker.ntargets == 1 || k->fault == CWK_FAULT_HOME_RELEASES
-            || (k->fault == CWK_FAULT_OWN_RELEASES && target == q->gateway);
+      a.final = q->asker.ntargets == 1 || k->fault == CWK_FAULT_HOME_RELEASES
+                || (k->fault == CWK_FAULT_LOCAL_CORE_RELEASES
+                    && target == q->gateway);
       if (target == q->gateway)
-        core_ask (k, target, a);
+        core_request (k, target, a);
       else
-        post (k, &(struct cwk_message){
-                     .from = q->gateway, .to = target, .ask = a });
+        post_message (k, &(struct cwk_message){
+                             .from = q->gateway, .to = target, .ask = a });
       return;
     case CLM_ASKER_REPLY:
-      q->state = verdict == CLM_GRANTED ? REQ_GRANTED : REQ_OVER;
+      q->state = verdict == CLM_GRANTED ? REQ_GRANTED : REQ_DONE;
       q->granted = k->w.now;
       k->refused += verdict != CLM_GRANTED;
       return;
     case CLM_ASKER_REPLY_LATE:
-      q->state = REQ_OVER;
+      q->state = REQ_DONE;
       k->refused++;
       release (k, q);
       return;
     case CLM_ASKER_GIVE_UP_LATE:
-      q->state = REQ_OVER;
+      q->state = REQ_DONE;
       k->given_up++;
       release (k, q);
       return;
     case CLM_ASKER_GIVE_UP:
-      q->state = REQ_OVER;
+      q->state = REQ_DONE;
       k->given_up++;
       return;
     case CLM_ASKER_RELEASE:
@@ -121,80 +121,81 @@
 }
 
 static void
-answer_req (struct cwk_walk *k, uint64_t no, enum clm_verdict verdict)
+deliver_verdict (struct cwk_run *k, uint64_t no, enum clm_verdict verdict)
 {
-  struct cwk_req *q = req_of (k, no);
+  struct cwk_req *q = find_req (k, no);
 
-  if (q && k->fault == CWK_FAULT_FORGETS_GRANT)
+  if (q && k->fault == CWK_FAULT_RELEASES_GRANT)
     q->asker.granted = false;
   if (q)
-    do_asker (k, q, clm_asker_answer (&q->asker, k->w.now, verdict), verdict);
+    run_action (k, q, clm_asker_answer (&q->asker, k->w.now, verdict),
+                verdict);
 }
 
 /* Send a core's reply to the gateway of the request. */
 static void
 on_reply (void *ctx, int home, const struct clm_reply *r)
 {
-  struct cwk_walk *k = ctx;
-  struct cwk_req *q = req_of (k, r->id);
+  struct cwk_run *k = ctx;
+  struct cwk_req *q = find_req (k, r->id);
 
   if (!q || r->verdict == CLM_DONE)
     return;
-  post (k, &(struct cwk_message){ .is_answer = true,
-                                  .from = home,
-                                  .to = q->gateway,
-                                  .ask = { .id = r->id },
-                                  .verdict = r->verdict });
+  post_message (k, &(struct cwk_message){ .is_answer = true,
+                                          .from = home,
+                                          .to = q->gateway,
+                                          .ask = { .id = r->id },
+                                          .verdict = r->verdict });
 }
 
 /* Steps of the randomized test. */
 
 static bool
-start_request (struct cwk_walk *k)
+start_request (struct cwk_run *k)
 {
-  struct cwk_req *q = &k->reqs[below (k, CWK_REQUESTS)];
+  struct cwk_req *q = &k->reqs[random_below (k, CWK_REQUESTS)];
   int n = 0;
 
-  if (q->state == REQ_ASKING || q->state == REQ_GRANTED)
+  if (q->state == REQ_PENDING || q->state == REQ_GRANTED)
     return false;
-  *q = (struct cwk_req){ .state = REQ_ASKING, .no = ++k->last_req };
-  q->gateway = (int)below (k, CW_HOMES);
+  *q = (struct cwk_req){ .state = REQ_PENDING, .no = ++k->last_req };
+  q->gateway = (int)random_below (k, CW_HOMES);
   if (k->frozen[q->gateway])
     {
       q->state = REQ_FREE;
       return false;
     }
-  q->key = (int)below (k, CWK_KEYS);
+  q->key = (int)random_below (k, CWK_KEYS);
   q->ask = ++k->last_ask;
   /* Nodes may disagree on the home: any order of homes, ending with the local
      one. */
-  for (int h = (int)below (k, CW_HOMES); n < CLM_TARGETS; h++)
+  for (int h = (int)random_below (k, CW_HOMES); n < CLM_TARGETS; h++)
     {
       q->targets[n++] = h % CW_HOMES;
       if (h % CW_HOMES == q->gateway)
         break;
     }
-  do_asker (k, q,
-            clm_asker_start (&q->asker, k->w.now, 500 + below (k, 3000),
-                             (unsigned)n),
-            CLM_UNAVAILABLE);
+  run_action (k, q,
+              clm_asker_start (&q->asker, k->w.now,
+                               500 + random_below (k, 3000), (unsigned)n),
+              CLM_UNAVAILABLE);
   return true;
 }
 
 /* The grant has expired: request again for the same attempt. */
 static void
-ask_again (struct cwk_walk *k, struct cwk_req *q)
+request_again (struct cwk_run *k, struct cwk_req *q)
 {
   unsigned n = q->asker.ntargets;
 
-  q->state = REQ_ASKING;
+  q->state = REQ_PENDING;
   q->ask = ++k->last_ask;
-  do_asker (k, q, clm_asker_start (&q->asker, k->w.now, CLM_ASK_MS, n),
-            CLM_UNAVAILABLE);
+  run_action (k, q, clm_asker_start (&q->asker, k->w.now, CLM_ASK_MS, n),
+              CLM_UNAVAILABLE);
 }
 
 static void
-send_one (struct cwk_walk *k, struct cwk_req *q)
+send_call (struct cwk_run *k, struct cwk_req *q)
 {
   clk_ms now = k->w.now;
 
@@ -202,20 +203,20 @@
       && !clm_grant_valid (q->granted, now))
     {
       k->stale++;
-      ask_again (k, q);
+      request_again (k, q);
       return;
     }
   if (k->sends && now - k->last_send[q->key] < CWK_WINDOW)
     k->violation = "a key was sent twice within the window";
   k->last_send[q->key] = now;
   k->sends++;
-  q->state = REQ_OVER;
+  q->state = REQ_DONE;
 }
 
 static struct cwk_req *
-any_granted (struct cwk_walk *k)
+random_granted (struct cwk_run *k)
 {
-  size_t from = below (k, CWK_REQUESTS);
+  size_t from = random_below (k, CWK_REQUESTS);
 
   for (size_t i = 0; i < CWK_REQUESTS; i++)
     {
@@ -227,27 +228,27 @@
 }
 
 static bool
-use_grant (struct cwk_walk *k)
+use_random_grant (struct cwk_run *k)
 {
-  struct cwk_req *q = any_granted (k);
+  struct cwk_req *q = random_granted (k);
 
   if (!q)
     return false;
-  if (below (k, 2))
+  if (random_below (k, 2))
     {
-      send_one (k, q);
+      send_call (k, q);
       return true;
     }
-  q->state = REQ_OVER;
+  q->state = REQ_DONE;
   k->released++;
   release (k, q);
   return true;
 }
 
 static struct cw_call *
-any_call (struct cwk_walk *k)
+random_call (struct cwk_run *k)
 {
-  size_t from = below (k, CW_CALLS);
+  size_t from = random_below (k, CW_CALLS);
 
   for (size_t i = 0; i < CW_CALLS; i++)
     {
@@ -259,7 +260,7 @@
 }
 
 static void
-lose_answer (struct cwk_walk *k, struct cw_call *c)
+lose_response (struct cwk_run *k, struct cw_call *c)
 {
   enum store_status lost
       = c->kind == CLM_ACT_TXN ? STORE_UNCERTAIN : STORE_UNAVAILABLE;
@@ -270,17 +271,17 @@
       struct store_result ok = { .revision = k->w.kv.revision };
       c->answered = true;
       clm_store_answer (k->w.homes[home], k->w.now, c->token, &ok);
-      cw_drain (&k->w, home);
+      cw_fetch_actions (&k->w, home);
       return;
     }
-  cw_answer (&k->w, c, lost);
+  cw_respond (&k->w, c, lost);
 }
 
 static bool
-store_step (struct cwk_walk *k)
+store_step (struct cwk_run *k)
 {
-  struct cw_call *c = any_call (k);
-  unsigned what = (unsigned)below (k, 16);
+  struct cw_call *c = random_call (k);
+  unsigned what = (unsigned)random_below (k, 16);
 
   if (!c)
     return false;
@@ -290,7 +291,7 @@
       if (what < 4)
         cw_apply (&k->w, c);
       else if (what == 4)
-        cw_forget (c);
+        cw_drop_call (c);
       return what <= 4;
     }
   if (what < 3)
@@ -298,26 +299,26 @@
       cw_apply (&k->w, c);
       return true;
     }
-  if (k->frozen[c->home] || (k->slow[c->home] && below (k, 16)))
+  if (k->frozen[c->home] || (k->slow[c->home] && random_below (k, 16)))
     return false;
   if (what == 3)
-    lose_answer (k, c);
+    lose_response (k, c);
   else if (what == 4 && !c->applied)
-    cw_answer (&k->w, c, STORE_UNAVAILABLE);
+    cw_respond (&k->w, c, STORE_UNAVAILABLE);
   else if (what == 5 && !c->applied)
-    cw_answer (&k->w, c, STORE_OVER_BUDGET);
+    cw_respond (&k->w, c, STORE_OVER_BUDGET);
   else
     {
       cw_apply (&k->w, c);
-      cw_answer (&k->w, c, STORE_OK);
+      cw_respond (&k->w, c, STORE_OK);
     }
   return true;
 }
 
 static size_t
-any_message (struct cwk_walk *k)
+random_message (struct cwk_run *k)
 {
-  size_t at = below (k, CWK_MESSAGES);
+  size_t at = random_below (k, CWK_MESSAGES);
 
   for (size_t i = 0; i < CWK_MESSAGES && !k->messages[at].used; i++)
     at = (at + 1) % CWK_MESSAGES;
@@ -325,56 +326,57 @@
 }
 
 static bool
-message_step (struct cwk_walk *k)
+message_step (struct cwk_run *k)
 {
-  size_t at = any_message (k);
+  size_t at = random_message (k);
   struct cwk_message m = k->messages[at];
 
   if (!m.used || k->frozen[m.to])
     return false;
-  k->messages[at].used = below (k, 40) == 0; /* some arrive twice */
-  if (below (k, 12) == 0)
+  k->messages[at].used = random_below (k, 40) == 0; /* some arrive twice */
+  if (random_below (k, 12) == 0)
     return true;
   if (m.is_answer)
-    answer_req (k, m.ask.id, m.verdict);
+    deliver_verdict (k, m.ask.id, m.verdict);
   else
-    core_ask (k, m.to, m.ask);
+    core_request (k, m.to, m.ask);
   return true;
 }
 
 static void
-tick_all (struct cwk_walk *k)
+tick_all (struct cwk_run *k)
 {
   for (int h = 0; h < CW_HOMES; h++)
     if (!k->frozen[h])
       {
         clm_tick (k->w.homes[h], k->w.now);
-        cw_drain (&k->w, h);
+        cw_fetch_actions (&k->w, h);
       }
   for (size_t i = 0; i < CWK_REQUESTS; i++)
     {
       struct cwk_req *q = &k->reqs[i];
-      if (q->state == REQ_ASKING && !k->frozen[q->gateway])
-        do_asker (k, q, clm_asker_tick (&q->asker, k->w.now), CLM_UNAVAILABLE);
+      if (q->state == REQ_PENDING && !k->frozen[q->gateway])
+        run_action (k, q, clm_asker_tick (&q->asker, k->w.now),
+                    CLM_UNAVAILABLE);
     }
 }
 
 static void
-time_step (struct cwk_walk *k)
+time_step (struct cwk_run *k)
 {
-  uint64_t how = below (k, 512);
+  uint64_t how = random_below (k, 512);
 
   if (how == 0)
-    k->w.now += (clk_ms)below (k, 2 * CWK_WINDOW);
+    k->w.now += (clk_ms)random_below (k, 2 * CWK_WINDOW);
   else if (how < 10)
-    k->w.now += (clk_ms)below (k, 4000);
+    k->w.now += (clk_ms)random_below (k, 4000);
   else
-    k->w.now += (clk_ms)below (k, 30);
+    k->w.now += (clk_ms)random_below (k, 30);
   tick_all (k);
 }
 
 static void
-restart (struct cwk_walk *k, int home)
+restart (struct cwk_run *k, int home)
 {
   k->opt.boot = ++k->boots;
   cw_restart (&k->w, home, &k->opt, k->boots);
@@ -384,10 +386,10 @@
 }
 
 static void
-fault_step (struct cwk_walk *k)
+fault_step (struct cwk_run *k)
 {
-  int home = (int)below (k, CW_HOMES);
-  uint64_t what = below (k, 64);
+  int home = (int)random_below (k, CW_HOMES);
+  uint64_t what = random_below (k, 64);
 
   if (k->frozen[home])
     k->frozen[home] = what > 24;
@@ -401,9 +403,9 @@
 
 /** Returns whether a step was possible. */
 static bool
-one_step (struct cwk_walk *k)
+one_step (struct cwk_run *k)
 {
-  uint64_t what = below (k, 100);
+  uint64_t what = random_below (k, 100);
 
   if (what < 14)
     return start_request (k);
@@ -412,7 +414,7 @@
   if (what < 72)
     return message_step (k);
   if (what < 82)
-    return use_grant (k);
+    return use_random_grant (k);
   if (what < 98)
     time_step (k);
   else
@@ -421,8 +423,8 @@
 }
 
 uint64_t
-cwk_walk (struct cwk_walk *k, uint64_t seed, uint64_t steps,
-          enum cwk_fault fault)
+cwk_run (struct cwk_run *k, uint64_t seed, uint64_t steps,
+         enum cwk_fault fault)
 {
   uint64_t done = 0;
 
@@ -437,7 +439,7 @@
                                  .gap_ms = 10 };
   for (int i = 0; i < CWK_KEYS; i++)
     k->last_send[i] = -2 * CWK_WINDOW;
-  k->w.same_boot = fault == CWK_FAULT_SAME_BOOT;
+  k->w.same_boot = fault == CWK_FAULT_SHARED_BOOT;
   cw_init (&k->w, CW_HOMES, &k->opt, seed);
   k->w.on_reply = on_reply;
   k->w.ctx = k;
@@ -448,7 +450,7 @@
 
 /** End all faults: respond to pending calls and deliver all messages. */
 static void
-calm (struct cwk_walk *k, clk_ms ms)
+end_faults (struct cwk_run *k, clk_ms ms)
 {
   clk_ms until = k->w.now + ms;
 
@@ -461,39 +463,39 @@
           {
             cw_apply (&k->w, &k->w.calls[i]);
             if (k->w.calls[i].used)
-              cw_answer (&k->w, &k->w.calls[i], STORE_OK);
+              cw_respond (&k->w, &k->w.calls[i], STORE_OK);
           }
       for (size_t i = 0; i < CWK_MESSAGES; i++)
         {
           struct cwk_message m = k->messages[i];
           k->messages[i].used = false;
           if (m.used && m.is_answer)
-            answer_req (k, m.ask.id, m.verdict);
+            deliver_verdict (k, m.ask.id, m.verdict);
           else if (m.used)
-            core_ask (k, m.to, m.ask);
+            core_request (k, m.to, m.ask);
         }
       tick_all (k);
     }
 }
 
 int
-cwk_usable_keys (struct cwk_walk *k)
+cwk_usable_keys (struct cwk_run *k)
 {
   int usable = 0;
 
-  calm (k, 3 * CWK_WINDOW);
+  end_faults (k, 3 * CWK_WINDOW);
   for (int key = 0; key < CWK_KEYS; key++)
     {
       struct cwk_req *q = &k->reqs[key];
-      *q = (struct cwk_req){ .state = REQ_ASKING,
+      *q = (struct cwk_req){ .state = REQ_PENDING,
                              .no = ++k->last_req,
                              .ask = ++k->last_ask,
                              .key = key,
                              .gateway = key % CW_HOMES };
       q->targets[0] = q->gateway;
-      do_asker (k, q, clm_asker_start (&q->asker, k->w.now, 2000, 1),
-                CLM_UNAVAILABLE);
-      calm (k, 1000);
+      run_action (k, q, clm_asker_start (&q->asker, k->w.now, 2000, 1),
+                  CLM_UNAVAILABLE);
+      end_faults (k, 1000);
       usable += q->state == REQ_GRANTED;
     }
   return usable;
--- a/t/lib-claim-walk.h
+++ b/t/lib-claim-walk.h
@@ -25,19 +25,19 @@
   CWK_FAULT_LOST_AS_APPLIED, /**< treats a lost response as "applied" */
   CWK_FAULT_NO_GRANT_CHECK,  /**< sends without clm_grant_valid() */
   CWK_FAULT_HOME_RELEASES, /**< a home releases the request of another node */
-  CWK_FAULT_OWN_RELEASES, /**< the local core releases after other targets were
-                             tried */
-  CWK_FAULT_FORGETS_GRANT, /**< the requester releases a second grant */
-  CWK_FAULT_SAME_BOOT /**< homes share a boot number, as if derived from the
+  CWK_FAULT_LOCAL_CORE_RELEASES, /**< the local core releases after other
+                             targets were tried */
+  CWK_FAULT_RELEASES_GRANT,      /**< the requester releases a second grant */
+  CWK_FAULT_SHARED_BOOT /**< homes share a boot number, as if derived from the
                          same start time */
 };
 
 enum cwk_req_state
 {
   REQ_FREE,
-  REQ_ASKING,
+  REQ_PENDING,
   REQ_GRANTED, /**< not sent yet */
-  REQ_OVER     /**< kept while responses may still arrive */
+  REQ_DONE     /**< kept while responses may still arrive */
 };
 
 struct cwk_req
@@ -62,7 +62,7 @@
   enum clm_verdict verdict;
 };
 
-struct cwk_walk
+struct cwk_run
 {
   struct cw w;
   struct clm_options opt;
@@ -81,11 +81,11 @@
 
 /** Run until a violation or for @p steps steps; returns the number of steps.
     Call cw_clear (&k->w) afterwards. */
-uint64_t cwk_walk (struct cwk_walk *k, uint64_t seed, uint64_t steps,
-                   enum cwk_fault fault);
+uint64_t cwk_run (struct cwk_run *k, uint64_t seed, uint64_t steps,
+                  enum cwk_fault fault);
 
 /** Number of keys that can be used after all faults have ended and the window
     has passed. */
-int cwk_usable_keys (struct cwk_walk *k);
+int cwk_usable_keys (struct cwk_run *k);
 
 #endif
--- a/t/lib-claim.c
+++ b/t/lib-claim.c
@@ -82,7 +82,7 @@
 }
 
 void
-kv_lapse (struct kv *kv, clk_ms now)
+kv_expire_leases (struct kv *kv, clk_ms now)
 {
   for (size_t i = 0; i < kv->nleases;)
     {
@@ -100,7 +100,7 @@
 }
 
 enum store_status
-kv_keep (struct kv *kv, clk_ms now, int64_t lease, clk_ms ttl)
+kv_keepalive (struct kv *kv, clk_ms now, int64_t lease, clk_ms ttl)
 {
   for (size_t i = 0; i < kv->nleases; i++)
     if (kv->leases[i].id == lease)
@@ -117,7 +117,7 @@
   for (size_t i = 0; i < kv->nleases; i++)
     if (kv->leases[i].id == lease)
       kv->leases[i].expires = INT64_MIN;
-  kv_lapse (kv, INT64_MIN);
+  kv_expire_leases (kv, INT64_MIN);
 }
 
 int64_t
@@ -174,7 +174,7 @@
 }
 
 void
-cw_forget (struct cw_call *c)
+cw_drop_call (struct cw_call *c)
 {
   free_result (c);
   c->used = false;
@@ -261,7 +261,7 @@
 }
 
 void
-cw_drain (struct cw *w, int home)
+cw_fetch_actions (struct cw *w, int home)
 {
   struct clm_action a;
 
@@ -298,7 +298,7 @@
 {
   if (c->applied)
     return;
-  kv_lapse (&w->kv, w->now);
+  kv_expire_leases (&w->kv, w->now);
   c->applied = true;
   memset (&c->result, 0, sizeof c->result);
   if (c->kind == CLM_ACT_RANGE)
@@ -312,11 +312,11 @@
     c->result.status = kv_txn (&w->kv, &c->txn);
   c->result.revision = w->kv.revision;
   if (c->answered)
-    cw_forget (c);
+    cw_drop_call (c);
 }
 
 void
-cw_answer (struct cw *w, struct cw_call *c, enum store_status lost)
+cw_respond (struct cw *w, struct cw_call *c, enum store_status lost)
 {
   struct store_result none = { .status = lost };
   struct store_result *r = lost == STORE_OK ? &c->result : &none;
@@ -327,8 +327,8 @@
   clm_store_answer (w->homes[home], w->now, token, r);
   /* A write whose response was lost may still be applied. */
   if (c->applied || lost != STORE_UNCERTAIN)
-    cw_forget (c);
-  cw_drain (w, home);
+    cw_drop_call (c);
+  cw_fetch_actions (w, home);
 }
 
 /* Cores. */
@@ -365,7 +365,7 @@
       {
         w->calls[i].answered = true;
         if (w->calls[i].applied || w->calls[i].kind != CLM_ACT_TXN)
-          cw_forget (&w->calls[i]);
+          cw_drop_call (&w->calls[i]);
       }
 }
 
@@ -376,7 +376,7 @@
     {
       struct cw_call *c = &w->calls[i];
       if (c->used)
-        cw_forget (c);
+        cw_drop_call (c);
       buf_free (&c->key);
       buf_free (&c->end);
       for (size_t k = 0; k < 5; k++)
--- a/t/lib-claim.h
+++ b/t/lib-claim.h
@@ -39,10 +39,10 @@
 
 void kv_clear (struct kv *kv);
 void kv_remove (struct kv *kv, struct str key);
-void kv_lapse (struct kv *kv, clk_ms now);
+void kv_expire_leases (struct kv *kv, clk_ms now);
 enum store_status kv_txn (struct kv *kv, const struct store_txn *txn);
-enum store_status kv_keep (struct kv *kv, clk_ms now, int64_t lease,
-                           clk_ms ttl);
+enum store_status kv_keepalive (struct kv *kv, clk_ms now, int64_t lease,
+                                clk_ms ttl);
 void kv_revoke (struct kv *kv, int64_t lease);
 int64_t kv_grant (struct kv *kv, clk_ms now, clk_ms ttl);
 
@@ -91,13 +91,13 @@
                  uint64_t seed);
 
 /** Fetch the actions of a core: hold its calls, pass on its replies. */
-void cw_drain (struct cw *w, int home);
+void cw_fetch_actions (struct cw *w, int home);
 
 struct cw_call *cw_call (struct cw *w, unsigned no);
 void cw_apply (struct cw *w, struct cw_call *c);
 
 /** Give the core the result; removes the call if it was applied. */
-void cw_answer (struct cw *w, struct cw_call *c, enum store_status lost);
-void cw_forget (struct cw_call *c);
+void cw_respond (struct cw *w, struct cw_call *c, enum store_status lost);
+void cw_drop_call (struct cw_call *c);
 
 #endif
--- a/t/t4003-bounds.c
+++ b/t/t4003-bounds.c
@@ -13,21 +13,21 @@
   struct csc run;
   struct clm_options opt = csc_options ();
 
-  csc_up (&run, 1, &opt);
+  csc_start (&run, 1, &opt);
   for (int i = 0; i < 1000; i++)
     {
       struct clm_ask a = { .id = 'k' << 8 | 'A' };
       memcpy (a.key, &i, sizeof i);
       clm_ask (run.w.homes[0], run.w.now, &a);
-      cw_drain (&run.w, 0);
+      cw_fetch_actions (&run.w, 0);
     }
-  csc_all (&run);
-  csc_pass (&run, 50);
-  csc_all (&run);
+  csc_complete_all (&run);
+  csc_advance (&run, 50);
+  csc_complete_all (&run);
   cr_expect_eq (clm_counts (run.w.homes[0])->granted, 1000);
   cr_expect_leq (clm_counts (run.w.homes[0])->txns, 2 * CLM_SHARDS);
   cr_expect_eq (clm_held (run.w.homes[0]), 1000);
-  csc_down (&run);
+  csc_stop (&run);
 }
 
 /* Memory is limited: claims beyond the limit are refused.  Evicting an old
@@ -38,17 +38,17 @@
   struct clm_options opt = csc_options ();
 
   opt.max_claims = 2;
-  csc_up (&run, 1, &opt);
-  csc_ask (&run, 0, "take", 'k', 'A', "");
-  csc_ask (&run, 0, "take", 'l', 'A', "");
-  csc_all (&run);
-  csc_ask (&run, 0, "take", 'm', 'A', "");
-  csc_ask (&run, 0, "take", 'k', 'B', "");
+  csc_start (&run, 1, &opt);
+  csc_request (&run, 0, "take", 'k', 'A', "");
+  csc_request (&run, 0, "take", 'l', 'A', "");
+  csc_complete_all (&run);
+  csc_request (&run, 0, "take", 'm', 'A', "");
+  csc_request (&run, 0, "take", 'k', 'B', "");
   cr_expect_str_eq (buf_c (&run.log), "  h1 k/A granted\n"
                                       "  h1 l/A granted\n"
                                       "  h1 m/A unavailable\n"
                                       "  h1 k/B running\n");
-  csc_down (&run);
+  csc_stop (&run);
 }
 
 /* A head key is deleted and another home creates it again.  The new batches
@@ -62,27 +62,27 @@
   struct buf key = BUF_INIT;
   uint8_t k[16] = { 'k' };
 
-  csc_up (&run, 2, &opt);
-  csc_ask (&run, 0, "take", 'k', 'A', "");
-  csc_all (&run);
-  csc_ask (&run, 0, "release", 'k', 'A', "");
-  csc_pass (&run, 50);
-  csc_all (&run);
+  csc_start (&run, 2, &opt);
+  csc_request (&run, 0, "take", 'k', 'A', "");
+  csc_complete_all (&run);
+  csc_request (&run, 0, "release", 'k', 'A', "");
+  csc_advance (&run, 50);
+  csc_complete_all (&run);
   bat_head_key (&key, opt.prefix, clm_shard (k));
   kv_remove (&run.w.kv, buf_str (&key));
-  csc_ask (&run, 1, "take", 'k', 'B', "");
-  csc_all (&run);
-  csc_pass (&run, 50);
-  csc_ask (&run, 0, "take", 'k', 'C', "");
-  csc_all (&run);
-  csc_pass (&run, 50);
-  csc_all (&run);
+  csc_request (&run, 1, "take", 'k', 'B', "");
+  csc_complete_all (&run);
+  csc_advance (&run, 50);
+  csc_request (&run, 0, "take", 'k', 'C', "");
+  csc_complete_all (&run);
+  csc_advance (&run, 50);
+  csc_complete_all (&run);
   cr_expect_str_eq (buf_c (&run.log), "  h1 k/A granted\n"
                                       "  h1 k/A done\n"
                                       "  h2 k/B granted\n"
                                       "  h1 k/C running\n");
   buf_free (&key);
-  csc_down (&run);
+  csc_stop (&run);
 }
 
 /* The same, with a second batch in the shard.  A read from home 1's head
@@ -96,27 +96,27 @@
   uint8_t k[16] = { 'k' }, d[16] = { 'd' };
 
   cr_assert_eq (clm_shard (d), clm_shard (k));
-  csc_up (&run, 2, &opt);
-  csc_ask (&run, 0, "take", 'd', 'A', "");
-  csc_all (&run);
+  csc_start (&run, 2, &opt);
+  csc_request (&run, 0, "take", 'd', 'A', "");
+  csc_complete_all (&run);
   bat_head_key (&key, opt.prefix, clm_shard (k));
   kv_remove (&run.w.kv, buf_str (&key));
-  csc_ask (&run, 1, "take", 'k', 'B', "");
-  csc_all (&run);
-  csc_pass (&run, 50);
-  csc_ask (&run, 1, "release", 'd', 'Z', "");
-  csc_all (&run);
-  csc_ask (&run, 0, "take", 'k', 'C', "");
-  csc_pass (&run, 50);
-  csc_all (&run);
-  csc_pass (&run, 50);
-  csc_all (&run);
+  csc_request (&run, 1, "take", 'k', 'B', "");
+  csc_complete_all (&run);
+  csc_advance (&run, 50);
+  csc_request (&run, 1, "release", 'd', 'Z', "");
+  csc_complete_all (&run);
+  csc_request (&run, 0, "take", 'k', 'C', "");
+  csc_advance (&run, 50);
+  csc_complete_all (&run);
+  csc_advance (&run, 50);
+  csc_complete_all (&run);
   cr_expect_str_eq (buf_c (&run.log), "  h1 d/A granted\n"
                                       "  h2 k/B granted\n"
                                       "  h2 d/Z done\n"
                                       "  h1 k/C running\n");
   buf_free (&key);
-  csc_down (&run);
+  csc_stop (&run);
 }
 
 /* Operators set a window shorter than the maximum time of a request and grant,
@@ -129,15 +129,15 @@
   struct clm_options opt = csc_options ();
 
   opt.window = CLK_SECOND;
-  csc_up (&run, 1, &opt);
+  csc_start (&run, 1, &opt);
   run.w.log = &run.log;
-  csc_ask (&run, 0, "take", 'k', 'A', "");
-  csc_all (&run);
+  csc_request (&run, 0, "take", 'k', 'A', "");
+  csc_complete_all (&run);
   clm_set_window (run.w.homes[0], 300 * CLK_SECOND);
-  csc_ask (&run, 0, "take", 'l', 'A', "");
-  csc_all (&run);
-  csc_pass (&run, 50);
-  csc_all (&run);
+  csc_request (&run, 0, "take", 'l', 'A', "");
+  csc_complete_all (&run);
+  csc_advance (&run, 50);
+  csc_complete_all (&run);
   cr_expect_str_eq (buf_c (&run.log), "  h1 #1 read from 0\n"
                                       "  h1 #2 grant 40000\n"
                                       "  h1 #3 write base=0 take:k/A\n"
@@ -146,7 +146,7 @@
                                       "  h1 #5 grant 600000\n"
                                       "  h1 #6 write base=0 take:l/A\n"
                                       "  h1 l/A granted\n");
-  csc_down (&run);
+  csc_stop (&run);
 }
 
 /* A batch of an unknown version can't be read, so its claims are unknown.  No
@@ -160,18 +160,18 @@
   struct bat_name name = { 0, 9, 9 };
   struct store_put put = { .value = STR ("\2future") };
 
-  csc_up (&run, 1, &opt);
+  csc_start (&run, 1, &opt);
   bat_key (&key, opt.prefix, clm_shard (k), &name);
   put.key = buf_str (&key);
   kv_txn (&run.w.kv, &(struct store_txn){ .puts = &put, .nputs = 1 });
-  csc_ask (&run, 0, "take", 'k', 'A', "");
-  csc_all (&run);
-  csc_pass (&run, 1000);
-  csc_all (&run);
-  csc_pass (&run, 1000);
+  csc_request (&run, 0, "take", 'k', 'A', "");
+  csc_complete_all (&run);
+  csc_advance (&run, 1000);
+  csc_complete_all (&run);
+  csc_advance (&run, 1000);
   cr_expect_str_eq (buf_c (&run.log), "  h1 k/A unavailable\n");
   buf_free (&key);
-  csc_down (&run);
+  csc_stop (&run);
 }
 
 /* A record of an unknown kind is neither a take nor a release.  If it were
--- a/t/t4900-walk.c
+++ b/t/t4900-walk.c
@@ -7,17 +7,17 @@
    and combined.  No call may run twice within the window. */
 Test (claim_walk, no_key_is_sent_twice)
 {
-  static struct cwk_walk k;
+  static struct cwk_run k;
   uint64_t sends = 0, found = 0, absent = 0, late = 0, stale = 0;
 
   for (uint64_t seed = 1; seed <= 40; seed++)
     {
-      uint64_t steps = cwk_walk (&k, seed, 100000, CWK_FAULT_NONE);
+      uint64_t steps = cwk_run (&k, seed, 100000, CWK_FAULT_NONE);
       cr_expect_null (k.violation, "seed %llu, step %llu: %s",
                       (unsigned long long)seed, (unsigned long long)steps,
                       k.violation);
       cr_expect_eq (cwk_usable_keys (&k), CWK_KEYS,
-                    "seed %llu: a key stays blocked",
+                    "seed %llu: a key is still blocked",
                     (unsigned long long)seed);
       sends += k.sends;
       stale += k.stale;
@@ -42,14 +42,14 @@
 }
 
 static void
-must_find (enum cwk_fault fault)
+expect_violation (enum cwk_fault fault)
 {
-  static struct cwk_walk k;
+  static struct cwk_run k;
   uint64_t steps = 0;
 
   for (uint64_t seed = 1; seed <= 120; seed++)
     {
-      steps += cwk_walk (&k, seed, 100000, fault);
+      steps += cwk_run (&k, seed, 100000, fault);
       cw_clear (&k.w);
       if (k.violation)
         break;
@@ -60,29 +60,29 @@
 
 Test (claim_walk, finds_lost_response_treated_as_applied)
 {
-  must_find (CWK_FAULT_LOST_AS_APPLIED);
+  expect_violation (CWK_FAULT_LOST_AS_APPLIED);
 }
 
 Test (claim_walk, finds_missing_grant_check)
 {
-  must_find (CWK_FAULT_NO_GRANT_CHECK);
+  expect_violation (CWK_FAULT_NO_GRANT_CHECK);
 }
 
 Test (claim_walk, finds_home_releasing_for_other_nodes)
 {
-  must_find (CWK_FAULT_HOME_RELEASES);
+  expect_violation (CWK_FAULT_HOME_RELEASES);
 }
 
 /* The randomized test found this fault and the next one in the first version
    of the requester. */
 Test (claim_walk, finds_local_core_releasing_after_other_targets)
 {
-  must_find (CWK_FAULT_OWN_RELEASES);
+  expect_violation (CWK_FAULT_LOCAL_CORE_RELEASES);
 }
 
 Test (claim_walk, finds_release_of_second_grant)
 {
-  must_find (CWK_FAULT_FORGETS_GRANT);
+  expect_violation (CWK_FAULT_RELEASES_GRANT);
 }
 
 /* Gateways used the millisecond of their start to name their batches.  After a
@@ -90,5 +90,5 @@
    its own. */
 Test (claim_walk, finds_shared_boot_number)
 {
-  must_find (CWK_FAULT_SAME_BOOT);
+  expect_violation (CWK_FAULT_SHARED_BOOT);
 }
--- a/t/t6001-owner.c
+++ b/t/t6001-owner.c
@@ -23,7 +23,7 @@
 };
 
 static void
-drain_actions (struct run *r)
+log_actions (struct run *r)
 {
   struct own_action a;
 
@@ -38,7 +38,7 @@
 }
 
 static void
-answer (struct run *r, clk_ms now, const char *verb, long arg)
+respond (struct run *r, clk_ms now, const char *verb, long arg)
 {
   static const struct
   {
@@ -69,7 +69,7 @@
 }
 
 static void
-do_line (struct run *r, const char *line)
+run_line (struct run *r, const char *line)
 {
   char verb[32];
   long long now;
@@ -81,9 +81,9 @@
   else if (strcmp (verb, "tick") == 0)
     own_tick (r->o, now);
   else if (strcmp (verb, "ask") != 0)
-    answer (r, now, verb, arg);
+    respond (r, now, verb, arg);
   buf_addf (&r->log, "%.*s:", (int)strcspn (line, ":"), line);
-  drain_actions (r);
+  log_actions (r);
   buf_addf (&r->log, " [%s%s]\n", state_names[own_state (r->o)],
             own_may_order (r->o, now) ? ", orders" : "");
 }
@@ -94,33 +94,33 @@
   struct run r = { .o = own_new (opt, 1) };
 
   for (const char *p = transcript; *p; p += strcspn (p, "\n") + 1)
-    do_line (&r, p);
+    run_line (&r, p);
   cr_expect_str_eq (buf_c (&r.log), transcript);
   buf_free (&r.log);
   own_free (r.o);
 }
 
-static const struct own_options checking = { .key = { "k", 1 },
-                                             .node = { "n1", 2 },
-                                             .boot = 7,
-                                             .ttl = 6000,
-                                             .checks_fence = true,
-                                             .order_flight_ms = 2000 };
+static const struct own_options fenced = { .key = { "k", 1 },
+                                           .node = { "n1", 2 },
+                                           .boot = 7,
+                                           .ttl = 6000,
+                                           .checks_fence = true,
+                                           .order_flight_ms = 2000 };
 
 /* Regular sequence: lease, key, renewals.  The time to stop counts from the
    sending of the successful renewal, not from its response. */
 Test (owner, acquire_renew_and_release)
 {
-  check (&checking, "0 want 1: [idle]\n"
-                    "0 tick: grant [granting]\n"
-                    "100 granted 5: txn [taking]\n"
-                    "200 ok 42: gained(42) [holding, orders]\n"
-                    "1000 tick: [holding, orders]\n"
-                    "2200 tick: keep [holding, orders]\n"
-                    "3500 ok: [holding, orders]\n"
-                    "4200 tick: keep [holding, orders]\n"
-                    "5900 ok: [holding, orders]\n"
-                    "7000 want 0: lost revoke [idle]\n");
+  check (&fenced, "0 want 1: [idle]\n"
+                  "0 tick: grant [granting]\n"
+                  "100 granted 5: txn [taking]\n"
+                  "200 ok 42: gained(42) [holding, orders]\n"
+                  "1000 tick: [holding, orders]\n"
+                  "2200 tick: keep [holding, orders]\n"
+                  "3500 ok: [holding, orders]\n"
+                  "4200 tick: keep [holding, orders]\n"
+                  "5900 ok: [holding, orders]\n"
+                  "7000 want 0: lost revoke [idle]\n");
 }
 
 /* The owner is suspended for longer than its lease and resumes while sending.
@@ -128,17 +128,17 @@
    tick must read the key again: another node has taken it. */
 Test (owner, suspended_past_lease_sends_nothing)
 {
-  check (&checking, "0 want 1: [idle]\n"
-                    "0 tick: grant [granting]\n"
-                    "10 granted 5: txn [taking]\n"
-                    "20 ok 42: gained(42) [holding, orders]\n"
-                    "1000 tick: [holding, orders]\n"
-                    "9000 ask: [holding]\n"
-                    "9001 tick: lost keep [lapsed]\n"
-                    "9010 gone: revoke [idle]\n"
-                    "12000 tick: grant [granting]\n"
-                    "12010 granted 6: txn [taking]\n"
-                    "12020 conflict: revoke [idle]\n");
+  check (&fenced, "0 want 1: [idle]\n"
+                  "0 tick: grant [granting]\n"
+                  "10 granted 5: txn [taking]\n"
+                  "20 ok 42: gained(42) [holding, orders]\n"
+                  "1000 tick: [holding, orders]\n"
+                  "9000 ask: [holding]\n"
+                  "9001 tick: lost keep [lapsed]\n"
+                  "9010 gone: revoke [idle]\n"
+                  "12000 tick: grant [granting]\n"
+                  "12010 granted 6: txn [taking]\n"
+                  "12020 conflict: revoke [idle]\n");
 }
 
 /* A pause shorter than the lease: the node may still hold the key, but its
@@ -146,33 +146,33 @@
    is read again. */
 Test (owner, short_pause_reads_again)
 {
-  check (&checking, "0 want 1: [idle]\n"
-                    "0 tick: grant [granting]\n"
-                    "10 granted 5: txn [taking]\n"
-                    "20 ok 42: gained(42) [holding, orders]\n"
-                    "1000 tick: [holding, orders]\n"
-                    "3500 ask: [holding]\n"
-                    "3500 tick: lost keep [lapsed]\n"
-                    "3510 ok: range [lapsed]\n"
-                    "3520 ours 42: gained(42) [holding, orders]\n");
+  check (&fenced, "0 want 1: [idle]\n"
+                  "0 tick: grant [granting]\n"
+                  "10 granted 5: txn [taking]\n"
+                  "20 ok 42: gained(42) [holding, orders]\n"
+                  "1000 tick: [holding, orders]\n"
+                  "3500 ask: [holding]\n"
+                  "3500 tick: lost keep [lapsed]\n"
+                  "3510 ok: range [lapsed]\n"
+                  "3520 ours 42: gained(42) [holding, orders]\n");
 }
 
 /* The store is down: renewals fail and the owner stops at two thirds of the
    lease, before the store can give the key to another node. */
 Test (owner, store_down_stops_orders_at_two_thirds)
 {
-  check (&checking, "0 want 1: [idle]\n"
-                    "0 tick: grant [granting]\n"
-                    "10 granted 5: txn [taking]\n"
-                    "20 ok 42: gained(42) [holding, orders]\n"
-                    "1500 tick: [holding, orders]\n"
-                    "2100 tick: keep [holding, orders]\n"
-                    "2200 unavailable: [holding, orders]\n"
-                    "3900 tick: keep [holding, orders]\n"
-                    "3950 unavailable: [holding, orders]\n"
-                    "3999 ask: [holding, orders]\n"
-                    "4000 ask: [holding]\n"
-                    "4001 tick: lost keep [lapsed]\n");
+  check (&fenced, "0 want 1: [idle]\n"
+                  "0 tick: grant [granting]\n"
+                  "10 granted 5: txn [taking]\n"
+                  "20 ok 42: gained(42) [holding, orders]\n"
+                  "1500 tick: [holding, orders]\n"
+                  "2100 tick: keep [holding, orders]\n"
+                  "2200 unavailable: [holding, orders]\n"
+                  "3900 tick: keep [holding, orders]\n"
+                  "3950 unavailable: [holding, orders]\n"
+                  "3999 ask: [holding, orders]\n"
+                  "4000 ask: [holding]\n"
+                  "4001 tick: lost keep [lapsed]\n");
 }
 
 /* The response to the write that took the key is lost.  Writing again would
@@ -180,23 +180,23 @@
    it. */
 Test (owner, lost_response_is_resolved_by_read)
 {
-  check (&checking, "0 want 1: [idle]\n"
-                    "0 tick: grant [granting]\n"
-                    "10 granted 5: txn [taking]\n"
-                    "20 uncertain: range [taking]\n"
-                    "30 none: txn [taking]\n"
-                    "40 conflict: range [taking]\n"
-                    "50 ours 42: gained(42) [holding, orders]\n");
+  check (&fenced, "0 want 1: [idle]\n"
+                  "0 tick: grant [granting]\n"
+                  "10 granted 5: txn [taking]\n"
+                  "20 uncertain: range [taking]\n"
+                  "30 none: txn [taking]\n"
+                  "40 conflict: range [taking]\n"
+                  "50 ours 42: gained(42) [holding, orders]\n");
 }
 
 /* Two nodes try to become owner, and the other node's key is found. */
 Test (owner, losing_candidate_revokes_its_lease)
 {
-  check (&checking, "0 want 1: [idle]\n"
-                    "0 tick: grant [granting]\n"
-                    "10 granted 5: txn [taking]\n"
-                    "20 uncertain: range [taking]\n"
-                    "30 theirs 41: revoke [idle]\n");
+  check (&fenced, "0 want 1: [idle]\n"
+                  "0 tick: grant [granting]\n"
+                  "10 granted 5: txn [taking]\n"
+                  "20 uncertain: range [taking]\n"
+                  "30 theirs 41: revoke [idle]\n");
 }
 
 /* Backend servers ignore fencing numbers: an order of the previous owner may
@@ -204,7 +204,7 @@
    the maximum flight time of an order have passed. */
 Test (owner, waits_for_old_orders_without_fencing)
 {
-  struct own_options opt = checking;
+  struct own_options opt = fenced;
 
   opt.checks_fence = false;
   check (&opt, "0 want 1: [idle]\n"
@@ -226,8 +226,8 @@
    that arrives later is revoked instead of being left to expire. */
 Test (owner, late_grant_is_revoked)
 {
-  check (&checking, "0 want 1: [idle]\n"
-                    "0 tick: grant [granting]\n"
-                    "5 want 0: [idle]\n"
-                    "10 granted 5: revoke [idle]\n");
+  check (&fenced, "0 want 1: [idle]\n"
+                  "0 tick: grant [granting]\n"
+                  "5 want 0: [idle]\n"
+                  "10 granted 5: revoke [idle]\n");
 }
--- a/t/t6002-replica.c
+++ b/t/t6002-replica.c
@@ -25,25 +25,25 @@
   "\"" name "\":{\"model\":\"m\",\"domain\":\"d\",\"mode\":\"" mode           \
   "\",\"vms\":[" vms "]}"
 
-static const struct dom_options two
+static const struct dom_options two_replicas
     = { .config = CONFIG (
             REPLICA ("r1", "manage", "") "," REPLICA ("r2", "manage", "")),
         .checks_fence = true,
         .load_ms = 2000 };
 
-static const struct dom_options observed
+static const struct dom_options unmanaged
     = { .config
         = CONFIG (REPLICA ("r1", "route", "\"v1\",\"v2\"") "," REPLICA (
             "r2", "observe", "\"v3\",\"v4\"")),
         .load_ms = 2000 };
 
-static const struct dom_options one
+static const struct dom_options one_replica
     = { .config = CONFIG (REPLICA ("r1", "manage", "")),
         .checks_fence = true,
         .load_ms = 2000 };
 
 /* Backend servers that ignore fencing numbers. */
-static const struct dom_options deaf
+static const struct dom_options unfenced
     = { .config = CONFIG (REPLICA ("r1", "manage", "")), .load_ms = 2000 };
 
 /* The core's state enums must match the order of states in the charts. */
@@ -62,24 +62,24 @@
 }
 
 /* One replica is managed; the other one is run by scripts. */
-static const struct dom_options mixed
+static const struct dom_options partly_managed
     = { .config = CONFIG (REPLICA ("r1", "manage", "") "," REPLICA (
             "r2", "observe", "\"v3\",\"v4\"")),
         .load_ms = 2000 };
 
-static const struct dom_options shrinking
+static const struct dom_options removing
     = { .config = CONFIG (REPLICA ("r1", "manage", "")),
         .later = CONFIG_OF ("", ""),
         .checks_fence = true,
         .load_ms = 2000 };
 
-static const struct dom_options slow
+static const struct dom_options slow_load
     = { .config = CONFIG (REPLICA ("r1", "manage", "")),
         .checks_fence = true,
         .load_ms = 20000 };
 
 /* Two replicas of one model and, configured last, the only one of another. */
-static const struct dom_options scarce
+static const struct dom_options two_models
     = { .config = "{\"domains\":{\"d\":{\"zone\":\"z\",\"vms\":{"
                   "\"v1\":{\"addr\":\"127.0.0.1:1\"},"
                   "\"v2\":{\"addr\":\"127.0.0.1:2\"},"
@@ -125,7 +125,7 @@
    replica at a time loads its weights. */
 Test (replica, replicas_load_one_at_a_time)
 {
-  dom_check (&two,
+  dom_check (&two_replicas,
              "0 owner 20\n"
              "12000 run\n",
              TWO_WHOLE);
@@ -138,7 +138,7 @@
    unloaded. */
 Test (replica, unresponsive_member_is_replaced)
 {
-  dom_check (&one,
+  dom_check (&one_replica,
              "0 owner 20\n"
              "10000 run\n"
              "10000 dead v1\n"
@@ -158,7 +158,7 @@
    sent and nothing is written. */
 Test (replica, member_returns_within_grace_time)
 {
-  dom_check (&one,
+  dom_check (&one_replica,
              "0 owner 20\n"
              "10000 run\n"
              "10000 kill v1\n"
@@ -173,7 +173,7 @@
    after the other instead of both at half the rate. */
 Test (replica, replicas_load_in_turn_after_domain_outage)
 {
-  dom_check (&two,
+  dom_check (&two_replicas,
              "0 owner 20\n"
              "12000 run\n"
              "12000 kill v1\n"
@@ -202,7 +202,7 @@
    write is ever sent. */
 Test (replica, unmanaged_replicas_get_no_orders)
 {
-  dom_check (&observed,
+  dom_check (&unmanaged,
              "0 start v1 - 0\n"
              "0 start v2 - 0\n"
              "0 start v3 - 0\n"
@@ -226,7 +226,7 @@
    only after the last request, and the leaving VM is unloaded. */
 Test (replica, leaving_member_is_replaced)
 {
-  dom_check (&one,
+  dom_check (&one_replica,
              "0 owner 20\n"
              "10000 work v1 5\n"
              "10000 work v2 7\n"
@@ -247,7 +247,7 @@
 /* The platform lists the VM again before it was replaced: it stays. */
 Test (replica, leaving_is_withdrawn)
 {
-  dom_check (&one,
+  dom_check (&one_replica,
              "0 owner 20\n"
              "10000 work v1 5\n"
              "11000 leaving v1\n"
@@ -265,7 +265,7 @@
    only once they report no load and then no weights. */
 Test (replica, operator_drain_and_undrain)
 {
-  dom_check (&one,
+  dom_check (&one_replica,
              "0 owner 20\n"
              "10000 work v1 5\n"
              "11000 drain r1\n"
@@ -295,7 +295,7 @@
    can be removed as well. */
 Test (replica, removed_from_the_configuration)
 {
-  dom_check (&shrinking,
+  dom_check (&removing,
              "0 owner 20\n"
              "10000 work v1 5\n"
              "11000 accept\n"
@@ -314,7 +314,7 @@
    document is used. */
 Test (replica, lost_response_and_conflict_are_reread)
 {
-  dom_check (&one,
+  dom_check (&one_replica,
              "0 owner 20\n"
              "2900 store lost\n"
              "6000 kill v1\n"
@@ -340,7 +340,7 @@
    store is back nothing has to be repaired. */
 Test (replica, store_down_keeps_serving)
 {
-  dom_check (&one,
+  dom_check (&one_replica,
              "0 owner 20\n"
              "6000 store down\n"
              "6000 unowner\n"
@@ -358,7 +358,7 @@
    that the model requires; with one less they don't. */
 Test (replica, store_down_at_start_serves_by_reports)
 {
-  dom_check (&one,
+  dom_check (&one_replica,
              "0 store down\n"
              "0 start v1 r1 4\n"
              "0 start v3 r1 4\n"
@@ -375,7 +375,7 @@
    immediately, is loaded and is complete again. */
 Test (replica, vm_replaced_under_the_same_name)
 {
-  dom_check (&one,
+  dom_check (&one_replica,
              "0 owner 20\n"
              "6050 blank v2\n"
              "12000 run\n",
@@ -388,7 +388,7 @@
    adopted without any order. */
 Test (replica, running_replicas_are_adopted)
 {
-  dom_check (&two,
+  dom_check (&two_replicas,
              "0 start v1 r1 7\n"
              "0 start v3 r1 7\n"
              "0 start v2 r2 9\n"
@@ -407,7 +407,7 @@
    reuse that VM at once, as the other one returns. */
 Test (replica, adoption_waits_for_missing_member)
 {
-  dom_check (&two,
+  dom_check (&two_replicas,
              "0 start v1 r1 7\n"
              "0 kill v2\n"
              "0 kill v5\n"
@@ -431,7 +431,7 @@
    member is loaded again. */
 Test (replica, delayed_order_without_fencing)
 {
-  dom_check (&deaf,
+  dom_check (&unfenced,
              "0 owner 20\n"
              "6000 late v3 r1 1 10\n"
              "7000 late v2 r1 0 10\n"
@@ -448,7 +448,7 @@
    key. */
 Test (replica, superseded_owner_changes_nothing)
 {
-  dom_check (&one,
+  dom_check (&one_replica,
              "0 owner 20\n"
              "6000 usurp 30\n"
              "6000 late v1 r9 3 30\n"
@@ -472,7 +472,7 @@
    VMs.  r1 needs a second VM meanwhile and must take the spare, not those. */
 Test (replica, unmanaged_vms_are_not_taken)
 {
-  dom_check (&mixed,
+  dom_check (&partly_managed,
              "0 kill v1\n"
              "0 owner 20\n"
              "12000 run\n",
@@ -489,7 +489,7 @@
    observed. */
 Test (replica, observed_replica_is_never_formed)
 {
-  dom_check (&mixed,
+  dom_check (&partly_managed,
              "0 drain r1\n"
              "0 owner 20\n"
              "12000 run\n",
@@ -504,7 +504,7 @@
    spare is ready. */
 Test (replica, replacement_waits_for_the_spare)
 {
-  dom_check (&slow,
+  dom_check (&slow_load,
              "0 owner 20\n"
              "30000 leaving v1\n"
              "70000 run\n",
@@ -523,7 +523,7 @@
    only replica of the other model loads before the second one. */
 Test (replica, model_with_fewest_replicas_loads_first)
 {
-  dom_check (&scarce,
+  dom_check (&two_models,
              "0 owner 20\n"
              "40000 run\n",
              "0 r1/0 absent\n"
--- a/t/t6003-replica-walk.c
+++ b/t/t6003-replica-walk.c
@@ -29,7 +29,7 @@
       "\"weight_gb_per_s\":10,\"vm_return_ms\":60000}}";
 
 /** Totals over all seeds. */
-struct sums
+struct totals
 {
   unsigned events, orders, wrong_loads, false_whole;
 };
@@ -54,7 +54,7 @@
 /* Move ownership to the other core after the first one has stopped, as
    replica/owner.h guarantees. */
 static void
-hand_over (struct dom *d, struct rng *rng, int *fence)
+move_ownership (struct dom *d, struct rng *rng, int *fence)
 {
   char line[32];
 
@@ -80,7 +80,7 @@
       snprintf (line, sizeof line, "store %s", stores[rng_below (rng, 5)]);
       break;
     case 1:
-      hand_over (d, rng, fence);
+      move_ownership (d, rng, fence);
       return;
     case 2:
       snprintf (line, sizeof line, "%s %s",
@@ -97,7 +97,7 @@
 }
 
 static void
-walk (uint64_t seed, bool two, struct sums *s)
+run_seed (uint64_t seed, bool two, struct totals *s)
 {
   struct dom_options opt = {
     .config = config, .checks_fence = seed % 2, .two = two, .load_ms = 1500
@@ -131,12 +131,12 @@
  */
 Test (replica_walk, no_vm_in_two_replicas)
 {
-  struct sums s = { 0 };
+  struct totals s = { 0 };
 
   for (uint64_t seed = 1; seed <= SEEDS; seed++)
-    walk (seed, seed % 4 < 2, &s);
+    run_seed (seed, seed % 4 < 2, &s);
   cr_expect_eq (s.wrong_loads, 0, "%u", s.wrong_loads);
   cr_expect_eq (s.false_whole, 0, "%u", s.false_whole);
   cr_expect_eq (s.events, SEEDS * EVENTS);
-  cr_expect_gt (s.orders, 10000, "the walk gave only %u orders", s.orders);
+  cr_expect_gt (s.orders, 10000, "only %u orders were sent", s.orders);
 }
--- a/t/t6004-domains.c
+++ b/t/t6004-domains.c
@@ -15,12 +15,12 @@
    end with the phase of the script in which they were written. */
 
 /* Two thirds of the lease, from a renewal, plus a margin. */
-#define RIGHT_MS ((clk_ms)4050)
+#define ORDER_TIME_MS ((clk_ms)4050)
 /* Time after a renewal: late enough that the owner's time for orders ends
    before an order's deadline, early enough for a probe and an order. */
-#define LATE_MS ((clk_ms)2300)
+#define RENEWAL_AGE_MS ((clk_ms)2300)
 
-struct world
+struct fixture
 {
   struct run run;
   struct ctl ctl;
@@ -34,11 +34,11 @@
   char last_evidence[64];
   bool whole; /* by the last full evidence */
   bool freeze;
-  bool told_forms; /* log whether evidence is full or short */
+  bool log_forms; /* full or short */
 };
 
-static struct world the_world;
-static struct world *const world = &the_world;
+static struct fixture the_fixture;
+static struct fixture *const fixture = &the_fixture;
 
 /* Stubs of membership and links. */
 
@@ -47,9 +47,9 @@
 {
   static const struct mbr_node *nodes[2];
 
-  nodes[0] = &world->self;
-  nodes[1] = &world->other;
-  *n = world->other.name.len ? 2 : 1;
+  nodes[0] = &fixture->self;
+  nodes[1] = &fixture->other;
+  *n = fixture->other.name.len ? 2 : 1;
   return nodes;
 }
 
@@ -67,22 +67,22 @@
 
   /* Short evidence extends the validity of the last full evidence. */
   if (!e->full_seq)
-    world->whole = e->n_replicas && e->replicas[0]->whole;
-  whole = world->whole;
-  if (world->told_forms)
-    run_log (&world->run, "%s form", e->full_seq ? "short" : "full");
+    fixture->whole = e->n_replicas && e->replicas[0]->whole;
+  whole = fixture->whole;
+  if (fixture->log_forms)
+    run_log (&fixture->run, "%s form", e->full_seq ? "short" : "full");
 
   snprintf (line, sizeof line, "evidence %s %s", whole ? "whole" : "broken",
             e->fence ? "of the owner" : "without a lease");
-  if (strcmp (line, world->last_evidence))
-    run_log (&world->run, "%s %s", line, world->phase);
-  memcpy (world->last_evidence, line, sizeof line);
-  if (world->freeze && !whole)
+  if (strcmp (line, fixture->last_evidence))
+    run_log (&fixture->run, "%s %s", line, fixture->phase);
+  memcpy (fixture->last_evidence, line, sizeof line);
+  if (fixture->freeze && !whole)
     {
-      clk_ms left = world->store.kept_at + RIGHT_MS - clk_now ();
+      clk_ms left = fixture->store.kept_at + ORDER_TIME_MS - clk_now ();
 
-      world->freeze = false;
-      world->store.taken = true;
+      fixture->freeze = false;
+      fixture->store.taken = true;
       usleep ((useconds_t)(left > 0 ? 1000 * left : 0));
     }
 }
@@ -97,15 +97,15 @@
   const char *order
       = json_object_get_string (json_object_object_get (o, "order"));
 
-  snprintf (world->replica, sizeof world->replica, "%s",
+  snprintf (fixture->replica, sizeof fixture->replica, "%s",
             json_object_get_string (json_object_object_get (o, "replica")));
-  world->generation
+  fixture->generation
       = json_object_get_int64 (json_object_object_get (o, "generation"));
-  world->unloaded = strcmp (order, "unload") == 0;
-  run_log (&world->run, "%s %s/%d fence %d %s", order, world->replica,
-           (int)world->generation,
+  fixture->unloaded = strcmp (order, "unload") == 0;
+  run_log (&fixture->run, "%s %s/%d fence %d %s", order, fixture->replica,
+           (int)fixture->generation,
            json_object_get_int (json_object_object_get (o, "fence")),
-           world->phase);
+           fixture->phase);
   json_object_put (o);
   free (text);
 }
@@ -124,30 +124,30 @@
   snprintf (state, sizeof state,
             "{\"replica\":\"%s\",\"generation\":%d,\"ready\":%s,"
             "\"unloaded\":%s,\"load\":0,\"fence\":0}",
-            world->replica, (int)world->generation,
-            world->unloaded ? "false" : "true",
-            world->unloaded ? "true" : "false");
+            fixture->replica, (int)fixture->generation,
+            fixture->unloaded ? "false" : "true",
+            fixture->unloaded ? "true" : "false");
   httpd_answer (req, 200, NULL, 0, str_from (state));
 }
 
 /* Scripts. */
 
 /* Five domains of zone y, which precede "d" in the order of weight loads. */
-static const char *const elsewhere[] = { "f", "i", "u", "y", "e1" };
+static const char *const other_domains[] = { "f", "i", "u", "y", "e1" };
 
 static void
-add_elsewhere (struct buf *domains, struct buf *replicas)
+add_other_domains (struct buf *domains, struct buf *replicas)
 {
   for (unsigned i = 0; i < 5; i++)
     {
       buf_addf (domains,
                 ",\"%s\":{\"zone\":\"y\",\"vms\":{\"x%u\":{\"addr\":"
                 "\"127.0.0.1:%u\"}}}",
-                elsewhere[i], i, i + 1);
+                other_domains[i], i, i + 1);
       buf_addf (replicas,
                 ",\"e%u\":{\"model\":\"m\",\"domain\":\"%s\",\"mode\":"
                 "\"manage\",\"vms\":[\"x%u\"]}",
-                i, elsewhere[i], i);
+                i, other_domains[i], i);
     }
 }
 
@@ -158,7 +158,7 @@
   struct buf text = BUF_INIT, domains = BUF_INIT, replicas = BUF_INIT;
 
   if (more)
-    add_elsewhere (&domains, &replicas);
+    add_other_domains (&domains, &replicas);
   buf_addf (&text,
             "{\"domains\":{\"d\":{\"zone\":\"z\",\"checks_fence\":true,"
             "\"vms\":{\"v1\":{\"addr\":\"127.0.0.1:%u\"}}}%s},"
@@ -166,13 +166,13 @@
             "\"weight_gb\":1,\"capacity\":4,\"tokens_per_s\":100}},"
             "\"replicas\":{\"r1\":{\"model\":\"m\",\"domain\":\"d\","
             "\"mode\":\"%s\",\"vms\":[\"v1\"]}%s}}",
-            httpd_port (world->vm), buf_c (&domains), mode, mode,
+            httpd_port (fixture->vm), buf_c (&domains), mode, mode,
             buf_c (&replicas));
   buf_free (&domains);
   buf_free (&replicas);
-  world->ctl.cfg = cfg_parse (buf_str (&text), 1, &findings);
+  fixture->ctl.cfg = cfg_parse (buf_str (&text), 1, &findings);
   fnd_print (&findings, &text);
-  cr_assert (world->ctl.cfg, "%s", buf_c (&text));
+  cr_assert (fixture->ctl.cfg, "%s", buf_c (&text));
   fnd_free (&findings);
   buf_free (&text);
 }
@@ -182,7 +182,7 @@
 {
   ALONE,
   HOME_OF_D,
-  HOME_ELSEWHERE
+  HOME_OF_OTHERS
 };
 
 static void
@@ -191,62 +191,62 @@
   static const struct mbr_node node
       = { .name = STR ("n2"), .zone = STR ("z"), .region = STR ("r") };
 
-  world->other = node;
+  fixture->other = node;
   if (other == HOME_OF_D)
-    world->self.zone = STR ("y");
+    fixture->self.zone = STR ("y");
   else
-    world->other.zone = STR ("y");
-  ctl_domains_members (world->ctl.domains);
+    fixture->other.zone = STR ("y");
+  ctl_domains_members (fixture->ctl.domains);
 }
 
 static void
-start_world (const char *mode, enum other other)
+start_fixture (const char *mode, enum other other)
 {
   static const struct httpd_limits limits
       = { .max_body = 4096, .max_connections = 16, .request_ms = 5000 };
   struct net_addr any = run_any_port ();
   struct buf err = BUF_INIT;
 
-  run_init (&world->run);
-  latekv_init (&world->store, &world->run.loop);
+  run_init (&fixture->run);
+  latekv_init (&fixture->store, &fixture->run.loop);
   /* Fencing numbers in the logs start at 11. */
   for (int i = 0; i < 10; i++)
-    memkv_txn (world->store.kv, &(struct store_txn){ 0 });
-  world->unloaded = true;
-  world->self = (struct mbr_node){ .name = STR ("n1"),
-                                   .zone = STR ("z"),
-                                   .region = STR ("r") };
-  world->vm
-      = httpd_listen (&world->run.loop, &any, &limits, handle, NULL, &err);
-  cr_assert_not_null (world->vm);
-  world->ctl.loop = &world->run.loop;
-  world->ctl.set.node = "n1";
-  world->ctl.set.zone = "z";
-  world->ctl.set.region = "r";
-  world->ctl.set.store_prefix = "/lapisline/";
-  world->ctl.boot = 7;
-  world->ctl.met = met_new ();
-  world->ctl.http = httpc_new (&world->run.loop);
-  world->ctl.store = latekv_store (&world->store);
-  make_config (mode, other == HOME_ELSEWHERE);
-  world->ctl.domains = ctl_domains_start (&world->ctl, &err);
+    memkv_txn (fixture->store.kv, &(struct store_txn){ 0 });
+  fixture->unloaded = true;
+  fixture->self = (struct mbr_node){ .name = STR ("n1"),
+                                     .zone = STR ("z"),
+                                     .region = STR ("r") };
+  fixture->vm
+      = httpd_listen (&fixture->run.loop, &any, &limits, handle, NULL, &err);
+  cr_assert_not_null (fixture->vm);
+  fixture->ctl.loop = &fixture->run.loop;
+  fixture->ctl.set.node = "n1";
+  fixture->ctl.set.zone = "z";
+  fixture->ctl.set.region = "r";
+  fixture->ctl.set.store_prefix = "/lapisline/";
+  fixture->ctl.boot = 7;
+  fixture->ctl.met = met_new ();
+  fixture->ctl.http = httpc_new (&fixture->run.loop);
+  fixture->ctl.store = latekv_store (&fixture->store);
+  make_config (mode, other == HOME_OF_OTHERS);
+  fixture->ctl.domains = ctl_domains_start (&fixture->ctl, &err);
   if (other != ALONE)
     join_other (other);
   buf_free (&err);
 }
 
 static void
-end_world (const char *expected)
+end_fixture (const char *expected)
 {
-  snprintf (world->phase, sizeof world->phase, "stopped");
-  ctl_domains_stop (world->ctl.domains);
-  store_free (world->ctl.store);
-  httpd_free (world->vm);
-  httpc_free (world->ctl.http);
-  cfg_unref (world->ctl.cfg);
-  run_end (&world->run, expected);
-  met_free (world->ctl.met);
-  latekv_end (&world->store);
+  snprintf (fixture->phase, sizeof fixture->phase, "stopped");
+  ctl_domains_stop (fixture->ctl.domains);
+  store_free (fixture->ctl.store);
+  httpd_free (fixture->vm);
+  httpc_free (fixture->ctl.http);
+  cfg_unref (fixture->ctl.cfg);
+  run_end (&fixture->run, expected);
+  met_free (fixture->ctl.met);
+  latekv_end (&fixture->store);
 }
 
 static void
@@ -269,7 +269,7 @@
   e.seq = 1;
   e.n_replicas = 1;
   e.replicas = views;
-  ctl_domains_evidence (world->ctl.domains, &e);
+  ctl_domains_evidence (fixture->ctl.domains, &e);
 }
 
 /* Short evidence; @p rest names the full evidence, whose number here is 1. */
@@ -287,68 +287,69 @@
   e.age_ms = (uint32_t)age;
   e.n_loads = (size_t)n;
   e.loads = loads;
-  ctl_domains_evidence (world->ctl.domains, &e);
+  ctl_domains_evidence (fixture->ctl.domains, &e);
 }
 
 static void
-show (void)
+log_replica (void)
 {
   size_t n;
-  const struct ctl_replica *r = ctl_domains_replicas (world->ctl.domains, &n);
+  const struct ctl_replica *r
+      = ctl_domains_replicas (fixture->ctl.domains, &n);
   clk_ms left = r->valid_until - clk_now ();
 
-  run_log (&world->run, "%s of %.*s fence %d load %u%s%s", r->state,
+  run_log (&fixture->run, "%s of %.*s fence %d load %u%s%s", r->state,
            STR_ARG (r->owner), (int)r->fence, r->load,
            left > REP_EVIDENCE_MS ? " for too long" : "",
            left < REP_EVIDENCE_MS / 2 ? " soon over" : "");
 }
 
-/* Run the loop until a renewal is LATE_MS old, with the store down since
-   then. */
+/* Run the loop until a renewal is RENEWAL_AGE_MS old, with the store down
+   since then. */
 static void
-let_renewals_fail (void)
+fail_renewals (void)
 {
-  clk_ms before = world->store.kept_at;
+  clk_ms before = fixture->store.kept_at;
 
-  while (world->store.kept_at == before)
-    uv_run (&world->run.loop, UV_RUN_ONCE);
-  world->store.down = true;
-  while (clk_now () < world->store.kept_at + LATE_MS)
-    uv_run (&world->run.loop, UV_RUN_ONCE);
+  while (fixture->store.kept_at == before)
+    uv_run (&fixture->run.loop, UV_RUN_ONCE);
+  fixture->store.down = true;
+  while (clk_now () < fixture->store.kept_at + RENEWAL_AGE_MS)
+    uv_run (&fixture->run.loop, UV_RUN_ONCE);
 }
 
 static void
-pause_ms (clk_ms span)
+run_loop_for (clk_ms span)
 {
   clk_ms until = clk_now () + span;
 
   while (clk_now () < until)
-    uv_run (&world->run.loop, UV_RUN_ONCE);
+    uv_run (&fixture->run.loop, UV_RUN_ONCE);
 }
 
 static void
-on_word (void *ctx, struct str word, struct str rest)
+run_step (void *ctx, struct str word, struct str rest)
 {
   if (str_is (word, "phase"))
-    snprintf (world->phase, sizeof world->phase, "%.*s", STR_ARG (rest));
+    snprintf (fixture->phase, sizeof fixture->phase, "%.*s", STR_ARG (rest));
   else if (str_is (word, "store"))
-    world->store.down = str_is (rest, "down");
+    fixture->store.down = str_is (rest, "down");
   else if (str_is (word, "blank"))
     {
-      world->unloaded = true;
-      world->replica[0] = 0;
-      world->generation = 0;
+      fixture->unloaded = true;
+      fixture->replica[0] = 0;
+      fixture->generation = 0;
     }
   else if (str_is (word, "ready"))
-    world->unloaded = false;
+    fixture->unloaded = false;
   else if (str_is (word, "late"))
-    let_renewals_fail ();
+    fail_renewals ();
   else if (str_is (word, "freeze"))
-    world->freeze = true;
+    fixture->freeze = true;
   else if (str_is (word, "release"))
     {
-      world->store.taken = false;
-      memkv_revoke (world->store.kv, world->store.lease);
+      fixture->store.taken = false;
+      memkv_revoke (fixture->store.kv, fixture->store.lease);
     }
   else if (str_is (word, "remote"))
     remote_evidence ("d", "r1", rest);
@@ -356,28 +357,28 @@
     remote_short (rest);
   else if (str_is (word, "peer"))
     {
-      world->told_forms = true;
-      ctl_domains_peer (world->ctl.domains);
+      fixture->log_forms = true;
+      ctl_domains_peer (fixture->ctl.domains);
     }
   else if (str_is (word, "elsewhere"))
     for (unsigned i = 0; i < 5; i++)
       {
         char replica[] = { 'e', (char)('0' + i), 0 };
 
-        remote_evidence (elsewhere[i], replica, rest);
+        remote_evidence (other_domains[i], replica, rest);
       }
   else if (str_is (word, "pause"))
-    pause_ms (4500);
+    run_loop_for (4500);
   else if (str_is (word, "show"))
-    show ();
+    log_replica ();
 }
 
-/* Start the setup and run a script; end_world() compares the log. */
+/* Start the fixture and run a script; end_fixture() compares the log. */
 static void
-play (const char *mode, enum other other, const char *script)
+run_fixture (const char *mode, enum other other, const char *script)
 {
-  start_world (mode, other);
-  run_script (&world->run, script, on_word, NULL);
+  start_fixture (mode, other);
+  run_script (&fixture->run, script, run_step, NULL);
 }
 
 TestSuite (domains, .timeout = 60);
@@ -390,23 +391,23 @@
  */
 Test (domains, store_down_stops_orders_but_not_evidence)
 {
-  play ("manage", ALONE,
-        "phase a\n"
-        "wait evidence whole of the owner a\n"
-        "phase b\n store down\n"
-        "wait evidence whole without a lease b\n"
-        "phase c\n blank\n"
-        "wait evidence broken without a lease c\n"
-        "phase d\n store up\n"
-        "wait evidence whole of the owner d\n");
-  end_world ("evidence broken of the owner a\n"
-             "load r1/1 fence 11 a\n"
-             "evidence whole of the owner a\n"
-             "evidence whole without a lease b\n"
-             "evidence broken without a lease c\n"
-             "evidence broken of the owner d\n"
-             "load r1/1 fence 11 d\n"
-             "evidence whole of the owner d\n");
+  run_fixture ("manage", ALONE,
+               "phase a\n"
+               "wait evidence whole of the owner a\n"
+               "phase b\n store down\n"
+               "wait evidence whole without a lease b\n"
+               "phase c\n blank\n"
+               "wait evidence broken without a lease c\n"
+               "phase d\n store up\n"
+               "wait evidence whole of the owner d\n");
+  end_fixture ("evidence broken of the owner a\n"
+               "load r1/1 fence 11 a\n"
+               "evidence whole of the owner a\n"
+               "evidence whole without a lease b\n"
+               "evidence broken without a lease c\n"
+               "evidence broken of the owner d\n"
+               "load r1/1 fence 11 d\n"
+               "evidence whole of the owner d\n");
 }
 
 /*
@@ -418,35 +419,35 @@
  */
 Test (domains, suspended_before_sending)
 {
-  play ("manage", ALONE,
-        "phase a\n"
-        "wait evidence whole of the owner a\n"
-        "phase b\n late\n freeze\n blank\n"
-        "wait evidence broken without a lease b\n"
-        "phase c\n release\n store up\n"
-        "wait evidence whole of the owner c\n");
-  end_world ("evidence broken of the owner a\n"
-             "load r1/1 fence 11 a\n"
-             "evidence whole of the owner a\n"
-             "evidence broken of the owner b\n"
-             "evidence broken without a lease b\n"
-             "evidence broken of the owner c\n"
-             "load r1/1 fence 13 c\n"
-             "evidence whole of the owner c\n");
+  run_fixture ("manage", ALONE,
+               "phase a\n"
+               "wait evidence whole of the owner a\n"
+               "phase b\n late\n freeze\n blank\n"
+               "wait evidence broken without a lease b\n"
+               "phase c\n release\n store up\n"
+               "wait evidence whole of the owner c\n");
+  end_fixture ("evidence broken of the owner a\n"
+               "load r1/1 fence 11 a\n"
+               "evidence whole of the owner a\n"
+               "evidence broken of the owner b\n"
+               "evidence broken without a lease b\n"
+               "evidence broken of the owner c\n"
+               "load r1/1 fence 13 c\n"
+               "evidence whole of the owner c\n");
 }
 
 /* A replica of mode route is probed and reported, but no lease is requested
    and no order sent, although its VM holds no weights. */
 Test (domains, route_mode_sends_evidence_only)
 {
-  play ("route", ALONE,
-        "phase a\n"
-        "wait evidence broken without a lease a\n"
-        "phase b\n ready\n"
-        "wait evidence whole without a lease b\n");
-  cr_expect_eq (store_counts (world->ctl.store)->grants, 0);
-  end_world ("evidence broken without a lease a\n"
-             "evidence whole without a lease b\n");
+  run_fixture ("route", ALONE,
+               "phase a\n"
+               "wait evidence broken without a lease a\n"
+               "phase b\n ready\n"
+               "wait evidence whole without a lease b\n");
+  cr_expect_eq (store_counts (fixture->ctl.store)->grants, 0);
+  end_fixture ("evidence broken without a lease a\n"
+               "evidence whole without a lease b\n");
 }
 
 /*
@@ -457,14 +458,14 @@
  */
 Test (domains, evidence_of_previous_owner_is_ignored)
 {
-  play ("manage", HOME_OF_D,
-        "show\n remote 5 whole\n show\n remote 4 broken\n show\n"
-        "remote 0 broken\n show\n remote 6 broken\n show\n");
-  end_world ("unknown of n2 fence 0 load 0 soon over\n"
-             "whole of n2 fence 5 load 0\n"
-             "whole of n2 fence 5 load 0\n"
-             "whole of n2 fence 5 load 0\n"
-             "degraded of n2 fence 6 load 0\n");
+  run_fixture ("manage", HOME_OF_D,
+               "show\n remote 5 whole\n show\n remote 4 broken\n show\n"
+               "remote 0 broken\n show\n remote 6 broken\n show\n");
+  end_fixture ("unknown of n2 fence 0 load 0 soon over\n"
+               "whole of n2 fence 5 load 0\n"
+               "whole of n2 fence 5 load 0\n"
+               "whole of n2 fence 5 load 0\n"
+               "degraded of n2 fence 6 load 0\n");
 }
 
 /*
@@ -474,14 +475,14 @@
  */
 Test (domains, load_waits_for_other_domains)
 {
-  play ("manage", HOME_ELSEWHERE,
-        "phase a\n"
-        "wait evidence broken of the owner a\n"
-        "pause\n phase b\n elsewhere 5 whole\n"
-        "wait evidence whole of the owner b\n");
-  end_world ("evidence broken of the owner a\n"
-             "load r1/1 fence 11 b\n"
-             "evidence whole of the owner b\n");
+  run_fixture ("manage", HOME_OF_OTHERS,
+               "phase a\n"
+               "wait evidence broken of the owner a\n"
+               "pause\n phase b\n elsewhere 5 whole\n"
+               "wait evidence whole of the owner b\n");
+  end_fixture ("evidence broken of the owner a\n"
+               "load r1/1 fence 11 b\n"
+               "evidence whole of the owner b\n");
 }
 
 /*
@@ -491,17 +492,17 @@
  */
 Test (domains, short_evidence_renews_full_evidence)
 {
-  play ("manage", HOME_OF_D,
-        "short 5 100 1 1\n show\n remote 5 whole\n"
-        "short 5 2000 1 1\n show\n short 6 100 1 1\n show\n"
-        "short 5 100 2 1\n show\n short 5 100 1 2\n show\n short 5 100 "
-        "1 1\n show\n");
-  end_world ("unknown of n2 fence 0 load 0 soon over\n"
-             "whole of n2 fence 5 load 70 soon over\n"
-             "whole of n2 fence 5 load 70 soon over\n"
-             "whole of n2 fence 5 load 70 soon over\n"
-             "whole of n2 fence 5 load 70 soon over\n"
-             "whole of n2 fence 5 load 70\n");
+  run_fixture ("manage", HOME_OF_D,
+               "short 5 100 1 1\n show\n remote 5 whole\n"
+               "short 5 2000 1 1\n show\n short 6 100 1 1\n show\n"
+               "short 5 100 2 1\n show\n short 5 100 1 2\n show\n short 5 100 "
+               "1 1\n show\n");
+  end_fixture ("unknown of n2 fence 0 load 0 soon over\n"
+               "whole of n2 fence 5 load 70 soon over\n"
+               "whole of n2 fence 5 load 70 soon over\n"
+               "whole of n2 fence 5 load 70 soon over\n"
+               "whole of n2 fence 5 load 70 soon over\n"
+               "whole of n2 fence 5 load 70\n");
 }
 
 /*
@@ -511,10 +512,10 @@
  */
 Test (domains, new_peer_receives_full_evidence)
 {
-  play ("route", ALONE,
-        "phase a\n ready\n wait evidence whole without a lease a\n"
-        "peer\n wait full form\n wait full form\n wait full form\n"
-        "wait short form\n");
-  end_world ("evidence whole without a lease a\n"
-             "full form\nfull form\nfull form\nshort form\n");
+  run_fixture ("route", ALONE,
+               "phase a\n ready\n wait evidence whole without a lease a\n"
+               "peer\n wait full form\n wait full form\n wait full form\n"
+               "wait short form\n");
+  end_fixture ("evidence whole without a lease a\n"
+               "full form\nfull form\nfull form\nshort form\n");
 }
--- a/t/t6010-replica-processes.c
+++ b/t/t6010-replica-processes.c
@@ -52,17 +52,17 @@
 }
 
 static void
-until (int node, const char *text)
+wait_for (int node, const char *text)
 {
   cr_assert (web_until (admin[node], REPLICA, AUTH, text, 60000),
-             "node %d never said %s", node, text);
+             "node %d never reported %s", node, text);
 }
 
 static void
-until_both (const char *text)
+wait_for_both (const char *text)
 {
-  until (0, text);
-  until (1, text);
+  wait_for (0, text);
+  wait_for (1, text);
 }
 
 static void
@@ -80,7 +80,7 @@
   nodes[1] = start_node ("n2", proc_addr (nodes[0], "peer"));
   for (int i = 0; i < 2; i++)
     admin[i] = proc_addr (nodes[i], "admin");
-  until_both ("\"whole\":true");
+  wait_for_both ("\"whole\":true");
 }
 
 static void
@@ -102,7 +102,7 @@
 
 /* Index of the node that owns the domain, by node 0. */
 static int
-owner (void)
+owner_index (void)
 {
   struct web_answer a = { 0 };
   int which;
@@ -115,7 +115,7 @@
 
 /* The number after @p key in a response. */
 static long
-number (const char *addr, const char *path, const char *key)
+number_after (const char *addr, const char *path, const char *key)
 {
   struct web_answer a = { 0 };
   const char *at;
@@ -130,22 +130,22 @@
 }
 
 static long
-vm_says (int vm, const char *key)
+vm_number (int vm, const char *key)
 {
-  return number (proc_addr (vms[vm], "http"), "/lapis/v1/state", key);
+  return number_after (proc_addr (vms[vm], "http"), "/lapis/v1/state", key);
 }
 
 /* Wait until a node's fencing number is above @p fence. */
 static void
-until_owner_above (int node, long fence)
+wait_for_fence_above (int node, long fence)
 {
   for (int i = 0; i < 1200; i++)
     {
-      if (number (admin[node], REPLICA, "\"fence\"") > fence)
+      if (number_after (admin[node], REPLICA, "\"fence\"") > fence)
         return;
       usleep (50000);
     }
-  cr_assert (false, "node %d did not get the domain", node);
+  cr_assert (false, "node %d did not become owner", node);
 }
 
 /*
@@ -160,14 +160,14 @@
   start_all ();
   snprintf (leader, sizeof leader, "\"leader\":\"%s\"",
             proc_addr (vms[0], "http"));
-  until_both (leader);
+  wait_for_both (leader);
   proc_signal (vms[0], SIGKILL);
-  until_both ("\"whole\":false");
-  until_both ("\"generation\":2");
-  until_both ("\"whole\":true");
+  wait_for_both ("\"whole\":false");
+  wait_for_both ("\"generation\":2");
+  wait_for_both ("\"whole\":true");
   snprintf (leader, sizeof leader, "\"leader\":\"%s\"",
             proc_addr (vms[2], "http"));
-  until_both (leader);
+  wait_for_both (leader);
 }
 
 /*
@@ -182,20 +182,20 @@
   long fence;
 
   start_all ();
-  old = owner ();
-  fence = vm_says (1, "\"fence\"");
+  old = owner_index ();
+  fence = vm_number (1, "\"fence\"");
   proc_signal (nodes[old], SIGSTOP);
-  until_owner_above (!old, fence);
-  until (!old, "\"whole\":true");
+  wait_for_fence_above (!old, fence);
+  wait_for (!old, "\"whole\":true");
   post (proc_addr (vms[1], "http"), "/control/set",
         "{\"unloaded\":true,\"generation\":0}");
   proc_signal (nodes[old], SIGCONT);
   cr_assert (web_until (proc_addr (vms[1], "http"), "/lapis/v1/state", NULL,
                         "\"unloaded\": false", 60000));
-  until_both ("\"whole\":true");
-  until_both ("\"generation\":1");
-  cr_expect_gt (vm_says (1, "\"fence\""), fence);
-  cr_expect_eq (vm_says (1, "\"old_orders\""), 0);
+  wait_for_both ("\"whole\":true");
+  wait_for_both ("\"generation\":1");
+  cr_expect_gt (vm_number (1, "\"fence\""), fence);
+  cr_expect_eq (vm_number (1, "\"old_orders\""), 0);
 }
 
 /* The store stops responding for longer than a lease, and a member is killed.
@@ -206,15 +206,15 @@
 
   start_all ();
   proc_signal (store, SIGSTOP);
-  until_both ("\"fence\":0");
+  wait_for_both ("\"fence\":0");
   get (admin[0], REPLICA, &a);
   cr_expect_not_null (strstr (buf_c (&a.body), "\"whole\":true"));
   web_free (&a);
   proc_signal (vms[1], SIGKILL);
-  until_both ("\"whole\":false");
+  wait_for_both ("\"whole\":false");
   proc_signal (store, SIGCONT);
-  until_both ("\"generation\":2");
-  until_both ("\"whole\":true");
+  wait_for_both ("\"generation\":2");
+  wait_for_both ("\"whole\":true");
 }
 
 /* A member is listed as leaving: the replica accepts no new requests, the
@@ -224,10 +224,10 @@
   start_all ();
   post (proc_addr (platform, "http"), "/control/set",
         "{\"vms\":{\"v1\":\"leaving\"}}");
-  until_both ("\"draining\":true");
-  until_both ("\"generation\":2");
-  until_both ("\"draining\":false");
-  until_both ("\"whole\":true");
+  wait_for_both ("\"draining\":true");
+  wait_for_both ("\"generation\":2");
+  wait_for_both ("\"draining\":false");
+  wait_for_both ("\"whole\":true");
   cr_expect (web_until (proc_addr (vms[0], "http"), "/lapis/v1/state", NULL,
                         "\"unloaded\": true", PROC_WAIT_MS));
 }
@@ -236,7 +236,7 @@
 Test (replica_processes, operator_drains)
 {
   start_all ();
-  post (admin[!owner ()], REPLICA "/drain", "{}");
-  until_both ("\"draining\":true");
-  until_both ("\"state\":\"draining\"");
+  post (admin[!owner_index ()], REPLICA "/drain", "{}");
+  wait_for_both ("\"draining\":true");
+  wait_for_both ("\"state\":\"draining\"");
 }
--- a/t/t6900-owner-walk.c
+++ b/t/t6900-owner-walk.c
@@ -17,15 +17,15 @@
 #define NODES 3
 #define CALLS 64
 #define ORDERS 32
-#define TTL (6 * CLK_SECOND)
-#define FLIGHT (2 * CLK_SECOND)
+#define LEASE_TTL_MS (6 * CLK_SECOND)
+#define ORDER_FLIGHT_MS (2 * CLK_SECOND)
 
 enum fault
 {
   FAULT_NONE,
-  FAULT_NO_CLOCK,     /**< sends orders in state OWN_HOLDING without
-                         own_may_order() */
-  FAULT_FENCE_IGNORED /**< servers don't check them as configured */
+  FAULT_NO_CLOCK_CHECK, /**< sends orders in state OWN_HOLDING without
+                     own_may_order() */
+  FAULT_FENCE_IGNORED   /**< servers don't check them as configured */
 };
 
 struct call
@@ -66,13 +66,13 @@
 };
 
 static uint64_t
-below (struct walk *k, uint64_t n)
+random_below (struct walk *k, uint64_t n)
 {
   return rng_below (&k->rng, n);
 }
 
 static void
-hold (struct walk *k, int node, const struct own_action *a)
+hold_call (struct walk *k, int node, const struct own_action *a)
 {
   struct call *c = k->calls;
 
@@ -80,7 +80,7 @@
     c++;
   /* Full of lost writes: drop one of them, which is never applied. */
   if (c == k->calls + CALLS)
-    c = &k->calls[below (k, CALLS)];
+    c = &k->calls[random_below (k, CALLS)];
   c->used = true;
   c->applied = c->answered = false;
   c->node = node;
@@ -99,7 +99,7 @@
 }
 
 static void
-drain (struct walk *k, int node)
+fetch_actions (struct walk *k, int node)
 {
   struct own_action a;
 
@@ -107,7 +107,7 @@
     if (a.kind == OWN_GAINED)
       k->owners++;
     else if (a.kind != OWN_LOST)
-      hold (k, node, &a);
+      hold_call (k, node, &a);
 }
 
 static void
@@ -133,7 +133,7 @@
   if (c->applied)
     return;
   c->applied = true;
-  kv_lapse (&k->kv, k->now);
+  kv_expire_leases (&k->kv, k->now);
   memset (&c->result, 0, sizeof c->result);
   if (a->kind == OWN_GRANT)
     {
@@ -145,7 +145,7 @@
   else if (a->kind == OWN_RANGE)
     apply_range (k, c);
   else if (a->kind == OWN_KEEP)
-    c->result.status = kv_keep (&k->kv, k->now, a->lease, TTL);
+    c->result.status = kv_keepalive (&k->kv, k->now, a->lease, LEASE_TTL_MS);
   else
     kv_revoke (&k->kv, a->lease);
   c->result.revision = k->kv.revision;
@@ -154,7 +154,7 @@
 }
 
 static void
-answer (struct walk *k, struct call *c, enum store_status lost)
+respond (struct walk *k, struct call *c, enum store_status lost)
 {
   struct store_result none = { .status = lost };
 
@@ -162,7 +162,7 @@
   own_store_answer (k->nodes[c->node], k->now, c->action.token,
                     lost == STORE_OK ? &c->result : &none);
   c->used = lost == STORE_UNCERTAIN && !c->applied;
-  drain (k, c->node);
+  fetch_actions (k, c->node);
 }
 
 /* Steps. */
@@ -171,8 +171,8 @@
 store_step (struct walk *k)
 {
   struct call *c = NULL;
-  size_t from = below (k, CALLS);
-  uint64_t what = below (k, 16);
+  size_t from = random_below (k, CALLS);
+  uint64_t what = random_below (k, 16);
 
   for (size_t i = 0; i < CALLS && !c; i++)
     if (k->calls[(from + i) % CALLS].used)
@@ -195,14 +195,15 @@
   if (k->frozen[c->node])
     return false;
   if (what == 2)
-    answer (k, c,
-            c->action.kind == OWN_RANGE ? STORE_UNAVAILABLE : STORE_UNCERTAIN);
+    respond (k, c,
+             c->action.kind == OWN_RANGE ? STORE_UNAVAILABLE
+                                         : STORE_UNCERTAIN);
   else if (what == 3 && !c->applied)
-    answer (k, c, STORE_UNAVAILABLE);
+    respond (k, c, STORE_UNAVAILABLE);
   else
     {
       apply (k, c);
-      answer (k, c, STORE_OK);
+      respond (k, c, STORE_OK);
     }
   return true;
 }
@@ -210,10 +211,10 @@
 static bool
 send_order (struct walk *k)
 {
-  int node = (int)below (k, NODES);
+  int node = (int)random_below (k, NODES);
   const struct own *o = k->nodes[node];
-  bool may = k->fault == FAULT_NO_CLOCK ? own_state (o) == OWN_HOLDING
-                                        : own_may_order (o, k->now);
+  bool may = k->fault == FAULT_NO_CLOCK_CHECK ? own_state (o) == OWN_HOLDING
+                                              : own_may_order (o, k->now);
 
   if (k->frozen[node] || !may)
     return false;
@@ -229,12 +230,12 @@
 static bool
 order_arrives (struct walk *k)
 {
-  struct order *o = &k->orders[below (k, ORDERS)];
+  struct order *o = &k->orders[random_below (k, ORDERS)];
 
   if (!o->used)
     return false;
   o->used = false;
-  if (k->now - o->sent > FLIGHT)
+  if (k->now - o->sent > ORDER_FLIGHT_MS)
     return true; /* the call has timed out and its connection is closed */
   if (k->checks_fence && k->fault != FAULT_FENCE_IGNORED
       && o->fence < k->highest)
@@ -255,37 +256,37 @@
 tick_all (struct walk *k)
 {
   for (int n = 0; n < NODES; n++)
-    if (!k->frozen[n] && below (k, 4))
+    if (!k->frozen[n] && random_below (k, 4))
       {
         own_tick (k->nodes[n], k->now);
-        drain (k, n);
+        fetch_actions (k, n);
       }
 }
 
 static void
 time_step (struct walk *k)
 {
-  uint64_t how = below (k, 256);
+  uint64_t how = random_below (k, 256);
 
   if (how == 0)
-    k->now += (clk_ms)below (k, 4 * TTL);
+    k->now += (clk_ms)random_below (k, 4 * LEASE_TTL_MS);
   else if (how < 12)
-    k->now += (clk_ms)below (k, TTL);
+    k->now += (clk_ms)random_below (k, LEASE_TTL_MS);
   else
-    k->now += (clk_ms)below (k, 100);
+    k->now += (clk_ms)random_below (k, 100);
   tick_all (k);
 }
 
 static void
-begin_node (struct walk *k, int n)
+start_node (struct walk *k, int n)
 {
   char name[2] = { (char)('a' + n), 0 };
   struct own_options opt = { .key = STR ("o"),
                              .node = str_from (name),
                              .boot = ++k->boots,
-                             .ttl = TTL,
+                             .ttl = LEASE_TTL_MS,
                              .checks_fence = k->checks_fence,
-                             .order_flight_ms = FLIGHT };
+                             .order_flight_ms = ORDER_FLIGHT_MS };
 
   own_free (k->nodes[n]);
   k->nodes[n] = own_new (&opt, k->boots);
@@ -293,37 +294,37 @@
     if (k->calls[i].node == n)
       k->calls[i].answered = true;
   own_want (k->nodes[n], k->now, true);
-  drain (k, n);
+  fetch_actions (k, n);
 }
 
 static void
 fault_step (struct walk *k)
 {
-  int node = (int)below (k, NODES);
-  uint64_t what = below (k, 64);
+  int node = (int)random_below (k, NODES);
+  uint64_t what = random_below (k, 64);
 
   if (k->frozen[node])
     k->frozen[node] = what > 20;
   else if (what == 0)
-    begin_node (k, node);
+    start_node (k, node);
   else if (what < 16)
     k->frozen[node] = true;
   else if (what < 20)
     {
       own_want (k->nodes[node], k->now, what < 18);
-      drain (k, node);
+      fetch_actions (k, node);
     }
   else if (what < 30)
     {
       own_want (k->nodes[node], k->now, true);
-      drain (k, node);
+      fetch_actions (k, node);
     }
 }
 
 static bool
 one_step (struct walk *k)
 {
-  uint64_t what = below (k, 100);
+  uint64_t what = random_below (k, 100);
 
   if (what < 40)
     return store_step (k);
@@ -365,14 +366,14 @@
   k->checks_fence = checks_fence;
   k->fault = fault;
   for (int n = 0; n < NODES; n++)
-    begin_node (k, n);
+    start_node (k, n);
   while (done < steps && !k->violation)
     done += one_step (k);
   return done;
 }
 
 static void
-must_hold (bool checks_fence)
+expect_no_violation (bool checks_fence)
 {
   static struct walk k;
   uint64_t obeyed = 0, refused = 0, owners = 0;
@@ -398,14 +399,20 @@
 
 /* An owner is suspended past its lease, another node takes the domain and
    sends orders, and the first resumes.  The VM refuses its fencing number. */
-Test (owner_walk, servers_check_fencing_numbers) { must_hold (true); }
+Test (owner_walk, servers_check_fencing_numbers)
+{
+  expect_no_violation (true);
+}
 
 /* The same with a VM that obeys the last order that arrives: the old owner's
    clock must stop it, and the new owner must wait for orders in flight. */
-Test (owner_walk, servers_ignore_fencing_numbers) { must_hold (false); }
+Test (owner_walk, servers_ignore_fencing_numbers)
+{
+  expect_no_violation (false);
+}
 
 static void
-must_find (bool checks_fence, enum fault fault)
+expect_violation (bool checks_fence, enum fault fault)
 {
   static struct walk k;
   uint64_t steps = 0;
@@ -423,10 +430,10 @@
 
 Test (owner_walk, finds_order_without_clock_check)
 {
-  must_find (false, FAULT_NO_CLOCK);
+  expect_violation (false, FAULT_NO_CLOCK_CHECK);
 }
 
 Test (owner_walk, finds_servers_ignoring_fencing_unannounced)
 {
-  must_find (true, FAULT_FENCE_IGNORED);
+  expect_violation (true, FAULT_FENCE_IGNORED);
 }
