--- a/claim/asker.c
+++ b/claim/asker.c
@@ -8,8 +8,7 @@
   return CLM_ASKER_ASK;
 }
 
-/** With only one target, the core in this process releases the claim
-    itself. */
+/** With one target, the core in this process releases the claim itself. */
 static enum clm_asker_do
 give_up (struct clm_asker *a, bool may_be_recorded)
 {
--- a/claim/asker.h
+++ b/claim/asker.h
@@ -4,20 +4,17 @@
  * next node is tried and when the request ends (decision core of one request).
  *
  * The home node is tried first and, after each CLM_FAILOVER_MS without a
- * response, the next node, always with the same attempt, which is recorded
- * only once. Any response is final, including CLM_UNAVAILABLE: if every
- * refusal led to requests at the other targets, each call that is refused
- * while the store is down would cost three requests.
+ * response, the next node, with the same attempt, which is recorded only once.
+ * Any response is final, including CLM_UNAVAILABLE: otherwise each call that
+ * is refused while the store is down would cost three requests.
  *
  * The core in this process is always the last target, and the only one if this
- * node is the home.  The process is running, so a missing response of its own
- * core means that the store is slow.  clm_ask.final is set for that core only
- * if no other node was tried before: otherwise an earlier target may have
- * granted the claim that this core gives up.
+ * node is the home.  It is running, so a missing response of this core means
+ * that the store is slow.  clm_ask.final is set for it only if no other node
+ * was tried before, which may have granted the claim that this core gives up.
  *
- * Only the requester may release its attempt, and only once it is certain that
- * it will not send the call: a home that gave up can't know whether another
- * node granted the claim.
+ * Only the requester may release its attempt, once it is certain never to send
+ * the call: a home that gave up can't know whether another node granted it.
  */
 #ifndef LAPISLINE_CLAIM_ASKER_H
 #define LAPISLINE_CLAIM_ASKER_H
@@ -44,18 +41,18 @@
 enum clm_asker_do
 {
   CLM_ASKER_NOTHING,
-  CLM_ASKER_ASK,        /**< send the request to target number asked - 1 */
-  CLM_ASKER_REPLY,      /**< the verdict received is the result */
-  CLM_ASKER_REPLY_LATE, /**< the same, but an attempt that was not granted may
-                           still be recorded: release it */
-  CLM_ASKER_GIVE_UP,    /**< CLM_UNAVAILABLE; nothing can be recorded */
-  CLM_ASKER_GIVE_UP_LATE, /**< CLM_UNAVAILABLE, but the attempt may still be
+  CLM_ASKER_ASK,          /**< send the request to target number asked - 1 */
+  CLM_ASKER_REPLY,        /**< the verdict received is the result */
+  CLM_ASKER_REPLY_LATE,   /**< the same, but an unused attempt may still be
+                             recorded: release it */
+  CLM_ASKER_GIVE_UP,      /**< CLM_UNAVAILABLE; nothing can be recorded */
+  CLM_ASKER_GIVE_UP_LATE, /**< CLM_UNAVAILABLE; the attempt may still be
                              recorded: release it */
   CLM_ASKER_RELEASE       /**< a grant arrived too late: release it */
 };
 
-/** Start a request, with a timeout of at most CLM_ASK_MS.  With one target,
-    only the core in this process is used.  Returns CLM_ASKER_ASK. */
+/** Start a request with a timeout of at most CLM_ASK_MS.  One target means the
+    core in this process.  Returns CLM_ASKER_ASK. */
 enum clm_asker_do clm_asker_start (struct clm_asker *a, clk_ms now,
                                    clk_ms wait_ms, unsigned ntargets);
 enum clm_asker_do clm_asker_tick (struct clm_asker *a, clk_ms now);
--- a/claim/batch.h
+++ b/claim/batch.h
@@ -17,8 +17,7 @@
 
 #include "claim/claim.h"
 
-/** Maximum number of records in a batch: a tenth of the store's largest
-    value. */
+/** Limit of records in a batch: a tenth of the store's largest value. */
 #define BAT_MAX_RECORDS ((size_t)2048)
 
 /** A change of one claim. */
@@ -42,8 +41,7 @@
 void bat_key (struct buf *out, struct str prefix, unsigned shard,
               const struct bat_name *name);
 
-/** Range of the batches that were compared with @p base or later, and the
-    head. */
+/** Range of the batches compared with @p base or later, and of the head. */
 void bat_range (struct buf *key, struct buf *end, struct str prefix,
                 unsigned shard, int64_t base);
 
--- a/claim/calls.c
+++ b/claim/calls.c
@@ -1,8 +1,7 @@
 /* Availability of the store, and the lease of batch keys. */
 #include "claim/core.h"
 
-/** Delay between calls while the store is down; doubles from the first to the
-    last. */
+/** Delay between calls while the store is down; doubles up to the maximum. */
 #define PROBE_MIN_MS ((clk_ms)125)
 #define PROBE_MAX_MS CLK_SECOND
 
--- a/claim/claim.c
+++ b/claim/claim.c
@@ -214,8 +214,7 @@
                  && (now >= w->deadline || (all && w->ask.kind == CLM_TAKE));
       if (due)
         core_reply_unavailable (c, s, w);
-      /* Keep the release: the requester stopped waiting but did not cancel
-         it. */
+      /* Keep the release: the requester only stopped waiting for it. */
       if (due && w->ask.kind == CLM_TAKE)
         {
           c->probe_shard = (int)s->no;
--- a/claim/claim.h
+++ b/claim/claim.h
@@ -17,7 +17,7 @@
  * (decision core).
  *
  * A claim is recorded in the store before the call is sent to a backend
- * server. Claims are spread over CLM_SHARDS shards.  Each shard has a head
+ * server.  Claims are spread over CLM_SHARDS shards.  Each shard has a head
  * key.  One transaction compares the head's mod_revision, writes the head and
  * writes one batch key with all waiting claims (group commit, one open
  * transaction per shard).  Batch keys are attached to store leases of twice
@@ -42,8 +42,8 @@
  * and send.  A record is made after the request or at most CLM_REUSE_MS before
  * it and is held for window + CLM_SLACK_MS, where the slack is the sum of the
  * three.  So the next attempt on the key is sent at least one window after the
- * first one was sent. The remaining gap is a suspension between this check and
- * the system call that sends, for longer than the window.
+ * first one was sent.  The remaining gap is a suspension between this check
+ * and the system call that sends, for longer than the window.
  */
 #ifndef LAPISLINE_CLAIM_CLAIM_H
 #define LAPISLINE_CLAIM_CLAIM_H
@@ -60,8 +60,7 @@
  */
 #define CLM_SHARDS 8
 
-/** A requester may send the call until this long after it received the
-    grant. */
+/** Time after receiving a grant during which the call may be sent. */
 #define CLM_GRANT_MS (5 * CLK_SECOND)
 
 /** Maximum time that a requester waits for a grant. */
--- a/claim/core.h
+++ b/claim/core.h
@@ -17,8 +17,7 @@
 #include "claim/batch.h"
 #include "claim/table.h"
 
-/** A refusal from records that were confirmed longer ago than this is checked
-    by a read of the store first. */
+/** A refusal from records confirmed longer ago is checked by a read first. */
 #define CORE_FRESH_MS CLK_SECOND
 
 /** Maximum number of waiting requests per shard; more are refused. */
@@ -187,8 +186,7 @@
 void shard_answer (struct clm *c, struct shard *s, clk_ms now,
                    const struct store_result *r);
 
-/** Start a read although no request waits, to check whether the store is
-    back. */
+/** Start a read without waiting requests, to check if the store is back. */
 void shard_probe (struct clm *c, struct shard *s, clk_ms now);
 
 /** Whether a store call is needed and none is open. */
--- a/claim/shard.c
+++ b/claim/shard.c
@@ -5,19 +5,19 @@
  * A write compares the head's mod_revision with BASE and puts the head and one
  * batch key, which contains BASE, the process's boot number and a sequence
  * number.  If the response is lost, the write may be applied at any later
- * time. Then:
+ * time:
  *
  *  - No claim of the batch is granted and no other write of this shard starts
  *    until a read has resolved it.
  *  - If the read returns the batch key, the write was applied: grant.
- *  - If it returns a head other than BASE and no such batch key, the compare
- * can never succeed, as mod_revisions only grow.  The batch is void, and its
- *    requests are decided again from the records that were read.
- *  - If it returns the head still at BASE, the write may be applied at any
- * time until the head changes.  So the same write is sent again, byte for
- * byte, to change the head.  At most one of the two copies can pass the
- * compare, and both have the same effect.  If the first copy is applied before
- * the second, the second conflicts and the next read returns the batch key.
+ *  - If it returns a head other than BASE and not the batch key, the compare
+ *    can never succeed, as mod_revisions only grow.  The batch is void, and
+ *    its requests are decided again from the records that were read.
+ *  - If it returns the head still at BASE, the write may be applied until the
+ *    head changes.  So the same write is sent again, byte for byte, to change
+ *    the head.  At most one of the two copies can pass the compare, and both
+ *    have the same effect.  If the first copy is applied before the second,
+ *    the second conflicts and the next read returns the batch key.
  *
  * A conflict is resolved by the same read, as an earlier copy of this write
  * may have changed the head.
--- a/claim/table.h
+++ b/claim/table.h
@@ -78,8 +78,7 @@
                          const uint8_t fingerprint[16], clk_ms recorded_at,
                          clk_ms expires);
 
-/** Refresh a record that was written or read again: it moves to the end of the
-    expiry list. */
+/** Refresh a record that was written or read again, and its expiry. */
 void tbl_refresh (struct tbl *t, struct tbl_rec *r, clk_ms recorded_at,
                   clk_ms expires);
 void tbl_remove (struct tbl *t, struct tbl_rec *r);
@@ -87,8 +86,7 @@
 /** Remove expired records that have no pending write. */
 void tbl_expire (struct tbl *t, clk_ms now);
 
-/** Store a copy of a response; the oldest are evicted at the limit in
-    bytes. */
+/** Store a copy of a response; the oldest are evicted at the byte limit. */
 void tbl_store_response (struct tbl *t, struct tbl_rec *r, int status,
                          struct str response);
 
--- a/replica/budget.c
+++ b/replica/budget.c
@@ -30,9 +30,8 @@
   return rate > 0 ? (clk_ms)(1000 * m->weight_gb / rate) : 0;
 }
 
-/* Complete replicas of the model: in all domains if the caller reported that
-   number, else in this domain.  Replicas that are loading here are added, as
-   they will be complete soon. */
+/* Complete replicas of the model, in all domains if the caller reported their
+   number, plus those that are loading here, as they will be complete soon. */
 static unsigned
 count_live (const struct rep *r, const struct cfg_model *m)
 {
@@ -122,10 +121,10 @@
 
 /*
  * The weight store has a fixed bandwidth.  When all replicas of a domain load
- * at the same time, for example after an outage, they share the bandwidth and
- * none is complete before the end.  Loading one at a time, the first replica
- * serves after a fraction of that time and the last is hardly delayed.  The
- * model with the fewest live replicas loads first.
+ * at the same time, as after an outage, they share it and none is complete
+ * before the end.  Loading one at a time, the first serves after a fraction of
+ * that time and the last is hardly delayed.  The model with the fewest live
+ * replicas loads first.
  */
 void
 bud_tick (struct rep *r, clk_ms now)
--- a/replica/drain.c
+++ b/replica/drain.c
@@ -21,9 +21,8 @@
       = (struct rep_pending_drain){ name, on };
 }
 
-/* Drains by operators are stored in the assignment, so that they survive a
-   change of owner.  Any node may write them: comparing the document's revision
-   is sufficient. */
+/* Drains by operators are stored in the assignment to survive a change of
+   owner.  Any node may write them: comparing the revision is sufficient. */
 bool
 drn_apply_requests (struct rep *r, struct asn *next)
 {
@@ -101,8 +100,8 @@
   return true;
 }
 
-/* Whether every reachable VM of the entry reports that no weights are loaded.
-   An unreachable VM is not assigned again before it reports the same. */
+/* Whether every reachable VM of the entry reports no weights.  An unreachable
+   VM is not assigned again before it reports the same. */
 static bool
 is_unloaded (const struct rep *r, const struct asn_entry *e, clk_ms now)
 {
@@ -116,8 +115,8 @@
   return true;
 }
 
-/* The replica was returned to the scripts that managed it before: whatever
-   runs is left running. */
+/* Returned to the scripts that managed it before: what runs is left
+   running. */
 static bool
 is_unmanaged (const struct rep_replica *p)
 {
@@ -162,8 +161,8 @@
   return NULL;
 }
 
-/* The replacement happens once the joining VM has loaded and the replica has
-   no requests left or can't serve any, so it interrupts no request. */
+/* Replace the member once the joining VM has loaded and the replica has no
+   requests left or can't serve any, so that no request is interrupted. */
 static bool
 finish_joining (struct rep *r, clk_ms now, struct asn_entry *e,
                 const struct rep_replica *p)
@@ -183,9 +182,9 @@
   return true;
 }
 
-/* Handles a replica with a leaving member: the replica accepts no new
-   requests, a spare VM loads its weights meanwhile and replaces the member
-   once the requests in progress are finished. */
+/* A replica with a leaving member accepts no new requests; a spare VM loads
+   meanwhile and replaces the member once the requests in progress are
+   finished. */
 bool
 drn_replace_leaving (struct rep *r, clk_ms now, struct asn *next)
 {
--- a/replica/evidence.c
+++ b/replica/evidence.c
@@ -6,10 +6,9 @@
 /*
  * Upper bound of failure detection: a VM that dies right after a response
  * counts as missing once that response is REP_EVIDENCE_MS old, or earlier
- * after REP_MAX_FAILURES failed probes, for example when connections are
- * refused. Every view carries the time of its oldest probe result, so that a
- * gateway stops using the replica by the same deadline even if it receives no
- * further updates.
+ * after REP_MAX_FAILURES failed probes, as when connections are refused.
+ * Every view carries its oldest probe time, so that a gateway stops using the
+ * replica by the same deadline even without further updates.
  */
 bool
 evd_present (const struct rep_vm *vm, clk_ms now)
@@ -78,10 +77,9 @@
   rep_push (r, REP_EVIDENCE);
 }
 
-/* An unmanaged replica receives no orders and keeps the members that its
-   scripts started.  A member that reports no replica name counts, as the
-   configuration is the only information about it.  A member that reports a
-   name must report this one. */
+/* An unmanaged replica keeps the members that its scripts started.  A member
+   that reports no replica name counts, as only the configuration names its
+   replica.  A member that reports a name must report this one. */
 static bool
 unmanaged_member_ready (const struct rep_vm *vm, clk_ms now,
                         const struct rep_replica *p, int64_t generation)
@@ -135,10 +133,9 @@
     }
 }
 
-/* While the assignment has never been read (the store may be down for hours),
+/* While the assignment was never read (the store may be down for hours),
    running replicas stay in service: VMs that report the same replica and
-   generation form that replica if their number is the one that its model
-   requires. */
+   generation form it if their number is the one that its model requires. */
 static void
 set_members_from_reports (const struct rep *r, clk_ms now,
                           struct rep_replica *p)
--- a/replica/orders.c
+++ b/replica/orders.c
@@ -20,10 +20,10 @@
 }
 
 /*
- * Unloads a VM that is in no entry of the assignment but reports one of our
- * replicas: the VM returned after it was replaced, or a delayed order of a
- * previous owner reached it.  A replica that may still be adopted is left
- * alone, and so are replicas that are not managed.
+ * Unload a VM without an entry in the assignment that reports one of the
+ * managed replicas: it returned after it was replaced, or a delayed order of a
+ * previous owner reached it.  A replica that may still be adopted and
+ * unmanaged replicas are left alone.
  */
 static bool
 unload_unassigned (const struct rep *r, clk_ms now, const struct rep_vm *vm,
--- a/replica/owner.c
+++ b/replica/owner.c
@@ -136,10 +136,10 @@
     push (o, OWN_REVOKE)->lease = lease;
 }
 
-/* Release the domain.  Revoking the lease deletes the key immediately.  It
-   also makes a write of the key that is still in flight fail, as the store
-   rejects a put with an unknown lease.  So no delayed write can recreate a key
-   that no node renews. */
+/* Release the domain.  Revoking the lease deletes the key immediately and
+   makes a write of the key that is still in flight fail, as the store rejects
+   a put with an unknown lease.  So no delayed write can recreate a key that no
+   node renews. */
 static void
 release (struct own *o, clk_ms now, const char *event)
 {
@@ -181,9 +181,8 @@
   start_call (o, now, what, OWN_RANGE)->key = buf_str (&o->key);
 }
 
-/* Time counts from the sending of the request.  The store starts the new TTL
-   later than that, so the lease always ends earlier by this node's clock than
-   at the store. */
+/* Time counts from the sending of the request, before the store starts the new
+   TTL, so the lease ends earlier by this node's clock than at the store. */
 static void
 extend_order_time (struct own *o)
 {
@@ -193,24 +192,20 @@
 /*
  * This node holds the key, with fencing number `fence`.
  *
- * Backend servers that check fencing numbers reject every order of a previous
- * owner once they have seen an order of the new one, so orders may be sent at
- * once.
+ * Backend servers that check fencing numbers reject orders of a previous owner
+ * once they have seen one of the new owner, so orders may be sent at once.
  *
- * Servers that ignore fencing numbers obey the last order that arrives.  The
- * key could be written only after the previous key was gone, so the previous
- * owner's lease had expired (or it was revoked after that owner had stopped).
- * By its own clock the previous owner stopped at two thirds of that lease.
- * What can still arrive is an order that is in flight, for at most
- * order_flight_ms, or one sent later because of clock skew.  So the first
- * order waits for another ttl plus order_flight_ms.
- *
- * Not covered: a previous owner that is suspended for longer than that between
- * its check and its write.  Its order then reaches a VM that may have been
- * assigned to another replica.  The VM reports replica and generation with
- * every probe, so the mismatch makes the new replica incomplete within
- * REP_EVIDENCE_MS and the owner repeats its order: the state is wrong for
- * seconds, but no request is served with it.
+ * Servers that ignore them obey the last order that arrives.  The key could be
+ * written only after the previous owner's lease had expired, or was revoked
+ * once that owner had stopped; by its own clock it stopped at two thirds of
+ * the lease.  What can still arrive is an order in flight, for at most
+ * order_flight_ms, or one sent later because of clock skew, so the first order
+ * waits for another ttl plus order_flight_ms.  Not covered: a previous owner
+ * that is suspended for longer than that between its check and its write.  Its
+ * order then reaches a VM that may belong to another replica.  The VM reports
+ * replica and generation with every probe, so the mismatch makes that replica
+ * incomplete within REP_EVIDENCE_MS and the owner repeats its order: the state
+ * is wrong for seconds, but no request is served with it.
  */
 static void
 on_acquired (struct own *o, clk_ms now, int64_t fence)
@@ -296,8 +291,8 @@
     release (o, now, "failed");
   else
     /* The key is absent, and the lost write may still be applied.  Writing
-       again with the same lease is safe: only one of the two writes can find
-       the key absent. */
+       again with the same lease is safe: only one of the two can find the key
+       absent. */
     send_write_key (o, now);
 }
 
@@ -437,8 +432,8 @@
 void
 own_tick (struct own *o, clk_ms now)
 {
-  /* A late tick indicates that the process was stopped or the VM suspended.
-     Another node may have become owner meanwhile, so read the key first. */
+  /* A late tick means that the process was stopped or the VM suspended.
+     Another node may have become owner, so read the key first. */
   bool paused
       = o->last_tick && now - o->last_tick > o->opt.ttl / RENEW_FRACTION;
   bool has_lease = o->state == OWN_TAKING || o->state == OWN_WAITING
--- a/replica/owner.h
+++ b/replica/owner.h
@@ -6,8 +6,8 @@
  * The owner holds a store lease on the domain's owner key; the fencing number
  * is the create revision of that key.  The owner stops sending orders when two
  * thirds of the lease's TTL have passed since the last renewal was *sent*, by
- * a clock that continues while the process or VM is suspended.  The caller
- * checks own_may_order() before each order.
+ * a clock that continues during suspension; own_may_order() is checked before
+ * each order.
  *
  * The caller is control/domains.c, with one core for each fabric domain whose
  * home is its node: it calls own_want() and own_tick(), executes the actions
@@ -26,9 +26,8 @@
   OWN_IDLE,     /**< not a candidate, or another node is the owner */
   OWN_GRANTING, /**< requested a lease */
   OWN_TAKING,   /**< writing the owner key with the lease */
-  OWN_WAITING,  /**< holds the key, but the backend servers ignore fencing
-                   numbers: waits until no order of the previous owner can be in
-                   flight */
+  OWN_WAITING,  /**< holds the key, but servers ignore fencing numbers: waits
+                   until no order of the previous owner can be in flight */
   OWN_HOLDING,  /**< may send orders */
   OWN_LAPSED    /**< the lease may have expired by the local clock */
 };
@@ -70,22 +69,19 @@
 struct own *own_new (const struct own_options *opt, uint64_t seed);
 void own_free (struct own *o);
 
-/** Set whether this node should own the domain; releases a lease that is no
-    longer needed. */
+/** Whether this node should own the domain; an unneeded lease is released. */
 void own_want (struct own *o, clk_ms now, bool want);
 
 /** Advance time.  A gap of more than ttl / 3 between two calls counts as a
     pause of the process: the core then reads the key before the next order. */
 void own_tick (struct own *o, clk_ms now);
 
-/** Pass in the store's response to the action with that token, including
-    STORE_UNCERTAIN.  Of a response to a superseded action, the core only
-    revokes the lease that it granted. */
+/** Pass in the store's response, also STORE_UNCERTAIN, to the action with that
+    token.  A lease granted by a superseded action is revoked. */
 void own_store_answer (struct own *o, clk_ms now, uint64_t token,
                        const struct store_result *r);
 
-/** Fetch the next action; returns false if there is none.  Call it until then
-    after each event. */
+/** Fetch the next action; after each event, call it until it returns false. */
 bool own_next (struct own *o, struct own_action *out);
 
 /** Call immediately before each order, with the current time. */
--- a/replica/replica.h
+++ b/replica/replica.h
@@ -83,15 +83,13 @@
 enum rep_action_kind
 {
   REP_PROBE,      /**< vm */
-  REP_SEND_ORDER, /**< vm, order, ...; send only if own_may_order() returns
-                     true */
+  REP_SEND_ORDER, /**< vm, order, ...; only if own_may_order() is true */
   REP_STORE_TXN,  /**< token, txn */
   REP_STORE_READ, /**< token, key */
   REP_EVIDENCE    /**< a replica changed: see rep_views() */
 };
 
-/** Strings are valid until the next event; those of txn, until its response.
- */
+/** Strings are valid until the next event, those of txn until its response. */
 struct rep_action
 {
   enum rep_action_kind kind;
@@ -146,19 +144,18 @@
 struct rep *rep_new (const struct rep_options *opt, uint64_t seed);
 void rep_free (struct rep *r);
 
-/** Process an event.  Its data need not outlive the call; the core takes a
-    reference to the configuration. */
+/** Process an event.  Its data need not outlive the call (cfg is
+    referenced). */
 void rep_event (struct rep *r, clk_ms now, const struct rep_event *ev);
 
-/** Fetch the next action; returns false if there is none.  Call it until then
-    after each event. */
+/** Fetch the next action; after each event, call it until it returns false. */
 bool rep_next (struct rep *r, struct rep_action *out);
 
 /** All replicas of the domain; valid until the next event. */
 const struct rep_view *rep_views (struct rep *r, clk_ms now, size_t *n);
 
-/** Total milliseconds of replica downtime, and VM milliseconds held by
-    replicas that were not complete. */
+/** Total milliseconds of replica downtime, and of VMs held by replicas that
+    were not complete. */
 void rep_measures (const struct rep *r, double *downtime, double *stranded);
 
 #endif
--- a/t/lib-claim-script.h
+++ b/t/lib-claim-script.h
@@ -1,12 +1,14 @@
 /**
  * @file
  * Scripts for claim cores with a small store.  Lines of a script:
- *   hN take KEY ATTEMPT [OTHER]   request to home N; OTHER: another
- * fingerprint hN final KEY ATTEMPT          the same, with clm_ask.final hN
- * release KEY ATTEMPT hN finish KEY ATTEMPT TEXT ok N | apply N | answer N
- * call N: apply and respond, apply, respond lost N | down N respond to call N:
- * uncertain, unavailable all                           ok for every call until
- * none is open +MS                           time passes and every core ticks
+ *   hN take KEY ATTEMPT [OTHER]   request to home N; OTHER: its fingerprint
+ *   hN final KEY ATTEMPT          the same, with clm_ask.final
+ *   hN release KEY ATTEMPT
+ *   hN finish KEY ATTEMPT TEXT
+ *   ok N | apply N | answer N     call N: apply and respond, apply, respond
+ *   lost N | down N               respond to call N: uncertain, unavailable
+ *   all                           ok for every call until none is open
+ *   +MS                           time passes and every core ticks
  *   sleep MS                      time passes and no core runs (suspended)
  */
 #ifndef LAPISLINE_T_LIB_CLAIM_SCRIPT_H
--- a/t/t4001-claim.c
+++ b/t/t4001-claim.c
@@ -108,7 +108,7 @@
               "  h1 k/B running\n");
 }
 
-/* The response is lost and the write is still in flight during the read. The
+/* The response is lost and the write is still in flight during the read.  The
    read returns the old head, so the same write is sent again.  The first copy
    is applied in between, so the second conflicts, the next read returns the
    batch, and the claim is granted once. */
