--- a/t/lib-claim-script.c
+++ b/t/lib-claim-script.c
@@ -56,7 +56,7 @@
       for (size_t i = 0; i < CW_CALLS; i++)
         {
           struct cw_call *c = &run->w.calls[i];
-          if (!c->used || c->answered)
+          if (!c->used || c->responded)
             continue;
           cw_apply (&run->w, c);
           cw_respond (&run->w, c, STORE_OK);
--- a/t/lib-claim-walk.c
+++ b/t/lib-claim-walk.c
@@ -160,7 +160,7 @@
     return false;
   *q = (struct cwk_req){ .state = REQ_PENDING, .no = ++k->last_req };
   q->gateway = (int)random_below (k, CW_HOMES);
-  if (k->frozen[q->gateway])
+  if (k->suspended[q->gateway])
     {
       q->state = REQ_FREE;
       return false;
@@ -202,7 +202,7 @@
   if (k->fault != CWK_FAULT_NO_GRANT_CHECK
       && !clm_grant_valid (q->granted, now))
     {
-      k->stale++;
+      k->expired_grants++;
       request_again (k, q);
       return;
     }
@@ -221,7 +221,7 @@
   for (size_t i = 0; i < CWK_REQUESTS; i++)
     {
       struct cwk_req *q = &k->reqs[(from + i) % CWK_REQUESTS];
-      if (q->state == REQ_GRANTED && !k->frozen[q->gateway])
+      if (q->state == REQ_GRANTED && !k->suspended[q->gateway])
         return q;
     }
   return NULL;
@@ -269,7 +269,7 @@
     {
       int home = c->home;
       struct store_result ok = { .revision = k->w.kv.revision };
-      c->answered = true;
+      c->responded = true;
       clm_store_answer (k->w.homes[home], k->w.now, c->token, &ok);
       cw_fetch_actions (&k->w, home);
       return;
@@ -285,7 +285,7 @@
 
   if (!c)
     return false;
-  if (c->answered)
+  if (c->responded)
     {
       /* Reported as uncertain: applied now, later or never. */
       if (what < 4)
@@ -299,7 +299,7 @@
       cw_apply (&k->w, c);
       return true;
     }
-  if (k->frozen[c->home] || (k->slow[c->home] && random_below (k, 16)))
+  if (k->suspended[c->home] || (k->slow[c->home] && random_below (k, 16)))
     return false;
   if (what == 3)
     lose_response (k, c);
@@ -331,7 +331,7 @@
   size_t at = random_message (k);
   struct cwk_message m = k->messages[at];
 
-  if (!m.used || k->frozen[m.to])
+  if (!m.used || k->suspended[m.to])
     return false;
   k->messages[at].used = random_below (k, 40) == 0; /* some arrive twice */
   if (random_below (k, 12) == 0)
@@ -347,7 +347,7 @@
 tick_all (struct cwk_run *k)
 {
   for (int h = 0; h < CW_HOMES; h++)
-    if (!k->frozen[h])
+    if (!k->suspended[h])
       {
         clm_tick (k->w.homes[h], k->w.now);
         cw_fetch_actions (&k->w, h);
@@ -355,7 +355,7 @@
   for (size_t i = 0; i < CWK_REQUESTS; i++)
     {
       struct cwk_req *q = &k->reqs[i];
-      if (q->state == REQ_PENDING && !k->frozen[q->gateway])
+      if (q->state == REQ_PENDING && !k->suspended[q->gateway])
         run_action (k, q, clm_asker_tick (&q->asker, k->w.now),
                     CLM_UNAVAILABLE);
     }
@@ -391,12 +391,12 @@
   int home = (int)random_below (k, CW_HOMES);
   uint64_t what = random_below (k, 64);
 
-  if (k->frozen[home])
-    k->frozen[home] = what > 24;
+  if (k->suspended[home])
+    k->suspended[home] = what > 24;
   else if (what == 0)
     restart (k, home);
   else if (what < 16)
-    k->frozen[home] = true;
+    k->suspended[home] = true;
   else
     k->slow[home] = what < 40;
 }
@@ -454,7 +454,7 @@
 {
   clk_ms until = k->w.now + ms;
 
-  memset (k->frozen, 0, sizeof k->frozen);
+  memset (k->suspended, 0, sizeof k->suspended);
   memset (k->slow, 0, sizeof k->slow);
   for (; k->w.now < until; k->w.now += 20)
     {
--- a/t/lib-claim-walk.h
+++ b/t/lib-claim-walk.h
@@ -70,12 +70,12 @@
   enum cwk_fault fault;
   struct cwk_req reqs[CWK_REQUESTS];
   struct cwk_message messages[CWK_MESSAGES];
-  bool frozen[CW_HOMES];
+  bool suspended[CW_HOMES];
   bool slow[CW_HOMES]; /**< the store responds rarely to this home */
   uint64_t last_req, last_ask;
   uint64_t boots;
   clk_ms last_send[CWK_KEYS];
-  uint64_t sends, refused, given_up, released, stale;
+  uint64_t sends, refused, given_up, released, expired_grants;
   const char *violation;
 };
 
--- a/t/lib-claim.c
+++ b/t/lib-claim.c
@@ -231,7 +231,7 @@
   if (c == w->calls + CW_CALLS)
     abort ();
   c->used = true;
-  c->applied = c->answered = false;
+  c->applied = c->responded = false;
   c->home = home;
   c->no = ++w->last_call;
   c->kind = a->kind;
@@ -311,7 +311,7 @@
   else
     c->result.status = kv_txn (&w->kv, &c->txn);
   c->result.revision = w->kv.revision;
-  if (c->answered)
+  if (c->responded)
     cw_drop_call (c);
 }
 
@@ -323,7 +323,7 @@
   int home = c->home;
   uint64_t token = c->token;
 
-  c->answered = true;
+  c->responded = true;
   clm_store_answer (w->homes[home], w->now, token, r);
   /* A write whose response was lost may still be applied. */
   if (c->applied || lost != STORE_UNCERTAIN)
@@ -363,7 +363,7 @@
   for (size_t i = 0; i < CW_CALLS; i++)
     if (w->calls[i].used && w->calls[i].home == home)
       {
-        w->calls[i].answered = true;
+        w->calls[i].responded = true;
         if (w->calls[i].applied || w->calls[i].kind != CLM_ACT_TXN)
           cw_drop_call (&w->calls[i]);
       }
--- a/t/lib-claim.h
+++ b/t/lib-claim.h
@@ -60,8 +60,8 @@
   struct store_put puts[2];
   struct buf copy[5];
   clk_ms ttl;
-  bool applied;  /**< executed by the store */
-  bool answered; /**< the core got a response; the call may still be applied */
+  bool applied;   /**< executed by the store */
+  bool responded; /**< the core got a response; may still be applied */
   struct store_result result;
   struct store_kv *kvs; /**< owned, with their strings */
 };
--- a/t/t4900-walk.c
+++ b/t/t4900-walk.c
@@ -8,7 +8,7 @@
 Test (claim_walk, no_key_is_sent_twice)
 {
   static struct cwk_run k;
-  uint64_t sends = 0, found = 0, absent = 0, late = 0, stale = 0;
+  uint64_t sends = 0, found = 0, absent = 0, late = 0, expired_grants = 0;
 
   for (uint64_t seed = 1; seed <= 40; seed++)
     {
@@ -20,7 +20,7 @@
                     "seed %llu: a key is still blocked",
                     (unsigned long long)seed);
       sends += k.sends;
-      stale += k.stale;
+      expired_grants += k.expired_grants;
       for (int h = 0; h < CW_HOMES; h++)
         {
           const struct clm_counts *n = clm_counts (k.w.homes[h]);
@@ -31,14 +31,15 @@
       cw_clear (&k.w);
     }
   cr_expect_gt (sends, 2000);
-  cr_expect_gt (stale, 20);
+  cr_expect_gt (expired_grants, 20);
   cr_expect_gt (found, 20);
   cr_expect_gt (absent, 20);
   cr_expect_gt (late, 20);
-  cr_log_info ("sends %llu stale %llu found %llu absent %llu late %llu",
-               (unsigned long long)sends, (unsigned long long)stale,
-               (unsigned long long)found, (unsigned long long)absent,
-               (unsigned long long)late);
+  cr_log_info (
+      "sends %llu expired grants %llu found %llu absent %llu late %llu",
+      (unsigned long long)sends, (unsigned long long)expired_grants,
+      (unsigned long long)found, (unsigned long long)absent,
+      (unsigned long long)late);
 }
 
 static void
--- a/t/t6004-domains.c
+++ b/t/t6004-domains.c
@@ -33,7 +33,7 @@
   struct latekv store;
   char last_evidence[64];
   bool whole; /* by the last full evidence */
-  bool freeze;
+  bool suspend_next;
   bool log_forms; /* full or short */
 };
 
@@ -77,11 +77,11 @@
   if (strcmp (line, fixture->last_evidence))
     run_log (&fixture->run, "%s %s", line, fixture->phase);
   memcpy (fixture->last_evidence, line, sizeof line);
-  if (fixture->freeze && !whole)
+  if (fixture->suspend_next && !whole)
     {
       clk_ms left = fixture->store.kept_at + ORDER_TIME_MS - clk_now ();
 
-      fixture->freeze = false;
+      fixture->suspend_next = false;
       fixture->store.taken = true;
       usleep ((useconds_t)(left > 0 ? 1000 * left : 0));
     }
@@ -345,7 +345,7 @@
   else if (str_is (word, "late"))
     fail_renewals ();
   else if (str_is (word, "freeze"))
-    fixture->freeze = true;
+    fixture->suspend_next = true;
   else if (str_is (word, "release"))
     {
       fixture->store.taken = false;
--- a/t/t6900-owner-walk.c
+++ b/t/t6900-owner-walk.c
@@ -30,7 +30,7 @@
 
 struct call
 {
-  bool used, applied, answered;
+  bool used, applied, responded;
   int node;
   struct own_action action;
   struct store_compare compare;
@@ -56,7 +56,7 @@
   bool checks_fence;
   enum fault fault;
   struct own *nodes[NODES];
-  bool frozen[NODES];
+  bool suspended[NODES];
   struct call calls[CALLS];
   struct order orders[ORDERS];
   uint64_t boots;
@@ -82,7 +82,7 @@
   if (c == k->calls + CALLS)
     c = &k->calls[random_below (k, CALLS)];
   c->used = true;
-  c->applied = c->answered = false;
+  c->applied = c->responded = false;
   c->node = node;
   c->action = *a;
   if (a->kind != OWN_TXN)
@@ -149,7 +149,7 @@
   else
     kv_revoke (&k->kv, a->lease);
   c->result.revision = k->kv.revision;
-  if (c->answered || a->kind == OWN_REVOKE)
+  if (c->responded || a->kind == OWN_REVOKE)
     c->used = false;
 }
 
@@ -158,7 +158,7 @@
 {
   struct store_result none = { .status = lost };
 
-  c->answered = true;
+  c->responded = true;
   own_store_answer (k->nodes[c->node], k->now, c->action.token,
                     lost == STORE_OK ? &c->result : &none);
   c->used = lost == STORE_UNCERTAIN && !c->applied;
@@ -179,7 +179,7 @@
       c = &k->calls[(from + i) % CALLS];
   if (!c)
     return false;
-  if (c->answered || c->action.kind == OWN_REVOKE)
+  if (c->responded || c->action.kind == OWN_REVOKE)
     {
       if (what < 4)
         apply (k, c);
@@ -192,7 +192,7 @@
       apply (k, c);
       return true;
     }
-  if (k->frozen[c->node])
+  if (k->suspended[c->node])
     return false;
   if (what == 2)
     respond (k, c,
@@ -216,7 +216,7 @@
   bool may = k->fault == FAULT_NO_CLOCK_CHECK ? own_state (o) == OWN_HOLDING
                                               : own_may_order (o, k->now);
 
-  if (k->frozen[node] || !may)
+  if (k->suspended[node] || !may)
     return false;
   for (size_t i = 0; i < ORDERS; i++)
     if (!k->orders[i].used)
@@ -256,7 +256,7 @@
 tick_all (struct walk *k)
 {
   for (int n = 0; n < NODES; n++)
-    if (!k->frozen[n] && random_below (k, 4))
+    if (!k->suspended[n] && random_below (k, 4))
       {
         own_tick (k->nodes[n], k->now);
         fetch_actions (k, n);
@@ -292,7 +292,7 @@
   k->nodes[n] = own_new (&opt, k->boots);
   for (size_t i = 0; i < CALLS; i++)
     if (k->calls[i].node == n)
-      k->calls[i].answered = true;
+      k->calls[i].responded = true;
   own_want (k->nodes[n], k->now, true);
   fetch_actions (k, n);
 }
@@ -303,12 +303,12 @@
   int node = (int)random_below (k, NODES);
   uint64_t what = random_below (k, 64);
 
-  if (k->frozen[node])
-    k->frozen[node] = what > 20;
+  if (k->suspended[node])
+    k->suspended[node] = what > 20;
   else if (what == 0)
     start_node (k, node);
   else if (what < 16)
-    k->frozen[node] = true;
+    k->suspended[node] = true;
   else if (what < 20)
     {
       own_want (k->nodes[node], k->now, what < 18);
