--- a/replica/replica.c
+++ b/replica/replica.c
@@ -326,8 +326,7 @@
     }
 }
 
-/* Record the start of a VM's absence, on which the cost of a repair depends.
- */
+/* Record when a VM became missing; the cost of a repair depends on it. */
 static void
 record_missing (struct rep *r, clk_ms now)
 {
