--- a/claim/claim.c
+++ b/claim/claim.c
@@ -6,9 +6,9 @@
 #define RETRY_DOWN_MS (2 * CLK_SECOND)
 #define RETRY_BUSY_MS ((clk_ms)500)
 
-/** A batch lives for one and a half windows at least, a claim must be held
-    for the window and the slack. */
-#define LEAST_WINDOW_MS (2 * CLM_SLACK_MS)
+/** A batch lives for at least one and a half windows, and a claim must be held
+    for the window plus the slack. */
+#define MIN_WINDOW_MS (2 * CLM_SLACK_MS)
 
 static void
 chart_init (struct write_chart *w)
@@ -42,13 +42,13 @@
   c->opt.prefix = str_make (c->prefix, opt->prefix.len);
   clm_set_window (c, opt->window);
   if (!c->opt.gap_ms)
-    c->opt.gap_ms = CLM_GAP_MS;
+    c->opt.gap_ms = CLM_DEFAULT_GAP_MS;
   if (!c->opt.max_claims)
     c->opt.max_claims = CLM_MAX_CLAIMS;
   chart_init (&c->chart);
   rng_seed (&c->rng, seed);
-  tbl_init (&c->table, opt->kept_bytes);
-  c->demand = -1;
+  tbl_init (&c->table, opt->max_response_bytes);
+  c->probe_shard = -1;
   c->next_deadline = CLK_NEVER;
   for (unsigned i = 0; i < CLM_SHARDS; i++)
     shard_init (c, &c->shards[i], i);
@@ -58,9 +58,9 @@
 void
 clm_set_window (struct clm *c, clk_ms window)
 {
-  if (window < LEAST_WINDOW_MS)
-    window = LEAST_WINDOW_MS;
-  /* A lease at hand was asked for twice the old window. */
+  if (window < MIN_WINDOW_MS)
+    window = MIN_WINDOW_MS;
+  /* The current lease was requested with twice the old window. */
   if (window != c->opt.window)
     c->lease.id = 0;
   c->opt.window = window;
@@ -75,13 +75,13 @@
     shard_free (&c->shards[i]);
   tbl_free (&c->table);
   for (size_t i = 0; i < c->nactions; i++)
-    free (c->actions[i].answer);
+    free (c->actions[i].response);
   free (c->actions);
   free (c->prefix);
   free (c);
 }
 
-/* Lists of waiters. */
+/* Lists of waiting requests. */
 
 void
 waiter_append (struct waiter_list *l, struct waiter *w)
@@ -112,7 +112,7 @@
 /* Actions. */
 
 struct clm_action *
-core_act (struct clm *c, enum clm_action_kind kind)
+core_push_action (struct clm *c, enum clm_action_kind kind)
 {
   struct core_action *a;
 
@@ -127,14 +127,14 @@
   return &a->action;
 }
 
-/** Forget the actions that were read, with the answers that they carry. */
+/** Free the actions that were fetched, with their responses. */
 static void
-begin_event (struct clm *c)
+free_fetched_actions (struct clm *c)
 {
   if (c->actions_read < c->nactions)
     return;
   for (size_t i = 0; i < c->nactions; i++)
-    free (c->actions[i].answer);
+    free (c->actions[i].response);
   c->nactions = c->actions_read = 0;
 }
 
@@ -148,10 +148,10 @@
 }
 
 static clk_ms
-retry_of (const struct clm *c, enum clm_verdict verdict)
+retry_after_ms (const struct clm *c, enum clm_verdict verdict)
 {
   if (verdict == CLM_UNAVAILABLE)
-    return core_down (c) ? RETRY_DOWN_MS : RETRY_BUSY_MS;
+    return core_store_down (c) ? RETRY_DOWN_MS : RETRY_BUSY_MS;
   return verdict == CLM_RUNNING ? CLK_SECOND : 0;
 }
 
@@ -159,43 +159,43 @@
 core_reply (struct clm *c, struct waiter *w, enum clm_verdict verdict,
             const struct tbl_rec *holder)
 {
-  struct clm_reply *r = &core_act (c, CLM_ACT_REPLY)->reply;
+  struct clm_reply *r = &core_push_action (c, CLM_ACT_REPLY)->reply;
 
   r->id = w->ask.id;
   r->verdict = verdict;
-  r->retry_ms = retry_of (c, verdict);
-  if (verdict == CLM_ANSWERED)
+  r->retry_after_ms = retry_after_ms (c, verdict);
+  if (verdict == CLM_COMPLETED)
     {
-      char *copy = str_dup (str_make (holder->answer, holder->answer_len));
-      c->actions[c->nactions - 1].answer = copy;
-      r->answer = str_make (copy, holder->answer_len);
-      r->answer_status = holder->status;
+      char *copy = str_dup (str_make (holder->response, holder->response_len));
+      c->actions[c->nactions - 1].response = copy;
+      r->response = str_make (copy, holder->response_len);
+      r->response_status = holder->response_status;
     }
-  w->told = true;
+  w->replied = true;
   c->counts.granted += verdict == CLM_GRANTED;
   c->counts.unavailable += verdict == CLM_UNAVAILABLE;
-  c->counts.refused += verdict != CLM_GRANTED && verdict != CLM_DONE
+  c->counts.refused += verdict != CLM_GRANTED && verdict != CLM_ACKNOWLEDGED
                        && verdict != CLM_UNAVAILABLE;
 }
 
 void
-core_unavailable (struct clm *c, struct shard *s, struct waiter *w)
+core_reply_unavailable (struct clm *c, struct shard *s, struct waiter *w)
 {
   const struct tbl_rec *rec = tbl_find (&c->table, w->ask.key, w->ask.attempt);
   struct waiter *release;
 
   core_reply (c, w, CLM_UNAVAILABLE, NULL);
-  if (w->ask.kind != CLM_TAKE || !w->ask.final || !rec
-      || rec->state == TBL_RELEASED || s->waiting.n >= CORE_MAX_WAIT)
+  if (w->ask.kind != CLM_ACQUIRE || !w->ask.final || !rec
+      || rec->state == TBL_RELEASED || s->waiting.n >= CORE_MAX_WAITING)
     return;
-  /* The record is in the store or may land in it, though its asker has been
-     told that it did not run: without a release every repeat would be
-     refused for the whole window.  The asker sends nothing any more. */
+  /* The claim is or may become recorded in the store, although the requester
+     was told that it was refused.  Without a release, every retry would be
+     refused for the whole window.  The requester will not send the call. */
   release = xcalloc (1, sizeof *release);
   release->ask = w->ask;
   release->ask.kind = CLM_RELEASE;
   release->deadline = CLK_NEVER;
-  release->told = true;
+  release->replied = true;
   waiter_append (&s->waiting, release);
   c->counts.late_releases++;
 }
@@ -210,18 +210,19 @@
   memset (&s->waiting, 0, sizeof s->waiting);
   for (struct waiter *w; (w = waiter_pop (&old));)
     {
-      bool due = !w->told
-                 && (now >= w->deadline || (all && w->ask.kind == CLM_TAKE));
+      bool due
+          = !w->replied
+            && (now >= w->deadline || (all && w->ask.kind == CLM_ACQUIRE));
       if (due)
-        core_unavailable (c, s, w);
-      /* A release goes on: its asker has given up, not taken it back. */
-      if (due && w->ask.kind == CLM_TAKE)
+        core_reply_unavailable (c, s, w);
+      /* Keep the release: the requester only stopped waiting for it. */
+      if (due && w->ask.kind == CLM_ACQUIRE)
         {
-          c->demand = (int)s->no;
+          c->probe_shard = (int)s->no;
           free (w);
           continue;
         }
-      if (!w->told && w->deadline < c->next_deadline)
+      if (!w->replied && w->deadline < c->next_deadline)
         c->next_deadline = w->deadline;
       waiter_append (&s->waiting, w);
     }
@@ -231,16 +232,16 @@
 expire_batch (struct clm *c, struct shard *s, clk_ms now)
 {
   for (struct waiter *w = s->batch.first; w; w = w->next)
-    if (!w->told && now >= w->deadline)
-      core_unavailable (c, s, w);
-    else if (!w->told && w->deadline < c->next_deadline)
+    if (!w->replied && now >= w->deadline)
+      core_reply_unavailable (c, s, w);
+    else if (!w->replied && w->deadline < c->next_deadline)
       c->next_deadline = w->deadline;
 }
 
 static void
 expire (struct clm *c, clk_ms now)
 {
-  bool down = core_down (c);
+  bool down = core_store_down (c);
 
   tbl_expire (&c->table, now);
   if (!down && now < c->next_deadline)
@@ -254,50 +255,51 @@
 }
 
 static void
-run (struct clm *c, clk_ms now)
+run_shards (struct clm *c, clk_ms now)
 {
   expire (c, now);
   for (unsigned i = 0; i < CLM_SHARDS; i++)
-    shard_pump (c, &c->shards[i], now);
-  if (c->fails >= CORE_DOWN_FAILS && c->demand >= 0 && core_may_call (c, now))
+    shard_start_call (c, &c->shards[i], now);
+  if (c->nfailures >= CORE_DOWN_FAILURES && c->probe_shard >= 0
+      && core_may_call (c, now))
     {
-      shard_probe (c, &c->shards[c->demand], now);
-      c->demand = -1;
+      shard_probe (c, &c->shards[c->probe_shard], now);
+      c->probe_shard = -1;
     }
 }
 
 /* Events. */
 
 static void
-finish (struct clm *c, const struct clm_ask *ask)
+finish (struct clm *c, const struct clm_request *ask)
 {
   struct tbl_rec *r = tbl_find (&c->table, ask->key, ask->attempt);
   struct waiter w = { .ask = *ask };
 
   if (r && r->state == TBL_TAKEN)
-    tbl_keep (&c->table, r, ask->answer_status, ask->answer);
-  core_reply (c, &w, CLM_DONE, NULL);
+    tbl_store_response (&c->table, r, ask->response_status, ask->response);
+  core_reply (c, &w, CLM_ACKNOWLEDGED, NULL);
 }
 
 static struct waiter *
-new_waiter (const struct clm_ask *ask, clk_ms now)
+new_waiter (const struct clm_request *ask, clk_ms now)
 {
   struct waiter *w = xcalloc (1, sizeof *w);
 
   w->ask = *ask;
-  w->ask.answer = STR_EMPTY;
-  w->deadline = now + (ask->wait_ms ? ask->wait_ms : CLM_WAIT_MS);
+  w->ask.response = STR_EMPTY;
+  w->deadline = now + (ask->wait_ms ? ask->wait_ms : CLM_DEFAULT_WAIT_MS);
   return w;
 }
 
 void
-clm_ask (struct clm *c, clk_ms now, const struct clm_ask *ask)
+clm_request (struct clm *c, clk_ms now, const struct clm_request *ask)
 {
   struct shard *s = &c->shards[clm_shard (ask->key)];
   struct waiter *w;
-  struct decided d;
+  struct decision_result d;
 
-  begin_event (c);
+  free_fetched_actions (c);
   if (ask->kind == CLM_FINISH)
     {
       finish (c, ask);
@@ -308,30 +310,30 @@
   d = decide (c, s, w, now);
   if (d.what == DECIDE_REPLY)
     core_reply (c, w, d.verdict, d.holder);
-  else if (s->waiting.n >= CORE_MAX_WAIT
-           || (ask->kind == CLM_TAKE && core_down (c)))
+  else if (s->waiting.n >= CORE_MAX_WAITING
+           || (ask->kind == CLM_ACQUIRE && core_store_down (c)))
     {
-      core_unavailable (c, s, w);
-      c->demand = (int)s->no;
+      core_reply_unavailable (c, s, w);
+      c->probe_shard = (int)s->no;
     }
-  if (w->told)
+  if (w->replied)
     free (w);
   else
     {
       if (w->deadline < c->next_deadline)
         c->next_deadline = w->deadline;
-      s->want_read |= d.what == DECIDE_READ;
+      s->needs_read |= d.what == DECIDE_READ;
       waiter_append (&s->waiting, w);
       c->counts.releases += ask->kind == CLM_RELEASE;
     }
-  run (c, now);
+  run_shards (c, now);
 }
 
 void
-clm_store_answer (struct clm *c, clk_ms now, uint64_t token,
-                  const struct store_result *r)
+clm_on_store_response (struct clm *c, clk_ms now, uint64_t token,
+                       const struct store_result *r)
 {
-  begin_event (c);
+  free_fetched_actions (c);
   if (token == c->lease.token && token != 0)
     core_lease_answer (c, now, r);
   for (unsigned i = 0; i < CLM_SHARDS; i++)
@@ -340,14 +342,14 @@
         shard_answer (c, &c->shards[i], now, r);
         break;
       }
-  run (c, now);
+  run_shards (c, now);
 }
 
 void
 clm_tick (struct clm *c, clk_ms now)
 {
-  begin_event (c);
-  run (c, now);
+  free_fetched_actions (c);
+  run_shards (c, now);
 }
 
 static bool
@@ -360,28 +362,28 @@
 }
 
 clk_ms
-clm_wake (const struct clm *c)
+clm_next_wakeup (const struct clm *c)
 {
   clk_ms wake = any_waiter (c) ? c->next_deadline : CLK_NEVER;
-  clk_ms call = c->fails ? c->probe_at : 0;
+  clk_ms call = c->nfailures ? c->probe_at : 0;
   unsigned normal;
 
-  /* An open call's answer comes as an event of its own. */
-  if (c->lease.token || (c->fails && core_open_calls (c, &normal)))
+  /* The response to the open call will trigger the next event. */
+  if (c->lease.token || (c->nfailures && core_open_calls (c, &normal)))
     return wake;
-  if (c->demand >= 0 && c->fails && call < wake)
+  if (c->probe_shard >= 0 && c->nfailures && call < wake)
     wake = call;
   for (unsigned i = 0; i < CLM_SHARDS; i++)
     {
       const struct shard *s = &c->shards[i];
-      bool reads = s->write == c->chart.uncertain || !s->known;
+      bool reads = s->write == c->chart.uncertain || !s->has_all;
       clk_ms at = reads ? s->next_read : s->next_write;
       if (!shard_has_work (c, s))
         continue;
       if (at < call)
         at = call;
-      if (!reads && !c->lease.id && at < c->lease.next)
-        at = c->lease.next;
+      if (!reads && !c->lease.id && at < c->lease.next_request)
+        at = c->lease.next_request;
       if (at < wake)
         wake = at;
     }
@@ -391,7 +393,7 @@
 bool
 clm_grant_valid (clk_ms granted, clk_ms now)
 {
-  return now >= granted && now - granted < CLM_GRANT_MS;
+  return now >= granted && now - granted < CLM_GRANT_VALID_MS;
 }
 
 unsigned
@@ -401,13 +403,13 @@
 }
 
 size_t
-clm_held (const struct clm *c)
+clm_claim_count (const struct clm *c)
 {
   return c->table.n;
 }
 
-const struct clm_counts *
-clm_counts (const struct clm *c)
+const struct clm_stats *
+clm_stats (const struct clm *c)
 {
   return &c->counts;
 }
--- a/control/dom-turn.c
+++ b/control/dom-turn.c
@@ -89,7 +89,7 @@
 give_turn (struct dom *d, const struct urgency *all, size_t n, size_t self,
            clk_ms now)
 {
-  struct rep_event turn = { .kind = REP_TURN };
+  struct rep_event turn = { .kind = REP_MAY_LOAD };
   size_t before = 0;
 
   for (size_t i = 0; i < n; i++)
@@ -109,7 +109,7 @@
 {
   for (size_t i = 0; i < d->all->cfg->nmodels; i++)
     {
-      struct rep_event ev = { .kind = REP_LIVE };
+      struct rep_event ev = { .kind = REP_LIVE_COUNT };
 
       ev.model = d->all->cfg->models[i].name;
       ev.live = live[i];
--- a/control/dom-view.c
+++ b/control/dom-view.c
@@ -34,7 +34,7 @@
     return true;
   views = rep_views (d->rep, now, &n);
   for (size_t i = 0; i < n; i++)
-    whole += views[i].whole;
+    whole += views[i].complete;
   if ((n && whole == n) || now >= d->quiet_until)
     d->quiet_until = 0;
   return !d->quiet_until;
@@ -54,15 +54,15 @@
 fill (Lapis__ReplicaView *out, const struct rep_view *v, clk_ms now)
 {
   struct buf leader = BUF_INIT;
-  clk_ms left = v->evidence_at + REP_EVIDENCE_MS - now;
+  clk_ms left = v->probed_at + REP_PROBE_VALID_MS - now;
 
   lapis__replica_view__init (out);
   out->replica = str_dup (v->replica);
   out->generation = (uint64_t)v->generation;
-  out->whole = v->whole;
+  out->whole = v->complete;
   out->draining = v->draining;
-  out->age_ms = age (now, v->evidence_at);
-  out->valid_ms = v->whole && left > 0 ? (uint32_t)left : 0;
+  out->age_ms = age (now, v->probed_at);
+  out->valid_ms = v->complete && left > 0 ? (uint32_t)left : 0;
   out->load = v->load;
   out->load_age_ms = out->age_ms;
   if (v->leader)
@@ -133,8 +133,8 @@
   for (size_t i = 0; i < n; i++)
     {
       e.loads[i] = views[i].load;
-      if (views[i].whole && age (now, views[i].evidence_at) > e.age_ms)
-        e.age_ms = age (now, views[i].evidence_at);
+      if (views[i].complete && age (now, views[i].probed_at) > e.age_ms)
+        e.age_ms = age (now, views[i].probed_at);
     }
   send_evidence (d, &e);
   free (e.loads);
@@ -218,8 +218,8 @@
       v->load = e->loads[i];
       v->load_age_ms = e->age_ms;
       if (v->whole)
-        v->valid_ms = e->age_ms < REP_EVIDENCE_MS
-                          ? (uint32_t)REP_EVIDENCE_MS - e->age_ms
+        v->valid_ms = e->age_ms < REP_PROBE_VALID_MS
+                          ? (uint32_t)REP_PROBE_VALID_MS - e->age_ms
                           : 0;
     }
   return true;
@@ -267,11 +267,11 @@
   out->generation = v->generation;
   out->fence = owns (d) ? own_fence (d->own) : 0;
   out->state = chart_state_name (chart, v->state);
-  out->whole = v->whole;
+  out->whole = v->complete;
   out->draining = v->draining;
-  out->valid_until = v->evidence_at + REP_EVIDENCE_MS;
+  out->valid_until = v->probed_at + REP_PROBE_VALID_MS;
   out->load = v->load;
-  out->load_at = v->evidence_at;
+  out->load_at = v->probed_at;
   if (v->leader)
     out->leader = v->leader->addr;
 }
@@ -283,8 +283,8 @@
   clk_ms valid = v->valid_ms;
 
   /* Whoever sent it, evidence never counts for longer than its time. */
-  if (valid > REP_EVIDENCE_MS)
-    valid = REP_EVIDENCE_MS;
+  if (valid > REP_PROBE_VALID_MS)
+    valid = REP_PROBE_VALID_MS;
   out->generation = (int64_t)v->generation;
   out->fence = (int64_t)r->last->fence;
   out->whole = v->whole;
--- a/control/domains.c
+++ b/control/domains.c
@@ -53,7 +53,7 @@
 {
   if (!d->rep)
     return;
-  own_want (d->own, now, false);
+  own_set_wanted (d->own, now, false);
   dom_pump (d);
   dom_calls_cancel (d);
   own_free (d->own);
@@ -91,7 +91,7 @@
 {
   switch (a->kind)
     {
-    case OWN_GAINED:
+    case OWN_ACQUIRED:
       set_owner (d, true, a->fence);
       break;
     case OWN_LOST:
@@ -117,7 +117,7 @@
     case REP_STORE_READ:
       dom_rep_store (d, a);
       break;
-    case REP_EVIDENCE:
+    case REP_VIEWS_CHANGED:
       d->changed = true;
       break;
     }
@@ -211,7 +211,7 @@
   d->home = home;
   if (d->rep)
     {
-      own_want (d->own, now, d->managed);
+      own_set_wanted (d->own, now, d->managed);
       dom_pump (d);
     }
 }
--- a/control/view-build.c
+++ b/control/view-build.c
@@ -69,7 +69,7 @@
   v->whole = r->whole;
   v->draining = r->draining;
   v->valid_ms = span_ms (now, r->valid_until);
-  v->age_ms = span_ms (r->valid_until - REP_EVIDENCE_MS, now);
+  v->age_ms = span_ms (r->valid_until - REP_PROBE_VALID_MS, now);
   v->load = r->load;
   v->load_age_ms = span_ms (r->load_at, now);
   v->leader_addr = addr_text (b, &r->leader);
--- a/replica/budget.c
+++ b/replica/budget.c
@@ -2,22 +2,24 @@
 
 #include "replica/core.h"
 
-/* A load that takes this many times longer than it should gives its turn to
-   the next, so that one stuck VM does not hold up a whole domain. */
-#define SLOT_FACTOR 4
-#define SLOT_LEAST_MS ((clk_ms)60000)
+/* A load that exceeds its expected time by this factor loses its slot, so that
+   one stuck VM does not block the whole domain. */
+#define SLOT_MAX_FACTOR 4
+#define SLOT_MIN_MS ((clk_ms)60000)
 
 void
-bud_live (struct rep *r, struct str model, unsigned live)
+bud_set_live_count (struct rep *r, struct str model, unsigned live)
 {
-  for (size_t i = 0; i < r->nlives; i++)
-    if (str_is (model, r->lives[i].model))
+  for (size_t i = 0; i < r->nlive_counts; i++)
+    if (str_is (model, r->live_counts[i].model))
       {
-        r->lives[i].live = live;
+        r->live_counts[i].live = live;
         return;
       }
-  r->lives = xrealloc (r->lives, (r->nlives + 1) * sizeof *r->lives);
-  r->lives[r->nlives++] = (struct rep_live){ str_dup (model), live };
+  r->live_counts = xrealloc (r->live_counts,
+                             (r->nlive_counts + 1) * sizeof *r->live_counts);
+  r->live_counts[r->nlive_counts++]
+      = (struct rep_live_count){ str_dup (model), live };
 }
 
 clk_ms
@@ -28,23 +30,23 @@
   return rate > 0 ? (clk_ms)(1000 * m->weight_gb / rate) : 0;
 }
 
-/* Whole replicas of the model, everywhere if the shell told, else here; those
-   that load here will be, and count already. */
+/* Complete replicas of the model, in all domains if the caller reported their
+   number, plus those that are loading here, as they will be complete soon. */
 static unsigned
-live_replicas (const struct rep *r, const struct cfg_model *m)
+count_live (const struct rep *r, const struct cfg_model *m)
 {
-  unsigned whole = 0, loading = 0;
+  unsigned complete = 0, loading = 0;
 
   for (size_t i = 0; i < r->nreplicas; i++)
     if (r->replicas[i].model == m)
       {
-        whole += r->replicas[i].whole;
+        complete += r->replicas[i].complete;
         loading += r->replicas[i].has_slot;
       }
-  for (size_t i = 0; i < r->nlives; i++)
-    if (str_is (m->name, r->lives[i].model))
-      whole = r->lives[i].live;
-  return whole + loading;
+  for (size_t i = 0; i < r->nlive_counts; i++)
+    if (str_is (m->name, r->live_counts[i].model))
+      complete = r->live_counts[i].live;
+  return complete + loading;
 }
 
 static bool
@@ -54,9 +56,9 @@
     {
       const struct rep_vm *vm = &r->vms[p->vms[i]];
 
-      if (evd_present (vm, now) && !vm->said.ready && !vm->said.unloaded
-          && vm->said.generation == p->generation
-          && str_is (vm->said.replica, p->name))
+      if (evd_present (vm, now) && !vm->reported.ready
+          && !vm->reported.unloaded && vm->reported.generation == p->generation
+          && str_is (vm->reported.replica, p->name))
         return true;
     }
   return false;
@@ -65,39 +67,39 @@
 static bool
 can_load (const struct rep *r, clk_ms now, const struct rep_replica *p)
 {
-  return p->managed && p->model && p->nvms && !p->whole
+  return p->managed && p->model && p->nvms && !p->complete
          && (p->state == RST_LOADING || p->state == RST_DEGRADED
              || p->state == RST_DRAINING)
          && !evd_member_missing (r, p, now);
 }
 
 static bool
-slot_over (const struct rep *r, clk_ms now, const struct rep_replica *p)
+slot_expired (const struct rep *r, clk_ms now, const struct rep_replica *p)
 {
-  clk_ms most = SLOT_LEAST_MS;
+  clk_ms limit_ms = SLOT_MIN_MS;
 
   if (!can_load (r, now, p))
     return true;
-  most += SLOT_FACTOR * bud_load_ms (r, p->model);
-  return now - p->slot_since > most;
+  limit_ms += SLOT_MAX_FACTOR * bud_load_ms (r, p->model);
+  return now - p->slot_since > limit_ms;
 }
 
 static bool
-goes_before (const struct rep *r, const struct rep_replica *a,
-             const struct rep_replica *b)
+loads_before (const struct rep *r, const struct rep_replica *a,
+              const struct rep_replica *b)
 {
-  unsigned la = live_replicas (r, a->model);
-  unsigned lb = live_replicas (r, b->model);
+  unsigned live_a = count_live (r, a->model);
+  unsigned live_b = count_live (r, b->model);
 
-  if (la != lb)
-    return la < lb;
-  /* A stuck one that gave its turn up goes last. */
+  if (live_a != live_b)
+    return live_a < live_b;
+  /* A replica that lost its slot because its load was stuck goes last. */
   if (a->slot_since != b->slot_since)
     return a->slot_since < b->slot_since;
   return a->down_since < b->down_since;
 }
 
-/* Time for the weights that its members don't hold yet. */
+/* Expected time to load the weights that its members don't hold yet. */
 static clk_ms
 missing_load_ms (const struct rep *r, clk_ms now, const struct rep_replica *p)
 {
@@ -110,19 +112,19 @@
 }
 
 static void
-give_slot (const struct rep *r, clk_ms now, struct rep_replica *p)
+grant_slot (const struct rep *r, clk_ms now, struct rep_replica *p)
 {
   p->has_slot = true;
   p->slot_since = now;
-  p->slot_load_ms = missing_load_ms (r, now, p);
+  p->expected_load_ms = missing_load_ms (r, now, p);
 }
 
 /*
- * The weight store gives a fixed rate.  When a whole domain comes back and
- * all of its replicas load at once, each gets a part of the rate and all are
- * whole only at the very end.  One at a time, the first serves after a
- * fraction of that time and the last hardly later; the model with the fewest
- * replicas alive goes first.
+ * The weight store has a fixed bandwidth.  When all replicas of a domain load
+ * at the same time, as after an outage, they share it and none is complete
+ * before the end.  Loading one at a time, the first serves after a fraction of
+ * that time and the last is hardly delayed.  The model with the fewest live
+ * replicas loads first.
  */
 void
 bud_tick (struct rep *r, clk_ms now)
@@ -134,19 +136,20 @@
     {
       struct rep_replica *p = &r->replicas[i];
 
-      if (p->has_slot && slot_over (r, now, p))
+      if (p->has_slot && slot_expired (r, now, p))
         p->has_slot = false;
       if (!can_load (r, now, p))
         continue;
       if (r->opt.no_budget || (!p->slot_since && is_loading (r, now, p)))
-        give_slot (r, now, p);
-      /* Once its weights should be there, the next may load while this one
-         still starts. */
-      busy = busy || (p->has_slot && now - p->slot_since <= p->slot_load_ms);
-      if (!p->has_slot && (!first || goes_before (r, p, first)))
+        grant_slot (r, now, p);
+      /* After the expected load time, the next replica may load while this one
+         is still starting. */
+      busy = busy
+             || (p->has_slot && now - p->slot_since <= p->expected_load_ms);
+      if (!p->has_slot && (!first || loads_before (r, p, first)))
         first = p;
     }
-  if (busy || !first || !r->turn || !r->owner)
+  if (busy || !first || !r->may_load || !r->owner)
     return;
-  give_slot (r, now, first);
+  grant_slot (r, now, first);
 }
--- a/replica/owner.c
+++ b/replica/owner.c
@@ -4,23 +4,23 @@
 #include "base/chart.h"
 #include "replica/owner.h"
 
-/* Renewals and late ticks are measured in parts of the lease's time. */
-#define RENEW_PART 3
-#define RETRY_PART 6
+/* Renewal interval and retry delay as fractions of the lease's TTL. */
+#define RENEW_FRACTION 3
+#define RETRY_FRACTION 6
 
-/* Actions wait here until the shell fetches them; one event adds at most
-   three, and a full ring would be a fault of the caller. */
+/* Queue of actions until the caller fetches them.  One event adds at most
+   three, so a full queue is a bug in the caller. */
 #define QUEUE 16
 
-/** What the call that is under way was for. */
+/** Purpose of the store call in progress. */
 enum call
 {
   CALL_NONE,
   CALL_GRANT,
-  CALL_TAKE,
-  CALL_SETTLE, /* read: did the uncertain take happen? */
-  CALL_KEEP,
-  CALL_CHECK /* read after a lapse: is the key still ours? */
+  CALL_WRITE_KEY,
+  CALL_READ_BACK, /* read: was the uncertain write applied? */
+  CALL_KEEPALIVE,
+  CALL_CHECK /* read after a lapse: does this node still hold the key? */
 };
 
 struct own
@@ -31,11 +31,11 @@
   struct rng rng;
   enum own_state state;
   bool want;
-  bool uncertain; /* an earlier take under this lease may still land */
+  bool uncertain; /* an earlier write with this lease may still be applied */
   int64_t lease;
   int64_t fence;
   clk_ms last_tick;
-  clk_ms order_until; /* two thirds of ttl after the last renewal's sending */
+  clk_ms order_until; /* two thirds of ttl after the last renewal was sent */
   clk_ms wait_until;
   clk_ms next_call;
   enum call call;
@@ -99,7 +99,7 @@
 }
 
 static void
-step (struct own *o, const char *event)
+apply_event (struct own *o, const char *event)
 {
   int next = chart_step (o->chart, o->state, chart_event (o->chart, event));
 
@@ -108,9 +108,10 @@
   o->state = (enum own_state)next;
 }
 
-/* Start a store call; its answer is known by the token. */
+/* Start a store call; its response carries the token. */
 static struct own_action *
-call (struct own *o, clk_ms now, enum call what, enum own_action_kind kind)
+start_call (struct own *o, clk_ms now, enum call what,
+            enum own_action_kind kind)
 {
   struct own_action *a = push (o, kind);
 
@@ -123,7 +124,7 @@
 static clk_ms
 retry_delay (struct own *o)
 {
-  clk_ms part = o->opt.ttl / RETRY_PART;
+  clk_ms part = o->opt.ttl / RETRY_FRACTION;
 
   return part + (clk_ms)rng_below (&o->rng, (uint64_t)part + 1);
 }
@@ -135,16 +136,17 @@
     push (o, OWN_REVOKE)->lease = lease;
 }
 
-/* Leave the domain.  Revoking ends the key at once; it also makes a take that
-   is still under way fail, as the store refuses a put under a lease that it
-   does not know.  So no late write can bring back a key that nobody renews. */
+/* Release the domain.  Revoking the lease deletes the key immediately and
+   makes a write of the key that is still in flight fail, as the store rejects
+   a put with an unknown lease.  So no delayed write can recreate a key that no
+   node renews. */
 static void
-leave (struct own *o, clk_ms now, const char *event)
+release (struct own *o, clk_ms now, const char *event)
 {
   if (o->state == OWN_HOLDING || o->state == OWN_WAITING)
     push (o, OWN_LOST);
   revoke (o, o->lease);
-  step (o, event);
+  apply_event (o, event);
   o->lease = 0;
   o->fence = 0;
   o->uncertain = false;
@@ -153,9 +155,9 @@
 }
 
 static void
-send_take (struct own *o, clk_ms now)
+send_write_key (struct own *o, clk_ms now)
 {
-  struct own_action *a = call (o, now, CALL_TAKE, OWN_TXN);
+  struct own_action *a = start_call (o, now, CALL_WRITE_KEY, OWN_TXN);
   o->compare = (struct store_compare){ buf_str (&o->key), 0 };
   o->put
       = (struct store_put){ buf_str (&o->key), buf_str (&o->value), o->lease };
@@ -168,44 +170,45 @@
 }
 
 static void
-send_keep (struct own *o, clk_ms now)
+send_keepalive (struct own *o, clk_ms now)
 {
-  call (o, now, CALL_KEEP, OWN_KEEP)->lease = o->lease;
+  start_call (o, now, CALL_KEEPALIVE, OWN_KEEPALIVE)->lease = o->lease;
 }
 
 static void
 send_read (struct own *o, clk_ms now, enum call what)
 {
-  call (o, now, what, OWN_RANGE)->key = buf_str (&o->key);
+  start_call (o, now, what, OWN_RANGE)->key = buf_str (&o->key);
 }
 
-/* The time counts from the sending: the store began the lease's new time
-   after that, so our idea of its end always comes before the store's. */
+/* Time counts from the sending of the request, before the store starts the new
+   TTL, so the lease ends earlier by this node's clock than at the store. */
 static void
-extend (struct own *o)
+extend_order_time (struct own *o)
 {
   o->order_until = o->sent_at + 2 * o->opt.ttl / 3;
 }
 
 /*
- * The key is ours under `fence`.
+ * This node holds the key, with fencing number `fence`.
  *
- * Backend servers that check fencing numbers refuse every order of an older
- * owner as soon as they have seen one of ours, so orders may go at once.
- * Others obey whatever reaches them last.  For those: our key could be
- * written only because the old one had vanished, hence the old owner's lease
- * was over (or revoked after it had stopped).  By its own clock it stopped at
- * two thirds of that lease.  What can still come is an order already on its
- * way, which lives at most order_flight_ms, and what a skewed clock lets
- * through; so we let another ttl and order_flight_ms pass before the first
- * order.  Not covered: an old owner that is frozen between its check and its
- * write for longer than that.  Its order then lands on a VM that we may have
- * given another task.  The VM reports replica and generation with every
- * probe, the mismatch makes its replica not whole within the evidence time,
- * and the owner orders again: wrong for seconds, never served.
+ * Backend servers that check fencing numbers reject orders of a previous owner
+ * once they have seen one of the new owner, so orders may be sent at once.
+ *
+ * Servers that ignore them obey the last order that arrives.  The key could be
+ * written only after the previous owner's lease had expired, or was revoked
+ * once that owner had stopped; by its own clock it stopped at two thirds of
+ * the lease.  What can still arrive is an order in flight, for at most
+ * order_flight_ms, or one sent later because of clock skew, so the first order
+ * waits for another ttl plus order_flight_ms.  Not covered: a previous owner
+ * that is suspended for longer than that between its check and its write.  Its
+ * order then reaches a VM that may belong to another replica.  The VM reports
+ * replica and generation with every probe, so the mismatch makes that replica
+ * incomplete within REP_PROBE_VALID_MS and the owner repeats its order: the
+ * state is wrong for seconds, but no request is served with it.
  */
 static void
-taken (struct own *o, clk_ms now, int64_t fence)
+on_acquired (struct own *o, clk_ms now, int64_t fence)
 {
   if (!o->fence)
     o->wait_until = now + o->opt.ttl + o->opt.order_flight_ms;
@@ -214,18 +217,18 @@
   if (now >= o->order_until)
     {
       if (o->state != OWN_LAPSED)
-        step (o, "lapse");
+        apply_event (o, "lapse");
       o->next_call = now;
       return;
     }
-  o->next_call = o->sent_at + o->opt.ttl / RENEW_PART;
+  o->next_call = o->sent_at + o->opt.ttl / RENEW_FRACTION;
   if (!o->opt.checks_fence && now < o->wait_until)
     {
-      step (o, "taken_wait");
+      apply_event (o, "taken_wait");
       return;
     }
-  step (o, "taken");
-  push (o, OWN_GAINED)->fence = fence;
+  apply_event (o, "taken");
+  push (o, OWN_ACQUIRED)->fence = fence;
 }
 
 static bool
@@ -240,37 +243,37 @@
 {
   if (r->status != STORE_OK)
     {
-      step (o, "failed");
+      apply_event (o, "failed");
       o->next_call = now + retry_delay (o);
       return;
     }
   o->lease = r->lease;
-  extend (o);
-  step (o, "granted");
-  send_take (o, now);
+  extend_order_time (o);
+  apply_event (o, "granted");
+  send_write_key (o, now);
 }
 
 static void
-on_take (struct own *o, clk_ms now, const struct store_result *r)
+on_write_response (struct own *o, clk_ms now, const struct store_result *r)
 {
   switch (r->status)
     {
     case STORE_OK:
-      taken (o, now, r->revision);
+      on_acquired (o, now, r->revision);
       return;
     case STORE_UNCERTAIN:
       o->uncertain = true;
-      send_read (o, now, CALL_SETTLE);
+      send_read (o, now, CALL_READ_BACK);
       return;
     case STORE_CONFLICT:
-      /* After a lost answer the key that is in the way may be our own. */
+      /* After a lost response, the existing key may be this node's. */
       if (o->uncertain)
-        send_read (o, now, CALL_SETTLE);
+        send_read (o, now, CALL_READ_BACK);
       else
-        leave (o, now, "failed");
+        release (o, now, "failed");
       return;
     case STORE_GONE:
-      leave (o, now, "failed");
+      release (o, now, "failed");
       return;
     default:
       o->next_call = now + retry_delay (o);
@@ -278,69 +281,71 @@
 }
 
 static void
-on_settle (struct own *o, clk_ms now, const struct store_result *r)
+on_read_back (struct own *o, clk_ms now, const struct store_result *r)
 {
   if (r->status != STORE_OK)
     o->next_call = now + retry_delay (o);
   else if (is_ours (o, r))
-    taken (o, now, r->kvs[0].create_rev);
+    on_acquired (o, now, r->kvs[0].create_rev);
   else if (r->nkvs)
-    leave (o, now, "failed");
+    release (o, now, "failed");
   else
-    /* Not there yet, and the lost write may still land.  Taking again under
-       the same lease is safe: only one of the two can find no key. */
-    send_take (o, now);
+    /* The key is absent, and the lost write may still be applied.  Writing
+       again with the same lease is safe: only one of the two can find the key
+       absent. */
+    send_write_key (o, now);
 }
 
 static void
-on_keep (struct own *o, clk_ms now, const struct store_result *r)
+on_keepalive (struct own *o, clk_ms now, const struct store_result *r)
 {
   if (r->status == STORE_GONE)
-    leave (o, now, "gone");
+    release (o, now, "gone");
   else if (r->status != STORE_OK)
     o->next_call = now + retry_delay (o);
   else if (o->state == OWN_LAPSED)
     {
-      extend (o);
+      extend_order_time (o);
       send_read (o, now, CALL_CHECK);
     }
   else
     {
-      extend (o);
-      o->next_call = o->sent_at + o->opt.ttl / RENEW_PART;
+      extend_order_time (o);
+      o->next_call = o->sent_at + o->opt.ttl / RENEW_FRACTION;
     }
 }
 
-/* Renewed after a lapse; the key may have changed hands meanwhile. */
+/* The lease was renewed after a lapse; another node may have taken the key in
+   between. */
 static void
 on_check (struct own *o, clk_ms now, const struct store_result *r)
 {
   if (r->status != STORE_OK)
     o->next_call = now + retry_delay (o);
   else if (!is_ours (o, r) || (o->fence && r->kvs[0].create_rev != o->fence))
-    leave (o, now, "gone");
+    release (o, now, "gone");
   else
-    taken (o, now, r->kvs[0].create_rev);
+    on_acquired (o, now, r->kvs[0].create_rev);
 }
 
-/* An answer that nobody waits for any more.  A lease that it brings would
-   stay until its time is over and count at the store: give it back. */
+/* Response to a call that was abandoned.  A lease that it grants would stay in
+   the store until it expires, so revoke it. */
 static void
-late_answer (struct own *o, const struct store_result *r)
+on_late_response (struct own *o, const struct store_result *r)
 {
   if (r->status == STORE_OK && r->lease && r->lease != o->lease)
     revoke (o, r->lease);
 }
 
 void
-own_store_answer (struct own *o, clk_ms now, uint64_t token,
-                  const struct store_result *r)
+own_on_store_response (struct own *o, clk_ms now, uint64_t token,
+                       const struct store_result *r)
 {
   enum call what = o->call;
 
   if (token != o->token || what == CALL_NONE)
     {
-      late_answer (o, r);
+      on_late_response (o, r);
       return;
     }
   o->call = CALL_NONE;
@@ -349,14 +354,14 @@
     case CALL_GRANT:
       on_grant (o, now, r);
       break;
-    case CALL_TAKE:
-      on_take (o, now, r);
+    case CALL_WRITE_KEY:
+      on_write_response (o, now, r);
       break;
-    case CALL_SETTLE:
-      on_settle (o, now, r);
+    case CALL_READ_BACK:
+      on_read_back (o, now, r);
       break;
-    case CALL_KEEP:
-      on_keep (o, now, r);
+    case CALL_KEEPALIVE:
+      on_keepalive (o, now, r);
       break;
     case CALL_CHECK:
       on_check (o, now, r);
@@ -367,11 +372,11 @@
 }
 
 void
-own_want (struct own *o, clk_ms now, bool want)
+own_set_wanted (struct own *o, clk_ms now, bool want)
 {
   o->want = want;
   if (!want && o->state != OWN_IDLE)
-    leave (o, now, "give_up");
+    release (o, now, "give_up");
 }
 
 static void
@@ -379,12 +384,12 @@
 {
   if (o->state != OWN_TAKING)
     push (o, OWN_LOST);
-  step (o, "lapse");
+  apply_event (o, "lapse");
   o->call = CALL_NONE;
   o->next_call = now;
 }
 
-/* What to ask the store for next, when nothing is under way. */
+/* Start the next store call; none is in progress. */
 static void
 call_next (struct own *o, clk_ms now)
 {
@@ -393,33 +398,33 @@
     case OWN_IDLE:
       if (o->want)
         {
-          step (o, "ask");
-          call (o, now, CALL_GRANT, OWN_GRANT)->ttl = o->opt.ttl;
+          apply_event (o, "ask");
+          start_call (o, now, CALL_GRANT, OWN_GRANT)->ttl = o->opt.ttl;
         }
       break;
     case OWN_TAKING:
       if (o->uncertain)
-        send_read (o, now, CALL_SETTLE);
+        send_read (o, now, CALL_READ_BACK);
       else
-        send_take (o, now);
+        send_write_key (o, now);
       break;
     case OWN_GRANTING:
       break;
     default:
-      send_keep (o, now);
+      send_keepalive (o, now);
     }
 }
 
-/* A lost answer to a call of ours must not stop the renewals. */
+/* Time out a call, so that a lost response does not stop the renewals. */
 static void
 expire_call (struct own *o, clk_ms now)
 {
-  if (o->call == CALL_NONE || now - o->sent_at < o->opt.ttl / RENEW_PART)
+  if (o->call == CALL_NONE || now - o->sent_at < o->opt.ttl / RENEW_FRACTION)
     return;
-  if (o->call == CALL_TAKE)
+  if (o->call == CALL_WRITE_KEY)
     o->uncertain = true;
   if (o->state == OWN_GRANTING)
-    step (o, "failed");
+    apply_event (o, "failed");
   o->call = CALL_NONE;
   o->next_call = now;
 }
@@ -427,9 +432,10 @@
 void
 own_tick (struct own *o, clk_ms now)
 {
-  /* A tick that comes late tells of a pause: the process was stopped or the
-     VM slept, and others may have acted meanwhile.  Read again first. */
-  bool paused = o->last_tick && now - o->last_tick > o->opt.ttl / RENEW_PART;
+  /* A late tick means that the process was stopped or the VM suspended.
+     Another node may have become owner, so read the key first. */
+  bool paused
+      = o->last_tick && now - o->last_tick > o->opt.ttl / RENEW_FRACTION;
   bool has_lease = o->state == OWN_TAKING || o->state == OWN_WAITING
                    || o->state == OWN_HOLDING;
 
@@ -439,8 +445,8 @@
   expire_call (o, now);
   if (o->state == OWN_WAITING && now >= o->wait_until)
     {
-      step (o, "waited");
-      push (o, OWN_GAINED)->fence = o->fence;
+      apply_event (o, "waited");
+      push (o, OWN_ACQUIRED)->fence = o->fence;
     }
   if (o->call == CALL_NONE && now >= o->next_call)
     call_next (o, now);
@@ -450,7 +456,7 @@
 own_may_order (const struct own *o, clk_ms now)
 {
   return o->state == OWN_HOLDING && now < o->order_until
-         && now - o->last_tick <= o->opt.ttl / RENEW_PART;
+         && now - o->last_tick <= o->opt.ttl / RENEW_FRACTION;
 }
 
 int64_t
--- a/replica/place.c
+++ b/replica/place.c
@@ -3,31 +3,31 @@
 
 #include "replica/core.h"
 
-/* Restarting the group once all weights are there. */
+/* Restart of the replica's servers after all weights are loaded. */
 #define RESTART_MS ((clk_ms)10000)
-/* Unloading, and taking a VM back from whoever uses it meanwhile. */
-#define RECALL_MS ((clk_ms)15000)
-/* A VM that leaves or is not configured any more: one day. */
-#define NEVER_BACK_MS (24 * 60 * CLK_MINUTE)
+/* Unloading, and reclaiming a VM that was lent to other work. */
+#define RECLAIM_MS ((clk_ms)15000)
+/* For a VM that is leaving or no longer configured: one day. */
+#define NO_RETURN_MS (24 * 60 * CLK_MINUTE)
 
-enum choice
+enum repair
 {
-  CHOOSE_WAIT,
-  CHOOSE_SWAP,
-  CHOOSE_DISSOLVE
+  REPAIR_WAIT,
+  REPAIR_REPLACE,
+  REPAIR_DISSOLVE
 };
 
-/** What is known about a replica that lost members. */
+/** State of a replica that lost members. */
 struct loss
 {
-  unsigned vms;     /* of the replica */
-  unsigned missing; /* of them */
-  unsigned spares;  /* that could take a place now */
-  unsigned coming;  /* that are being unloaded */
-  bool can_help;    /* its other VMs would make another replica whole */
-  clk_ms away;      /* longest time that one is missing */
-  bool never_back;
-  clk_ms load_ms; /* of all its weights */
+  unsigned vms;
+  unsigned missing;
+  unsigned spares; /* free VMs */
+  unsigned unloading;
+  bool helps_another; /* its present VMs could repair another replica */
+  clk_ms absent_ms;   /* longest absence of a missing member */
+  bool no_return;
+  clk_ms load_ms; /* time to load all weights */
 };
 
 static bool
@@ -44,18 +44,19 @@
   return false;
 }
 
-/* Free: in no replica of ours nor of the old scripts.  That it reports no
-   weights is the second half of changing hands: whoever had it is done. */
+/* A VM is free if it is in no managed replica and in none of the scripts'
+   replicas.  It must also report that no weights are loaded, which completes
+   its release from a previous replica. */
 static bool
 is_free (const struct rep *r, clk_ms now, const struct asn *doc,
          const struct rep_vm *vm)
 {
-  return evd_unloaded (vm, now) && !vm->leaving
+  return evd_unloaded (vm, now) && !vm->leaving_platform
          && !asn_holder (doc, vm->cfg->name) && !is_reserved (r, vm);
 }
 
 struct rep_vm *
-plc_spare (const struct rep *r, clk_ms now, const struct asn *doc)
+plc_find_spare (const struct rep *r, clk_ms now, const struct asn *doc)
 {
   struct rep_vm *found = NULL;
 
@@ -83,60 +84,61 @@
   return n;
 }
 
-/* Outages have a long tail: most VMs are restarted within the usual time, and
-   one that is away for longer than that is likely to stay away for as long
-   again. */
+/* Outage durations are heavy-tailed: most VMs are restarted within the usual
+   time, and a VM that has been away for longer is likely to stay away for as
+   long again. */
 static double
 expected_return_s (const struct rep *r, const struct loss *l)
 {
-  clk_ms left = r->cfg->policy.vm_return_ms - l->away;
+  clk_ms left = r->cfg->policy.vm_return_ms - l->absent_ms;
 
-  if (l->never_back)
-    return (double)NEVER_BACK_MS / 1000;
-  return (double)(left > l->away ? left : l->away) / 1000;
+  if (l->no_return)
+    return (double)NO_RETURN_MS / 1000;
+  return (double)(left > l->absent_ms ? left : l->absent_ms) / 1000;
 }
 
 /*
- * Expected cost of the three ways, in weighted seconds: a replica that can't
- * serve costs the downtime weight, each VM held meanwhile the stranded one.
- * Free VMs are lent to other work, which costs nothing but taking them back.
+ * Expected cost of the three choices, in weighted seconds.  A replica that
+ * can't serve costs the downtime weight, and each VM that it holds meanwhile
+ * costs the stranded weight.  Free VMs are lent to other work, so they cost
+ * nothing except the time to reclaim them.
  */
-static enum choice
-choose (const struct rep *r, const struct loss *l)
+static enum repair
+choose_repair (const struct rep *r, const struct loss *l)
 {
   double down = r->cfg->policy.downtime_weight;
   double held = r->cfg->policy.stranded_weight;
-  double back = expected_return_s (r, l);
+  double return_s = expected_return_s (r, l);
   double restart = (double)RESTART_MS / 1000;
-  double recall = (double)RECALL_MS / 1000;
+  double reclaim = (double)RECLAIM_MS / 1000;
   double load = (double)l->load_ms / 1000;
   double part = load * l->missing / l->vms + restart;
   double left = l->vms - l->missing;
-  double wait = (back + part) * (down + held * left);
-  double swap = part * (down + held * l->vms);
-  double again = recall + load + restart;
-  double dissolve = down * (back + again) + held * l->vms * again;
+  double wait = (return_s + part) * (down + held * left);
+  double replace = part * (down + held * l->vms);
+  double reload = reclaim + load + restart;
+  double dissolve = down * (return_s + reload) + held * l->vms * reload;
 
   if (l->spares >= l->missing)
-    return swap < wait ? CHOOSE_SWAP : CHOOSE_WAIT;
-  if (l->spares + l->coming >= l->missing)
-    return CHOOSE_WAIT;
-  if (l->can_help)
-    dissolve -= (back - part) * (down + held * left);
-  return dissolve < wait ? CHOOSE_DISSOLVE : CHOOSE_WAIT;
+    return replace < wait ? REPAIR_REPLACE : REPAIR_WAIT;
+  if (l->spares + l->unloading >= l->missing)
+    return REPAIR_WAIT;
+  if (l->helps_another)
+    dissolve -= (return_s - part) * (down + held * left);
+  return dissolve < wait ? REPAIR_DISSOLVE : REPAIR_WAIT;
 }
 
-static enum choice
-choose_by_rule (const struct rep *r, const struct loss *l)
+static enum repair
+choose_by_policy (const struct rep *r, const struct loss *l)
 {
-  switch (r->opt.rule)
+  switch (r->opt.repair_policy)
     {
-    case REP_ALWAYS_DISSOLVE:
-      return CHOOSE_DISSOLVE;
-    case REP_ALWAYS_WAIT:
-      return CHOOSE_WAIT;
+    case REP_REPAIR_DISSOLVE:
+      return REPAIR_DISSOLVE;
+    case REP_REPAIR_WAIT:
+      return REPAIR_WAIT;
     default:
-      return choose (r, l);
+      return choose_repair (r, l);
     }
 }
 
@@ -159,10 +161,10 @@
   return false;
 }
 
-/* Entries further down that lost a member as well. */
+/* Whether another entry has lost a member too. */
 static bool
-others_degraded (const struct rep *r, clk_ms now, const struct asn *next,
-                 const struct asn_entry *e)
+another_degraded (const struct rep *r, clk_ms now, const struct asn *next,
+                  const struct asn_entry *e)
 {
   for (size_t i = 0; i < next->n; i++)
     if (&next->entries[i] != e && is_degraded (r, now, &next->entries[i]))
@@ -171,7 +173,7 @@
 }
 
 static unsigned
-count_coming (const struct rep *r, clk_ms now, const struct asn *next)
+count_unloading (const struct rep *r, clk_ms now, const struct asn *next)
 {
   unsigned n = 0;
 
@@ -188,28 +190,28 @@
 {
   struct loss l = { .vms = (unsigned)e->nvms,
                     .spares = count_free (r, now, next),
-                    .coming = count_coming (r, now, next),
-                    .can_help = others_degraded (r, now, next, e),
+                    .unloading = count_unloading (r, now, next),
+                    .helps_another = another_degraded (r, now, next, e),
                     .load_ms = bud_load_ms (r, model) };
 
   for (size_t i = 0; i < e->nvms; i++)
     {
       const struct rep_vm *vm = rep_vm_find (r, str_from (e->vms[i]));
-      clk_ms away = vm && vm->lost_at ? now - vm->lost_at : 0;
+      clk_ms absent = vm && vm->missing_since ? now - vm->missing_since : 0;
 
       if (!is_missing (r, now, e->vms[i]))
         continue;
       l.missing++;
-      l.never_back = l.never_back || !vm || vm->leaving;
-      if (away > l.away)
-        l.away = away;
+      l.no_return = l.no_return || !vm || vm->leaving_platform;
+      if (absent > l.absent_ms)
+        l.absent_ms = absent;
     }
   return l;
 }
 
 static bool
-swap_missing (const struct rep *r, clk_ms now, struct asn *next,
-              struct asn_entry *e)
+replace_missing (const struct rep *r, clk_ms now, struct asn *next,
+                 struct asn_entry *e)
 {
   for (size_t i = 0; i < e->nvms; i++)
     {
@@ -217,33 +219,33 @@
 
       if (!is_missing (r, now, e->vms[i]))
         continue;
-      spare = plc_spare (r, now, next);
+      spare = plc_find_spare (r, now, next);
       if (!spare)
         return false;
-      asn_swap (next, e, str_from (e->vms[i]), spare->cfg->name);
+      asn_replace_vm (next, e, str_from (e->vms[i]), spare->cfg->name);
     }
   return true;
 }
 
-/* With most of the domain gone at once, either all of it comes back together
-   or this node is the one that is cut off.  Neither is helped by giving its
-   VMs new tasks, nor while they come back one after the other. */
+/* When most VMs of the domain are missing, either the whole domain is down and
+   will return together, or this node is partitioned.  Reassigning VMs helps in
+   neither case, nor while the VMs return one after the other. */
 static bool
-domain_dark (struct rep *r, clk_ms now)
+has_outage (struct rep *r, clk_ms now)
 {
   size_t present = 0;
 
   for (size_t i = 0; i < r->nvms; i++)
     present += evd_present (&r->vms[i], now);
   if (2 * present < r->nvms)
-    r->dark_until = now + REP_DARK_MS;
-  return now < r->dark_until;
+    r->outage_until = now + REP_OUTAGE_MS;
+  return now < r->outage_until;
 }
 
 bool
 plc_repair (struct rep *r, clk_ms now, struct asn *next)
 {
-  if (domain_dark (r, now))
+  if (has_outage (r, now))
     return false;
   for (size_t i = 0; i < next->n; i++)
     {
@@ -255,16 +257,16 @@
           || !is_degraded (r, now, e))
         continue;
       l = assess (r, now, next, e, p->model);
-      if (!l.never_back && l.away < REP_GRACE_MS)
+      if (!l.no_return && l.absent_ms < REP_GRACE_MS)
         continue;
-      switch (choose_by_rule (r, &l))
+      switch (choose_by_policy (r, &l))
         {
-        case CHOOSE_SWAP:
-          return swap_missing (r, now, next, e);
-        case CHOOSE_DISSOLVE:
+        case REPAIR_REPLACE:
+          return replace_missing (r, now, next, e);
+        case REPAIR_DISSOLVE:
           e->phase = ASN_RELEASING;
           return true;
-        case CHOOSE_WAIT:
+        case REPAIR_WAIT:
           break;
         }
     }
@@ -272,7 +274,7 @@
 }
 
 static bool
-add_if_missing (size_t *vms, size_t *n, size_t vm)
+add_unique (size_t *vms, size_t *n, size_t vm)
 {
   for (size_t i = 0; i < *n; i++)
     if (vms[i] == vm)
@@ -281,21 +283,21 @@
   return true;
 }
 
-/* A declared VM of the replica may be taken as it is: the declaration says
-   that its weights are for this replica, or for nobody. */
+/* A VM that the configuration lists for this replica may be taken with its
+   weights loaded, unless it reports another replica's name. */
 static bool
-may_take_declared (const struct rep *r, clk_ms now, const struct asn *next,
-                   const struct rep_vm *vm, const char *name)
+is_usable_for (const struct rep *r, clk_ms now, const struct asn *next,
+               const struct rep_vm *vm, const char *name)
 {
-  return evd_present (vm, now) && !vm->leaving
+  return evd_present (vm, now) && !vm->leaving_platform
          && !asn_holder (next, vm->cfg->name) && !is_reserved (r, vm)
-         && (vm->said.unloaded || !vm->said.replica.len
-             || str_is (vm->said.replica, name));
+         && (vm->reported.unloaded || !vm->reported.replica.len
+             || str_is (vm->reported.replica, name));
 }
 
 static size_t
-pick_declared (const struct rep *r, clk_ms now, const struct asn *next,
-               const struct rep_replica *p, size_t *vms, size_t want)
+pick_configured (const struct rep *r, clk_ms now, const struct asn *next,
+                 const struct rep_replica *p, size_t *vms, size_t want)
 {
   size_t n = 0;
 
@@ -303,26 +305,26 @@
     {
       struct rep_vm *vm = rep_vm_find (r, r->cfg->vms[p->cfg->vms[i]].name);
 
-      if (vm && may_take_declared (r, now, next, vm, p->name))
-        add_if_missing (vms, &n, (size_t)(vm - r->vms));
+      if (vm && is_usable_for (r, now, next, vm, p->name))
+        add_unique (vms, &n, (size_t)(vm - r->vms));
     }
   return n;
 }
 
 static size_t
-fill_with_free (const struct rep *r, clk_ms now, const struct asn *next,
-                size_t *vms, size_t n, size_t want)
+add_free_vms (const struct rep *r, clk_ms now, const struct asn *next,
+              size_t *vms, size_t n, size_t want)
 {
   for (int spares = 0; spares < 2; spares++)
     for (size_t i = 0; i < r->nvms && n < want; i++)
       if (r->vms[i].cfg->spare_only == (spares == 1)
           && is_free (r, now, next, &r->vms[i]))
-        add_if_missing (vms, &n, i);
+        add_unique (vms, &n, i);
   return n;
 }
 
-/* A replica that is running already keeps its generation, so that nothing is
-   loaded again.  Its leader is the first one declared. */
+/* A running replica is adopted with its generation, so that no weights are
+   loaded again.  Its leader is the first configured VM. */
 static bool
 adopt (const struct rep *r, struct asn *next, const struct rep_replica *p,
        const size_t *vms, size_t n, int64_t generation)
@@ -356,19 +358,19 @@
 
   if (want > ASN_MAX_VMS)
     return false;
-  n = pick_declared (r, now, next, p, vms, want);
+  n = pick_configured (r, now, next, p, vms, want);
   for (size_t i = 0; i < r->nvms && n < want; i++)
-    if (may_take_declared (r, now, next, &r->vms[i], p->name)
-        && str_is (r->vms[i].said.replica, p->name))
-      add_if_missing (vms, &n, i);
-  n = fill_with_free (r, now, next, vms, n, want);
+    if (is_usable_for (r, now, next, &r->vms[i], p->name)
+        && str_is (r->vms[i].reported.replica, p->name))
+      add_unique (vms, &n, i);
+  n = add_free_vms (r, now, next, vms, n, want);
   if (n < want)
     return false;
-  /* A generation that some VM has seen is never given out again, even if the
-     assignment was lost. */
+  /* A generation that some VM has seen is never reused, even if the assignment
+     was lost. */
   for (size_t i = 0; i < n; i++)
-    if (r->vms[vms[i]].said.generation > next->next_generation)
-      next->next_generation = r->vms[vms[i]].said.generation;
+    if (r->vms[vms[i]].reported.generation > next->next_generation)
+      next->next_generation = r->vms[vms[i]].reported.generation;
   e = asn_add (next, str_from (p->name), p->model->name);
   for (size_t i = 0; i < n; i++)
     asn_entry_add_vm (e, r->vms[vms[i]].cfg->name);
@@ -391,12 +393,12 @@
 }
 
 static unsigned
-whole_of_model (const struct rep *r, const struct rep_replica *p)
+count_complete (const struct rep *r, const struct rep_replica *p)
 {
   unsigned n = 0;
 
   for (size_t i = 0; i < r->nreplicas; i++)
-    n += r->replicas[i].model == p->model && r->replicas[i].whole;
+    n += r->replicas[i].model == p->model && r->replicas[i].complete;
   return n;
 }
 
@@ -409,11 +411,11 @@
         struct rep_replica *p = &r->replicas[i];
 
         if (!p->managed || !p->model || asn_find (next, p->name)
-            || asn_is_drained (next, p->name) || whole_of_model (r, p) != live)
+            || asn_is_drained (next, p->name) || count_complete (r, p) != live)
           continue;
         if (!form_or_adopt (r, now, next, p))
           continue;
-        evd_step (r, p, "propose");
+        evd_apply_event (r, p, "propose");
         return true;
       }
   return false;
--- a/route/record-read.c
+++ b/route/record-read.c
@@ -37,10 +37,10 @@
 };
 
 const char *const rec_verdict_names[REC_VERDICTS] = {
-  [CLM_GRANTED] = "granted",   [CLM_RUNNING] = "running",
-  [CLM_ANSWERED] = "answered", [CLM_UNKNOWN] = "unknown",
-  [CLM_MISMATCH] = "mismatch", [CLM_UNAVAILABLE] = "unavailable",
-  [CLM_DONE] = "done",
+  [CLM_GRANTED] = "granted",    [CLM_RUNNING] = "running",
+  [CLM_COMPLETED] = "answered", [CLM_UNKNOWN] = "unknown",
+  [CLM_MISMATCH] = "mismatch",  [CLM_UNAVAILABLE] = "unavailable",
+  [CLM_ACKNOWLEDGED] = "done",
 };
 
 const char *const rec_slot_names[RT_SLOT_REPLIES] = {
--- a/t/lib-dispatch.c
+++ b/t/lib-dispatch.c
@@ -216,7 +216,7 @@
 
   update.server = dsp_endpoint_hash (str_from (server), 0, 0);
   update.rate = atof (rate);
-  lim_apply (b->limits, b->now, &update);
+  lim_apply_update (b->limits, b->now, &update);
   dsp_permits_granted (b->d, b->now);
 }
 
--- a/t/t4900-walk.c
+++ b/t/t4900-walk.c
@@ -1,30 +1,29 @@
-/* Claims by a seeded walk; see t/lib-claim-walk.h. */
+/* Randomized tests of claims; see t/lib-claim-walk.h. */
 #include <criterion/criterion.h>
 
 #include "t/lib-claim-walk.h"
 
-/* Callers repeat bookings through three gateways while everything that may
-   fail does, alone and together; whatever the order, no booking may run
-   twice within the window. */
-Test (walk, no_key_is_sent_twice)
+/* Callers retry calls through three gateways with all kinds of faults, alone
+   and combined.  No call may run twice within the window. */
+Test (claim_walk, no_key_is_sent_twice)
 {
-  static struct cwk_walk k;
-  uint64_t sends = 0, found = 0, absent = 0, late = 0, stale = 0;
+  static struct cwk_run k;
+  uint64_t sends = 0, found = 0, absent = 0, late = 0, expired_grants = 0;
 
   for (uint64_t seed = 1; seed <= 40; seed++)
     {
-      uint64_t steps = cwk_walk (&k, seed, 100000, CWK_FAULT_NONE);
+      uint64_t steps = cwk_run (&k, seed, 100000, CWK_FAULT_NONE);
       cr_expect_null (k.violation, "seed %llu, step %llu: %s",
                       (unsigned long long)seed, (unsigned long long)steps,
                       k.violation);
       cr_expect_eq (cwk_usable_keys (&k), CWK_KEYS,
-                    "seed %llu: a key stays blocked",
+                    "seed %llu: a key is still blocked",
                     (unsigned long long)seed);
       sends += k.sends;
-      stale += k.stale;
+      expired_grants += k.expired_grants;
       for (int h = 0; h < CW_HOMES; h++)
         {
-          const struct clm_counts *n = clm_counts (k.w.homes[h]);
+          const struct clm_stats *n = clm_stats (k.w.homes[h]);
           found += n->settled_found;
           absent += n->settled_absent;
           late += n->late_releases;
@@ -32,25 +31,26 @@
       cw_clear (&k.w);
     }
   cr_expect_gt (sends, 2000);
-  cr_expect_gt (stale, 20);
+  cr_expect_gt (expired_grants, 20);
   cr_expect_gt (found, 20);
   cr_expect_gt (absent, 20);
   cr_expect_gt (late, 20);
-  cr_log_info ("sends %llu stale %llu found %llu absent %llu late %llu",
-               (unsigned long long)sends, (unsigned long long)stale,
-               (unsigned long long)found, (unsigned long long)absent,
-               (unsigned long long)late);
+  cr_log_info (
+      "sends %llu expired grants %llu found %llu absent %llu late %llu",
+      (unsigned long long)sends, (unsigned long long)expired_grants,
+      (unsigned long long)found, (unsigned long long)absent,
+      (unsigned long long)late);
 }
 
 static void
-must_find (enum cwk_fault fault)
+expect_violation (enum cwk_fault fault)
 {
-  static struct cwk_walk k;
+  static struct cwk_run k;
   uint64_t steps = 0;
 
   for (uint64_t seed = 1; seed <= 120; seed++)
     {
-      steps += cwk_walk (&k, seed, 100000, fault);
+      steps += cwk_run (&k, seed, 100000, fault);
       cw_clear (&k.w);
       if (k.violation)
         break;
@@ -59,36 +59,37 @@
   cr_expect_not_null (k.violation);
 }
 
-Test (walk, finds_lost_answer_taken_for_applied)
+Test (claim_walk, finds_lost_response_treated_as_applied)
 {
-  must_find (CWK_FAULT_LOST_AS_APPLIED);
+  expect_violation (CWK_FAULT_LOST_AS_APPLIED);
 }
 
-Test (walk, finds_missing_check_of_the_grant)
+Test (claim_walk, finds_missing_grant_check)
 {
-  must_find (CWK_FAULT_NO_GRANT_CHECK);
+  expect_violation (CWK_FAULT_NO_GRANT_CHECK);
 }
 
-Test (walk, finds_home_that_releases_for_others)
+Test (claim_walk, finds_home_releasing_for_other_nodes)
 {
-  must_find (CWK_FAULT_HOME_RELEASES);
+  expect_violation (CWK_FAULT_HOME_RELEASES);
 }
 
-/* The walk itself found these two in the first version of the asker. */
-Test (walk, finds_own_core_that_releases_after_others_were_asked)
+/* The randomized test found this fault and the next one in the first version
+   of the requester. */
+Test (claim_walk, finds_local_core_releasing_after_other_targets)
 {
-  must_find (CWK_FAULT_OWN_RELEASES);
+  expect_violation (CWK_FAULT_LOCAL_CORE_RELEASES);
 }
 
-Test (walk, finds_second_grant_taken_for_a_leftover)
+Test (claim_walk, finds_release_of_second_grant)
 {
-  must_find (CWK_FAULT_FORGETS_GRANT);
+  expect_violation (CWK_FAULT_RELEASES_GRANT);
 }
 
-/* Gateways took the millisecond of their start as the name of their batches.
-   After a deployment two of them share it, and one takes the other's batch
-   for its own. */
-Test (walk, finds_homes_that_share_their_boot)
+/* Gateways used the millisecond of their start to name their batches.  After a
+   deployment, two gateways may share it, and one takes the other's batch for
+   its own. */
+Test (claim_walk, finds_shared_boot_number)
 {
-  must_find (CWK_FAULT_SAME_BOOT);
+  expect_violation (CWK_FAULT_SHARED_BOOT);
 }
--- a/t/t6001-owner.c
+++ b/t/t6001-owner.c
@@ -5,8 +5,8 @@
 
 #include "replica/owner.h"
 
-/* Transcripts: one step a line, "TIME VERB ARG:", and behind it what has to
-   come of it: actions, the state, and whether an order may go then. */
+/* Transcripts with one step per line, "TIME VERB ARG:", followed by the
+   expected actions, the state and whether an order may be sent. */
 
 static const char *const state_names[]
     = { "idle", "granting", "taking", "waiting", "holding", "lapsed" };
@@ -23,14 +23,14 @@
 };
 
 static void
-drain_actions (struct run *r)
+log_actions (struct run *r)
 {
   struct own_action a;
 
   while (own_next (r->o, &a))
     {
       buf_addf (&r->log, " %s", action_names[a.kind]);
-      if (a.kind == OWN_GAINED)
+      if (a.kind == OWN_ACQUIRED)
         buf_addf (&r->log, "(%lld)", (long long)a.fence);
       if (a.token)
         r->token = a.token;
@@ -38,7 +38,7 @@
 }
 
 static void
-answer (struct run *r, clk_ms now, const char *verb, long arg)
+respond (struct run *r, clk_ms now, const char *verb, long arg)
 {
   static const struct
   {
@@ -65,11 +65,11 @@
   kv.lease = strcmp (verb, "ours") == 0 ? r->lease : 999;
   kv.value = strcmp (verb, "ours") == 0 ? STR ("{\"node\":\"n1\",\"boot\":7}")
                                         : STR ("{\"node\":\"n2\",\"boot\":8}");
-  own_store_answer (r->o, now, r->token, &res);
+  own_on_store_response (r->o, now, r->token, &res);
 }
 
 static void
-do_line (struct run *r, const char *line)
+run_line (struct run *r, const char *line)
 {
   char verb[32];
   long long now;
@@ -77,13 +77,13 @@
 
   cr_assert_geq (sscanf (line, "%lld %31[a-z] %ld", &now, verb, &arg), 2);
   if (strcmp (verb, "want") == 0)
-    own_want (r->o, now, arg);
+    own_set_wanted (r->o, now, arg);
   else if (strcmp (verb, "tick") == 0)
     own_tick (r->o, now);
   else if (strcmp (verb, "ask") != 0)
-    answer (r, now, verb, arg);
+    respond (r, now, verb, arg);
   buf_addf (&r->log, "%.*s:", (int)strcspn (line, ":"), line);
-  drain_actions (r);
+  log_actions (r);
   buf_addf (&r->log, " [%s%s]\n", state_names[own_state (r->o)],
             own_may_order (r->o, now) ? ", orders" : "");
 }
@@ -94,116 +94,117 @@
   struct run r = { .o = own_new (opt, 1) };
 
   for (const char *p = transcript; *p; p += strcspn (p, "\n") + 1)
-    do_line (&r, p);
+    run_line (&r, p);
   cr_expect_str_eq (buf_c (&r.log), transcript);
   buf_free (&r.log);
   own_free (r.o);
 }
 
-static const struct own_options checking = { .key = { "k", 1 },
-                                             .node = { "n1", 2 },
-                                             .boot = 7,
-                                             .ttl = 6000,
-                                             .checks_fence = true,
-                                             .order_flight_ms = 2000 };
+static const struct own_options fenced = { .key = { "k", 1 },
+                                           .node = { "n1", 2 },
+                                           .boot = 7,
+                                           .ttl = 6000,
+                                           .checks_fence = true,
+                                           .order_flight_ms = 2000 };
 
-/* The usual way: lease, key, renewals; the time to stop counts from the
-   sending of the renewal that succeeded, not from its answer. */
-Test (owner, takes_renews_and_gives_back)
+/* Regular sequence: lease, key, renewals.  The time to stop counts from the
+   sending of the successful renewal, not from its response. */
+Test (owner, acquire_renew_and_release)
 {
-  check (&checking, "0 want 1: [idle]\n"
-                    "0 tick: grant [granting]\n"
-                    "100 granted 5: txn [taking]\n"
-                    "200 ok 42: gained(42) [holding, orders]\n"
-                    "1000 tick: [holding, orders]\n"
-                    "2200 tick: keep [holding, orders]\n"
-                    "3500 ok: [holding, orders]\n"
-                    "4200 tick: keep [holding, orders]\n"
-                    "5900 ok: [holding, orders]\n"
-                    "7000 want 0: lost revoke [idle]\n");
+  check (&fenced, "0 want 1: [idle]\n"
+                  "0 tick: grant [granting]\n"
+                  "100 granted 5: txn [taking]\n"
+                  "200 ok 42: gained(42) [holding, orders]\n"
+                  "1000 tick: [holding, orders]\n"
+                  "2200 tick: keep [holding, orders]\n"
+                  "3500 ok: [holding, orders]\n"
+                  "4200 tick: keep [holding, orders]\n"
+                  "5900 ok: [holding, orders]\n"
+                  "7000 want 0: lost revoke [idle]\n");
 }
 
-/* The owner is stopped for longer than its lease and wakes in the middle of
-   sending.  Its own idea of time is old; the question right before the bytes
-   go must say no, even before the first tick, and the next tick must read
-   the key again: somebody else has it. */
-Test (owner, frozen_past_its_lease_sends_nothing)
+/* The owner is suspended for longer than its lease and resumes while sending.
+   own_may_order() must return false even before the first tick, and the next
+   tick must read the key again: another node has taken it. */
+Test (owner, suspended_past_lease_sends_nothing)
 {
-  check (&checking, "0 want 1: [idle]\n"
-                    "0 tick: grant [granting]\n"
-                    "10 granted 5: txn [taking]\n"
-                    "20 ok 42: gained(42) [holding, orders]\n"
-                    "1000 tick: [holding, orders]\n"
-                    "9000 ask: [holding]\n"
-                    "9001 tick: lost keep [lapsed]\n"
-                    "9010 gone: revoke [idle]\n"
-                    "12000 tick: grant [granting]\n"
-                    "12010 granted 6: txn [taking]\n"
-                    "12020 conflict: revoke [idle]\n");
+  check (&fenced, "0 want 1: [idle]\n"
+                  "0 tick: grant [granting]\n"
+                  "10 granted 5: txn [taking]\n"
+                  "20 ok 42: gained(42) [holding, orders]\n"
+                  "1000 tick: [holding, orders]\n"
+                  "9000 ask: [holding]\n"
+                  "9001 tick: lost keep [lapsed]\n"
+                  "9010 gone: revoke [idle]\n"
+                  "12000 tick: grant [granting]\n"
+                  "12010 granted 6: txn [taking]\n"
+                  "12020 conflict: revoke [idle]\n");
 }
 
-/* A pause shorter than the lease: the key may still be ours, but what we know
-   is old.  No order goes until it was renewed and read again. */
+/* A pause shorter than the lease: the node may still hold the key, but its
+   state is outdated.  No order is sent before the lease is renewed and the key
+   is read again. */
 Test (owner, short_pause_reads_again)
 {
-  check (&checking, "0 want 1: [idle]\n"
-                    "0 tick: grant [granting]\n"
-                    "10 granted 5: txn [taking]\n"
-                    "20 ok 42: gained(42) [holding, orders]\n"
-                    "1000 tick: [holding, orders]\n"
-                    "3500 ask: [holding]\n"
-                    "3500 tick: lost keep [lapsed]\n"
-                    "3510 ok: range [lapsed]\n"
-                    "3520 ours 42: gained(42) [holding, orders]\n");
+  check (&fenced, "0 want 1: [idle]\n"
+                  "0 tick: grant [granting]\n"
+                  "10 granted 5: txn [taking]\n"
+                  "20 ok 42: gained(42) [holding, orders]\n"
+                  "1000 tick: [holding, orders]\n"
+                  "3500 ask: [holding]\n"
+                  "3500 tick: lost keep [lapsed]\n"
+                  "3510 ok: range [lapsed]\n"
+                  "3520 ours 42: gained(42) [holding, orders]\n");
 }
 
 /* The store is down: renewals fail and the owner stops at two thirds of the
-   lease, before the store can have given the key to anybody else. */
+   lease, before the store can give the key to another node. */
 Test (owner, store_down_stops_orders_at_two_thirds)
 {
-  check (&checking, "0 want 1: [idle]\n"
-                    "0 tick: grant [granting]\n"
-                    "10 granted 5: txn [taking]\n"
-                    "20 ok 42: gained(42) [holding, orders]\n"
-                    "1500 tick: [holding, orders]\n"
-                    "2100 tick: keep [holding, orders]\n"
-                    "2200 unavailable: [holding, orders]\n"
-                    "3900 tick: keep [holding, orders]\n"
-                    "3950 unavailable: [holding, orders]\n"
-                    "3999 ask: [holding, orders]\n"
-                    "4000 ask: [holding]\n"
-                    "4001 tick: lost keep [lapsed]\n");
+  check (&fenced, "0 want 1: [idle]\n"
+                  "0 tick: grant [granting]\n"
+                  "10 granted 5: txn [taking]\n"
+                  "20 ok 42: gained(42) [holding, orders]\n"
+                  "1500 tick: [holding, orders]\n"
+                  "2100 tick: keep [holding, orders]\n"
+                  "2200 unavailable: [holding, orders]\n"
+                  "3900 tick: keep [holding, orders]\n"
+                  "3950 unavailable: [holding, orders]\n"
+                  "3999 ask: [holding, orders]\n"
+                  "4000 ask: [holding]\n"
+                  "4001 tick: lost keep [lapsed]\n");
 }
 
-/* The write that took the key had its answer lost.  Writing again blindly
-   would meet our own key and give the domain up; reading tells. */
-Test (owner, lost_answer_is_settled_by_reading)
+/* The response to the write that took the key is lost.  Writing again would
+   conflict with this node's own key and release the domain; a read resolves
+   it. */
+Test (owner, lost_response_is_resolved_by_read)
 {
-  check (&checking, "0 want 1: [idle]\n"
-                    "0 tick: grant [granting]\n"
-                    "10 granted 5: txn [taking]\n"
-                    "20 uncertain: range [taking]\n"
-                    "30 none: txn [taking]\n"
-                    "40 conflict: range [taking]\n"
-                    "50 ours 42: gained(42) [holding, orders]\n");
+  check (&fenced, "0 want 1: [idle]\n"
+                  "0 tick: grant [granting]\n"
+                  "10 granted 5: txn [taking]\n"
+                  "20 uncertain: range [taking]\n"
+                  "30 none: txn [taking]\n"
+                  "40 conflict: range [taking]\n"
+                  "50 ours 42: gained(42) [holding, orders]\n");
 }
 
-/* Two believe that they own the domain; the other's key is there. */
-Test (owner, loses_the_race_and_gives_its_lease_back)
+/* Two nodes try to become owner, and the other node's key is found. */
+Test (owner, losing_candidate_revokes_its_lease)
 {
-  check (&checking, "0 want 1: [idle]\n"
-                    "0 tick: grant [granting]\n"
-                    "10 granted 5: txn [taking]\n"
-                    "20 uncertain: range [taking]\n"
-                    "30 theirs 41: revoke [idle]\n");
+  check (&fenced, "0 want 1: [idle]\n"
+                  "0 tick: grant [granting]\n"
+                  "10 granted 5: txn [taking]\n"
+                  "20 uncertain: range [taking]\n"
+                  "30 theirs 41: revoke [idle]\n");
 }
 
-/* Backend servers that obey any order: an order of the owner before us may
-   still be on its way when our key is written.  Nothing is ordered until a
-   lease and the longest flight of an order have passed. */
-Test (owner, waits_out_old_orders_without_fencing)
+/* Backend servers ignore fencing numbers: an order of the previous owner may
+   be in flight when the key is written.  No order is sent until a lease and
+   the maximum flight time of an order have passed. */
+Test (owner, waits_for_old_orders_without_fencing)
 {
-  struct own_options opt = checking;
+  struct own_options opt = fenced;
 
   opt.checks_fence = false;
   check (&opt, "0 want 1: [idle]\n"
@@ -221,12 +222,12 @@
                "8020 tick: gained(42) [holding, orders]\n");
 }
 
-/* Not wanted any more while the grant is under way: the lease that comes late
-   is given back instead of being left to run out. */
+/* The node stops being a candidate while the lease is being granted: the lease
+   that arrives later is revoked instead of being left to expire. */
 Test (owner, late_grant_is_revoked)
 {
-  check (&checking, "0 want 1: [idle]\n"
-                    "0 tick: grant [granting]\n"
-                    "5 want 0: [idle]\n"
-                    "10 granted 5: revoke [idle]\n");
+  check (&fenced, "0 want 1: [idle]\n"
+                  "0 tick: grant [granting]\n"
+                  "5 want 0: [idle]\n"
+                  "10 granted 5: revoke [idle]\n");
 }
--- a/t/t6002-replica.c
+++ b/t/t6002-replica.c
@@ -25,29 +25,29 @@
   "\"" name "\":{\"model\":\"m\",\"domain\":\"d\",\"mode\":\"" mode           \
   "\",\"vms\":[" vms "]}"
 
-static const struct dom_options two
+static const struct dom_options two_replicas
     = { .config = CONFIG (
             REPLICA ("r1", "manage", "") "," REPLICA ("r2", "manage", "")),
         .checks_fence = true,
         .load_ms = 2000 };
 
-static const struct dom_options observed
+static const struct dom_options unmanaged
     = { .config
         = CONFIG (REPLICA ("r1", "route", "\"v1\",\"v2\"") "," REPLICA (
             "r2", "observe", "\"v3\",\"v4\"")),
         .load_ms = 2000 };
 
-static const struct dom_options one
+static const struct dom_options one_replica
     = { .config = CONFIG (REPLICA ("r1", "manage", "")),
         .checks_fence = true,
         .load_ms = 2000 };
 
-/* Backend servers that obey whatever reaches them last. */
-static const struct dom_options deaf
+/* Backend servers that ignore fencing numbers. */
+static const struct dom_options unfenced
     = { .config = CONFIG (REPLICA ("r1", "manage", "")), .load_ms = 2000 };
 
-/* The core takes its states by their place in the chart. */
-Test (replica, states_stand_in_the_order_of_the_chart)
+/* The core's state enums must match the order of states in the charts. */
+Test (replica, state_enums_match_the_charts)
 {
   static const char *const names[]
       = { "absent",   "forming",  "loading",   "whole",
@@ -61,25 +61,25 @@
     cr_expect_eq (chart_state (chart_embedded ("owner"), owner_names[i]), i);
 }
 
-/* One replica is ours, the other one is still run by old scripts. */
-static const struct dom_options mixed
+/* One replica is managed; the other one is run by scripts. */
+static const struct dom_options partly_managed
     = { .config = CONFIG (REPLICA ("r1", "manage", "") "," REPLICA (
             "r2", "observe", "\"v3\",\"v4\"")),
         .load_ms = 2000 };
 
-static const struct dom_options shrinking
+static const struct dom_options removing
     = { .config = CONFIG (REPLICA ("r1", "manage", "")),
         .next_config = CONFIG_OF ("", ""),
         .checks_fence = true,
         .load_ms = 2000 };
 
-static const struct dom_options slow
+static const struct dom_options slow_load
     = { .config = CONFIG (REPLICA ("r1", "manage", "")),
         .checks_fence = true,
         .load_ms = 20000 };
 
-/* Two replicas of one model and, declared last, the only one of another. */
-static const struct dom_options scarce
+/* Two replicas of one model and, configured last, the only one of another. */
+static const struct dom_options two_models
     = { .config = "{\"domains\":{\"d\":{\"zone\":\"z\",\"vms\":{"
                   "\"v1\":{\"addr\":\"127.0.0.1:1\"},"
                   "\"v2\":{\"addr\":\"127.0.0.1:2\"},"
@@ -97,7 +97,7 @@
                   "\"manage\",\"vms\":[]}}}",
         .load_ms = 6000 };
 
-/* What comes first in most logs: the declared replicas are formed. */
+/* Common start of most logs: the configured replicas are formed. */
 #define ONE_LOADS                                                             \
   "0 r1/0 absent\n"                                                           \
   "3000 write r1/1=v1+v2\n"                                                   \
@@ -121,23 +121,24 @@
   "5300 load v4: r2/2 1 of 2\n"                                               \
   "7600 r2/2 whole serves\n"
 
-/* Two replicas of two VMs and a spare: each is formed by one write, and the
-   weights are loaded by one replica at a time. */
-Test (replica, forms_one_after_the_other)
+/* Two replicas of two VMs and a spare: each is formed by one write, and one
+   replica at a time loads its weights. */
+Test (replica, replicas_load_one_at_a_time)
 {
-  dom_check (&two,
+  dom_check (&two_replicas,
              "0 owner 20\n"
              "12000 run\n",
              TWO_WHOLE);
 }
 
-/* A member goes silent.  Callers must stop being sent to its replica within
-   the evidence time of 3 s (here 2.1 s, its last answer was at 9.1 s); after
-   the grace time the spare takes its place under a new generation.  When the
-   old VM comes back it still reports the old one, and is told to unload. */
-Test (replica, silent_member_is_found_and_replaced)
+/* A member stops responding.  Its replica must be withdrawn within the 3 s of
+   REP_PROBE_VALID_MS (here after 2.1 s, as the last response was at 9.1 s);
+   after the grace time the spare replaces the member under a new generation.
+   When the old VM returns it still reports the old generation and must be
+   unloaded. */
+Test (replica, unresponsive_member_is_replaced)
 {
-  dom_check (&one,
+  dom_check (&one_replica,
              "0 owner 20\n"
              "10000 run\n"
              "10000 dead v1\n"
@@ -153,11 +154,11 @@
                        "40200 unload v1: r1/1\n");
 }
 
-/* A member is restarted quickly and still reports its place: nothing is
-   ordered and nothing is written. */
-Test (replica, returns_within_the_grace_time)
+/* A member is restarted quickly and still reports its replica: no order is
+   sent and nothing is written. */
+Test (replica, member_returns_within_grace_time)
 {
-  dom_check (&one,
+  dom_check (&one_replica,
              "0 owner 20\n"
              "10000 run\n"
              "10000 kill v1\n"
@@ -167,12 +168,12 @@
                        "14100 r1/1 whole serves\n");
 }
 
-/* The whole domain loses power and comes back without weights.  Nothing is
-   reassigned while it is dark or while it returns, and the two replicas load
-   one after the other instead of both at half the rate. */
-Test (replica, dark_domain_comes_back_in_turn)
+/* The whole domain loses power and returns without weights.  Nothing is
+   reassigned during the outage or the return, and the two replicas load one
+   after the other instead of both at half the rate. */
+Test (replica, replicas_load_in_turn_after_domain_outage)
 {
-  dom_check (&two,
+  dom_check (&two_replicas,
              "0 owner 20\n"
              "12000 run\n"
              "12000 kill v1\n"
@@ -196,12 +197,12 @@
                        "105600 r2/2 whole serves\n");
 }
 
-/* Replicas that old scripts run, of modes route and observe: declared members
-   that name no replica count, a lost one is seen, and no order nor write ever
-   goes out. */
-Test (replica, observed_and_routed_get_no_orders)
+/* Replicas of modes route and observe, which scripts run: configured members
+   that report no replica name count, a lost one is detected, and no order or
+   write is ever sent. */
+Test (replica, unmanaged_replicas_get_no_orders)
 {
-  dom_check (&observed,
+  dom_check (&unmanaged,
              "0 start v1 - 0\n"
              "0 start v2 - 0\n"
              "0 start v3 - 0\n"
@@ -220,12 +221,12 @@
              "30400 r2/0 degraded\n");
 }
 
-/* The platform lists a member as leaving while requests run.  New work stops
-   at once; the spare loads meanwhile; the members change only when the last
-   request is done, and the leaving VM is unloaded. */
-Test (replica, leaving_member_is_replaced_first)
+/* The platform lists a member as leaving while requests run.  The replica
+   accepts no new requests and the spare loads meanwhile.  The members change
+   only after the last request, and the leaving VM is unloaded. */
+Test (replica, leaving_member_is_replaced)
 {
-  dom_check (&one,
+  dom_check (&one_replica,
              "0 owner 20\n"
              "10000 work v1 5\n"
              "10000 work v2 7\n"
@@ -243,10 +244,10 @@
                        "34200 r1/2 whole serves\n");
 }
 
-/* The list takes its word back before the member left: it stays. */
-Test (replica, leaving_was_a_mistake)
+/* The platform lists the VM again before it was replaced: it stays. */
+Test (replica, leaving_is_withdrawn)
 {
-  dom_check (&one,
+  dom_check (&one_replica,
              "0 owner 20\n"
              "10000 work v1 5\n"
              "11000 leaving v1\n"
@@ -262,9 +263,9 @@
 
 /* An operator drains a replica with requests in flight.  Its VMs are released
    only once they report no load and then no weights. */
-Test (replica, operator_drains_and_takes_back)
+Test (replica, operator_drain_and_undrain)
 {
-  dom_check (&one,
+  dom_check (&one_replica,
              "0 owner 20\n"
              "10000 work v1 5\n"
              "11000 drain r1\n"
@@ -288,12 +289,13 @@
                        "53200 r1/2 whole serves\n");
 }
 
-/* An operator's push leaves a replica and its model out while requests run. It
-   takes no new work, its VMs are released only once they report no load, and
-   then the domain's assignment is empty: it can be left out as well. */
-Test (replica, left_out_of_the_configuration)
+/* A new configuration omits a replica and its model while requests run.  The
+   replica accepts no new requests, and its VMs are released only once they
+   report no load.  Then the domain's assignment is empty, so that the domain
+   can be removed as well. */
+Test (replica, removed_from_the_configuration)
 {
-  dom_check (&shrinking,
+  dom_check (&removing,
              "0 owner 20\n"
              "10000 work v1 5\n"
              "11000 accept\n"
@@ -307,12 +309,12 @@
                        "34200 write\n");
 }
 
-/* The answer to the first write is lost although it took effect; a later
-   write is beaten by another writer.  In both cases the store is read, and
-   what it holds counts. */
-Test (replica, lost_and_lost_races_are_read_again)
+/* The response to the first write is lost although it was applied; a later
+   write conflicts with another writer.  Both times the store is read, and its
+   document is used. */
+Test (replica, lost_response_and_conflict_are_reread)
 {
-  dom_check (&one,
+  dom_check (&one_replica,
              "0 owner 20\n"
              "2900 store lost\n"
              "6000 kill v1\n"
@@ -333,12 +335,12 @@
              "14800 r1/2 whole serves\n");
 }
 
-/* The store goes down and ownership lapses with it.  The whole replica goes
-   on, a lost member is seen as always, no order goes out; once the store is
-   back nothing has to be put right. */
+/* The store goes down and ownership lapses.  The complete replica stays in
+   service, a lost member is detected as usual and no order is sent; once the
+   store is back nothing has to be repaired. */
 Test (replica, store_down_keeps_serving)
 {
-  dom_check (&one,
+  dom_check (&one_replica,
              "0 owner 20\n"
              "6000 store down\n"
              "6000 unowner\n"
@@ -351,12 +353,12 @@
                        "20100 r1/1 whole serves\n");
 }
 
-/* This node starts while the store is down and could never read who belongs to
-   what.  VMs that report the same replica and generation, as many as its model
-   has, serve; one short they don't. */
-Test (replica, store_down_at_start_serves_what_reports_itself)
+/* This node starts while the store is down and never read the assignment.  VMs
+   that report the same replica and generation serve if their number is the one
+   that the model requires; with one less they don't. */
+Test (replica, store_down_at_start_serves_by_reports)
 {
-  dom_check (&one,
+  dom_check (&one_replica,
              "0 store down\n"
              "0 start v1 r1 4\n"
              "0 start v3 r1 4\n"
@@ -368,12 +370,12 @@
              "6400 r1/4 degraded\n");
 }
 
-/* A member is replaced between two probes by a new VM of the same name, so
-   that no probe ever fails.  It reports no replica: not whole at once, loaded,
-   then whole. */
+/* A member is replaced between two probes by a new VM with the same name, so
+   no probe fails.  It reports no replica: the replica is incomplete
+   immediately, is loaded and is complete again. */
 Test (replica, vm_replaced_under_the_same_name)
 {
-  dom_check (&one,
+  dom_check (&one_replica,
              "0 owner 20\n"
              "6050 blank v2\n"
              "12000 run\n",
@@ -382,11 +384,11 @@
                        "9200 r1/1 whole serves\n");
 }
 
-/* Replicas run already, and their VMs report name and generation: they are
-   taken over as they are, without any order. */
-Test (replica, adopts_what_runs)
+/* Replicas are running and their VMs report name and generation: they are
+   adopted without any order. */
+Test (replica, running_replicas_are_adopted)
 {
-  dom_check (&two,
+  dom_check (&two_replicas,
              "0 start v1 r1 7\n"
              "0 start v3 r1 7\n"
              "0 start v2 r2 9\n"
@@ -401,11 +403,11 @@
              "3100 r2/9 whole serves\n");
 }
 
-/* A new owner finds one VM of a running replica and not the other.  It must
-   not unload or reuse it at once: the other one returns. */
-Test (replica, waits_to_adopt_a_replica_with_a_member_away)
+/* A new owner finds only one VM of a running replica.  It must not unload or
+   reuse that VM at once, as the other one returns. */
+Test (replica, adoption_waits_for_missing_member)
 {
-  dom_check (&two,
+  dom_check (&two_replicas,
              "0 start v1 r1 7\n"
              "0 kill v2\n"
              "0 kill v5\n"
@@ -423,12 +425,13 @@
              "20300 r1/7 whole serves\n");
 }
 
-/* Backend servers ignore fencing numbers, and orders of an earlier owner
-   arrive late: one loads a spare, one puts an old generation on a member.  The
-   spare is unloaded; the replica stops serving until the member is right. */
-Test (replica, late_order_without_fencing)
+/* Backend servers ignore fencing numbers, and delayed orders of a previous
+   owner arrive: one loads a spare, the other sets an old generation on a
+   member.  The spare is unloaded, and the replica does not serve until the
+   member is loaded again. */
+Test (replica, delayed_order_without_fencing)
 {
-  dom_check (&deaf,
+  dom_check (&unfenced,
              "0 owner 20\n"
              "6000 late v3 r1 1 10\n"
              "7000 late v2 r1 0 10\n"
@@ -439,12 +442,13 @@
                        "8200 r1/1 whole serves\n");
 }
 
-/* Another node took the domain and this one does not know yet.  The new owner
-   has put v1 to other work.  The old one's orders carry the lower number and
-   are refused, and its write fails as it compares the owner key. */
-Test (replica, usurped_owner_changes_nothing)
+/* Another node became owner, which this node has not noticed.  The new owner
+   has assigned v1 to another replica.  The old owner's orders carry a lower
+   number and are refused, and its write fails because it compares the owner
+   key. */
+Test (replica, superseded_owner_changes_nothing)
 {
-  dom_check (&one,
+  dom_check (&one_replica,
              "0 owner 20\n"
              "6000 usurp 30\n"
              "6000 late v1 r9 3 30\n"
@@ -464,12 +468,11 @@
                        "14700 write r1/2=v1+v5 (conflict)\n");
 }
 
-/* The old scripts restart r2, so that its VMs hold no weights for a while, as
-   free VMs do.  r1 needs a second VM meanwhile: it takes the spare, not those.
- */
-Test (replica, undeclared_use_is_left_alone)
+/* The scripts restart r2, so its VMs hold no weights for a while, like free
+   VMs.  r1 needs a second VM meanwhile and must take the spare, not those. */
+Test (replica, unmanaged_vms_are_not_taken)
 {
-  dom_check (&mixed,
+  dom_check (&partly_managed,
              "0 kill v1\n"
              "0 owner 20\n"
              "12000 run\n",
@@ -482,11 +485,11 @@
              "5800 r1/1 whole serves\n");
 }
 
-/* With r1 drained there are enough free VMs for r2, which is absent, but r2 is
-   only observed. */
+/* With r1 drained there are enough free VMs for the absent r2, but r2 is only
+   observed. */
 Test (replica, observed_replica_is_never_formed)
 {
-  dom_check (&mixed,
+  dom_check (&partly_managed,
              "0 drain r1\n"
              "0 owner 20\n"
              "12000 run\n",
@@ -496,12 +499,12 @@
              "200 write drained r1\n");
 }
 
-/* The replica has no work left long before the spare has loaded.  It stays
-   ready to go on in case the list takes its word back; the members change once
-   the spare is ready. */
-Test (replica, leaving_waits_for_the_spare)
+/* The replica has no requests left long before the spare has loaded.  It stays
+   ready in case the platform lists the VM again; the members change once the
+   spare is ready. */
+Test (replica, replacement_waits_for_the_spare)
 {
-  dom_check (&slow,
+  dom_check (&slow_load,
              "0 owner 20\n"
              "30000 leaving v1\n"
              "70000 run\n",
@@ -517,10 +520,10 @@
 }
 
 /* A domain starts without weights.  Once one replica of a model serves, the
-   only one of the other model goes before its second. */
-Test (replica, scarcest_model_loads_first)
+   only replica of the other model loads before the second one. */
+Test (replica, model_with_fewest_replicas_loads_first)
 {
-  dom_check (&scarce,
+  dom_check (&two_models,
              "0 owner 20\n"
              "40000 run\n",
              "0 r1/0 absent\n"
--- a/t/t6003-replica-walk.c
+++ b/t/t6003-replica-walk.c
@@ -28,8 +28,8 @@
       "\"policy\":{\"downtime_weight\":1,\"stranded_weight\":2,"
       "\"weight_gb_per_s\":10,\"vm_return_ms\":60000}}";
 
-/** What one walk did, summed over all seeds. */
-struct sums
+/** Totals over all seeds. */
+struct totals
 {
   unsigned events, orders, wrong_loads, false_whole;
 };
@@ -51,10 +51,10 @@
   return names[rng_below (rng, 3)];
 }
 
-/* The other core gets the domain, the first one having stopped before, as
-   replica/owner.h sees to. */
+/* Move ownership to the other core after the first one has stopped, as
+   replica/owner.h guarantees. */
 static void
-hand_over (struct dom *d, struct rng *rng, int *fence)
+move_ownership (struct dom *d, struct rng *rng, int *fence)
 {
   char line[32];
 
@@ -80,7 +80,7 @@
       snprintf (line, sizeof line, "store %s", stores[rng_below (rng, 5)]);
       break;
     case 1:
-      hand_over (d, rng, fence);
+      move_ownership (d, rng, fence);
       return;
     case 2:
       snprintf (line, sizeof line, "%s %s",
@@ -97,7 +97,7 @@
 }
 
 static void
-walk (uint64_t seed, bool two, struct sums *s)
+run_seed (uint64_t seed, bool two, struct totals *s)
 {
   struct dom_options opt = { .config = config,
                              .checks_fence = seed % 2,
@@ -122,22 +122,22 @@
 }
 
 /*
- * VMs die, come back blank or as something else, leave and stay; old orders
- * arrive late; the store refuses, loses answers and lets others win; the
- * domain changes hands between two cores.  In any order: every document
- * written has no VM twice (the fake store parses each), no load order is
- * obeyed by a VM that the document does not give to that replica, and no
- * replica is shown whole for longer than the evidence time after a member
- * stopped being right.
+ * VMs fail, return blank or with another replica, and are listed as leaving or
+ * live; old orders arrive late; the store refuses writes, loses responses and
+ * accepts competing writes; ownership moves between two cores.  In any order:
+ * no written document contains a VM twice (the fake store parses each), no VM
+ * obeys a load order for a replica that the document does not assign to it,
+ * and no replica is reported as complete for longer than REP_PROBE_VALID_MS
+ * after a member became wrong.
  */
 Test (replica_walk, no_vm_in_two_replicas)
 {
-  struct sums s = { 0 };
+  struct totals s = { 0 };
 
   for (uint64_t seed = 1; seed <= SEEDS; seed++)
-    walk (seed, seed % 4 < 2, &s);
+    run_seed (seed, seed % 4 < 2, &s);
   cr_expect_eq (s.wrong_loads, 0, "%u", s.wrong_loads);
   cr_expect_eq (s.false_whole, 0, "%u", s.false_whole);
   cr_expect_eq (s.events, SEEDS * EVENTS);
-  cr_expect_gt (s.orders, 10000, "the walk gave only %u orders", s.orders);
+  cr_expect_gt (s.orders, 10000, "only %u orders were sent", s.orders);
 }
--- a/t/t6900-owner-walk.c
+++ b/t/t6900-owner-walk.c
@@ -1,12 +1,12 @@
 /*
- * A seeded walk over interleavings of the ownership core: three nodes that
- * all want one fabric domain, a store that applies calls late or never and
- * loses answers, leases that lapse, freezes, restarts, and orders that take
- * their time to reach a VM.  The same seed gives the same walk.
+ * A randomized test of the ownership core: three nodes that all are candidates
+ * for one fabric domain, a store that applies calls late or never and loses
+ * responses, leases that expire, suspensions, restarts, and delayed orders to
+ * a VM.  A seed determines the whole run.
  *
- * Judged at the VM: it never obeys an order of an older owner after one of a
- * newer owner.  Where backend servers check fencing numbers, they see to it;
- * where they ignore them, the owners' clocks and waits have to.
+ * Checked at the VM: it never obeys an order of an older owner after one of a
+ * newer owner.  Backend servers that check fencing numbers ensure this;
+ * otherwise the owners' clocks and waiting times must.
  */
 #include <criterion/criterion.h>
 #include <string.h>
@@ -17,19 +17,20 @@
 #define NODES 3
 #define CALLS 64
 #define ORDERS 32
-#define TTL (6 * CLK_SECOND)
-#define FLIGHT (2 * CLK_SECOND)
+#define LEASE_TTL_MS (6 * CLK_SECOND)
+#define ORDER_FLIGHT_MS (2 * CLK_SECOND)
 
 enum fault
 {
   FAULT_NONE,
-  FAULT_NO_CLOCK,     /**< orders while it believes, without own_may_order() */
-  FAULT_FENCE_IGNORED /**< servers said to check fencing numbers do not */
+  FAULT_NO_CLOCK_CHECK, /**< sends orders in state OWN_HOLDING without
+                     own_may_order() */
+  FAULT_FENCE_IGNORED   /**< servers don't check them as configured */
 };
 
 struct call
 {
-  bool used, applied, answered;
+  bool used, applied, responded;
   int node;
   struct own_action action;
   struct store_compare compare;
@@ -55,33 +56,33 @@
   bool checks_fence;
   enum fault fault;
   struct own *nodes[NODES];
-  bool frozen[NODES];
+  bool suspended[NODES];
   struct call calls[CALLS];
   struct order orders[ORDERS];
   uint64_t boots;
-  int64_t highest; /**< fencing number that the VM has obeyed */
+  int64_t highest; /**< highest fencing number that the VM obeyed */
   uint64_t obeyed, refused, owners;
   const char *violation;
 };
 
 static uint64_t
-below (struct walk *k, uint64_t n)
+random_below (struct walk *k, uint64_t n)
 {
   return rng_below (&k->rng, n);
 }
 
 static void
-hold (struct walk *k, int node, const struct own_action *a)
+hold_call (struct walk *k, int node, const struct own_action *a)
 {
   struct call *c = k->calls;
 
   while (c < k->calls + CALLS && c->used)
     c++;
-  /* Full of lost writes: the oldest will never land. */
+  /* Full of lost writes: drop one of them, which is never applied. */
   if (c == k->calls + CALLS)
-    c = &k->calls[below (k, CALLS)];
+    c = &k->calls[random_below (k, CALLS)];
   c->used = true;
-  c->applied = c->answered = false;
+  c->applied = c->responded = false;
   c->node = node;
   c->action = *a;
   if (a->kind != OWN_TXN)
@@ -98,15 +99,15 @@
 }
 
 static void
-drain (struct walk *k, int node)
+fetch_actions (struct walk *k, int node)
 {
   struct own_action a;
 
   while (own_next (k->nodes[node], &a))
-    if (a.kind == OWN_GAINED)
+    if (a.kind == OWN_ACQUIRED)
       k->owners++;
     else if (a.kind != OWN_LOST)
-      hold (k, node, &a);
+      hold_call (k, node, &a);
 }
 
 static void
@@ -132,7 +133,7 @@
   if (c->applied)
     return;
   c->applied = true;
-  kv_lapse (&k->kv, k->now);
+  kv_expire_leases (&k->kv, k->now);
   memset (&c->result, 0, sizeof c->result);
   if (a->kind == OWN_GRANT)
     {
@@ -143,25 +144,25 @@
     c->result.status = kv_txn (&k->kv, &a->txn);
   else if (a->kind == OWN_RANGE)
     apply_range (k, c);
-  else if (a->kind == OWN_KEEP)
-    c->result.status = kv_keep (&k->kv, k->now, a->lease, TTL);
+  else if (a->kind == OWN_KEEPALIVE)
+    c->result.status = kv_keepalive (&k->kv, k->now, a->lease, LEASE_TTL_MS);
   else
     kv_revoke (&k->kv, a->lease);
   c->result.revision = k->kv.revision;
-  if (c->answered || a->kind == OWN_REVOKE)
+  if (c->responded || a->kind == OWN_REVOKE)
     c->used = false;
 }
 
 static void
-answer (struct walk *k, struct call *c, enum store_status lost)
+respond (struct walk *k, struct call *c, enum store_status lost)
 {
   struct store_result none = { .status = lost };
 
-  c->answered = true;
-  own_store_answer (k->nodes[c->node], k->now, c->action.token,
-                    lost == STORE_OK ? &c->result : &none);
+  c->responded = true;
+  own_on_store_response (k->nodes[c->node], k->now, c->action.token,
+                         lost == STORE_OK ? &c->result : &none);
   c->used = lost == STORE_UNCERTAIN && !c->applied;
-  drain (k, c->node);
+  fetch_actions (k, c->node);
 }
 
 /* Steps. */
@@ -170,15 +171,15 @@
 store_step (struct walk *k)
 {
   struct call *c = NULL;
-  size_t from = below (k, CALLS);
-  uint64_t what = below (k, 16);
+  size_t from = random_below (k, CALLS);
+  uint64_t what = random_below (k, 16);
 
   for (size_t i = 0; i < CALLS && !c; i++)
     if (k->calls[(from + i) % CALLS].used)
       c = &k->calls[(from + i) % CALLS];
   if (!c)
     return false;
-  if (c->answered || c->action.kind == OWN_REVOKE)
+  if (c->responded || c->action.kind == OWN_REVOKE)
     {
       if (what < 4)
         apply (k, c);
@@ -191,17 +192,18 @@
       apply (k, c);
       return true;
     }
-  if (k->frozen[c->node])
+  if (k->suspended[c->node])
     return false;
   if (what == 2)
-    answer (k, c,
-            c->action.kind == OWN_RANGE ? STORE_UNAVAILABLE : STORE_UNCERTAIN);
+    respond (k, c,
+             c->action.kind == OWN_RANGE ? STORE_UNAVAILABLE
+                                         : STORE_UNCERTAIN);
   else if (what == 3 && !c->applied)
-    answer (k, c, STORE_UNAVAILABLE);
+    respond (k, c, STORE_UNAVAILABLE);
   else
     {
       apply (k, c);
-      answer (k, c, STORE_OK);
+      respond (k, c, STORE_OK);
     }
   return true;
 }
@@ -209,12 +211,12 @@
 static bool
 send_order (struct walk *k)
 {
-  int node = (int)below (k, NODES);
+  int node = (int)random_below (k, NODES);
   const struct own *o = k->nodes[node];
-  bool may = k->fault == FAULT_NO_CLOCK ? own_state (o) == OWN_HOLDING
-                                        : own_may_order (o, k->now);
+  bool may = k->fault == FAULT_NO_CLOCK_CHECK ? own_state (o) == OWN_HOLDING
+                                              : own_may_order (o, k->now);
 
-  if (k->frozen[node] || !may)
+  if (k->suspended[node] || !may)
     return false;
   for (size_t i = 0; i < ORDERS; i++)
     if (!k->orders[i].used)
@@ -228,13 +230,13 @@
 static bool
 order_arrives (struct walk *k)
 {
-  struct order *o = &k->orders[below (k, ORDERS)];
+  struct order *o = &k->orders[random_below (k, ORDERS)];
 
   if (!o->used)
     return false;
   o->used = false;
-  if (k->now - o->sent > FLIGHT)
-    return true; /* its call has timed out and its connection is closed */
+  if (k->now - o->sent > ORDER_FLIGHT_MS)
+    return true; /* the call has timed out and its connection is closed */
   if (k->checks_fence && k->fault != FAULT_FENCE_IGNORED
       && o->fence < k->highest)
     {
@@ -248,80 +250,81 @@
   return true;
 }
 
-/* A frozen node runs on as if no time had passed: it may send first. */
+/* A resumed node runs as if no time had passed: it may send before its
+   tick. */
 static void
 tick_all (struct walk *k)
 {
   for (int n = 0; n < NODES; n++)
-    if (!k->frozen[n] && below (k, 4))
+    if (!k->suspended[n] && random_below (k, 4))
       {
         own_tick (k->nodes[n], k->now);
-        drain (k, n);
+        fetch_actions (k, n);
       }
 }
 
 static void
 time_step (struct walk *k)
 {
-  uint64_t how = below (k, 256);
+  uint64_t how = random_below (k, 256);
 
   if (how == 0)
-    k->now += (clk_ms)below (k, 4 * TTL);
+    k->now += (clk_ms)random_below (k, 4 * LEASE_TTL_MS);
   else if (how < 12)
-    k->now += (clk_ms)below (k, TTL);
+    k->now += (clk_ms)random_below (k, LEASE_TTL_MS);
   else
-    k->now += (clk_ms)below (k, 100);
+    k->now += (clk_ms)random_below (k, 100);
   tick_all (k);
 }
 
 static void
-begin_node (struct walk *k, int n)
+start_node (struct walk *k, int n)
 {
   char name[2] = { (char)('a' + n), 0 };
   struct own_options opt = { .key = STR ("o"),
                              .node = str_from (name),
                              .boot = ++k->boots,
-                             .ttl = TTL,
+                             .ttl = LEASE_TTL_MS,
                              .checks_fence = k->checks_fence,
-                             .order_flight_ms = FLIGHT };
+                             .order_flight_ms = ORDER_FLIGHT_MS };
 
   own_free (k->nodes[n]);
   k->nodes[n] = own_new (&opt, k->boots);
   for (size_t i = 0; i < CALLS; i++)
     if (k->calls[i].node == n)
-      k->calls[i].answered = true;
-  own_want (k->nodes[n], k->now, true);
-  drain (k, n);
+      k->calls[i].responded = true;
+  own_set_wanted (k->nodes[n], k->now, true);
+  fetch_actions (k, n);
 }
 
 static void
 fault_step (struct walk *k)
 {
-  int node = (int)below (k, NODES);
-  uint64_t what = below (k, 64);
+  int node = (int)random_below (k, NODES);
+  uint64_t what = random_below (k, 64);
 
-  if (k->frozen[node])
-    k->frozen[node] = what > 20;
+  if (k->suspended[node])
+    k->suspended[node] = what > 20;
   else if (what == 0)
-    begin_node (k, node);
+    start_node (k, node);
   else if (what < 16)
-    k->frozen[node] = true;
+    k->suspended[node] = true;
   else if (what < 20)
     {
-      own_want (k->nodes[node], k->now, what < 18);
-      drain (k, node);
+      own_set_wanted (k->nodes[node], k->now, what < 18);
+      fetch_actions (k, node);
     }
   else if (what < 30)
     {
-      own_want (k->nodes[node], k->now, true);
-      drain (k, node);
+      own_set_wanted (k->nodes[node], k->now, true);
+      fetch_actions (k, node);
     }
 }
 
 static bool
 one_step (struct walk *k)
 {
-  uint64_t what = below (k, 100);
+  uint64_t what = random_below (k, 100);
 
   if (what < 40)
     return store_step (k);
@@ -363,14 +366,14 @@
   k->checks_fence = checks_fence;
   k->fault = fault;
   for (int n = 0; n < NODES; n++)
-    begin_node (k, n);
+    start_node (k, n);
   while (done < steps && !k->violation)
     done += one_step (k);
   return done;
 }
 
 static void
-must_hold (bool checks_fence)
+expect_no_violation (bool checks_fence)
 {
   static struct walk k;
   uint64_t obeyed = 0, refused = 0, owners = 0;
@@ -394,16 +397,22 @@
   cr_expect (!checks_fence || refused > 0);
 }
 
-/* An owner is frozen past its lease, another takes the domain and gives
-   orders, the first wakes and goes on.  The VM refuses its fencing number. */
-Test (owner_walk, servers_that_check_fences) { must_hold (true); }
+/* An owner is suspended past its lease, another node takes the domain and
+   sends orders, and the first resumes.  The VM refuses its fencing number. */
+Test (owner_walk, servers_check_fencing_numbers)
+{
+  expect_no_violation (true);
+}
 
-/* The same with a VM that obeys whatever reaches it last: the old owner's
-   clock must stop it, and the new owner must wait for what is on its way. */
-Test (owner_walk, servers_that_ignore_fences) { must_hold (false); }
+/* The same with a VM that obeys the last order that arrives: the old owner's
+   clock must stop it, and the new owner must wait for orders in flight. */
+Test (owner_walk, servers_ignore_fencing_numbers)
+{
+  expect_no_violation (false);
+}
 
 static void
-must_find (bool checks_fence, enum fault fault)
+expect_violation (bool checks_fence, enum fault fault)
 {
   static struct walk k;
   uint64_t steps = 0;
@@ -419,12 +428,12 @@
   cr_expect_not_null (k.violation);
 }
 
-Test (owner_walk, finds_order_without_a_look_at_the_clock)
+Test (owner_walk, finds_order_without_clock_check)
 {
-  must_find (false, FAULT_NO_CLOCK);
+  expect_violation (false, FAULT_NO_CLOCK_CHECK);
 }
 
-Test (owner_walk, finds_servers_that_ignore_fences_unannounced)
+Test (owner_walk, finds_servers_ignoring_fencing_unannounced)
 {
-  must_find (true, FAULT_FENCE_IGNORED);
+  expect_violation (true, FAULT_FENCE_IGNORED);
 }
