--- a/route/admit.c
+++ b/route/admit.c
@@ -72,10 +72,10 @@
 static bool
 make_room (struct rt *r, struct rt_req *q, clk_ms retry_ms)
 {
-  struct rt_queue *w = &q->target->queue;
-  if (w->n < q->cfg->limits.max_queue)
+  struct rt_queue *queue = &q->target->queue;
+  if (queue->n < q->cfg->limits.max_queue)
     return true;
-  struct rt_req *victim = rt_queue_victim (w);
+  struct rt_req *victim = rt_queue_victim (queue);
   if (!victim)
     return false;
   bool better = victim->priority > q->priority;
@@ -170,7 +170,7 @@
   size_t at = in->id & (r->table_size - 1);
   q->hash_next = r->table[at];
   r->table[at] = q;
-  r->open++;
+  r->open_requests++;
   return q;
 }
 
@@ -189,7 +189,7 @@
   q->target = rt_target (r, in->target, in->is_model);
   struct rt_account *a = rt_account (r, in->account);
   q->account = a;
-  a->open++;
+  a->open_requests++;
   code = check_load (r, q, &retry_ms);
   if (code != RT_CODE_NONE)
     {
@@ -199,10 +199,10 @@
   struct rt_target *t = q->target;
   t->mean_cost
       += (t->mean_cost > 0 ? AVERAGE_WEIGHT : 1) * (q->cost - t->mean_cost);
-  rt_step (q, RT_X_ADMIT);
-  if (rt_slot_ask (r, q))
+  rt_apply_chart_event (q, RT_X_ADMIT);
+  if (rt_request_slot (r, q))
     return;
-  rt_step (q, RT_X_ENQUEUE);
+  rt_apply_chart_event (q, RT_X_ENQUEUE);
   rt_enqueue (r, q, false);
   rt_dispatch_queued (r, t);
 }
--- a/route/attempt.c
+++ b/route/attempt.c
@@ -53,7 +53,7 @@
   /* Nothing was sent, so a non-idempotent request may be retried too. */
   bool retry = may_retry (r, q);
   bool may_have_run = q->state == RT_S_RECONNECTING;
-  rt_step (q, RT_X_CONNECT_FAILED);
+  rt_apply_chart_event (q, RT_X_CONNECT_FAILED);
   rt_detach_server (r, q);
   if (retry)
     requeue (r, q, 0);
@@ -75,12 +75,12 @@
       rt_start_claim (r, q);
       return;
     }
-  rt_step (q, RT_X_SEND);
+  rt_apply_chart_event (q, RT_X_SEND);
   q->sent = true;
   q->started_at = r->now;
   q->pending = true;
   q->server->pending++;
-  rt_server_changed (q->server);
+  rt_update_candidate (q->server);
   rt_push_action (r, RT_ACT_SEND, q);
 }
 
@@ -90,27 +90,27 @@
 {
   rt_push_action (r, RT_ACT_CANCEL, q);
   mark_tried (q);
-  bool first = q->state == RT_S_SENDING;
+  bool never_ran = q->state == RT_S_SENDING;
   /* The request did not run, so its claim may be released. */
-  if (first)
+  if (never_ran)
     q->sent = false;
   bool retry = q->idempotent && may_retry (r, q);
   clk_ms delay = rt_retry_backoff (r, q->attempt);
   rt_detach_server (r, q);
   if (retry)
     {
-      rt_step (q, first ? RT_X_REFUSED_UNRUN : RT_X_RETRY);
+      rt_apply_chart_event (q, never_ran ? RT_X_REFUSED_UNRUN : RT_X_RETRY);
       requeue (r, q, delay);
       return;
     }
-  if (!first)
+  if (!never_ran)
     {
       rt_give_up (r, q, RT_CODE_BACKEND_REFUSED);
       return;
     }
   rt_cancel_work (r, q);
-  rt_step (q, RT_X_REFUSED_FINAL);
-  rt_answer (r, q, RT_CODE_BACKEND_REFUSED, RT_DEFAULT_RETRY_MS);
+  rt_apply_chart_event (q, RT_X_REFUSED_FINAL);
+  rt_respond_error (r, q, RT_CODE_BACKEND_REFUSED, RT_DEFAULT_RETRY_MS);
 }
 
 static bool
@@ -144,7 +144,7 @@
       rt_give_up (r, q, code);
       return;
     }
-  rt_step (q, RT_X_RETRY);
+  rt_apply_chart_event (q, RT_X_RETRY);
   requeue (r, q, delay);
 }
 
@@ -166,13 +166,13 @@
       on_attempt_failed (r, q, RT_CODE_BROKEN);
       return;
     }
-  rt_step (q, RT_X_HEAD);
+  rt_apply_chart_event (q, RT_X_HEAD);
 }
 
 static void
 on_first_byte (struct rt *r, struct rt_req *q)
 {
-  rt_step (q, RT_X_BODY);
+  rt_apply_chart_event (q, RT_X_BODY);
   q->forwarding = true;
   rt_push_action (r, RT_ACT_PASS, q);
   rt_clear_pending (q);
@@ -208,8 +208,8 @@
   t->measured_at = r->now;
   q->complete = true;
   rt_detach_server (r, q);
-  rt_step (q, RT_X_END);
-  if (q->claimed)
+  rt_apply_chart_event (q, RT_X_END);
+  if (q->claim_requested)
     rt_push_action (r, RT_ACT_FINISH, q)->http_status = q->status;
   rt_push_action (r, RT_ACT_END, q)->outcome = rt_status_outcome (q->status);
   rt_end_request (r, q);
--- a/route/choose.c
+++ b/route/choose.c
@@ -23,7 +23,7 @@
 bool
 rt_is_usable (const struct rt *r, const struct rt_server *s)
 {
-  return s->listed && s->whole && !s->draining && !s->down && !s->observe
+  return s->listed && s->complete && !s->draining && !s->down && !s->observe
          && s->valid_until > r->now;
 }
 
--- a/route/core.h
+++ b/route/core.h
@@ -52,7 +52,7 @@
 };
 
 /** Events of charts/attempt.json. */
-enum rt_step
+enum rt_chart_event
 {
   RT_X_ADMIT,
   RT_X_REFUSE,
@@ -73,7 +73,7 @@
   RT_X_LOSE,
   RT_X_BODY,
   RT_X_END,
-  RT_STEPS
+  RT_CHART_EVENTS
 };
 
 /** One client account at this node. */
@@ -89,7 +89,7 @@
   clk_ms share_until;  /**< the share decays to limit / N afterwards */
   double bucket_level; /**< fill of the token bucket, may be negative */
   clk_ms bucket_at;
-  size_t open;
+  size_t open_requests;
   double requested_tokens; /**< since demand_at, also refused */
   size_t peak_open;
   clk_ms demand_at;
@@ -100,7 +100,7 @@
 struct rt_history
 {
   float tokens[RT_HISTORY];
-  clk_ms newest; /**< index of the newest sample */
+  clk_ms newest_index; /**< index of the newest sample */
 };
 
 #define RT_MAX_PREFIXES 32    /**< prefixes remembered per server */
@@ -126,7 +126,7 @@
   bool same_zone;
   bool listed; /**< in the last list; otherwise kept for requests in flight */
   bool in_update; /**< in the list that is being processed */
-  bool whole;
+  bool complete;
   bool draining;
   bool down;
   bool observe;
@@ -136,12 +136,12 @@
   uint32_t in_flight;
   uint32_t pending; /**< of these, sent without a first byte yet */
   double own_tokens;
-  double others; /**< requests of other gateways at load_at */
+  double other_requests; /**< requests of other gateways at load_at */
   clk_ms load_at;
   struct rt_history history;
   struct rt_candidate *candidate; /**< its entry in the target's view */
   /* Outlier detection. */
-  uint64_t done, failed;
+  uint64_t successes, failures;
   unsigned consecutive_failures;
   double first_byte_ms; /**< moving average of the time to the first byte */
   unsigned first_byte_samples;
@@ -181,7 +181,7 @@
   struct rt_class classes[RT_CLASSES];
   size_t n;
   double tokens;
-  unsigned since_aged; /**< requests taken since the last aged one */
+  unsigned since_aged_request; /**< requests taken since the last aged one */
 };
 
 /** Compact copy of the fields that the choice reads: with 600 servers,
@@ -203,14 +203,14 @@
   size_t n;
   size_t ejected;
   uint32_t outside_requests; /**< own, on servers not in `list` */
-  bool current;
+  bool valid;
   clk_ms at;
-  clk_ms valid_until;     /**< earliest valid_until of the servers in `list` */
-  double capacity;        /**< requests */
-  double others;          /**< requests of other gateways, as reported */
-  double others_in_slots; /**< of these, not waiting there */
-  double tokens_at_reports; /**< of this gateway */
-  double total_age;         /**< sum of the reports' ages, ms */
+  clk_ms valid_until;    /**< earliest valid_until of the servers in `list` */
+  double capacity;       /**< requests */
+  double other_requests; /**< requests of other gateways, as reported */
+  double others_holding_slots; /**< of these, not waiting there */
+  double tokens_at_reports;    /**< of this gateway */
+  double total_age;            /**< sum of the reports' ages, ms */
 };
 
 /** Model or plain service with its servers and its queue. */
@@ -223,20 +223,21 @@
   size_t nservers;
   struct _GHashTable *by_name; /**< index of `servers`; key: rt_server.key */
   struct rt_queue queue;
-  double mean_cost;    /**< moving average of the requests' cost */
-  double mean_others;  /**< mean of the servers' `others`, for stale reports */
-  double ms_per_token; /**< moving average over complete responses */
-  uint32_t in_flight;  /**< requests of this gateway on all servers */
-  double own_tokens;   /**< tokens of these */
+  double mean_cost;           /**< moving average of the requests' cost */
+  double mean_other_requests; /**< mean of the servers' `others`, for stale
+                                 reports */
+  double ms_per_token;        /**< moving average over complete responses */
+  uint32_t in_flight;         /**< requests of this gateway on all servers */
+  double own_tokens;          /**< tokens of these */
   struct rt_view view;
   clk_ms measured_at; /**< when ms_per_token last changed */
   double median_ms;   /**< median time to the first byte over the servers */
   clk_ms median_at;
   bool has_home;          /**< the model's home is reachable */
   unsigned slot_timeouts; /**< consecutive slot requests that timed out */
-  clk_ms slot_asks_paused_until;
+  clk_ms slot_requests_paused_until;
   double retry_budget;
-  clk_ms retry_at;
+  clk_ms retry_budget_at;
 };
 
 struct rt_req
@@ -270,14 +271,14 @@
   uint8_t ntried;
   bool idempotent;
   bool has_key;
-  bool claimed; /**< the claim was requested, perhaps granted */
-  bool sent;    /**< some attempt got RT_ACT_SEND */
+  bool claim_requested; /**< the claim was requested, perhaps granted */
+  bool sent;            /**< some attempt got RT_ACT_SEND */
   bool forwarding;
-  bool charged;  /**< counted against the account's rate limit */
-  bool waiting;  /**< in the target's queue */
-  bool pending;  /**< counted in rt_server.pending */
-  bool probe;    /**< it is the probe of an ejected server */
-  bool has_slot; /**< reported to the model's home */
+  bool charged;            /**< counted against the account's rate limit */
+  bool queued;             /**< in the target's queue */
+  bool pending;            /**< counted in rt_server.pending */
+  bool probe;              /**< it is the probe of an ejected server */
+  bool registered_at_home; /**< reported to the model's home */
   bool queued_at_home;
   bool complete;       /**< the response is complete */
   bool attempt_failed; /**< the attempt or its connection failed */
@@ -309,7 +310,7 @@
   size_t ntargets;
   struct rt_req **table;
   size_t table_size;
-  size_t open;
+  size_t open_requests;
   struct rt_req **heap;
   size_t heap_n, heap_cap;
   struct rt_action *actions;
@@ -341,7 +342,7 @@
 void rt_dispatch_queued (struct rt *r, struct rt_target *t);
 
 /* Between admit.c, request.c and attempt.c. */
-void rt_step (struct rt_req *q, enum rt_step x);
+void rt_apply_chart_event (struct rt_req *q, enum rt_chart_event x);
 void rt_detach_server (struct rt *r, struct rt_req *q);
 void rt_refuse (struct rt *r, struct rt_req *q, enum rt_code code,
                 clk_ms retry_ms);
@@ -355,8 +356,8 @@
 void rt_start_claim (struct rt *r, struct rt_req *q);
 bool rt_grant_is_valid (const struct rt *r, const struct rt_req *q);
 void rt_clear_pending (struct rt_req *q);
-void rt_answer (struct rt *r, struct rt_req *q, enum rt_code code,
-                clk_ms retry_ms);
+void rt_respond_error (struct rt *r, struct rt_req *q, enum rt_code code,
+                       clk_ms retry_ms);
 bool rt_has_server (const struct rt_req *q);
 void rt_cancel_work (struct rt *r, struct rt_req *q);
 
@@ -364,34 +365,34 @@
 
 /** Request a slot from the model's home.
     @retval false  no slot was requested */
-bool rt_slot_ask (struct rt *r, struct rt_req *q);
+bool rt_request_slot (struct rt *r, struct rt_req *q);
 void rt_on_slot_reply (struct rt *r, struct rt_req *q,
                        const struct rt_event *ev);
 void rt_on_slot_home (struct rt *r, struct str model, bool on);
 /** The timer of a request in RT_S_ASKING expired. */
 void rt_on_slot_timeout (struct rt *r, struct rt_req *q);
 /** Report a server that was chosen without the home. */
-void rt_slot_report_taken (struct rt *r, struct rt_req *q);
+void rt_slot_report_local (struct rt *r, struct rt_req *q);
 /** Report that the request no longer needs its slot. */
 void rt_slot_release (struct rt *r, struct rt_req *q);
 
 /* queue.c */
-void rt_queue_push (struct rt_queue *w, struct rt_req *q, double weight,
+void rt_queue_push (struct rt_queue *queue, struct rt_req *q, double weight,
                     bool front);
-void rt_queue_remove (struct rt_queue *w, struct rt_req *q);
+void rt_queue_remove (struct rt_queue *queue, struct rt_req *q);
 /** The next request; it stays in the queue. */
-struct rt_req *rt_queue_next (struct rt_queue *w, clk_ms now);
+struct rt_req *rt_queue_next (struct rt_queue *queue, clk_ms now);
 /** Remove @p q, the result of rt_queue_next(), and charge its flow. */
-void rt_queue_pop (struct rt_queue *w, struct rt_req *q);
+void rt_queue_pop (struct rt_queue *queue, struct rt_req *q);
 /** The request to drop first: lowest class, newest of the flow with the
     most tokens for its weight. */
-struct rt_req *rt_queue_victim (const struct rt_queue *w);
+struct rt_req *rt_queue_victim (const struct rt_queue *queue);
 /** Tokens that fair queuing serves before a new request of this account
     and class. */
-double rt_queue_tokens_ahead (const struct rt_queue *w, unsigned priority,
+double rt_queue_tokens_ahead (const struct rt_queue *queue, unsigned priority,
                               const struct rt_account *a, double weight,
                               double cost);
-void rt_queue_clear (struct rt_queue *w);
+void rt_queue_clear (struct rt_queue *queue);
 
 /* limit.c */
 struct rt_account *rt_account (struct rt *r, struct str name);
@@ -414,7 +415,7 @@
 void rt_server_remove_request (struct rt *r, struct rt_target *t,
                                struct rt_server *s, double cost);
 /** Update the view after a change of in_flight or pending. */
-void rt_server_changed (struct rt_server *s);
+void rt_update_candidate (struct rt_server *s);
 const struct rt_view *rt_view (struct rt *r, struct rt_target *t);
 /** Requests of this gateway on the servers of the view. */
 double rt_own_requests (const struct rt_target *t);
--- a/route/limit.c
+++ b/route/limit.c
@@ -107,12 +107,12 @@
                 clk_ms *retry_ms)
 {
   a->requested_tokens += cost;
-  if (a->open > a->peak_open)
-    a->peak_open = a->open;
+  if (a->open_requests > a->peak_open)
+    a->peak_open = a->open_requests;
   /* A share below one still admits one request at a time; otherwise a limit
      below the number of nodes would reject all requests of the account. */
   if (a->conc_limit > 0
-      && (double)a->open
+      && (double)a->open_requests
              > fmax (1, floor (rt_limit_conc (r, a) + ROUNDING_TOLERANCE)))
     {
       *retry_ms = RETRY_CONCURRENCY_MS;
--- a/route/load.c
+++ b/route/load.c
@@ -23,14 +23,14 @@
 history_advance (struct rt_server *s, clk_ms now)
 {
   struct rt_history *h = &s->history;
-  clk_ms slot = now / RT_HISTORY_MS;
-  clk_ms behind = slot - h->newest;
+  clk_ms index = now / RT_HISTORY_MS;
+  clk_ms behind = index - h->newest_index;
   if (behind > RT_HISTORY)
     behind = RT_HISTORY;
   for (clk_ms i = 0; i < behind; i++)
-    h->tokens[(slot - i) % RT_HISTORY] = (float)s->own_tokens;
-  if (slot > h->newest)
-    h->newest = slot;
+    h->tokens[(index - i) % RT_HISTORY] = (float)s->own_tokens;
+  if (index > h->newest_index)
+    h->newest_index = index;
 }
 
 /** This gateway's load at time @p at, to the precision of the samples. */
@@ -38,12 +38,12 @@
 history_at (const struct rt_server *s, clk_ms at)
 {
   const struct rt_history *h = &s->history;
-  clk_ms slot = at / RT_HISTORY_MS;
-  if (slot >= h->newest)
+  clk_ms index = at / RT_HISTORY_MS;
+  if (index >= h->newest_index)
     return s->own_tokens;
-  if (slot <= h->newest - RT_HISTORY)
-    slot = h->newest - RT_HISTORY + 1;
-  return slot < 0 ? 0 : h->tokens[slot % RT_HISTORY];
+  if (index <= h->newest_index - RT_HISTORY)
+    index = h->newest_index - RT_HISTORY + 1;
+  return index < 0 ? 0 : h->tokens[index % RT_HISTORY];
 }
 
 void
@@ -55,8 +55,9 @@
   t->in_flight++;
   t->own_tokens += cost;
   s->own_tokens += cost;
-  s->history.tokens[s->history.newest % RT_HISTORY] = (float)s->own_tokens;
-  rt_server_changed (s);
+  s->history.tokens[s->history.newest_index % RT_HISTORY]
+      = (float)s->own_tokens;
+  rt_update_candidate (s);
 }
 
 void
@@ -68,8 +69,9 @@
   t->in_flight--;
   t->own_tokens = t->in_flight ? t->own_tokens - cost : 0;
   s->own_tokens = s->in_flight ? s->own_tokens - cost : 0;
-  s->history.tokens[s->history.newest % RT_HISTORY] = (float)s->own_tokens;
-  rt_server_changed (s);
+  s->history.tokens[s->history.newest_index % RT_HISTORY]
+      = (float)s->own_tokens;
+  rt_update_candidate (s);
 }
 
 /** The reported load includes this gateway's load at that time; the rest
@@ -83,9 +85,9 @@
   history_advance (s, r->now);
   double mean = t->mean_cost > 0 ? t->mean_cost : DEFAULT_COST;
   double others = (double)load - history_at (s, at);
-  s->others = others > 0 ? others / mean : 0;
+  s->other_requests = others > 0 ? others / mean : 0;
   s->load_at = at;
-  t->view.current = false;
+  t->view.valid = false;
 }
 
 double
@@ -104,7 +106,7 @@
   for (size_t i = 0; i < t->nservers; i++)
     if (t->servers[i]->load_at != 0 && rt_is_usable (r, t->servers[i]))
       {
-        sum += t->servers[i]->others;
+        sum += t->servers[i]->other_requests;
         n++;
       }
   return n ? sum / (double)n : 0;
@@ -120,16 +122,16 @@
 };
 
 static double
-report_weight (struct report_decay *f, clk_ms now, clk_ms load_at)
+report_weight (struct report_decay *decay, clk_ms now, clk_ms load_at)
 {
   if (load_at == 0)
     return 0;
-  if (load_at != f->load_at)
+  if (load_at != decay->load_at)
     {
-      f->load_at = load_at;
-      f->weight = exp (-(double)(now - load_at) / f->time_constant);
+      decay->load_at = load_at;
+      decay->weight = exp (-(double)(now - load_at) / decay->time_constant);
     }
-  return f->weight;
+  return decay->weight;
 }
 
 /** Limit of this gateway's requests on the server, given the load of the
@@ -159,10 +161,10 @@
 server_weight (const struct rt *r, const struct rt_target *t,
                const struct rt_server *s)
 {
-  if (s->load_at == 0 || t->mean_others <= 0)
+  if (s->load_at == 0 || t->mean_other_requests <= 0)
     return s->same_zone ? 1 : OTHER_ZONE_WEIGHT;
   double preferred = preference (t, (double)(r->now - s->load_at));
-  double w = 1 + preferred * (1 - s->others / t->mean_others);
+  double w = 1 + preferred * (1 - s->other_requests / t->mean_other_requests);
   return w > MIN_WEIGHT ? w : MIN_WEIGHT;
 }
 
@@ -171,7 +173,7 @@
 slots_of_others (const struct rt_server *s)
 {
   double left = s->capacity - s->in_flight;
-  return s->others < left ? s->others : left > 0 ? left : 0;
+  return s->other_requests < left ? s->other_requests : left > 0 ? left : 0;
 }
 
 static void
@@ -185,14 +187,14 @@
                               .max_in_flight = own_limit (t, s, others),
                               .weight = (float)server_weight (r, t, s) };
   s->candidate = c;
-  rt_server_changed (s);
+  rt_update_candidate (s);
   v->capacity += s->capacity;
   if (s->valid_until < v->valid_until)
     v->valid_until = s->valid_until;
   if (s->load_at == 0)
     return;
-  v->others += t->mean_others;
-  v->others_in_slots += slots_of_others (s);
+  v->other_requests += t->mean_other_requests;
+  v->others_holding_slots += slots_of_others (s);
   v->tokens_at_reports += history_at (s, s->load_at);
   v->total_age += (double)(r->now - s->load_at);
 }
@@ -213,32 +215,33 @@
   t->view = (struct rt_view){ .list = list,
                               .at = r->now,
                               .valid_until = CLK_NEVER };
-  t->mean_others = mean_others (r, t);
+  t->mean_other_requests = mean_others (r, t);
   for (size_t i = 0; i < t->nservers; i++)
     {
       struct rt_server *s = t->servers[i];
       double w = report_weight (&report_decay, r->now, s->load_at);
       s->candidate = NULL;
       if (rt_is_usable (r, s) && !s->ejected_until)
-        add_candidate (r, t, s, w * s->others + (1 - w) * t->mean_others);
+        add_candidate (
+            r, t, s, w * s->other_requests + (1 - w) * t->mean_other_requests);
       else
         t->view.outside_requests += s->in_flight;
       t->view.ejected += s->ejected_until != 0;
     }
-  t->view.current = true;
+  t->view.valid = true;
 }
 
 const struct rt_view *
 rt_view (struct rt *r, struct rt_target *t)
 {
   const struct rt_view *v = &t->view;
-  if (!v->current || r->now >= v->valid_until || r->now - v->at >= REFRESH_MS)
+  if (!v->valid || r->now >= v->valid_until || r->now - v->at >= REFRESH_MS)
     refresh (r, t);
   return v;
 }
 
 void
-rt_server_changed (struct rt_server *s)
+rt_update_candidate (struct rt_server *s)
 {
   if (!s->candidate)
     return;
@@ -272,6 +275,6 @@
       w *= own / (own + TREND_REQUESTS);
       factor = pow ((t->own_tokens + 1) / (v->tokens_at_reports + 1), w);
     }
-  *taken = factor * v->others_in_slots;
-  return factor * v->others;
+  *taken = factor * v->others_holding_slots;
+  return factor * v->other_requests;
 }
--- a/route/outlier.c
+++ b/route/outlier.c
@@ -42,7 +42,7 @@
   s->ejected_until
       = r->now + (span < EJECTION_MAX_MS ? span : EJECTION_MAX_MS);
   s->probing = false;
-  t->view.current = false;
+  t->view.valid = false;
 }
 
 static int
@@ -102,7 +102,7 @@
           return;
         }
       s->ejected_until = 0;
-      t->view.current = false;
+      t->view.valid = false;
       s->first_byte_samples = 0;
     }
   s->first_byte_ms = s->first_byte_samples == 0
@@ -118,7 +118,7 @@
 void
 rt_outlier_success (struct rt *r, struct rt_target *t, struct rt_server *s)
 {
-  s->done++;
+  s->successes++;
   s->consecutive_failures = 0;
   if (!s->ejected_until)
     s->ejections = 0;
@@ -127,7 +127,7 @@
 void
 rt_outlier_failure (struct rt *r, struct rt_target *t, struct rt_server *s)
 {
-  s->failed++;
+  s->failures++;
   s->consecutive_failures++;
   if (s->probing
       || (s->consecutive_failures >= MAX_CONSECUTIVE_FAILURES
--- a/route/queue.c
+++ b/route/queue.c
@@ -5,7 +5,8 @@
 #define QUANTUM 512.0 /* tokens per round for weight 1 */
 #define MIN_WEIGHT 0.01
 #define AGING_MS 2000 /* waiting time that makes up for one class */
-#define AGED_EVERY 3  /* requests of better classes between two aged ones */
+#define REQUESTS_PER_AGED                                                     \
+  3 /* requests of better classes between two aged ones */
 
 static struct rt_flow *
 flow_of (struct rt_class *c, struct rt_account *a)
@@ -69,9 +70,10 @@
 }
 
 void
-rt_queue_push (struct rt_queue *w, struct rt_req *q, double weight, bool front)
+rt_queue_push (struct rt_queue *queue, struct rt_req *q, double weight,
+               bool front)
 {
-  struct rt_class *c = &w->classes[q->priority];
+  struct rt_class *c = &queue->classes[q->priority];
   struct rt_flow *f = flow_of (c, q->account);
   f->weight = weight < MIN_WEIGHT ? MIN_WEIGHT : weight;
   if (!f->active)
@@ -79,44 +81,44 @@
   link_flow (f, q, front);
   link_class (c, q, front);
   f->tokens += q->cost;
-  w->tokens += q->cost;
-  w->n++;
-  q->waiting = true;
+  queue->tokens += q->cost;
+  queue->n++;
+  q->queued = true;
 }
 
 void
-rt_queue_remove (struct rt_queue *w, struct rt_req *q)
+rt_queue_remove (struct rt_queue *queue, struct rt_req *q)
 {
-  struct rt_class *c = &w->classes[q->priority];
+  struct rt_class *c = &queue->classes[q->priority];
   struct rt_flow *f = q->flow;
   *(q->prev ? &q->prev->next : &f->head) = q->next;
   *(q->next ? &q->next->prev : &f->tail) = q->prev;
   *(q->older ? &q->older->newer : &c->oldest) = q->newer;
   *(q->newer ? &q->newer->older : &c->newest) = q->older;
   q->prev = q->next = q->older = q->newer = NULL;
-  q->waiting = false;
+  q->queued = false;
   f->tokens -= q->cost;
-  w->tokens -= q->cost;
-  w->n--;
+  queue->tokens -= q->cost;
+  queue->n--;
   if (!f->head)
     flow_deactivate (c, f);
 }
 
 /**
  * Strict priority with aging: a lower class whose oldest request has waited
- * AGING_MS for each class in between gets one of AGED_EVERY + 1 requests.
- * Without aging, a steady stream of urgent requests would starve the lower
- * class; without the limit, a long backlog of old requests would delay urgent
- * ones.
+ * AGING_MS for each class in between gets one of REQUESTS_PER_AGED + 1
+ * requests. Without aging, a steady stream of urgent requests would starve the
+ * lower class; without the limit, a long backlog of old requests would delay
+ * urgent ones.
  */
 static struct rt_class *
-next_class (struct rt_queue *w, clk_ms now)
+next_class (struct rt_queue *queue, clk_ms now)
 {
   struct rt_class *best = NULL, *aged = NULL;
   clk_ms longest = 0;
   for (unsigned i = 0; i < RT_CLASSES; i++)
     {
-      struct rt_class *c = &w->classes[i];
+      struct rt_class *c = &queue->classes[i];
       if (!c->first)
         continue;
       if (!best)
@@ -131,7 +133,7 @@
           aged = c;
         }
     }
-  return aged && w->since_aged >= AGED_EVERY ? aged : best;
+  return aged && queue->since_aged_request >= REQUESTS_PER_AGED ? aged : best;
 }
 
 /** Move the first active flow to the end of the list. */
@@ -148,9 +150,9 @@
 }
 
 struct rt_req *
-rt_queue_next (struct rt_queue *w, clk_ms now)
+rt_queue_next (struct rt_queue *queue, clk_ms now)
 {
-  struct rt_class *c = next_class (w, now);
+  struct rt_class *c = next_class (queue, now);
   if (!c)
     return NULL;
   /* Deficit round-robin: a flow is credited its quantum when it reaches
@@ -167,16 +169,17 @@
 }
 
 void
-rt_queue_pop (struct rt_queue *w, struct rt_req *q)
+rt_queue_pop (struct rt_queue *queue, struct rt_req *q)
 {
   unsigned better = 0;
-  while (!w->classes[better].first)
+  while (!queue->classes[better].first)
     better++;
-  w->since_aged = q->priority > better ? 0 : w->since_aged + 1;
-  struct rt_class *c = &w->classes[q->priority];
+  queue->since_aged_request
+      = q->priority > better ? 0 : queue->since_aged_request + 1;
+  struct rt_class *c = &queue->classes[q->priority];
   struct rt_flow *f = q->flow;
   f->deficit -= q->cost;
-  rt_queue_remove (w, q);
+  rt_queue_remove (queue, q);
   /* Without the rotation, a flow that has used its quantum would be
      credited the next one at once, ahead of all flows behind it. */
   if (c->first == f && f->deficit < f->head->cost)
@@ -184,11 +187,11 @@
 }
 
 struct rt_req *
-rt_queue_victim (const struct rt_queue *w)
+rt_queue_victim (const struct rt_queue *queue)
 {
   for (unsigned i = RT_CLASSES; i-- > 0;)
     {
-      const struct rt_class *c = &w->classes[i];
+      const struct rt_class *c = &queue->classes[i];
       const struct rt_flow *most = c->first;
       for (const struct rt_flow *f = c->first; f; f = f->next)
         if (f->tokens / f->weight > most->tokens / most->weight)
@@ -200,14 +203,15 @@
 }
 
 double
-rt_queue_tokens_ahead (const struct rt_queue *w, unsigned priority,
+rt_queue_tokens_ahead (const struct rt_queue *queue, unsigned priority,
                        const struct rt_account *a, double weight, double cost)
 {
   double better = 0, same = 0, own = 0, weights = 0;
   for (unsigned i = 0; i < priority; i++)
-    for (const struct rt_flow *f = w->classes[i].first; f; f = f->next)
+    for (const struct rt_flow *f = queue->classes[i].first; f; f = f->next)
       better += f->tokens;
-  for (const struct rt_flow *f = w->classes[priority].first; f; f = f->next)
+  for (const struct rt_flow *f = queue->classes[priority].first; f;
+       f = f->next)
     {
       same += f->tokens;
       if (f->account == a)
@@ -220,12 +224,12 @@
 }
 
 void
-rt_queue_clear (struct rt_queue *w)
+rt_queue_clear (struct rt_queue *queue)
 {
   for (unsigned i = 0; i < RT_CLASSES; i++)
     {
-      for (size_t k = 0; k < w->classes[i].nflows; k++)
-        free (w->classes[i].flows[k]);
-      free (w->classes[i].flows);
+      for (size_t k = 0; k < queue->classes[i].nflows; k++)
+        free (queue->classes[i].flows[k]);
+      free (queue->classes[i].flows);
     }
 }
--- a/route/request.c
+++ b/route/request.c
@@ -11,29 +11,30 @@
         "streaming", "retrying",   "reconnecting", "resending",
         "done",      "not_run",    "failed",       "unknown" };
 
-static const char *const step_names[RT_STEPS] = { "admit",
-                                                  "refuse",
-                                                  "enqueue",
-                                                  "ask",
-                                                  "claim",
-                                                  "connect",
-                                                  "granted",
-                                                  "replay",
-                                                  "claimed_elsewhere",
-                                                  "send",
-                                                  "connect_failed",
-                                                  "head",
-                                                  "refused_unrun",
-                                                  "refused_final",
-                                                  "retry",
-                                                  "fail",
-                                                  "lose",
-                                                  "body",
-                                                  "end" };
+static const char *const chart_event_names[RT_CHART_EVENTS]
+    = { "admit",
+        "refuse",
+        "enqueue",
+        "ask",
+        "claim",
+        "connect",
+        "granted",
+        "replay",
+        "claimed_elsewhere",
+        "send",
+        "connect_failed",
+        "head",
+        "refused_unrun",
+        "refused_final",
+        "retry",
+        "fail",
+        "lose",
+        "body",
+        "end" };
 
 /** Transition table of the chart, indexed by enum rt_state and enum
-    rt_step; -1: not allowed. Loaded once. */
-static signed char transitions[RT_STATES][RT_STEPS];
+    rt_apply_chart_event; -1: not allowed. Loaded once. */
+static signed char transitions[RT_STATES][RT_CHART_EVENTS];
 static bool transitions_loaded;
 
 static void
@@ -44,10 +45,10 @@
   for (int i = 0; i < RT_STATES; i++)
     back[chart_state (c, state_names[i])] = i;
   for (int i = 0; i < RT_STATES; i++)
-    for (int k = 0; k < RT_STEPS; k++)
+    for (int k = 0; k < RT_CHART_EVENTS; k++)
       {
         int to = chart_step (c, chart_state (c, state_names[i]),
-                             chart_event (c, step_names[k]));
+                             chart_event (c, chart_event_names[k]));
         transitions[i][k] = to == CHART_REFUSED ? -1 : (signed char)back[to];
       }
   transitions_loaded = true;
@@ -56,7 +57,7 @@
 /** Aborts on a transition that the chart does not allow: it is a bug in
     the core, and any outcome reported after it would be unreliable. */
 void
-rt_step (struct rt_req *q, enum rt_step x)
+rt_apply_chart_event (struct rt_req *q, enum rt_chart_event x)
 {
   if (!transitions_loaded)
     load_transitions ();
@@ -78,7 +79,7 @@
   if (q->pending)
     {
       q->server->pending--;
-      rt_server_changed (q->server);
+      rt_update_candidate (q->server);
     }
   q->pending = false;
 }
@@ -135,16 +136,16 @@
 static void
 end_claim (struct rt *r, struct rt_req *q)
 {
-  if (q->claimed)
+  if (q->claim_requested)
     rt_push_action (r, q->sent ? RT_ACT_FINISH : RT_ACT_RELEASE, q);
-  q->claimed = false;
+  q->claim_requested = false;
 }
 
 /** Leave the queue, cancel the attempt and end the claim. */
 void
 rt_cancel_work (struct rt *r, struct rt_req *q)
 {
-  if (q->waiting)
+  if (q->queued)
     rt_queue_remove (&q->target->queue, q);
   if (rt_has_server (q) && q->state >= RT_S_CONNECTING)
     rt_push_action (r, RT_ACT_CANCEL, q);
@@ -154,7 +155,8 @@
 
 /** Send the final error response, or abort a forwarded one. */
 void
-rt_answer (struct rt *r, struct rt_req *q, enum rt_code code, clk_ms retry_ms)
+rt_respond_error (struct rt *r, struct rt_req *q, enum rt_code code,
+                  clk_ms retry_ms)
 {
   if (q->forwarding)
     {
@@ -180,8 +182,8 @@
   rt_cancel_work (r, q);
   if (q->charged)
     rt_limit_correct (q->account, q->cost, 0);
-  rt_step (q, RT_X_REFUSE);
-  rt_answer (r, q, code, retry_ms);
+  rt_apply_chart_event (q, RT_X_REFUSE);
+  rt_respond_error (r, q, code, retry_ms);
 }
 
 /** End a request that may have run. An idempotent one gets `failed`, as it may
@@ -190,8 +192,8 @@
 rt_give_up (struct rt *r, struct rt_req *q, enum rt_code code)
 {
   rt_cancel_work (r, q);
-  rt_step (q, q->idempotent ? RT_X_FAIL : RT_X_LOSE);
-  rt_answer (r, q, code, q->idempotent ? RT_DEFAULT_RETRY_MS : 0);
+  rt_apply_chart_event (q, q->idempotent ? RT_X_FAIL : RT_X_LOSE);
+  rt_respond_error (r, q, code, q->idempotent ? RT_DEFAULT_RETRY_MS : 0);
 }
 
 bool
@@ -235,8 +237,8 @@
 void
 rt_start_claim (struct rt *r, struct rt_req *q)
 {
-  rt_step (q, RT_X_CLAIM);
-  q->claimed = true;
+  rt_apply_chart_event (q, RT_X_CLAIM);
+  q->claim_requested = true;
   rt_push_action (r, RT_ACT_CLAIM, q);
   clk_ms at = r->now + CLAIM_TIMEOUT_MS;
   rt_set_timer (r, q, q->deadline && q->deadline < at ? q->deadline : at);
@@ -260,7 +262,7 @@
       rt_start_claim (r, q);
       return;
     }
-  rt_step (q, RT_X_CONNECT);
+  rt_apply_chart_event (q, RT_X_CONNECT);
   start_connect (r, q);
 }
 
@@ -275,7 +277,7 @@
         return;
       rt_queue_pop (&t->queue, q);
       rt_dispatch (r, q, s);
-      rt_slot_report_taken (r, q);
+      rt_slot_report_local (r, q);
     }
 }
 
@@ -289,13 +291,13 @@
     {
     case CLM_GRANTED:
       q->granted_at = r->now;
-      rt_step (q, RT_X_GRANTED);
+      rt_apply_chart_event (q, RT_X_GRANTED);
       start_connect (r, q);
       return;
     case CLM_ANSWERED:
-      q->claimed = false;
+      q->claim_requested = false;
       rt_cancel_work (r, q);
-      rt_step (q, RT_X_REPLAY);
+      rt_apply_chart_event (q, RT_X_REPLAY);
       rt_push_action (r, RT_ACT_REPLAY, q);
       rt_end_request (r, q);
       return;
@@ -303,17 +305,17 @@
     case CLM_UNKNOWN:
       /* This request was not sent, but its outcome is that of the key,
          under which another request is running or has run. */
-      q->claimed = false;
+      q->claim_requested = false;
       rt_cancel_work (r, q);
-      rt_step (q, RT_X_CLAIMED_ELSEWHERE);
-      rt_answer (r, q,
-                 verdict == CLM_RUNNING ? RT_CODE_CLAIM_RUNNING
-                                        : RT_CODE_CLAIM_UNKNOWN,
-                 verdict == CLM_RUNNING ? rt_clamp_retry ((double)retry_ms)
-                                        : 0);
+      rt_apply_chart_event (q, RT_X_CLAIMED_ELSEWHERE);
+      rt_respond_error (
+          r, q,
+          verdict == CLM_RUNNING ? RT_CODE_CLAIM_RUNNING
+                                 : RT_CODE_CLAIM_UNKNOWN,
+          verdict == CLM_RUNNING ? rt_clamp_retry ((double)retry_ms) : 0);
       return;
     case CLM_MISMATCH:
-      q->claimed = false;
+      q->claim_requested = false;
       rt_refuse (r, q, RT_CODE_CLAIM_MISMATCH, 0);
       return;
     default:
@@ -331,7 +333,7 @@
    * as the key is remembered. If it completes, its response is stored and
    * replayed to the repeated request.
    */
-  if (q->claimed && q->sent)
+  if (q->claim_requested && q->sent)
     return;
   rt_cancel_work (r, q);
   rt_end_request (r, q);
@@ -344,14 +346,14 @@
     fail_request (r, q, RT_CODE_DEADLINE, RT_DEFAULT_RETRY_MS);
   else if (q->state == RT_S_ASKING)
     rt_on_slot_timeout (r, q);
-  else if (q->waiting && r->now >= rt_queue_deadline (q))
+  else if (q->queued && r->now >= rt_queue_deadline (q))
     fail_request (r, q,
                   rt_has_usable_server (r, q->target) ? RT_CODE_QUEUE_FULL
                                                       : RT_CODE_NO_REPLICA,
                   RT_DEFAULT_RETRY_MS);
   else if (q->state == RT_S_CLAIMING)
     rt_refuse (r, q, RT_CODE_STORE, RT_DEFAULT_RETRY_MS);
-  else if (!q->waiting && !rt_has_server (q))
+  else if (!q->queued && !rt_has_server (q))
     {
       struct rt_target *t = q->target;
       rt_enqueue (r, q, true);
--- a/route/retry.c
+++ b/route/retry.c
@@ -14,11 +14,11 @@
 bool
 rt_retry_spend (struct rt *r, struct rt_target *t)
 {
-  if (t->retry_at == 0)
+  if (t->retry_budget_at == 0)
     t->retry_budget = BUDGET_START;
   else
-    t->retry_budget += CREDIT_PER_MS * (double)(r->now - t->retry_at);
-  t->retry_at = r->now;
+    t->retry_budget += CREDIT_PER_MS * (double)(r->now - t->retry_budget_at);
+  t->retry_budget_at = r->now;
   if (t->retry_budget > BUDGET_MAX)
     t->retry_budget = BUDGET_MAX;
   if (t->retry_budget < 1)
--- a/route/route.c
+++ b/route/route.c
@@ -146,11 +146,11 @@
   *at = q->hash_next;
   rt_cancel_timer (r, q);
   if (q->account)
-    q->account->open--;
+    q->account->open_requests--;
   if (q->cfg)
     cfg_unref (q->cfg);
   free (q);
-  r->open--;
+  r->open_requests--;
 }
 
 /* --- targets and servers ----------------------------------------------- */
@@ -224,7 +224,7 @@
         server_free (t->servers[i]);
       }
   t->nservers = kept;
-  t->view.current = false;
+  t->view.valid = false;
 }
 
 static void
@@ -242,7 +242,7 @@
 }
 
 static void
-config_service (struct rt *r, const struct cfg_service *c)
+apply_service_config (struct rt *r, const struct cfg_service *c)
 {
   struct rt_target *t = rt_target (r, c->name, false);
   for (size_t i = 0; i < t->nservers; i++)
@@ -252,7 +252,7 @@
       const struct cfg_backend *b = &c->backends[i];
       struct rt_server *s = get_server (t, b->name);
       server_set_location (r, s, b->zone, &b->addr);
-      s->whole = true;
+      s->complete = true;
       s->valid_until = CLK_NEVER;
       s->observe = c->mode == CFG_OBSERVE;
       s->capacity = c->capacity;
@@ -261,7 +261,7 @@
 
 /** Set the fields of a replica that come from the configuration. */
 static void
-config_replica (struct rt *r, struct rt_target *t, struct rt_server *s)
+apply_replica_config (struct rt *r, struct rt_target *t, struct rt_server *s)
 {
   struct str name = str_from (s->name);
   const struct cfg_model *m
@@ -279,11 +279,11 @@
   for (size_t i = 0; i < r->ntargets; i++)
     for (size_t k = 0; k < r->targets[i]->nservers; k++)
       if (r->targets[i]->is_model)
-        config_replica (r, r->targets[i], r->targets[i]->servers[k]);
+        apply_replica_config (r, r->targets[i], r->targets[i]->servers[k]);
       else
         r->targets[i]->servers[k]->listed = false;
   for (size_t i = 0; i < cfg->nservices; i++)
-    config_service (r, &cfg->services[i]);
+    apply_service_config (r, &cfg->services[i]);
   for (size_t i = 0; i < r->ntargets; i++)
     free_unlisted_servers (r->targets[i]);
   rt_limit_config (r);
@@ -307,10 +307,10 @@
       s->ejections = s->consecutive_failures = s->first_byte_samples = 0;
       s->probing = false;
     }
-  s->whole = v->whole;
+  s->complete = v->whole;
   s->draining = v->draining;
   s->valid_until = v->valid_until;
-  config_replica (r, t, s);
+  apply_replica_config (r, t, s);
   rt_server_set_reported_load (r, t, s, v->load, v->load_at);
 }
 
@@ -342,7 +342,7 @@
       if (r->targets[i]->servers[k]->hash == hash)
         {
           r->targets[i]->servers[k]->down = down;
-          r->targets[i]->view.current = false;
+          r->targets[i]->view.valid = false;
         }
 }
 
@@ -416,7 +416,7 @@
     case RT_EV_ARRIVE:
       if (find_request (r, ev->request->id))
         return;
-      if (r->open >= r->table_size)
+      if (r->open_requests >= r->table_size)
         table_grow (r);
       rt_on_arrive (r, ev->request);
       return;
@@ -485,7 +485,7 @@
 size_t
 rt_open_requests (const struct rt *r)
 {
-  return r->open;
+  return r->open_requests;
 }
 
 clk_ms
@@ -512,7 +512,7 @@
       r->demands[i].tokens_per_s = a->requested_tokens * 1000 / span;
       r->demands[i].concurrency = (double)a->peak_open;
       a->requested_tokens = 0;
-      a->peak_open = a->open;
+      a->peak_open = a->open_requests;
       a->demand_at = now;
     }
   *n = r->naccounts;
@@ -534,8 +534,8 @@
         r->views[(*n)++] = (struct rt_target_view){
           .name = str_from (s->name),
           .in_flight = s->in_flight,
-          .done = s->done,
-          .failed = s->failed,
+          .done = s->successes,
+          .failed = s->failures,
           .ejected = s->ejected_until != 0,
         };
       }
--- a/route/share.c
+++ b/route/share.c
@@ -35,7 +35,7 @@
   double target;
 };
 
-struct member
+struct node_share
 {
   char *node;
   bool listed; /**< listed by shr_nodes() */
@@ -50,7 +50,7 @@
   bool home;
   clk_ms grants_from; /**< a new home grants nothing until then */
   double limit[LIMIT_KINDS];
-  struct member *members;
+  struct node_share *node_shares;
   size_t n;
 };
 
@@ -84,8 +84,8 @@
 free_account (struct account *a)
 {
   for (size_t i = 0; i < a->n; i++)
-    free (a->members[i].node);
-  free (a->members);
+    free (a->node_shares[i].node);
+  free (a->node_shares);
   free (a->name);
   free (a);
 }
@@ -128,25 +128,27 @@
   return a;
 }
 
-static struct member *
-member_of (struct account *a, struct str node)
+static struct node_share *
+get_node_share (struct account *a, struct str node)
 {
   for (size_t i = 0; i < a->n; i++)
-    if (str_is (node, a->members[i].node))
-      return &a->members[i];
-  a->members = xrealloc (a->members, (a->n + 1) * sizeof *a->members);
-  a->members[a->n] = (struct member){ .node = str_dup (node),
-                                      .demand_at = -SHR_DEMAND_TIMEOUT_MS };
-  return &a->members[a->n++];
+    if (str_is (node, a->node_shares[i].node))
+      return &a->node_shares[i];
+  a->node_shares
+      = xrealloc (a->node_shares, (a->n + 1) * sizeof *a->node_shares);
+  a->node_shares[a->n]
+      = (struct node_share){ .node = str_dup (node),
+                             .demand_at = -SHR_DEMAND_TIMEOUT_MS };
+  return &a->node_shares[a->n++];
 }
 
 static void
-sync_members (const struct shr *s, struct account *a)
+sync_node_shares (const struct shr *s, struct account *a)
 {
   for (size_t i = 0; i < a->n; i++)
-    a->members[i].listed = false;
+    a->node_shares[i].listed = false;
   for (size_t i = 0; i < s->nnodes; i++)
-    member_of (a, str_from (s->nodes[i]))->listed = true;
+    get_node_share (a, str_from (s->nodes[i]))->listed = true;
 }
 
 void
@@ -163,7 +165,7 @@
   a->home = home;
   a->limit[RATE] = limit->tokens_per_s;
   a->limit[CONCURRENCY] = limit->concurrency;
-  sync_members (s, a);
+  sync_node_shares (s, a);
 }
 
 void
@@ -191,7 +193,7 @@
   for (size_t i = 0; i < n; i++)
     s->nodes[i] = str_dup (names[i]);
   for (size_t i = 0; i < s->n; i++)
-    sync_members (s, s->accounts[i]);
+    sync_node_shares (s, s->accounts[i]);
 }
 
 void
@@ -199,17 +201,17 @@
             const struct shr_amount *demand)
 {
   struct account *a = find_account (s, account);
-  struct member *m;
+  struct node_share *m;
   if (a == NULL)
     return;
-  m = member_of (a, node);
+  m = get_node_share (a, node);
   m->demand_at = now;
   m->limits[RATE].demand = demand->tokens_per_s;
   m->limits[CONCURRENCY].demand = demand->concurrency;
 }
 
 static bool
-is_reachable (const struct member *m, clk_ms now)
+is_reachable (const struct node_share *m, clk_ms now)
 {
   return now - m->demand_at < SHR_DEMAND_TIMEOUT_MS;
 }
@@ -227,7 +229,7 @@
     grant: a gateway without a new grant decays from it to an even part, so
     granting the rest at once would exceed the limit. */
 static double
-max_usage (const struct member *m, int kind, double even, clk_ms now)
+max_usage (const struct node_share *m, int kind, double even, clk_ms now)
 {
   const struct node_limit *p = &m->limits[kind];
   double granted = remaining_grant (p->granted, p->granted_until, even, now);
@@ -249,22 +251,22 @@
   for (;;)
     {
       double used = 0, next = INFINITY;
-      size_t open = 0;
+      size_t unsatisfied = 0;
       for (size_t i = 0; i < a->n; i++)
         {
-          const struct member *m = &a->members[i];
+          const struct node_share *m = &a->node_shares[i];
           double want = m->limits[kind].target;
           if (!is_reachable (m, now))
             continue;
           used += fmin (want, level);
-          open += want > level;
+          unsatisfied += want > level;
           if (want > level)
             next = fmin (next, want);
         }
-      if (open == 0)
+      if (unsatisfied == 0)
         return INFINITY;
       double rest = budget - used;
-      double step = rest / (double)open;
+      double step = rest / (double)unsatisfied;
       if (rest <= 0 || step <= next - level)
         return level + fmax (step, 0);
       level = next;
@@ -276,7 +278,7 @@
 {
   for (size_t i = 0; i < a->n; i++)
     {
-      struct node_limit *p = &a->members[i].limits[kind];
+      struct node_limit *p = &a->node_shares[i].limits[kind];
       p->target = fmax (p->demand * HEADROOM, even * IDLE_FRACTION);
     }
 }
@@ -290,7 +292,7 @@
   double reserved = 0;
   for (size_t i = 0; i < a->n; i++)
     {
-      const struct member *m = &a->members[i];
+      const struct node_share *m = &a->node_shares[i];
       if (!is_reachable (m, now))
         reserved
             += fmax (max_usage (m, kind, even, now), m->listed ? even : 0);
@@ -308,10 +310,10 @@
   double total_usage = 0, growth = 0;
   for (size_t i = 0; i < a->n; i++)
     {
-      struct node_limit *p = &a->members[i].limits[kind];
-      if (!is_reachable (&a->members[i], now))
+      struct node_limit *p = &a->node_shares[i].limits[kind];
+      if (!is_reachable (&a->node_shares[i], now))
         continue;
-      double peak = max_usage (&a->members[i], kind, even, now);
+      double peak = max_usage (&a->node_shares[i], kind, even, now);
       p->target = fmin (p->target, level);
       total_usage += peak;
       growth += fmax (p->target - peak, 0);
@@ -320,9 +322,9 @@
   double fraction = growth > room ? room / growth : 1;
   for (size_t i = 0; i < a->n; i++)
     {
-      struct node_limit *p = &a->members[i].limits[kind];
-      double peak = max_usage (&a->members[i], kind, even, now);
-      if (!is_reachable (&a->members[i], now))
+      struct node_limit *p = &a->node_shares[i].limits[kind];
+      double peak = max_usage (&a->node_shares[i], kind, even, now);
+      if (!is_reachable (&a->node_shares[i], now))
         continue;
       p->granted = p->target <= peak ? p->target
                                      : peak + fraction * (p->target - peak);
@@ -354,7 +356,7 @@
 {
   for (size_t i = 0; i < a->n; i++)
     {
-      const struct member *m = &a->members[i];
+      const struct node_share *m = &a->node_shares[i];
       if (!is_reachable (m, now))
         continue;
       s->grants = xrealloc (s->grants, (s->ngrants + 1) * sizeof *s->grants);
--- a/route/slot.c
+++ b/route/slot.c
@@ -3,8 +3,8 @@
 #include "route/core.h"
 
 /* Consecutive timeouts after which the home is not asked. */
-#define MAX_SLOT_TIMEOUTS 3
-#define ASKS_PAUSE_MS 2000 /* pause of slot requests after these */
+#define SLOT_TIMEOUTS_BEFORE_PAUSE 3
+#define SLOT_REQUEST_PAUSE_MS 2000 /* pause of slot requests after these */
 
 static struct rt_action *
 push_action (struct rt *r, enum rt_action_kind kind, const struct rt_req *q)
@@ -21,19 +21,19 @@
 }
 
 static bool
-may_ask_home (const struct rt *r, const struct rt_target *t)
+may_request_slot (const struct rt *r, const struct rt_target *t)
 {
-  return t->has_home && r->now >= t->slot_asks_paused_until;
+  return t->has_home && r->now >= t->slot_requests_paused_until;
 }
 
 bool
-rt_slot_ask (struct rt *r, struct rt_req *q)
+rt_request_slot (struct rt *r, struct rt_req *q)
 {
   clk_ms wait = q->cfg->limits.slot_ms;
-  if (!may_ask_home (r, q->target) || wait == 0)
+  if (!may_request_slot (r, q->target) || wait == 0)
     return false;
-  rt_step (q, RT_X_ASK);
-  q->has_slot = true;
+  rt_apply_chart_event (q, RT_X_ASK);
+  q->registered_at_home = true;
   q->queued_at = r->now;
   clk_ms at = r->now + wait;
   rt_set_timer (r, q, q->deadline && q->deadline < at ? q->deadline : at);
@@ -46,7 +46,7 @@
 static void
 enqueue_locally (struct rt *r, struct rt_req *q)
 {
-  rt_step (q, RT_X_ENQUEUE);
+  rt_apply_chart_event (q, RT_X_ENQUEUE);
   rt_enqueue (r, q, false);
 }
 
@@ -66,25 +66,25 @@
   struct rt_target *t = rt_target (r, model, true);
   t->has_home = on;
   t->slot_timeouts = 0;
-  t->slot_asks_paused_until = 0;
+  t->slot_requests_paused_until = 0;
   if (on)
     return;
   enqueue_all_locally (r, t);
   rt_dispatch_queued (r, t);
 }
 
-/** The home did not reply in time. After MAX_SLOT_TIMEOUTS timeouts it counts
-    as stopped or unreachable: further requests would wait for a reply in vain,
-    and those queued there would never be granted. */
+/** The home did not reply in time. After SLOT_TIMEOUTS_BEFORE_PAUSE timeouts
+   it counts as stopped or unreachable: further requests would wait for a reply
+   in vain, and those queued there would never be granted. */
 static void
-on_unanswered (struct rt *r, struct rt_req *q)
+on_no_slot_reply (struct rt *r, struct rt_req *q)
 {
   struct rt_target *t = q->target;
   enqueue_locally (r, q);
-  if (++t->slot_timeouts >= MAX_SLOT_TIMEOUTS)
+  if (++t->slot_timeouts >= SLOT_TIMEOUTS_BEFORE_PAUSE)
     {
       t->slot_timeouts = 0;
-      t->slot_asks_paused_until = r->now + ASKS_PAUSE_MS;
+      t->slot_requests_paused_until = r->now + SLOT_REQUEST_PAUSE_MS;
       enqueue_all_locally (r, t);
     }
   rt_dispatch_queued (r, t);
@@ -99,7 +99,7 @@
                                                    : RT_CODE_NO_REPLICA,
                RT_DEFAULT_RETRY_MS);
   else
-    on_unanswered (r, q);
+    on_no_slot_reply (r, q);
 }
 
 /** The granted server, or NULL if this gateway considers it unusable. */
@@ -112,9 +112,10 @@
       struct rt_server *s = q->target->servers[i];
       if (s->hash != hash || !str_is (name, s->name))
         continue;
-      bool in = s->ejected_until == 0
-                || (q->idempotent && rt_outlier_probe_due (r, s));
-      return in && rt_is_usable (r, s) && !rt_was_tried (q, s) ? s : NULL;
+      bool eligible = s->ejected_until == 0
+                      || (q->idempotent && rt_outlier_probe_due (r, s));
+      return eligible && rt_is_usable (r, s) && !rt_was_tried (q, s) ? s
+                                                                     : NULL;
     }
   return NULL;
 }
@@ -125,7 +126,7 @@
   struct rt_server *s = granted_server (r, q, name);
   if (s)
     {
-      if (q->waiting)
+      if (q->queued)
         rt_queue_remove (&q->target->queue, q);
       rt_dispatch (r, q, s);
       return;
@@ -142,7 +143,8 @@
 {
   bool asking = q->state == RT_S_ASKING;
   /* Ignore a reply after a local decision and a second reply. */
-  if (!q->has_slot || (!asking && (q->state != RT_S_QUEUED || !q->waiting)))
+  if (!q->registered_at_home
+      || (!asking && (q->state != RT_S_QUEUED || !q->queued)))
     return;
   q->target->slot_timeouts = 0;
   if (ev->slot == RT_SLOT_GRANTED)
@@ -159,20 +161,20 @@
 }
 
 void
-rt_slot_report_taken (struct rt *r, struct rt_req *q)
+rt_slot_report_local (struct rt *r, struct rt_req *q)
 {
   if (!q->target->has_home || !q->server)
     return;
-  q->has_slot = true;
+  q->registered_at_home = true;
   push_action (r, RT_ACT_SLOT_TAKEN, q)->name = str_from (q->server->name);
 }
 
 void
 rt_slot_release (struct rt *r, struct rt_req *q)
 {
-  if (!q->has_slot)
+  if (!q->registered_at_home)
     return;
-  q->has_slot = false;
+  q->registered_at_home = false;
   struct rt_action *a = push_action (r, RT_ACT_SLOT_DONE, q);
   a->slot.first_ms = q->complete ? q->first_byte_ms : 0;
   a->slot.failed = q->attempt_failed;
@@ -182,7 +184,7 @@
 const struct rt_slot *
 rt_held_slots (struct rt *r, struct str model, size_t *n)
 {
-  r->slots = xrealloc (r->slots, (r->open + 1) * sizeof *r->slots);
+  r->slots = xrealloc (r->slots, (r->open_requests + 1) * sizeof *r->slots);
   *n = 0;
   for (size_t i = 0; i < r->table_size; i++)
     for (const struct rt_req *q = r->table[i]; q; q = q->hash_next)
--- a/route/slots.c
+++ b/route/slots.c
@@ -17,10 +17,10 @@
 #define RETRY_MS 1000
 
 /** A request that is queued here or holds a slot. */
-struct entry
+struct tracked_request
 {
   struct rt_req q; /* first member: cast from the queue's result */
-  struct entry *chain;
+  struct tracked_request *hash_next;
   uint32_t gateway;
   clk_ms reported_at; /* last report of the slot by its gateway */
 };
@@ -31,7 +31,7 @@
   struct rt *core;
   struct rt_target *target;
   struct rt_queue queue;
-  struct entry *table[TABLE_SIZE];
+  struct tracked_request *table[TABLE_SIZE];
   struct slt_action *actions;
   size_t act_head, act_n, act_cap;
   clk_ms now;
@@ -44,21 +44,22 @@
 
 /* --- entries ------------------------------------------------------------ */
 
-static struct entry **
-find_entry (struct slt *s, uint32_t gateway, uint64_t id)
+static struct tracked_request **
+find_request (struct slt *s, uint32_t gateway, uint64_t id)
 {
   uint64_t h = (id ^ (uint64_t)gateway << 40) * 0x9e3779b97f4a7c15u;
-  struct entry **at = &s->table[h >> 52];
+  struct tracked_request **at = &s->table[h >> 52];
   while (*at && ((*at)->q.id != id || (*at)->gateway != gateway))
-    at = &(*at)->chain;
+    at = &(*at)->hash_next;
   return at;
 }
 
-static struct entry *
-entry_new (struct slt *s, const struct slt_event *ev, uint64_t id, double cost)
+static struct tracked_request *
+request_new (struct slt *s, const struct slt_event *ev, uint64_t id,
+             double cost)
 {
-  struct entry **at = find_entry (s, ev->gateway, id);
-  struct entry *e = xcalloc (1, sizeof *e);
+  struct tracked_request **at = find_request (s, ev->gateway, id);
+  struct tracked_request *e = xcalloc (1, sizeof *e);
   e->gateway = ev->gateway;
   e->q.id = id;
   e->q.cost = cost > 1 ? cost : 1;
@@ -68,7 +69,8 @@
 }
 
 static void
-assign_server (struct slt *s, struct entry *e, struct rt_server *server)
+assign_server (struct slt *s, struct tracked_request *e,
+               struct rt_server *server)
 {
   e->q.server = server;
   e->q.started_at = e->reported_at = s->now;
@@ -77,12 +79,12 @@
 
 /** Remove the entry from the queue and free its slot. */
 static void
-entry_free (struct slt *s, struct entry **at)
+request_free (struct slt *s, struct tracked_request **at)
 {
-  struct entry *e = *at;
+  struct tracked_request *e = *at;
   if (!e)
     return;
-  if (e->q.waiting)
+  if (e->q.queued)
     rt_queue_remove (&s->queue, &e->q);
   if (e->q.server)
     {
@@ -90,12 +92,13 @@
         e->q.server->probing = false;
       rt_server_remove_request (s->core, s->target, e->q.server, e->q.cost);
     }
-  *at = e->chain;
+  *at = e->hash_next;
   free (e);
 }
 
 static struct slt_action *
-push_action (struct slt *s, enum rt_slot_reply reply, const struct entry *e)
+push_action (struct slt *s, enum rt_slot_reply reply,
+             const struct tracked_request *e)
 {
   if (s->act_n == s->act_cap)
     {
@@ -110,12 +113,13 @@
 }
 
 static void
-refuse (struct slt *s, struct entry *e, enum rt_code code, clk_ms retry_ms)
+refuse (struct slt *s, struct tracked_request *e, enum rt_code code,
+        clk_ms retry_ms)
 {
   struct slt_action *a = push_action (s, RT_SLOT_REFUSED, e);
   a->code = code;
   a->retry_ms = retry_ms;
-  entry_free (s, find_entry (s, e->gateway, e->q.id));
+  request_free (s, find_request (s, e->gateway, e->q.id));
 }
 
 /* --- choice of the replica ---------------------------------------------- */
@@ -129,32 +133,34 @@
 }
 
 static bool
-has_prefix (const struct rt_grant_history *w, uint64_t prefix)
+has_prefix (const struct rt_grant_history *history, uint64_t prefix)
 {
   for (unsigned i = 0; i < RT_MAX_PREFIXES; i++)
-    if (w->prefixes[i] == prefix)
+    if (history->prefixes[i] == prefix)
       return true;
   return false;
 }
 
 /** Move the prefix to the front of the LRU list; the last one is evicted. */
 static void
-move_prefix_to_front (struct rt_grant_history *w, uint64_t prefix)
+move_prefix_to_front (struct rt_grant_history *history, uint64_t prefix)
 {
   unsigned at = 0;
-  while (at < RT_MAX_PREFIXES - 1 && w->prefixes[at] != prefix)
+  while (at < RT_MAX_PREFIXES - 1 && history->prefixes[at] != prefix)
     at++;
-  memmove (w->prefixes + 1, w->prefixes, at * sizeof w->prefixes[0]);
-  w->prefixes[0] = prefix;
+  memmove (history->prefixes + 1, history->prefixes,
+           at * sizeof history->prefixes[0]);
+  history->prefixes[0] = prefix;
 }
 
 /** Grants that are probably still without a first byte. */
 static unsigned
-pending (const struct slt *s, const struct rt_grant_history *w)
+pending (const struct slt *s, const struct rt_grant_history *history)
 {
   unsigned n = 0;
   for (unsigned i = 0; i < RT_MAX_GRANT_TIMES; i++)
-    n += w->times[i] && (double)(s->now - w->times[i]) < s->first_byte_ms;
+    n += history->times[i]
+         && (double)(s->now - history->times[i]) < s->first_byte_ms;
   return n;
 }
 
@@ -169,9 +175,9 @@
 unreported_load (const struct slt *s, const struct rt_server *server)
 {
   if (server->load_at <= s->grants_from
-      || server->others <= REPORT_ERROR_REQUESTS)
+      || server->other_requests <= REPORT_ERROR_REQUESTS)
     return 0;
-  return server->others - REPORT_ERROR_REQUESTS;
+  return server->other_requests - REPORT_ERROR_REQUESTS;
 }
 
 /**
@@ -210,10 +216,11 @@
       if (!rt_is_usable (s->core, server) || load > server->capacity - 1
           || !is_eligible (s, server, q))
         continue;
-      const struct rt_grant_history *w = grants_of (server);
-      double score = pending (s, w) + LOAD_SCORE * load / server->capacity;
+      const struct rt_grant_history *history = grants_of (server);
+      double score
+          = pending (s, history) + LOAD_SCORE * load / server->capacity;
       if (q->prefix && (!best || score < least))
-        score += !has_prefix (w, q->prefix);
+        score += !has_prefix (history, q->prefix);
       if (best && score >= least)
         continue;
       best = server;
@@ -224,14 +231,14 @@
 }
 
 static void
-grant (struct slt *s, struct entry *e, struct rt_server *server)
+grant (struct slt *s, struct tracked_request *e, struct rt_server *server)
 {
-  struct rt_grant_history *w = grants_of (server);
+  struct rt_grant_history *history = grants_of (server);
   if (server->ejected_until)
     server->probing = e->q.probe = true;
-  w->times[w->next++ % RT_MAX_GRANT_TIMES] = s->now;
+  history->times[history->next++ % RT_MAX_GRANT_TIMES] = s->now;
   if (e->q.prefix)
-    move_prefix_to_front (w, e->q.prefix);
+    move_prefix_to_front (history, e->q.prefix);
   assign_server (s, e, server);
   push_action (s, RT_SLOT_GRANTED, e)->replica = str_from (server->name);
 }
@@ -248,7 +255,7 @@
       if (!server)
         return;
       rt_queue_pop (&s->queue, q);
-      grant (s, (struct entry *)q, server);
+      grant (s, (struct tracked_request *)q, server);
     }
 }
 
@@ -263,7 +270,8 @@
 /** Whether the request would miss its deadline at the recent processing
     rate. */
 static bool
-misses_deadline (const struct slt *s, const struct entry *e, double weight)
+misses_deadline (const struct slt *s, const struct tracked_request *e,
+                 double weight)
 {
   const struct rt_target *t = s->target;
   if (!e->q.deadline)
@@ -289,18 +297,18 @@
 refuse_excess (struct slt *s)
 {
   while (queue_overfull (s))
-    refuse (s, (struct entry *)rt_queue_victim (&s->queue), RT_CODE_QUEUE_FULL,
-            RETRY_MS);
+    refuse (s, (struct tracked_request *)rt_queue_victim (&s->queue),
+            RT_CODE_QUEUE_FULL, RETRY_MS);
 }
 
 static void
 on_ask (struct slt *s, const struct slt_event *ev)
 {
-  if (*find_entry (s, ev->gateway, ev->id))
+  if (*find_request (s, ev->gateway, ev->id))
     return; /* already added by the gateway's list */
   const struct cfg_account *a = account_config (s, ev->account);
   double weight = a && a->weight > 0 ? a->weight : 1;
-  struct entry *e = entry_new (s, ev, ev->id, ev->cost);
+  struct tracked_request *e = request_new (s, ev, ev->id, ev->cost);
   e->q.account = rt_account (s->core, ev->account);
   e->q.priority
       = (uint8_t)(ev->priority < RT_CLASSES ? ev->priority : RT_CLASSES - 1);
@@ -314,7 +322,7 @@
     }
   rt_queue_push (&s->queue, &e->q, weight, false);
   grant_queued (s);
-  if (e->q.waiting)
+  if (e->q.queued)
     {
       push_action (s, RT_SLOT_QUEUED, e);
       refuse_excess (s);
@@ -336,7 +344,7 @@
 on_slot_report (struct slt *s, const struct slt_event *ev,
                 const struct rt_slot *o)
 {
-  struct entry **at = find_entry (s, ev->gateway, o->id);
+  struct tracked_request **at = find_request (s, ev->gateway, o->id);
   struct rt_server *server = find_server (s, o->replica);
   if (*at && (*at)->q.server == server)
     {
@@ -344,13 +352,13 @@
       return;
     }
   if (*at)
-    entry_free (s, at);
+    request_free (s, at);
   if (server)
-    assign_server (s, entry_new (s, ev, o->id, o->cost), server);
+    assign_server (s, request_new (s, ev, o->id, o->cost), server);
 }
 
 static void
-on_slot_list (struct slt *s, const struct slt_event *ev)
+on_held_slots (struct slt *s, const struct slt_event *ev)
 {
   for (size_t i = 0; i < ev->n; i++)
     on_slot_report (s, ev, &ev->open[i]);
@@ -366,8 +374,8 @@
     limits their load, and ejected they would be missing (p99 317 against 301
     in nairobi with a straggler). */
 static void
-record_result (struct slt *s, struct rt_server *server,
-               const struct slt_event *ev)
+record_attempt_result (struct slt *s, struct rt_server *server,
+                       const struct slt_event *ev)
 {
   if (ev->failed)
     rt_outlier_failure (s->core, s->target, server);
@@ -383,11 +391,11 @@
 static void
 on_done (struct slt *s, const struct slt_event *ev)
 {
-  struct entry **at = find_entry (s, ev->gateway, ev->id);
+  struct tracked_request **at = find_request (s, ev->gateway, ev->id);
   if (!*at)
     return;
   if ((*at)->q.server)
-    record_result (s, (*at)->q.server, ev);
+    record_attempt_result (s, (*at)->q.server, ev);
   if (ev->first_ms > 0)
     {
       const struct rt_req *q = &(*at)->q;
@@ -396,11 +404,11 @@
       average (&s->target->ms_per_token,
                (double)(s->now - q->started_at) / q->cost);
     }
-  entry_free (s, at);
+  request_free (s, at);
 }
 
 static bool
-is_stale (const struct slt *s, const struct entry *e)
+is_stale (const struct slt *s, const struct tracked_request *e)
 {
   return e->q.server && s->now - e->reported_at > SLT_SLOT_TIMEOUT_MS;
 }
@@ -413,11 +421,11 @@
 {
   s->stale_checked_at = s->now;
   for (size_t i = 0; i < TABLE_SIZE; i++)
-    for (struct entry **at = &s->table[i]; *at;)
+    for (struct tracked_request **at = &s->table[i]; *at;)
       if (is_stale (s, *at))
-        entry_free (s, at);
+        request_free (s, at);
       else
-        at = &(*at)->chain;
+        at = &(*at)->hash_next;
 }
 
 /** Drop the queued requests of an unreachable gateway: their grants could
@@ -426,11 +434,11 @@
 drop_waiting (struct slt *s, uint32_t gateway)
 {
   for (size_t i = 0; i < TABLE_SIZE; i++)
-    for (struct entry **at = &s->table[i]; *at;)
-      if ((*at)->gateway == gateway && (*at)->q.waiting)
-        entry_free (s, at);
+    for (struct tracked_request **at = &s->table[i]; *at;)
+      if ((*at)->gateway == gateway && (*at)->q.queued)
+        request_free (s, at);
       else
-        at = &(*at)->chain;
+        at = &(*at)->hash_next;
 }
 
 static void
@@ -470,7 +478,7 @@
       on_done (s, ev);
       break;
     case SLT_EV_OPEN:
-      on_slot_list (s, ev);
+      on_held_slots (s, ev);
       break;
     case SLT_EV_GATEWAY_LOST:
       drop_waiting (s, ev->gateway);
@@ -526,7 +534,7 @@
 {
   for (size_t i = 0; i < TABLE_SIZE; i++)
     while (s->table[i])
-      entry_free (s, &s->table[i]);
+      request_free (s, &s->table[i]);
   rt_queue_clear (&s->queue);
   rt_free (s->core);
   free (s->actions);
