--- a/route/admit.c
+++ b/route/admit.c
@@ -1,6 +1,6 @@
 #include "route/core.h"
 
-#define MEASUREMENT_VALID_MS 5000 /* of a processing time */
+#define MEASUREMENT_VALID_MS 5000 /* age limit of rt_target.ms_per_token */
 #define RETRY_MIN_MS 100
 #define RETRY_MAX_MS 10000
 /* Weight of the newest sample in moving averages. */
@@ -67,8 +67,8 @@
 }
 
 /** Make room for @p q in a full queue by dropping the least important waiting
-    request, unless @p q is no better. A request refused in the queue has cost
-    no backend server any work. */
+    request, if @p q is preferable.
+ */
 static bool
 make_room (struct rt *r, struct rt_req *q, clk_ms retry_ms)
 {
@@ -83,8 +83,7 @@
                 && victim->account != q->account
                 && victim->flow->tokens / victim->flow->weight
                        > 2 * (q->cost / account_weight (q));
-  /* A request that may have run is kept, since it has used server time
-     already. */
+  /* A request that may have run has used server time already. */
   if ((!better && !fairer) || rt_may_have_run (victim))
     return false;
   rt_refuse (r, victim, RT_CODE_QUEUE_FULL, retry_ms);
--- a/route/attempt.c
+++ b/route/attempt.c
@@ -91,7 +91,7 @@
   rt_push_action (r, RT_ACT_CANCEL, q);
   mark_tried (q);
   bool never_ran = q->state == RT_S_SENDING;
-  /* The request did not run, so its claim may be released. */
+  /* No earlier attempt may have run, so the claim may be released. */
   if (never_ran)
     q->sent = false;
   bool retry = q->idempotent && may_retry (r, q);
--- a/route/choose.c
+++ b/route/choose.c
@@ -3,21 +3,22 @@
 
 #include "route/core.h"
 
-/* The constants below were tuned with `lapisline bench route`;
-   docs/DESIGN.md lists the alternatives. */
-/* Of the total capacity; more requests wait at the gateway. */
+/* Alternatives to these constants: docs/DESIGN.md; measured with
+   `lapisline bench route`. */
+/* Multiple of the total capacity above which requests wait. */
 #define DISPATCH_LOAD 1.15
-/* Share of all requests above which full servers are skipped. */
+/* A gateway with at least this part of all requests skips full servers. */
 #define MIN_OWN_PART 0.05
 /* Occupied part of all slots above which requests wait. */
 #define DISPATCH_TAKEN 0.98
-/* Bonus of a server that has the prefix cached, as part of its slots on
-   top of the mean number of this gateway's requests. */
-#define PREFIX_FACTOR 2.5 /* times the part of slots that is free */
-#define PREFIX_OFFSET 0.5 /* subtracted from it */
+/* A server with the cached prefix may get more than this gateway's mean number
+   of requests per server, by this part of its slots: FACTOR * free part -
+   OFFSET, at most MAX. */
+#define PREFIX_FACTOR 2.5
+#define PREFIX_OFFSET 0.5
 #define PREFIX_MAX 0.225
-/* Below this bound the gateway has hardly any request per server, so its own
-   count can't prevent all gateways from choosing one prefix's server. */
+/* Prefixes are ignored below this bound: with hardly any request per server,
+   a gateway's own count can't keep all gateways from choosing the same one. */
 #define PREFIX_MIN_BOUND 0.5
 
 bool
@@ -47,9 +48,9 @@
  * priority classes and fair shares; the servers have neither. Requests are
  * held back only if both conditions hold: there are more requests than slots
  * (requests that wait at one server while another is free are no reason to
- * hold back more), and hardly any slot is free. A gateway may always use its
- * even part: otherwise the gateways that hold the slots would keep them
- * permanently, as each freed slot is visible to its holder first.
+ * hold back more), and hardly any slot is free. A gateway may always use
+ * capacity / number of gateways: it sees its own freed slots first, so the
+ * gateways that hold slots would otherwise keep them permanently.
  */
 static bool
 may_dispatch (const struct rt *r, const struct rt_target *t, double others,
@@ -64,10 +65,9 @@
 
 /**
  * Limit of this gateway's requests on a server up to which a prefix match
- * decides. With many free slots it is slightly above the mean. It falls with
- * the number of free slots until only the servers with the lowest count
- * qualify: all gateways choose the same servers for a prefix, and at high load
- * these have no spare slots.
+ * decides. With many free slots it is slightly above the mean. With few, only
+ * the servers with the lowest count qualify: all gateways choose the same
+ * servers for a prefix, and at high load these have no spare slots.
  */
 static double
 prefix_bound (const struct rt_target *t, double others)
@@ -226,8 +226,8 @@
   /* Round the bound up with the probability of its fraction. */
   double bound = prefix_bound (t, others);
   bound = bound < PREFIX_MIN_BOUND ? 0 : floor (bound + rng_unit (&r->rng));
-  /* With many gateways, all of them would leave a server that was
-     reported full and all return at the next report. */
+  /* With many gateways, all of them would avoid a server that was reported
+   * full, and all would return at the next report. */
   bool skip_full = !t->is_model || own >= MIN_OWN_PART * (own + others);
   struct rt_server *s = pick (r, t, q, bound, skip_full);
   if (!s && t->is_model)
--- a/route/core.h
+++ b/route/core.h
@@ -24,7 +24,7 @@
 #include "route/route.h"
 
 #define RT_CLASSES 4
-#define RT_MAX_TRIED 4    /**< servers that a request avoids after failures */
+#define RT_MAX_TRIED 4    /**< failed servers that a request avoids */
 #define RT_MAX_ATTEMPTS 4 /**< of one request */
 #define RT_HISTORY 32     /**< samples of this gateway's load per server */
 #define RT_HISTORY_MS 250 /**< interval of the samples */
@@ -34,7 +34,7 @@
 {
   RT_S_RECEIVED,
   RT_S_ADMITTED,
-  RT_S_ASKING, /**< waiting for a slot of the model's home */
+  RT_S_ASKING, /**< waiting for a slot reply of the model's home */
   RT_S_QUEUED,
   RT_S_CLAIMING,
   RT_S_CONNECTING,
@@ -81,16 +81,16 @@
 {
   char *name;
   uint64_t hash;
-  double rate_limit; /**< tokens per second of all nodes; 0: unlimited */
-  double conc_limit; /**< concurrent requests of all nodes; 0: unlimited */
+  double rate_limit; /**< tokens per second, all nodes; 0: unlimited */
+  double conc_limit; /**< concurrent requests, all nodes; 0: unlimited */
   bool has_share;
   double share_rate;
   double share_conc;
-  clk_ms share_until;  /**< the share decays to limit / N afterwards */
-  double bucket_level; /**< fill of the token bucket, may be negative */
+  clk_ms share_until;  /**< the share decays to the even part afterwards */
+  double bucket_level; /**< tokens in the bucket, may be negative */
   clk_ms bucket_at;
   size_t open_requests;
-  double requested_tokens; /**< since demand_at, also refused */
+  double requested_tokens; /**< since demand_at, including refused requests */
   size_t peak_open;
   clk_ms demand_at;
 };
@@ -100,7 +100,7 @@
 struct rt_history
 {
   float tokens[RT_HISTORY];
-  clk_ms newest_index; /**< index of the newest sample */
+  clk_ms newest_index; /**< time of the newest sample / RT_HISTORY_MS */
 };
 
 #define RT_MAX_PREFIXES 32    /**< prefixes remembered per server */
@@ -129,19 +129,19 @@
   bool complete;
   bool draining;
   bool down;
-  bool observe;
+  bool observe; /**< configured to get no requests */
   clk_ms valid_until;
   double capacity; /**< concurrent requests */
   /* Load estimate. */
   uint32_t in_flight;
   uint32_t pending; /**< of these, sent without a first byte yet */
   double own_tokens;
-  double other_requests; /**< requests of other gateways at load_at */
+  double other_requests; /**< of other gateways, in the last report */
   clk_ms load_at;
   struct rt_history history;
-  struct rt_candidate *candidate; /**< its entry in the target's view */
+  struct rt_candidate *candidate; /**< in the target's view */
   /* Outlier detection. */
-  uint64_t successes, failures;
+  uint64_t successes, failures; /**< of attempts */
   unsigned consecutive_failures;
   double first_byte_ms; /**< moving average of the time to the first byte */
   unsigned first_byte_samples;
@@ -151,7 +151,7 @@
   struct rt_grant_history *grants; /**< NULL except at a model's home */
 };
 
-#define RT_DEFAULT_RETRY_MS 1000 /* default for retry_ms */
+#define RT_DEFAULT_RETRY_MS 1000 /* retry_ms without an estimate */
 
 struct rt_req;
 
@@ -162,7 +162,7 @@
   struct rt_account *account;
   double weight;
   double deficit;
-  double tokens;
+  double tokens; /**< of the queued requests */
   struct rt_req *head, *tail;
   struct rt_flow *next; /**< in the list of active flows */
   bool active;
@@ -181,7 +181,7 @@
   struct rt_class classes[RT_CLASSES];
   size_t n;
   double tokens;
-  unsigned since_aged_request; /**< requests taken since the last aged one */
+  unsigned taken_since_aged; /**< since one was preferred by age */
 };
 
 /** Compact copy of the fields that the choice reads: with 600 servers,
@@ -191,9 +191,9 @@
   struct rt_server *server;
   uint64_t hash;
   uint32_t in_flight;
-  uint32_t score;      /**< in flight, plus those without a first byte again */
+  uint32_t score;      /**< in_flight + rt_server.pending */
   float max_in_flight; /**< limit of this gateway's requests on it */
-  float weight;        /**< random weight among equal scores */
+  float weight;        /**< of the random choice among equal scores */
 };
 
 /** Servers that accept requests, recomputed periodically and after changes. */
@@ -202,18 +202,18 @@
   struct rt_candidate *list;
   size_t n;
   size_t ejected;
-  uint32_t outside_requests; /**< own, on servers not in `list` */
+  uint32_t outside_requests; /**< of this gateway, on servers not in `list` */
   bool valid;
-  clk_ms at;
+  clk_ms at;             /**< when it was computed */
   clk_ms valid_until;    /**< earliest valid_until of the servers in `list` */
   double capacity;       /**< requests */
-  double other_requests; /**< requests of other gateways, as reported */
-  double others_holding_slots; /**< of these, not waiting there */
+  double other_requests; /**< of other gateways, as reported */
+  double others_holding_slots; /**< of these, not queued at the server */
   double tokens_at_reports;    /**< of this gateway */
   double total_age;            /**< sum of the reports' ages, ms */
 };
 
-/** Model or plain service with its servers and its queue. */
+/** Model, or service without a model, with its servers and its queue. */
 struct rt_target
 {
   char *name;
@@ -224,8 +224,7 @@
   struct _GHashTable *by_name; /**< index of `servers`; key: rt_server.key */
   struct rt_queue queue;
   double mean_cost;           /**< moving average of the requests' cost */
-  double mean_other_requests; /**< mean of the servers' `others`, for stale
-                                 reports */
+  double mean_other_requests; /**< over the servers, for stale reports */
   double ms_per_token;        /**< moving average over complete responses */
   uint32_t in_flight;         /**< requests of this gateway on all servers */
   double own_tokens;          /**< tokens of these */
@@ -237,9 +236,10 @@
   unsigned slot_timeouts; /**< consecutive slot requests that timed out */
   clk_ms slot_requests_paused_until;
   double retry_budget;
-  clk_ms retry_budget_at;
+  clk_ms retry_budget_at; /**< last update of retry_budget */
 };
 
+/** State of a request (its input: struct rt_request). */
 struct rt_req
 {
   uint64_t id;
@@ -271,14 +271,14 @@
   uint8_t ntried;
   bool idempotent;
   bool has_key;
-  bool claim_requested; /**< the claim was requested, perhaps granted */
+  bool claim_requested; /**< and not yet released */
   bool sent;            /**< some attempt got RT_ACT_SEND */
   bool forwarding;
   bool charged;            /**< counted against the account's rate limit */
   bool queued;             /**< in the target's queue */
   bool pending;            /**< counted in rt_server.pending */
   bool probe;              /**< it is the probe of an ejected server */
-  bool registered_at_home; /**< reported to the model's home */
+  bool registered_at_home; /**< the home expects RT_ACT_SLOT_DONE */
   bool queued_at_home;
   bool complete;       /**< the response is complete */
   bool attempt_failed; /**< the attempt or its connection failed */
@@ -308,7 +308,7 @@
   size_t naccounts;
   struct rt_target **targets;
   size_t ntargets;
-  struct rt_req **table;
+  struct rt_req **table; /**< hash table of the requests, by id */
   size_t table_size;
   size_t open_requests;
   struct rt_req **heap;
@@ -341,7 +341,7 @@
 /** Assign queued requests to servers with free capacity. */
 void rt_dispatch_queued (struct rt *r, struct rt_target *t);
 
-/* Between admit.c, request.c and attempt.c. */
+/* Shared by admit.c, request.c and attempt.c. */
 void rt_apply_chart_event (struct rt_req *q, enum rt_chart_event x);
 void rt_detach_server (struct rt *r, struct rt_req *q);
 void rt_refuse (struct rt *r, struct rt_req *q, enum rt_code code,
@@ -356,6 +356,7 @@
 void rt_start_claim (struct rt *r, struct rt_req *q);
 bool rt_grant_is_valid (const struct rt *r, const struct rt_req *q);
 void rt_clear_pending (struct rt_req *q);
+/** Send the final error response, or abort a forwarded response. */
 void rt_respond_error (struct rt *r, struct rt_req *q, enum rt_code code,
                        clk_ms retry_ms);
 bool rt_has_server (const struct rt_req *q);
@@ -414,13 +415,13 @@
                             struct rt_server *s, double cost);
 void rt_server_remove_request (struct rt *r, struct rt_target *t,
                                struct rt_server *s, double cost);
-/** Update the view after a change of in_flight or pending. */
+/** Update the server's candidate after a change of in_flight or pending. */
 void rt_update_candidate (struct rt_server *s);
 const struct rt_view *rt_view (struct rt *r, struct rt_target *t);
 /** Requests of this gateway on the servers of the view. */
 double rt_own_requests (const struct rt_target *t);
-/** Estimated requests of other gateways on the servers of the view; @p
-    taken receives how many of them have slots. */
+/** Estimated requests of other gateways on the servers of the view; @p taken
+ * receives how many of them hold slots. */
 double rt_estimate_others (const struct rt_target *t, double *taken);
 /** Mean service time of a request, ms. */
 double rt_service_ms (const struct rt_target *t);
--- a/route/limit.c
+++ b/route/limit.c
@@ -4,7 +4,7 @@
 #include "route/core.h"
 #include "route/share.h"
 
-#define BURST_S 1.0 /* burst size, in seconds of the rate */
+#define BURST_S 1.0 /* bucket size, in seconds at the rate */
 #define RETRY_MIN_MS 50
 #define RETRY_MAX_MS 10000
 #define RETRY_CONCURRENCY_MS 500
@@ -27,8 +27,8 @@
   return a;
 }
 
-/** Share of the limit: limit / N before the first grant, the granted
-    share while it is valid, then decaying towards limit / N. */
+/** The even part before the first grant; the granted share while it is
+    valid, then a value that decays to the even part. */
 static double
 current_share (const struct rt *r, const struct rt_account *a, double limit,
                double share)
--- a/route/load.c
+++ b/route/load.c
@@ -15,7 +15,7 @@
 #define OTHER_ZONE_WEIGHT 0.1
 /* Requests below which the local trend counts less than half. */
 #define TREND_REQUESTS 60
-/* Part of its capacity from which a server gets no requests. */
+/* Load, as a multiple of its capacity, at which a server gets no requests. */
 #define FULL_FACTOR 1.1
 
 /** Fill the samples since the last update with the current load. */
@@ -74,8 +74,8 @@
   rt_update_candidate (s);
 }
 
-/** The reported load includes this gateway's load at that time; the rest
-    belongs to other gateways. */
+/** The reported load minus this gateway's load at that time belongs to other
+ * gateways. */
 void
 rt_server_set_reported_load (struct rt *r, struct rt_target *t,
                              struct rt_server *s, uint32_t load, clk_ms at)
@@ -112,8 +112,8 @@
   return n ? sum / (double)n : 0;
 }
 
-/** Remaining weight of a report, cached by load_at: most reports of a
-    list have the same time. */
+/** Weight of a report by its age, cached because most reports of a list have
+    the same load_at. */
 struct report_decay
 {
   double time_constant;
@@ -134,8 +134,8 @@
   return decay->weight;
 }
 
-/** Limit of this gateway's requests on the server, given the load of the
-    others. */
+/** Limit of this gateway's requests on the server; @p others: requests of
+    other gateways. */
 static float
 own_limit (const struct rt_target *t, const struct rt_server *s, double others)
 {
@@ -145,10 +145,10 @@
 }
 
 /**
- * Factor by which a server below the mean load is preferred. Choosing the
+ * Factor by which servers below the mean load are preferred. Choosing the
  * least loaded server would send the requests of all gateways there until the
- * next report; with a probability proportional to its free capacity, all
- * gateways together send about what it lacks. Older reports count less.
+ * next report; with a probability proportional to its distance from the mean,
+ * all gateways together send about that difference. Older reports count less.
  */
 static double
 preference (const struct rt_target *t, double age)
--- a/route/queue.c
+++ b/route/queue.c
@@ -4,9 +4,8 @@
 
 #define QUANTUM 512.0 /* tokens per round for weight 1 */
 #define MIN_WEIGHT 0.01
-#define AGING_MS 2000 /* waiting time that makes up for one class */
-#define REQUESTS_PER_AGED                                                     \
-  3 /* requests of better classes between two aged ones */
+#define AGING_MS 2000       /* waiting time that makes up for one class */
+#define REQUESTS_PER_AGED 3 /* urgent ones per request preferred by age */
 
 static struct rt_flow *
 flow_of (struct rt_class *c, struct rt_account *a)
@@ -106,8 +105,8 @@
 
 /**
  * Strict priority with aging: a lower class whose oldest request has waited
- * AGING_MS for each class in between gets one of REQUESTS_PER_AGED + 1
- * requests. Without aging, a steady stream of urgent requests would starve the
+ * AGING_MS for each class in between gets every (REQUESTS_PER_AGED + 1)th
+ * turn. Without aging, a steady stream of urgent requests would starve the
  * lower class; without the limit, a long backlog of old requests would delay
  * urgent ones.
  */
@@ -133,7 +132,7 @@
           aged = c;
         }
     }
-  return aged && queue->since_aged_request >= REQUESTS_PER_AGED ? aged : best;
+  return aged && queue->taken_since_aged >= REQUESTS_PER_AGED ? aged : best;
 }
 
 /** Move the first active flow to the end of the list. */
@@ -174,8 +173,8 @@
   unsigned better = 0;
   while (!queue->classes[better].first)
     better++;
-  queue->since_aged_request
-      = q->priority > better ? 0 : queue->since_aged_request + 1;
+  queue->taken_since_aged
+      = q->priority > better ? 0 : queue->taken_since_aged + 1;
   struct rt_class *c = &queue->classes[q->priority];
   struct rt_flow *f = q->flow;
   f->deficit -= q->cost;
--- a/route/record.c
+++ b/route/record.c
@@ -110,8 +110,8 @@
 }
 
 /* Key digests would allow offline guessing of weak keys, and the core
-   does not use them. Each is replaced by a unique placeholder of the
-   same form, so that the configuration still validates. */
+   does not use them. Unique placeholders of the same form keep the
+   configuration valid. */
 static void
 redact (struct json_object *o, unsigned *counter)
 {
--- a/route/record.h
+++ b/route/record.h
@@ -33,7 +33,7 @@
 {
   const char *file; /**< for findings */
   int line;
-  void *scratch; /**< owns the data that the last event points to */
+  void *scratch; /**< owns the data of the last event */
 };
 
 /** Read the first line. On errors, adds a finding and returns false. */
--- a/route/request.c
+++ b/route/request.c
@@ -128,10 +128,10 @@
 
 /**
  * End the claim of a request that is given up. If the request was not sent,
- * the claim is released, also while the verdict is pending: a later grant
- * would block the client's next try. If it was sent, the outcome will never be
- * known, and the claim's home must be notified: otherwise it would report for
- * minutes to repeated requests that the request is still running.
+ * the claim is released, even before the verdict: a later grant would block
+ * the client's retry. If it was sent, its outcome stays unknown. The claim's
+ * home is notified; otherwise it would answer repeated requests with
+ * `key-running` for minutes.
  */
 static void
 end_claim (struct rt *r, struct rt_req *q)
@@ -186,8 +186,8 @@
   rt_respond_error (r, q, code, retry_ms);
 }
 
-/** End a request that may have run. An idempotent one gets `failed`, as it may
-    be repeated in any case. Otherwise the outcome is `unknown`. */
+/** End a request that may have run. The outcome is `failed` if it is
+ * idempotent, since the client may repeat it, and `unknown` otherwise. */
 void
 rt_give_up (struct rt *r, struct rt_req *q, enum rt_code code)
 {
@@ -219,8 +219,8 @@
   struct rt_action *a = rt_push_action (r, RT_ACT_CONNECT, q);
   a->addr = q->server->addr;
   a->name = str_from (q->server->name);
-  /* A pooled connection may be dead without notice, and a request that
-     can't be sent twice must not be lost on it. */
+  /* A pooled connection may be broken without notice, and a non-idempotent
+   * request that is lost on it can't be sent again. */
   a->fresh = !q->idempotent;
   a->resume = q->forwarding;
   a->offset = q->forwarded_bytes;
@@ -303,8 +303,8 @@
       return;
     case CLM_RUNNING:
     case CLM_UNKNOWN:
-      /* This request was not sent, but its outcome is that of the key,
-         under which another request is running or has run. */
+      /* This request was not sent, but another request with the same key is
+       * running or has run, so `not-run` would be wrong. */
       q->claim_requested = false;
       rt_cancel_work (r, q);
       rt_apply_chart_event (q, RT_X_CLAIMED_ELSEWHERE);
--- a/route/retry.c
+++ b/route/retry.c
@@ -1,16 +1,16 @@
 #include "route/core.h"
 
 #define CREDIT_PER_SUCCESS 0.1
-/* Allows retries on a target with few requests. */
+/* Lets a target with few requests retry. */
 #define CREDIT_PER_MS 0.0005
 #define BUDGET_START 5.0
 #define BUDGET_MAX 20.0
 #define BACKOFF_MIN_MS 25
 #define BACKOFF_MAX_MS 1000
 
-/* Retry budget. When a whole target fails, retries of every request would
-   multiply its load and prevent its recovery. With one retry per ten successes
-   the extra load stays near a tenth. */
+/* Retry budget. When all servers of a target fail, retrying every request
+   would multiply the load and prevent recovery. With one retry per ten
+   successes the extra load stays near a tenth. */
 bool
 rt_retry_spend (struct rt *r, struct rt_target *t)
 {
--- a/route/route.c
+++ b/route/route.c
@@ -109,7 +109,7 @@
   heap_up (r, r->heap_n++, q);
 }
 
-/* --- requests by number ------------------------------------------------ */
+/* --- requests by id ---------------------------------------------------- */
 
 static struct rt_req *
 find_request (const struct rt *r, uint64_t id)
@@ -301,7 +301,7 @@
   s->in_update = true;
   if (!was_listed || s->generation != v->generation)
     {
-      /* The replica has new VMs: reset the statistics of the old ones. */
+      /* The replica has new VMs: drop the statistics of the old ones. */
       s->generation = v->generation;
       s->ejected_until = 0;
       s->ejections = s->consecutive_failures = s->first_byte_samples = 0;
@@ -492,8 +492,8 @@
 rt_wake (const struct rt *r)
 {
   clk_ms at = r->heap_n ? r->heap[0]->timer_due : CLK_NEVER;
-  /* The estimated load of other gateways decreases with time alone, so
-     capacity may become free without an event. */
+  /* The estimated load of other gateways decreases over time, so capacity
+     may become free without an event. */
   for (size_t i = 0; i < r->ntargets; i++)
     if (r->targets[i]->queue.n && r->now + POLL_MS < at)
       at = r->now + POLL_MS;
--- a/route/share.c
+++ b/route/share.c
@@ -3,17 +3,17 @@
 #include <math.h>
 #include <stdlib.h>
 
-/* Factor on a node's recent demand, so that it can grow within the next
+/* Factor on a node's recent demand: it may grow by this much within the next
    second without refusals. */
 #define HEADROOM 1.25
-/* Part of an even share that a node gets without any demand, so that its
-   first requests are not refused before the next division. */
+/* Fraction of the even part that an idle node gets, so that its first requests
+   are not refused before the next division. */
 #define IDLE_FRACTION 0.1
-/* A node that reports this long after its highest grant has received a smaller
-   one, which was sent a second later over the same link. The heartbeat closes
-   a link that is silent in one direction after three seconds. */
+/* A node that still reports this long after its highest grant has received a
+   smaller one, sent a second later over the same link: had the link lost it,
+   the heartbeat would have closed the link after three seconds of silence. */
 #define CONFIRM_MS ((clk_ms)4500)
-/* Half-lives after which an expired share has decayed to an even part. */
+/* Half-lives after which an expired share counts as decayed. */
 #define START_DELAY_HALF_LIVES 11
 
 enum
@@ -23,7 +23,7 @@
   LIMIT_KINDS
 };
 
-/** A node's part of one limit. */
+/** A node's demand for and grants of one limit. */
 struct node_limit
 {
   double demand;
@@ -38,7 +38,7 @@
 struct node_share
 {
   char *node;
-  bool listed; /**< listed by shr_nodes() */
+  bool listed; /**< in the last shr_nodes() */
   clk_ms demand_at;
   struct node_limit limits[LIMIT_KINDS];
 };
@@ -216,7 +216,7 @@
   return now - m->demand_at < SHR_DEMAND_TIMEOUT_MS;
 }
 
-/** Remaining value of a grant; after expiry it decays towards an even part. */
+/** Remaining value of a grant, which decays to the even part after expiry. */
 static double
 remaining_grant (double share, clk_ms until, double even, clk_ms now)
 {
@@ -225,9 +225,9 @@
   return share > even ? shr_decayed_share (share, even, now - until) : 0;
 }
 
-/** Upper bound of what a node may use now. A share does not end with its
-    grant: a gateway without a new grant decays from it to an even part, so
-    granting the rest at once would exceed the limit. */
+/** Upper bound of what a node may use now. A gateway continues to use an
+ * expired share, which decays to the even part, so granting the rest at once
+ * would exceed the limit. */
 static double
 max_usage (const struct node_share *m, int kind, double even, clk_ms now)
 {
@@ -240,8 +240,7 @@
 }
 
 /**
- * Max-min fair level: no node gets more than its target, and the rest is
- * divided evenly among the others.
+ * Max-min fair division: each node gets its target, but at most the level.
  * @return  the level that uses up @p budget, or infinity if all targets fit
  */
 static double
@@ -300,9 +299,9 @@
   return fmax (limit - reserved, 0);
 }
 
-/** A smaller grant may be lost on its way, and the old one stays valid until
-    it expires. If other nodes grew before that, the limit would be exceeded,
-    so they grow only into what is certainly free. */
+/** A reduced grant may be lost, and the old one stays valid until it expires.
+    So other nodes get more only from what is certainly free; otherwise the
+    limit would be exceeded. */
 static void
 set_grants (struct account *a, int kind, clk_ms now, double even,
             double budget, double level)
@@ -377,10 +376,9 @@
   for (size_t i = 0; i < s->n; i++)
     {
       struct account *a = s->accounts[i];
-      /* The grants of the previous home are not known here; nearly all
-         of the limit may be granted to an unreachable node. Shares that
-         are not renewed decay to even parts, and their sum stays within
-         the limit; a grant now would be added on top. */
+      /* The previous home may have granted nearly all of the limit to an
+         unreachable node. Shares that are not renewed decay to even parts,
+         whose sum is the limit; a grant now would be added to it. */
       if (!a->home || now < a->grants_from
           || (a->limit[RATE] <= 0 && a->limit[CONCURRENCY] <= 0))
         continue;
--- a/route/share.h
+++ b/route/share.h
@@ -7,10 +7,10 @@
  * home and gets a share with a lifetime. The home adds up what may still be
  * valid: unexpired grants, and for unreachable nodes the even part of the
  * limit to which they decay. It increases grants only by what is left, so the
- * shares of one home never exceed the limit. Two homes on both sides of a
- * partition each reserve an even part for every node that they can't reach,
- * which keeps their sum within the limit once the grants from before the
- * partition have expired.
+ * shares of one home never exceed the limit. The even part of a limit is limit
+ * / number of nodes. Two homes on both sides of a partition each reserve an
+ * even part for every node that they can't reach, which keeps their sum within
+ * the limit once the grants from before the partition have expired.
  */
 #ifndef LAPISLINE_ROUTE_SHARE_H
 #define LAPISLINE_ROUTE_SHARE_H
@@ -20,7 +20,7 @@
 
 /** Lifetime of a share. */
 #define SHR_VALID_MS ((clk_ms)3000)
-/** Half-life of an expired share's difference from an even part. */
+/** Half-life of the difference between an expired share and the even part. */
 #define SHR_DECAY_MS ((clk_ms)1000)
 /** Maximum transit time of a grant to its gateway, added to its lifetime. */
 #define SHR_MAX_TRANSIT_MS ((clk_ms)500)
@@ -53,8 +53,8 @@
 
 /**
  * Set an account's limits; zero means no limit and no grants.
- * @param home  whether this node is the account's home. A new home grants
- * nothing until the grants of its predecessor, which it has no record of, have
+ * @param home  whether this node is the account's home. A new home has no
+ * record of the grants of its predecessor and grants nothing until these have
  * expired and decayed.
  */
 void shr_account (struct shr *s, clk_ms now, struct str account,
@@ -64,9 +64,10 @@
 void shr_drop_unset (struct shr *s);
 
 /**
- * Set the known nodes of this region, including those that left as long as
- * they are remembered: an unreachable node may still serve requests.
- * @param all  nodes of all regions; the region divides its part of the limit
+ * Set the known nodes of this region, including unreachable nodes, which may
+ * still serve requests, until they are forgotten.
+ * @param all  number of nodes in all regions; this region divides n / all of
+ * the limit
  */
 void shr_nodes (struct shr *s, const struct str *names, size_t n, size_t all);
 
--- a/route/slot.c
+++ b/route/slot.c
@@ -2,9 +2,8 @@
 
 #include "route/core.h"
 
-/* Consecutive timeouts after which the home is not asked. */
-#define SLOT_TIMEOUTS_BEFORE_PAUSE 3
-#define SLOT_REQUEST_PAUSE_MS 2000 /* pause of slot requests after these */
+#define SLOT_TIMEOUTS_BEFORE_PAUSE 3 /* consecutive */
+#define SLOT_REQUEST_PAUSE_MS 2000
 
 static struct rt_action *
 push_action (struct rt *r, enum rt_action_kind kind, const struct rt_req *q)
@@ -41,8 +40,8 @@
   return true;
 }
 
-/** Queue the request here, as without a home. A later grant of the home
-    is still accepted. */
+/** Queue the request at this gateway. A later grant of the home is still
+    accepted. */
 static void
 enqueue_locally (struct rt *r, struct rt_req *q)
 {
@@ -50,7 +49,7 @@
   rt_enqueue (r, q, false);
 }
 
-/** Queue here all requests of @p t that wait at the home. */
+/** Queue all requests of @p t that wait for the home at this gateway. */
 static void
 enqueue_all_locally (struct rt *r, struct rt_target *t)
 {
@@ -73,9 +72,9 @@
   rt_dispatch_queued (r, t);
 }
 
-/** The home did not reply in time. After SLOT_TIMEOUTS_BEFORE_PAUSE timeouts
-   it counts as stopped or unreachable: further requests would wait for a reply
-   in vain, and those queued there would never be granted. */
+/** After SLOT_TIMEOUTS_BEFORE_PAUSE timeouts the home counts as stopped or
+    unreachable: it would not reply to further slot requests, and would never
+    grant those queued there. */
 static void
 on_no_slot_reply (struct rt *r, struct rt_req *q)
 {
@@ -142,7 +141,7 @@
 rt_on_slot_reply (struct rt *r, struct rt_req *q, const struct rt_event *ev)
 {
   bool asking = q->state == RT_S_ASKING;
-  /* Ignore a reply after a local decision and a second reply. */
+  /* Ignore a second reply, and a reply after a local choice. */
   if (!q->registered_at_home
       || (!asking && (q->state != RT_S_QUEUED || !q->queued)))
     return;
--- a/route/slots.c
+++ b/route/slots.c
@@ -27,7 +27,7 @@
 
 struct slt
 {
-  /* A request core holds servers, configuration and accounts. */
+  /* Provides servers, configuration and accounts; gets no requests. */
   struct rt *core;
   struct rt_target *target;
   struct rt_queue queue;
@@ -42,7 +42,7 @@
   size_t nodes; /* gateways that request slots */
 };
 
-/* --- entries ------------------------------------------------------------ */
+/* --- tracked requests --------------------------------------------------- */
 
 static struct tracked_request **
 find_request (struct slt *s, uint32_t gateway, uint64_t id)
@@ -77,7 +77,7 @@
   rt_server_add_request (s->core, s->target, server, e->q.cost);
 }
 
-/** Remove the entry from the queue and free its slot. */
+/** Remove the request from the queue and free its slot. */
 static void
 request_free (struct slt *s, struct tracked_request **at)
 {
@@ -167,9 +167,9 @@
 /**
  * Requests on the server that no gateway reported, from the engine's load
  * report. Costs are estimates and reports are delayed, so small differences
- * are noise; counting them would leave slots empty permanently. In a report
- * from before a new home received the gateways' slots, all load appears as
- * unknown: counting it would block grants until the next reports.
+ * are noise; counting them would leave slots empty permanently. Reports older
+ * than grants_from are ignored: the home had not received the gateways' slots
+ * then, and counting that load would block grants until the next reports.
  */
 static double
 unreported_load (const struct slt *s, const struct rt_server *server)
@@ -182,9 +182,8 @@
 
 /**
  * A replica that fails every request always has the most free slots and would
- * attract all requests. It is ejected by the rules of outlier.c, from the
- * results of all gateways; one idempotent request probes whether it has
- * recovered.
+ * attract all requests. outlier.c ejects it by the results of all gateways;
+ * one idempotent request probes whether it has recovered.
  */
 static bool
 is_eligible (const struct slt *s, const struct rt_server *server,
@@ -196,9 +195,8 @@
 
 /**
  * The free server with the earliest expected first token: prefills run one
- * after another, so a request without a first byte and a prefix that must be
- * computed have the same cost; the number of running requests matters little
- * in comparison.
+ * after another, so each request without a first byte costs as much as an
+ * uncached prefix; running requests cost little in comparison.
  */
 static struct rt_server *
 choose (struct slt *s, const struct rt_req *q)
@@ -208,7 +206,7 @@
   double least = 0;
   for (size_t i = 0; i < t->nservers; i++)
     {
-      /* Rotate the start, or the first of equal servers would get all
+      /* Rotate the start; otherwise the first of equal servers would get all
          requests. */
       struct rt_server *server
           = t->servers[(i + s->start_offset) % t->nservers];
@@ -305,7 +303,7 @@
 on_ask (struct slt *s, const struct slt_event *ev)
 {
   if (*find_request (s, ev->gateway, ev->id))
-    return; /* already added by the gateway's list */
+    return; /* already added by a list of held slots */
   const struct cfg_account *a = account_config (s, ev->account);
   double weight = a && a->weight > 0 ? a->weight : 1;
   struct tracked_request *e = request_new (s, ev, ev->id, ev->cost);
@@ -339,7 +337,7 @@
   return NULL;
 }
 
-/** The gateway uses that replica, whatever this home assigned. */
+/** The reported replica replaces the one that this home assigned, if any. */
 static void
 on_slot_report (struct slt *s, const struct slt_event *ev,
                 const struct rt_slot *o)
@@ -370,9 +368,9 @@
   *mean += (*mean > 0 ? AVERAGE_WEIGHT : 1) * (value - *mean);
 }
 
-/** Slow replicas are not ejected: their slots become free more slowly, which
-    limits their load, and ejected they would be missing (p99 317 against 301
-    in nairobi with a straggler). */
+/** Slow replicas are not ejected: they free slots slowly, which limits their
+    load. Ejecting them raised the p99 from 301 to 317 in a region with one
+    slow replica, as their capacity was missing. */
 static void
 record_attempt_result (struct slt *s, struct rt_server *server,
                        const struct slt_event *ev)
@@ -414,8 +412,8 @@
 }
 
 /** Free slots that their gateway no longer reports: the release message was
-    lost, or the gateway stopped. If they were kept, the model would lose one
-    slot after another permanently. */
+ * lost, or the gateway stopped. Otherwise the model would lose these slots
+ * permanently. */
 static void
 free_stale_slots (struct slt *s)
 {
--- a/route/slots.h
+++ b/route/slots.h
@@ -2,10 +2,10 @@
  * @file
  * Slots of one model's replicas, granted by the model's home gateway (no I/O).
  *
- * Many gateways share replicas with one or two free slots each, and a
- * gateway receives the load of the others too late. One of them, the model's
- * home, gets a request for a slot before a connection is opened and tracks
- * every slot.
+ * Many gateways share replicas with one or two free slots each, and load
+ * reports arrive too late to avoid conflicts. So one gateway, the model's
+ * home, tracks every slot; the others request a slot from it before they
+ * connect.
  *
  * A grant is only an optimization; correctness does not depend on it. A
  * gateway without a reply decides by itself, and the rules of attempts are
@@ -34,11 +34,11 @@
   SLT_EV_REPLICAS, /**< replicas, n */
   SLT_EV_ASK,   /**< gateway, id, account, priority, cost, deadline, prefix */
   SLT_EV_TAKEN, /**< gateway, id, replica, cost: assigned without a grant */
-  SLT_EV_DONE,  /**< gateway, id, first_ms, failed: ended or canceled */
-  SLT_EV_OPEN,  /**< gateway, open, n: all slots that it holds */
-  SLT_EV_GATEWAY_LOST, /**< gateway: its link was lost; its queued requests are
-                  dropped, its slots stay until SLT_SLOT_TIMEOUT_MS */
-  SLT_EV_NODES         /**< n: gateways, each with max_queue requests */
+  SLT_EV_DONE,  /**< gateway, id, first_ms, failed: request ended */
+  SLT_EV_OPEN,  /**< gateway, open, n: all slots it holds */
+  SLT_EV_GATEWAY_LOST, /**< gateway: drops its queued requests; its slots
+                  stay until SLT_SLOT_TIMEOUT_MS */
+  SLT_EV_NODES         /**< n: gateways; the queue holds max_queue each */
 };
 
 struct slt_event
@@ -53,7 +53,7 @@
   uint64_t prefix;
   struct str replica;
   bool idempotent;
-  double first_ms; /**< of a complete response; 0: not known */
+  double first_ms; /**< time to the first byte; 0: not complete */
   bool failed;     /**< the replica failed to connect, broke or timed out */
   struct cfg *cfg;
   const struct rt_replica *replicas;
