--- a/t/lib-route.c
+++ b/t/lib-route.c
@@ -245,7 +245,7 @@
   rt_event (s->rt, s->now, &ev);
 }
 
-/** Remove the oldest connected attempt and return an event for it. */
+/** Remove the oldest attempt and return an event for it. */
 static struct rt_event
 pop_running (struct script *s, clk_ms *step)
 {
--- a/t/lib-route.h
+++ b/t/lib-route.h
@@ -14,9 +14,9 @@
  *   gone ID    tick    leaving    down NAME    up NAME
  *   home on|off               whether the home of model "lm" is reachable
  *   slot ID granted NAME | slot ID queued | slot ID refused
- *   serve COUNT STEP_MS       COUNT times: advance the time and complete the
- *                             oldest connected attempt; only the ids that
- *                             connect next are logged
+ *   serve COUNT STEP_MS       COUNT times: complete the oldest attempt after
+ *                             STEP_MS; only the ids that connect next are
+ *                             logged
  *   pace NAME MS              `serve` takes MS on that server
  *   break COUNT STEP_MS       like serve, but each attempt breaks once sent
  *   share ACCOUNT TOKENS_PER_S CONCURRENCY VALID_MS
--- a/t/t5001-life.c
+++ b/t/t5001-life.c
@@ -2,8 +2,8 @@
 
 #include "lib-route.h"
 
-/* Life cycle of single requests, with one model of three replicas and
-   one plain service of two backend servers. */
+/* Life cycle of single requests, with one model of three replicas and one
+   service of two backend servers. */
 
 #define CONFIG                                                                \
   "{\"domains\":{\"d\":{\"zone\":\"a\",\"vms\":{"                             \
@@ -134,8 +134,8 @@
 
 Test (lifecycle, claim_verdicts)
 {
-  /* A request with a known key gets the stored response or an error, and
-     is not sent. Without the store, nothing is sent either. */
+  /* A request whose key was used before gets the stored response or an error,
+     and is not sent. Nothing is sent either while the store is unavailable. */
   check ("1 arrive 1 acme api once key\n"
          "2 claim 1 answered\n"
          "3 arrive 2 acme api once key\n"
@@ -164,8 +164,8 @@
 
 Test (lifecycle, claim_is_released_when_not_run)
 {
-  /* The claim is released when the request was not executed; otherwise
-     the client's next try would get `key-unknown`. */
+  /* The claim is released when the request was not executed; otherwise the
+   * client's retry would get `key-unknown`. */
   check ("1 arrive 1 acme api once key\n"
          "2 claim 1 granted\n"
          "3 fail 1/1\n"
@@ -191,10 +191,10 @@
 
 Test (lifecycle, claim_is_kept_when_request_may_have_run)
 {
-  /* The response to a request with a key is lost or incomplete. The
-     claim is kept, so that a repeat is not executed. The claim's home is
-     notified that no response will follow; otherwise repeats would get
-     `key-running` for minutes. The partial response is not stored. */
+  /* The response to a request with a key is lost or incomplete. The claim is
+     kept, so that a repeated request is not executed. The claim's home is
+     notified that no response will follow; otherwise repeated requests would
+     get `key-running` for minutes. The partial response is not stored. */
   check ("1 arrive 1 acme api once key\n"
          "2 claim 1 granted\n"
          "3 open 1/1\n"
@@ -221,9 +221,9 @@
 
 Test (lifecycle, expired_grant_is_renewed)
 {
-  /* Connecting takes longer than a grant is valid. The home may have
-     granted the key to a repeat meanwhile, so the claim is requested
-     again before the request is sent. */
+  /* Connecting takes longer than a grant is valid. The home may have granted
+   * the key to a repeated request meanwhile, so the claim is requested again
+   * before the request is sent. */
   check ("1 arrive 1 acme api once key\n"
          "2 claim 1 granted\n"
          "6000 open 1/1\n"
@@ -340,7 +340,7 @@
 
 Test (lifecycle, truncated_response_is_detectable)
 {
-  /* A plain service's response breaks after bytes were forwarded. It can't be
+  /* The response of a service breaks after bytes were forwarded. It can't be
      resumed, so the client must be able to detect the truncation. */
   check ("1 arrive 1 acme api\n"
          "2 open 1/1\n"
@@ -470,7 +470,7 @@
 Test (lifecycle, not_admitted)
 {
   /* Unknown targets, unknown accounts and targets in mode observe are
-     refused with their own codes. */
+     refused with different codes. */
   check ("0 replicas r1\n"
          "1 arrive 1 acme nothing\n"
          "2 arrive 2 nobody lm\n"
@@ -483,8 +483,8 @@
 
 Test (lifecycle, no_head_of_line_blocking)
 {
-  /* All slots of one service are occupied by stalled requests and more
-     are queued. Requests to another target are still sent at once. */
+  /* Stalled requests occupy all capacity of one service, and more are queued.
+     Requests to another target are still sent at once. */
   check ("0 replicas r1\n"
          "1 arrive* 1-9 acme api\n"
          "2 arrive 20 acme lm\n"
--- a/t/t5002-queue.c
+++ b/t/t5002-queue.c
@@ -52,8 +52,8 @@
 
 Test (queue, cost_is_counted_in_tokens)
 {
-  /* Requests of one account cost four times as much, so the other one
-     gets four requests for each. */
+  /* Requests of one account cost four times as much, so the other account
+     gets four requests for each of these. */
   check ("1 arrive 1 flood api cost=2048\n"
          "1 arrive* 11-12 flood api cost=2048\n"
          "1 arrive* 21-24 small api cost=512\n"
@@ -66,9 +66,9 @@
 
 Test (queue, priority_aging)
 {
-  /* Urgent requests arrive continuously. A request of the lowest class
-     is served between them after it has waited for two seconds per
-     class, and not before. */
+  /* Urgent requests arrive continuously. A request two classes lower is served
+     between them after it has waited for two seconds per class, and not
+     before. */
   check ("0 arrive 1 flood api\n"
          "1 arrive 2 small api prio=2\n"
          "2 arrive* 3-6 flood api\n"
@@ -102,8 +102,9 @@
 Test (queue, full_queue_drops_least_important)
 {
   /* When the queue is full, a more urgent request replaces the newest of the
-     lowest class, and one of a small account replaces one of a busy account. A
-     request that is no better is refused itself. Refusals are sent at once. */
+   * lowest class, and a request of a small account replaces one of a busy
+   * account. Otherwise the new request is refused. Refusals are sent at once.
+   */
   check ("0 arrive 1 flood api\n"
          "1 arrive* 2-5 flood api\n"
          "2 arrive* 6-7 flood api prio=3\n"
--- a/t/t5003-limits.c
+++ b/t/t5003-limits.c
@@ -24,8 +24,7 @@
 Test (limits, rate_before_first_grant)
 {
   /* Before the first grant the node may use a quarter of 1000 tokens per
-     second. A refusal names the retry delay; the bucket is refilled over
-     time. */
+     second. The bucket is refilled over time. */
   check ("0 arrive 1 rate api cost=250\n"
          "1 arrive 2 rate api cost=250\n"
          "101 arrive 3 rate api cost=20\n"
--- a/t/t5004-faults.c
+++ b/t/t5004-faults.c
@@ -3,7 +3,7 @@
 
 #include "lib-route.h"
 
-/* Ejection of outliers, and retries when a whole target fails. */
+/* Ejection of outliers, and retries when all servers of a target fail. */
 
 #define CONFIG                                                                \
   "{\"models\":{\"lm\":{\"mode\":\"route\",\"vms\":1,\"capacity\":90}},"      \
--- a/t/t5005-choose.c
+++ b/t/t5005-choose.c
@@ -19,8 +19,8 @@
 
 Test (choose, expired_status_excludes_replica)
 {
-  /* A replica whose status has expired gets no new requests, even
-     without any event since the last choice. */
+  /* A replica whose status has expired gets no new requests, even if no event
+     followed the last choice. */
   check ("0 replicas r1/until=100 r2\n"
          "99 arrive* 1-4 acme lm\n"
          "100 arrive* 5-7 acme lm\n",
@@ -60,8 +60,8 @@
 
 Test (choose, prefix_affinity_while_slots_are_free)
 {
-  /* Requests with one prefix go to its replica although others are idle,
-     but no further than its free slots allow. */
+  /* Requests with one prefix go to one replica although others are idle, until
+     it has few free slots. */
   check ("0 replicas r1 r2 r3 r4\n"
          "1 arrive 1 acme lm prefix=7\n"
          "2 open 1/1\n"
@@ -99,8 +99,8 @@
 
 Test (choose, same_zone_without_fresh_reports)
 {
-  /* With equal local load, the replica in the local zone is mostly
-     preferred. */
+  /* With equal local load, the replica in the gateway's zone is preferred with
+     high probability. */
   check ("0 replicas r1 r2/far\n"
          "1 arrive 1 acme lm\n"
          "2 gone 1\n"
--- a/t/t5500-share.c
+++ b/t/t5500-share.c
@@ -10,7 +10,8 @@
 static const struct str names[NODES]
     = { STR ("n0"), STR ("n1"), STR ("n2"), STR ("n3") };
 
-/* A home and its nodes' demands; grants reach only linked nodes. */
+/* A home and its nodes' demands; only linked nodes exchange messages with the
+   home. */
 struct home_sim
 {
   struct shr *core;
@@ -85,10 +86,10 @@
 
 Test (share, follows_demand)
 {
-  /* All demand is at one node. It gets the limit minus a reserve of the
-     others for their first requests. A new home waits until earlier
-     grants have expired. When demand moves, the share follows after the
-     old grant has expired. */
+  /* All demand is at one node. It gets the limit minus what is reserved for
+     the first requests of the others. A new home waits until earlier grants
+     have expired. When the demand moves to another node, the share follows
+     after the old grant has expired. */
   struct home_sim s = home_sim_new (0, true);
   struct node_share shares[NODES] = { 0 };
   s.demand[0] = 2000;
@@ -111,8 +112,8 @@
 Test (share, share_is_held_until_lost_reduction_expires)
 {
   /* The grant that reduces a node's share is lost, and the node uses the
-     larger one until it expires. If the others got that part earlier,
-     the account would exceed its limit. */
+   * larger one until it expires. If other nodes got the difference earlier,
+   * the account would exceed its limit. */
   struct home_sim s = home_sim_new (-20000, true);
   struct node_share shares[NODES] = { 0 };
   s.demand[0] = 2000;
@@ -137,8 +138,8 @@
 Test (share, partition_does_not_multiply_the_limit)
 {
   /* A partition leaves a home on both sides, with high demand on each.
-     The new home does not know the grants of the old one; the sum must
-     never exceed the limit. */
+     The new home has no record of the old one's grants; the sum must never
+     exceed the limit. */
   struct home_sim a = home_sim_new (-20000, true);
   struct home_sim b = home_sim_new (-20000, false);
   struct shr_amount limit = { LIMIT, 0 };
@@ -164,11 +165,11 @@
   shr_free (b.core);
 }
 
-Test (share, new_home_waits_for_unknown_grants)
+Test (share, new_home_waits_until_old_grants_expire)
 {
   /* The home fails, and node 3, which holds nearly the whole limit, is
-     cut off and continues to serve. Even parts granted at once by the
-     new home would be added to the share of node 3. */
+   * unreachable but continues to serve. If the new home granted even parts at
+   * once, they would add to the share of node 3. */
   struct home_sim a = home_sim_new (-20000, true);
   struct home_sim b = home_sim_new (-20000, false);
   struct shr_amount limit = { LIMIT, 0 };
--- a/t/t5600-slots.c
+++ b/t/t5600-slots.c
@@ -73,7 +73,7 @@
 }
 
 static void
-open_list (struct home *h, uint32_t gateway, char **w, size_t n)
+send_held_slots (struct home *h, uint32_t gateway, char **w, size_t n)
 {
   struct rt_slot list[MAX_WORDS] = { 0 };
   for (size_t i = 0; i < n; i++)
@@ -85,7 +85,7 @@
 }
 
 static void
-one_request (struct home *h, char **w, size_t n)
+send_event (struct home *h, char **w, size_t n)
 {
   struct slt_event ev = { .gateway = n > 1 ? (uint32_t)atoi (w[1]) : 0,
                           .id = n > 2 ? (uint64_t)atoll (w[2]) : 0,
@@ -136,9 +136,9 @@
   if (strcmp (w[1], "replicas") == 0)
     replicas (h, w + 2, n - 2);
   else if (strcmp (w[1], "open") == 0)
-    open_list (h, (uint32_t)atoi (w[2]), w + 3, n - 3);
+    send_held_slots (h, (uint32_t)atoi (w[2]), w + 3, n - 3);
   else
-    one_request (h, w + 1, n - 1);
+    send_event (h, w + 1, n - 1);
   log_actions (h);
   buf_addf (&h->log, " [%zu]\n", slt_taken (h->core));
 }
@@ -166,10 +166,10 @@
   free (text);
 }
 
-Test (slots, exact_across_gateways)
+Test (slots, slots_are_shared_by_all_gateways)
 {
-  /* Four gateways share four slots. The fifth request waits until a
-     request of any gateway ends, and gets its slot. */
+  /* Four gateways share four slots. The fifth request waits until a request
+     of any gateway ends, and gets its slot. */
   check ("1 replicas r1 r2\n300 ask 1 1 big\n301 ask 2 1 big\n"
          "302 ask 3 1 big\n303 ask 4 1 big\n304 ask 1 2 big\n"
          "400 done 3 1\n",
@@ -182,9 +182,10 @@
 
 Test (slots, prefix_and_fairness)
 {
-  /* An idle server with the prefix is preferred. Queued requests are granted
-     by fair shares: the small account's request overtakes those of the busy
-     account at another gateway, and a full queue drops the newest of these. */
+  /* An idle server with the prefix is preferred. The queue is fair across
+     gateways: the small account's request overtakes those that the busy
+     account sent by another gateway, and a full queue drops the newest of
+     the busy account. */
   check ("1 replicas r1 r2\n300 warm 1 1 7\n900 done 1 1\n"
          "1700 warm 2 3 7\n"
          "1701 taken 2 4 r1\n1701 taken 2 5 r2\n1701 taken 2 6 r2\n"
@@ -203,9 +204,9 @@
 
 Test (slots, lost_release_message)
 {
-  /* Gateway 1's release message is lost, and gateway 2 stops while holding a
-     slot. Without a timeout the model would lose one slot after another.
-     Gateway 3 reports its slots every second and keeps them. */
+  /* The release message of gateway 1 is lost, and gateway 2 stops while it
+     holds a slot. Without a timeout the model would lose both slots
+     permanently. Gateway 3 reports its slots every second and keeps them. */
   check ("1 replicas r1 r2\n300 ask 1 1 big\n300 ask 2 1 big\n"
          "300 ask 3 1 big\n300 ask 3 2 big\n400 ask 3 3 big\n"
          "2000 open 3 1=r1 2=r2\n3000 open 3 1=r1 2=r2\n3800 tick\n"
@@ -220,10 +221,10 @@
 
 Test (slots, new_home_waits_for_slot_reports)
 {
-  /* A new home takes over under load. It queues requests until the
-     gateways have reported their slots; otherwise all of them would be
-     sent to full replicas. Older engine reports are ignored, since all
-     the load that they show would look like that of others. */
+  /* A new home takes over under load. It queues requests until the gateways
+     have reported their slots; otherwise it would grant slots of full
+     replicas. Older load reports are ignored, since all their load would count
+     as unreported. */
   check ("1 replicas r1=9000 r2=9000\n2 ask 1 9 big\n"
          "10 open 1 1=r1 2=r1\n11 open 2 1=r2\n150 tick\n200 tick\n"
          "300 ask 2 2 big\n301 done 1 1\n",
@@ -236,8 +237,8 @@
 Test (slots, deadline_and_lost_gateway)
 {
   /* At the measured rate a request takes 600 ms: one with an earlier
-     deadline is refused at once. When the link of a gateway is lost, its
-     queued request is dropped, as the grant could not be delivered; its
+     deadline is refused at once. When the link to a gateway is lost, its
+     queued request is dropped, as its grant could not be delivered; its
      running request keeps its slot. */
   check ("1 replicas r1\n300 ask 1 1 big\n900 done 1 1\n"
          "1000 ask 1 2 big 100 1300\n1000 ask 1 3 big 100 1700\n"
@@ -254,8 +255,8 @@
 {
   /* r1 fails every request at once, so it always has the most free slots
      and would attract all requests. Three failures at three gateways
-     eject it for 5 s. Then one idempotent request probes it, and no
-     other until that one has ended. */
+     eject it for 5 s. Then one idempotent request probes it, and no other
+     is sent there until the probe has ended. */
   check ("1 replicas r1 r2 r3\n300 taken 1 1 r1\n301 fail 1 1\n"
          "302 taken 2 1 r1\n303 fail 2 1\n304 taken 3 1 r1\n305 fail 3 1\n"
          "306 ask 1 2 big\n307 ask 1 3 big\n308 ask 1 4 big\n"
@@ -271,11 +272,11 @@
          "5402 done 1: grant(1/7 r1) grant(1/8 r1) [6]\n");
 }
 
-Test (slots, two_homes)
+Test (slots, unreported_requests_are_counted)
 {
-  /* Two gateways act as home, and the other one has filled r1. This one got no
-     report of it, but the engine's load report shows unreported requests; if
-     it ignored them, requests would wait at r1 while r2 is idle. */
+  /* Two gateways act as home, and the other one has filled r1. Its requests
+     appear only in the engine's load report; if this home ignored them,
+     requests would wait at r1 while r2 is idle. */
   check ("1 replicas r1 r2\n300 replicas r1=20000 r2\n301 ask 1 1 big\n"
          "302 ask 1 2 big\n303 ask 1 3 big\n1300 replicas r1=100 r2=200\n",
          "1 replicas r1: [0]\n300 replicas r1=20000: [0]\n"
--- a/t/t5900-replay.c
+++ b/t/t5900-replay.c
@@ -57,8 +57,8 @@
     }
 }
 
-/* A damaged or empty trace is reported as invalid input by the exit
-   code, and no action is printed. */
+/* For a damaged or empty trace, the exit code reports invalid input and no
+   action is printed. */
 Test (replay, damaged_trace_is_rejected)
 {
   const char *head = "{\"core\":\"route\",\"seed\":1,\"nodes\":1}\n";
--- a/t/t5910-attempt-chart.c
+++ b/t/t5910-attempt-chart.c
@@ -1,6 +1,6 @@
 /* Exhaustive exploration of charts/attempt.json: every event in every
-   reachable state, combined with whether bytes of the request may be at a
-   backend server. "Not run" must not be reachable while they may be. */
+   reachable state, with and without bytes of the request sent to a backend
+   server. "Not run" must not be reachable after they were sent. */
 #include <criterion/criterion.h>
 #include <stdlib.h>
 #include <string.h>
@@ -22,7 +22,7 @@
   return strcmp (chart_event_name (c, event), name) == 0;
 }
 
-/** "send" puts bytes at the server; a refusal means that they were not
+/** "send" sends bytes to the server; a refusal means that they were not
     executed. */
 static bool
 sent_after (const struct chart *c, int event, bool sent)
@@ -115,9 +115,9 @@
   return wrong;
 }
 
-/* The exploration detects a chart that reports "not run" after a lost
-   connection, and one that queues a sent request again, from where it
-   may be refused. */
+/* The exploration must detect a chart that reports "not run" after a lost
+   connection, and one that queues a sent request again, where it may still be
+   refused. */
 Test (attempt_chart, detects_injected_faults)
 {
   cr_expect (is_wrong_with ("\"sent\": { \"on\": {",
@@ -127,9 +127,9 @@
   cr_expect_not (is_wrong_with ("\"chart\"", "\"chart\""));
 }
 
-/* The same for a platform node's chart. There "unrun" refers only to the
-   attempt that it answers; after an earlier attempt that may have run,
-   the chart is in states from which "not run" can't be reached. */
+/* The same for the chart "forward" of a node on a platform. There "unrun"
+   refers only to the current attempt; after an earlier attempt that may have
+   run, the chart is in states from which "not run" can't be reached. */
 Test (attempt_chart, not_run_is_unreachable_after_send_on_a_platform)
 {
   const struct chart *c = chart_embedded ("forward");
