--- a/route/queue.c
+++ b/route/queue.c
@@ -218,8 +218,10 @@
       else
         weights += f->weight;
     }
-  double turns = (own + cost) * (weights / weight) + own;
-  return better + (turns < same ? turns : same);
+  /* Until the own tokens are served, other accounts of the class get theirs in
+     proportion to the weights. */
+  double same_ahead = (own + cost) * (weights / weight) + own;
+  return better + (same_ahead < same ? same_ahead : same);
 }
 
 void
--- a/route/share.c
+++ b/route/share.c
@@ -60,7 +60,7 @@
   size_t n;
   char **nodes;
   size_t nnodes;
-  size_t all;
+  size_t all_nodes;
   struct shr_grant *grants;
   size_t ngrants;
   size_t next;
@@ -189,7 +189,7 @@
   free_nodes (s);
   s->nodes = xcalloc (n + 1, sizeof (char *));
   s->nnodes = n;
-  s->all = all < n ? n : all;
+  s->all_nodes = all < n ? n : all;
   for (size_t i = 0; i < n; i++)
     s->nodes[i] = str_dup (names[i]);
   for (size_t i = 0; i < s->n; i++)
@@ -201,19 +201,19 @@
             const struct shr_amount *demand)
 {
   struct account *a = find_account (s, account);
-  struct node_share *m;
+  struct node_share *ns;
   if (a == NULL)
     return;
-  m = get_node_share (a, node);
-  m->demand_at = now;
-  m->limits[RATE].demand = demand->tokens_per_s;
-  m->limits[CONCURRENCY].demand = demand->concurrency;
+  ns = get_node_share (a, node);
+  ns->demand_at = now;
+  ns->limits[RATE].demand = demand->tokens_per_s;
+  ns->limits[CONCURRENCY].demand = demand->concurrency;
 }
 
 static bool
-is_reachable (const struct node_share *m, clk_ms now)
+is_reachable (const struct node_share *ns, clk_ms now)
 {
-  return now - m->demand_at < SHR_DEMAND_TIMEOUT_MS;
+  return now - ns->demand_at < SHR_DEMAND_TIMEOUT_MS;
 }
 
 /** Remaining value of a grant, which decays to the even part after expiry. */
@@ -229,12 +229,12 @@
  * expired share, which decays to the even part, so granting the rest at once
  * would exceed the limit. */
 static double
-max_usage (const struct node_share *m, int kind, double even, clk_ms now)
+max_usage (const struct node_share *ns, int kind, double even, clk_ms now)
 {
-  const struct node_limit *p = &m->limits[kind];
+  const struct node_limit *p = &ns->limits[kind];
   double granted = remaining_grant (p->granted, p->granted_until, even, now);
 
-  if (m->demand_at - p->peak_at >= CONFIRM_MS && is_reachable (m, now))
+  if (ns->demand_at - p->peak_at >= CONFIRM_MS && is_reachable (ns, now))
     return granted;
   return fmax (granted, remaining_grant (p->peak, p->peak_until, even, now));
 }
@@ -253,9 +253,9 @@
       size_t unsatisfied = 0;
       for (size_t i = 0; i < a->n; i++)
         {
-          const struct node_share *m = &a->node_shares[i];
-          double want = m->limits[kind].target;
-          if (!is_reachable (m, now))
+          const struct node_share *ns = &a->node_shares[i];
+          double want = ns->limits[kind].target;
+          if (!is_reachable (ns, now))
             continue;
           used += fmin (want, level);
           unsatisfied += want > level;
@@ -291,10 +291,10 @@
   double reserved = 0;
   for (size_t i = 0; i < a->n; i++)
     {
-      const struct node_share *m = &a->node_shares[i];
-      if (!is_reachable (m, now))
+      const struct node_share *ns = &a->node_shares[i];
+      if (!is_reachable (ns, now))
         reserved
-            += fmax (max_usage (m, kind, even, now), m->listed ? even : 0);
+            += fmax (max_usage (ns, kind, even, now), ns->listed ? even : 0);
     }
   return fmax (limit - reserved, 0);
 }
@@ -340,7 +340,7 @@
 static void
 divide_limit (const struct shr *s, struct account *a, int kind, clk_ms now)
 {
-  double all = s->all ? (double)s->all : 1;
+  double all = s->all_nodes ? (double)s->all_nodes : 1;
   double limit = a->limit[kind] * (double)s->nnodes / all;
   double even = a->limit[kind] / all;
   if (a->limit[kind] <= 0)
@@ -355,14 +355,15 @@
 {
   for (size_t i = 0; i < a->n; i++)
     {
-      const struct node_share *m = &a->node_shares[i];
-      if (!is_reachable (m, now))
+      const struct node_share *ns = &a->node_shares[i];
+      if (!is_reachable (ns, now))
         continue;
       s->grants = xrealloc (s->grants, (s->ngrants + 1) * sizeof *s->grants);
       s->grants[s->ngrants++] = (struct shr_grant){
         .account = str_from (a->name),
-        .node = str_from (m->node),
-        .amount = { m->limits[RATE].granted, m->limits[CONCURRENCY].granted },
+        .node = str_from (ns->node),
+        .amount
+        = { ns->limits[RATE].granted, ns->limits[CONCURRENCY].granted },
         .valid_ms = SHR_VALID_MS,
       };
     }
