--- a/route/core.h
+++ b/route/core.h
@@ -139,7 +139,7 @@
   double other_requests; /**< of other gateways, in the last report */
   clk_ms load_at;
   struct rt_history history;
-  struct rt_candidate *candidate; /**< in the target's view */
+  struct rt_candidate *candidate;
   /* Outlier detection. */
   uint64_t successes, failures; /**< of attempts */
   unsigned consecutive_failures;
@@ -204,7 +204,7 @@
   size_t ejected;
   uint32_t outside_requests; /**< of this gateway, on servers not in `list` */
   bool valid;
-  clk_ms at;             /**< when it was computed */
+  clk_ms at;
   clk_ms valid_until;    /**< earliest valid_until of the servers in `list` */
   double capacity;       /**< requests */
   double other_requests; /**< of other gateways, as reported */
@@ -223,7 +223,7 @@
   size_t nservers;
   struct _GHashTable *by_name; /**< index of `servers`; key: rt_server.key */
   struct rt_queue queue;
-  double mean_cost;           /**< moving average of the requests' cost */
+  double mean_cost;           /**< moving average */
   double mean_other_requests; /**< over the servers, for stale reports */
   double ms_per_token;        /**< moving average over complete responses */
   uint32_t in_flight;         /**< requests of this gateway on all servers */
@@ -280,7 +280,7 @@
   bool probe;              /**< it is the probe of an ejected server */
   bool registered_at_home; /**< the home expects RT_ACT_SLOT_DONE */
   bool queued_at_home;
-  bool complete;       /**< the response is complete */
+  bool complete;
   bool attempt_failed; /**< the attempt or its connection failed */
   int status;
 };
@@ -356,7 +356,6 @@
 void rt_start_claim (struct rt *r, struct rt_req *q);
 bool rt_grant_is_valid (const struct rt *r, const struct rt_req *q);
 void rt_clear_pending (struct rt_req *q);
-/** Send the final error response, or abort a forwarded response. */
 void rt_respond_error (struct rt *r, struct rt_req *q, enum rt_code code,
                        clk_ms retry_ms);
 bool rt_has_server (const struct rt_req *q);
@@ -415,13 +414,13 @@
                             struct rt_server *s, double cost);
 void rt_server_remove_request (struct rt *r, struct rt_target *t,
                                struct rt_server *s, double cost);
-/** Update the server's candidate after a change of in_flight or pending. */
+/** Call after a change of in_flight or pending. */
 void rt_update_candidate (struct rt_server *s);
 const struct rt_view *rt_view (struct rt *r, struct rt_target *t);
 /** Requests of this gateway on the servers of the view. */
 double rt_own_requests (const struct rt_target *t);
-/** Estimated requests of other gateways on the servers of the view; @p taken
- * receives how many of them hold slots. */
+/** Estimated requests of other gateways on the servers of the view; @p
+    taken receives how many of them hold slots. */
 double rt_estimate_others (const struct rt_target *t, double *taken);
 /** Mean service time of a request, ms. */
 double rt_service_ms (const struct rt_target *t);
--- a/route/request.c
+++ b/route/request.c
@@ -187,7 +187,7 @@
 }
 
 /** End a request that may have run. The outcome is `failed` if it is
- * idempotent, since the client may repeat it, and `unknown` otherwise. */
+    idempotent, since the client may repeat it, and `unknown` otherwise. */
 void
 rt_give_up (struct rt *r, struct rt_req *q, enum rt_code code)
 {
--- a/route/route.h
+++ b/route/route.h
@@ -214,7 +214,6 @@
 /** Take the next action from the queue; false if there is none. */
 bool rt_next (struct rt *r, struct rt_action *out);
 
-/** Number of requests that have not ended. */
 size_t rt_open_requests (const struct rt *r);
 
 /** Time of the next RT_EV_TICK that the core needs. */
@@ -237,7 +236,6 @@
   double cost; /**< tokens */
 };
 
-/** Slots of a model's replicas that this gateway holds. */
 const struct rt_slot *rt_held_slots (struct rt *r, struct str model,
                                      size_t *n);
 
