--- a/t/t5601-slot.c
+++ b/t/t5601-slot.c
@@ -41,8 +41,8 @@
 Test (slot, home_without_reply)
 {
   /* The home does not reply. A request waits for 50 ms at most. After three
-     timeouts the gateway sends no slot requests for 2 s and assigns the
-     requests that the home queued itself; otherwise these would wait until
+     timeouts the gateway sends no slot requests for 2 s and chooses replicas
+     for the requests queued at the home; otherwise these would wait until
      their deadline. A late grant does not start a second attempt. */
   check ("1 replicas r1 r2 r3 r4 r5 r6\n2 home on\n"
          "3 arrive 9 acme lm\n4 slot 9 queued\n"
@@ -62,7 +62,7 @@
 Test (slot, home_lost)
 {
   /* The link to the home is lost while two requests wait there, one of
-     them non-idempotent: the gateway assigns both itself, once. */
+     them non-idempotent: the gateway chooses a replica for each, once. */
   check ("1 replicas r1 r2\n2 home on\n3 arrive 1 acme lm once\n"
          "4 slot 1 queued\n5 arrive 2 acme lm\n6 home off\n"
          "7 slot 1 granted r1\n8 open 1/1\n9 slot 1 granted r2\n"
@@ -76,8 +76,8 @@
 
 Test (slot, unusable_grant)
 {
-  /* The home grants a replica that this gateway considers unusable or
-     does not know. The gateway returns the slot and chooses a replica
+  /* The home grants a replica that this gateway considers unusable, or that is
+     not in its list. The gateway returns the slot and chooses a replica
      itself. It also chooses the replica of a retry itself, and reports these
      choices. */
   check ("1 replicas r1/broken r2 r3\n2 home on\n3 arrive 1 acme lm\n"
