--- a/route/core.h
+++ b/route/core.h
@@ -114,7 +114,7 @@
   unsigned next;
 };
 
-/** One replica or one backend server of a plain service. */
+/** One replica of a model, or one backend server of a service. */
 struct rt_server
 {
   char *name;
--- a/route/limit.c
+++ b/route/limit.c
@@ -124,8 +124,8 @@
   double rate = rt_limit_rate (r, a);
   /* A request larger than the bucket is admitted when the bucket is full
      and leaves a negative level, which blocks the account until it is
-     refilled. Otherwise such a request could never be admitted; the
-     average rate still holds. */
+     refilled. Otherwise it could never be admitted; the average rate still
+     holds. */
   double need = fmin (cost, BURST_S * rate);
   if (a->bucket_level < need || rate <= 0)
     {
--- a/route/route.h
+++ b/route/route.h
@@ -32,7 +32,7 @@
 enum rt_code
 {
   RT_CODE_NONE,
-  RT_CODE_NO_TARGET,       /**< 404: no such model or service */
+  RT_CODE_NO_TARGET,       /**< 404: unknown model or service */
   RT_CODE_FORBIDDEN,       /**< 403 */
   RT_CODE_NOT_ROUTED,      /**< 503: mode observe */
   RT_CODE_RATE,            /**< 429: rate limit of the account */
--- a/route/share.c
+++ b/route/share.c
@@ -13,7 +13,7 @@
    smaller one, sent a second later over the same link: had the link lost it,
    the heartbeat would have closed the link after three seconds of silence. */
 #define CONFIRM_MS ((clk_ms)4500)
-/* Half-lives after which an expired share counts as decayed. */
+/* Half-lives until an expired share counts as decayed to the even part. */
 #define START_DELAY_HALF_LIVES 11
 
 enum
--- a/route/slots.c
+++ b/route/slots.c
@@ -155,7 +155,7 @@
 
 /** Grants that are probably still without a first byte. */
 static unsigned
-pending (const struct slt *s, const struct rt_grant_history *history)
+count_pending (const struct slt *s, const struct rt_grant_history *history)
 {
   unsigned n = 0;
   for (unsigned i = 0; i < RT_MAX_GRANT_TIMES; i++)
@@ -216,7 +216,7 @@
         continue;
       const struct rt_grant_history *history = grants_of (server);
       double score
-          = pending (s, history) + LOAD_SCORE * load / server->capacity;
+          = count_pending (s, history) + LOAD_SCORE * load / server->capacity;
       if (q->prefix && (!best || score < least))
         score += !has_prefix (history, q->prefix);
       if (best && score >= least)
--- a/route/slots.h
+++ b/route/slots.h
@@ -35,7 +35,7 @@
   SLT_EV_ASK,   /**< gateway, id, account, priority, cost, deadline, prefix */
   SLT_EV_TAKEN, /**< gateway, id, replica, cost: assigned without a grant */
   SLT_EV_DONE,  /**< gateway, id, first_ms, failed: request ended */
-  SLT_EV_OPEN,  /**< gateway, open, n: all slots it holds */
+  SLT_EV_OPEN,  /**< gateway, n: all slots it holds */
   SLT_EV_GATEWAY_LOST, /**< gateway: drops its queued requests; its slots
                   stay until SLT_SLOT_TIMEOUT_MS */
   SLT_EV_NODES         /**< n: gateways; the queue holds max_queue each */
