--- a/route/core.h
+++ b/route/core.h
@@ -86,7 +86,7 @@
   bool has_share;
   double share_rate;
   double share_conc;
-  clk_ms share_until;  /**< the share decays to the even part afterwards */
+  clk_ms share_until;  /**< the share decays to limit / rt.nodes afterwards */
   double bucket_level; /**< tokens in the bucket, may be negative */
   clk_ms bucket_at;
   size_t open_requests;
@@ -297,7 +297,7 @@
 {
   char *zone;
   char *node;
-  unsigned nodes;
+  unsigned nodes; /**< gateways of the region */
   struct rng rng;
   clk_ms now;
   bool leaving;
--- a/route/limit.c
+++ b/route/limit.c
@@ -27,8 +27,8 @@
   return a;
 }
 
-/** The even part before the first grant; the granted share while it is
-    valid, then a value that decays to the even part. */
+/** limit / rt.nodes before the first grant; the granted share while it is
+    valid, then a value that decays to limit / rt.nodes. */
 static double
 current_share (const struct rt *r, const struct rt_account *a, double limit,
                double share)
--- a/route/share.h
+++ b/route/share.h
@@ -7,10 +7,11 @@
  * home and gets a share with a lifetime. The home adds up what may still be
  * valid: unexpired grants, and for unreachable nodes the even part of the
  * limit to which they decay. It increases grants only by what is left, so the
- * shares of one home never exceed the limit. The even part is limit / nodes.
- * Two homes on both sides of a partition each reserve an even part for every
- * node that they can't reach, which keeps their sum within the limit once the
- * grants from before the partition have expired.
+ * shares of one home never exceed the limit. The even part is the limit
+ * divided by the number of nodes in all regions. Two homes on both sides of a
+ * partition each reserve an even part for every node that they can't reach,
+ * which keeps their sum within the limit once the grants from before the
+ * partition have expired.
  */
 #ifndef LAPISLINE_ROUTE_SHARE_H
 #define LAPISLINE_ROUTE_SHARE_H
