--- a/control/shares.c
+++ b/control/shares.c
@@ -53,8 +53,8 @@
       struct shr_amount limit = { a->tokens_per_s, a->concurrency };
       struct str home = home_of (s->c, a->name, there, n);
 
-      shr_account (s->core, now, a->name, &limit,
-                   str_is (home, s->c->set.node));
+      shr_set_account (s->core, now, a->name, &limit,
+                       str_is (home, s->c->set.node));
     }
   shr_drop_unset (s->core);
 }
@@ -91,7 +91,7 @@
   ctl_swim_nodes (s->c->swim, &all);
   names = xcalloc (all + 1, sizeof *names);
   n = region_nodes (s->c, false, names);
-  shr_nodes (s->core, names, n, all);
+  shr_set_nodes (s->core, names, n, all);
   n = region_nodes (s->c, true, names);
   set_accounts (s, now, names, n);
   shr_tick (s->core, now);
@@ -162,7 +162,7 @@
   /* What comes from a peer came because it takes this node for the home. */
   if (!str_is (node, s->c->set.node))
     {
-      shr_demand (s->core, clk_now (), account, node, &demand);
+      shr_report_demand (s->core, clk_now (), account, node, &demand);
       return;
     }
   if (!has_limit (s->c, account))
@@ -172,7 +172,7 @@
   n = region_nodes (s->c, true, there);
   home = home_of (s->c, account, there, n);
   if (str_is (home, s->c->set.node))
-    shr_demand (s->core, clk_now (), account, node, &demand);
+    shr_report_demand (s->core, clk_now (), account, node, &demand);
   else
     forward_demand (s, home, d);
   free (there);
--- a/route/admit.c
+++ b/route/admit.c
@@ -1,6 +1,6 @@
 #include "route/core.h"
 
-#define MEASUREMENT_VALID_MS 5000 /* of a processing time */
+#define MEASUREMENT_VALID_MS 5000 /* age limit of rt_target.ms_per_token */
 #define RETRY_MIN_MS 100
 #define RETRY_MAX_MS 10000
 /* Weight of the newest sample in moving averages. */
@@ -67,15 +67,15 @@
 }
 
 /** Make room for @p q in a full queue by dropping the least important waiting
-    request, unless @p q is no better. A request refused in the queue has cost
-    no backend server any work. */
+    request, if @p q is preferable.
+ */
 static bool
 make_room (struct rt *r, struct rt_req *q, clk_ms retry_ms)
 {
-  struct rt_queue *w = &q->target->queue;
-  if (w->n < q->cfg->limits.max_queue)
+  struct rt_queue *queue = &q->target->queue;
+  if (queue->n < q->cfg->limits.max_queue)
     return true;
-  struct rt_req *victim = rt_queue_victim (w);
+  struct rt_req *victim = rt_queue_victim (queue);
   if (!victim)
     return false;
   bool better = victim->priority > q->priority;
@@ -83,8 +83,7 @@
                 && victim->account != q->account
                 && victim->flow->tokens / victim->flow->weight
                        > 2 * (q->cost / account_weight (q));
-  /* A request that may have run is kept, since it has used server time
-     already. */
+  /* A request that may have run has used server time already. */
   if ((!better && !fairer) || rt_may_have_run (victim))
     return false;
   rt_refuse (r, victim, RT_CODE_QUEUE_FULL, retry_ms);
@@ -170,7 +169,7 @@
   size_t at = in->id & (r->table_size - 1);
   q->hash_next = r->table[at];
   r->table[at] = q;
-  r->open++;
+  r->open_requests++;
   return q;
 }
 
@@ -189,7 +188,7 @@
   q->target = rt_target (r, in->target, in->is_model);
   struct rt_account *a = rt_account (r, in->account);
   q->account = a;
-  a->open++;
+  a->open_requests++;
   code = check_load (r, q, &retry_ms);
   if (code != RT_CODE_NONE)
     {
@@ -199,10 +198,10 @@
   struct rt_target *t = q->target;
   t->mean_cost
       += (t->mean_cost > 0 ? AVERAGE_WEIGHT : 1) * (q->cost - t->mean_cost);
-  rt_step (q, RT_X_ADMIT);
-  if (rt_slot_ask (r, q))
+  rt_apply_chart_event (q, RT_X_ADMIT);
+  if (rt_request_slot (r, q))
     return;
-  rt_step (q, RT_X_ENQUEUE);
+  rt_apply_chart_event (q, RT_X_ENQUEUE);
   rt_enqueue (r, q, false);
   rt_dispatch_queued (r, t);
 }
--- a/route/limit.c
+++ b/route/limit.c
@@ -4,7 +4,7 @@
 #include "route/core.h"
 #include "route/share.h"
 
-#define BURST_S 1.0 /* burst size, in seconds of the rate */
+#define BURST_S 1.0 /* bucket size, in seconds at the rate */
 #define RETRY_MIN_MS 50
 #define RETRY_MAX_MS 10000
 #define RETRY_CONCURRENCY_MS 500
@@ -27,8 +27,8 @@
   return a;
 }
 
-/** Share of the limit: limit / N before the first grant, the granted
-    share while it is valid, then decaying towards limit / N. */
+/** limit / rt.nodes before the first grant; the granted share while it is
+    valid, then a value that decays to limit / rt.nodes. */
 static double
 current_share (const struct rt *r, const struct rt_account *a, double limit,
                double share)
@@ -107,12 +107,12 @@
                 clk_ms *retry_ms)
 {
   a->requested_tokens += cost;
-  if (a->open > a->peak_open)
-    a->peak_open = a->open;
+  if (a->open_requests > a->peak_open)
+    a->peak_open = a->open_requests;
   /* A share below one still admits one request at a time; otherwise a limit
      below the number of nodes would reject all requests of the account. */
   if (a->conc_limit > 0
-      && (double)a->open
+      && (double)a->open_requests
              > fmax (1, floor (rt_limit_conc (r, a) + ROUNDING_TOLERANCE)))
     {
       *retry_ms = RETRY_CONCURRENCY_MS;
@@ -124,8 +124,8 @@
   double rate = rt_limit_rate (r, a);
   /* A request larger than the bucket is admitted when the bucket is full
      and leaves a negative level, which blocks the account until it is
-     refilled. Otherwise such a request could never be admitted; the
-     average rate still holds. */
+     refilled. Otherwise it could never be admitted; the average rate still
+     holds. */
   double need = fmin (cost, BURST_S * rate);
   if (a->bucket_level < need || rate <= 0)
     {
--- a/route/record-read.c
+++ b/route/record-read.c
@@ -176,8 +176,8 @@
 }
 
 bool
-rec_read_head (struct rec_reader *r, struct str line, struct rec_head *head,
-               struct fnd_list *findings)
+rec_read_header (struct rec_reader *r, struct str line,
+                 struct rec_header *head, struct fnd_list *findings)
 {
   struct scratch *s = reader_scratch (r);
 
--- a/route/record.c
+++ b/route/record.c
@@ -110,8 +110,8 @@
 }
 
 /* Key digests would allow offline guessing of weak keys, and the core
-   does not use them. Each is replaced by a unique placeholder of the
-   same form, so that the configuration still validates. */
+   does not use them. Unique placeholders of the same form keep the
+   configuration valid. */
 static void
 redact (struct json_object *o, unsigned *counter)
 {
@@ -152,7 +152,7 @@
 }
 
 void
-rec_write_head (const struct rec_head *head, struct buf *out)
+rec_write_header (const struct rec_header *head, struct buf *out)
 {
   struct json_object *o = json_object_new_object ();
   put_str (o, "core", STR ("route"));
--- a/route/retry.c
+++ b/route/retry.c
@@ -1,24 +1,24 @@
 #include "route/core.h"
 
 #define CREDIT_PER_SUCCESS 0.1
-/* Allows retries on a target with few requests. */
+/* Lets a target with few requests retry. */
 #define CREDIT_PER_MS 0.0005
 #define BUDGET_START 5.0
 #define BUDGET_MAX 20.0
 #define BACKOFF_MIN_MS 25
 #define BACKOFF_MAX_MS 1000
 
-/* Retry budget. When a whole target fails, retries of every request would
-   multiply its load and prevent its recovery. With one retry per ten successes
-   the extra load stays near a tenth. */
+/* Retry budget. When all servers of a target fail, retrying every request
+   would multiply the load and prevent recovery. With one retry per ten
+   successes the extra load stays near a tenth. */
 bool
 rt_retry_spend (struct rt *r, struct rt_target *t)
 {
-  if (t->retry_at == 0)
+  if (t->retry_budget_at == 0)
     t->retry_budget = BUDGET_START;
   else
-    t->retry_budget += CREDIT_PER_MS * (double)(r->now - t->retry_at);
-  t->retry_at = r->now;
+    t->retry_budget += CREDIT_PER_MS * (double)(r->now - t->retry_budget_at);
+  t->retry_budget_at = r->now;
   if (t->retry_budget > BUDGET_MAX)
     t->retry_budget = BUDGET_MAX;
   if (t->retry_budget < 1)
--- a/route/share.c
+++ b/route/share.c
@@ -3,17 +3,17 @@
 #include <math.h>
 #include <stdlib.h>
 
-/* Factor on a node's recent demand, so that it can grow within the next
+/* Factor on a node's recent demand: it may grow by this much within the next
    second without refusals. */
 #define HEADROOM 1.25
-/* Part of an even share that a node gets without any demand, so that its
-   first requests are not refused before the next division. */
+/* Fraction of the even part that an idle node gets, so that its first requests
+   are not refused before the next division. */
 #define IDLE_FRACTION 0.1
-/* A node that reports this long after its highest grant has received a smaller
-   one, which was sent a second later over the same link. The heartbeat closes
-   a link that is silent in one direction after three seconds. */
+/* A node that still reports this long after its highest grant has received a
+   smaller one, sent a second later over the same link: had the link lost it,
+   the heartbeat would have closed the link after three seconds of silence. */
 #define CONFIRM_MS ((clk_ms)4500)
-/* Half-lives after which an expired share has decayed to an even part. */
+/* Half-lives until an expired share counts as decayed to the even part. */
 #define START_DELAY_HALF_LIVES 11
 
 enum
@@ -23,7 +23,7 @@
   LIMIT_KINDS
 };
 
-/** A node's part of one limit. */
+/** A node's demand for and grants of one limit. */
 struct node_limit
 {
   double demand;
@@ -35,10 +35,10 @@
   double target;
 };
 
-struct member
+struct node_share
 {
   char *node;
-  bool listed; /**< listed by shr_nodes() */
+  bool listed; /**< in the last shr_set_nodes() */
   clk_ms demand_at;
   struct node_limit limits[LIMIT_KINDS];
 };
@@ -50,7 +50,7 @@
   bool home;
   clk_ms grants_from; /**< a new home grants nothing until then */
   double limit[LIMIT_KINDS];
-  struct member *members;
+  struct node_share *node_shares;
   size_t n;
 };
 
@@ -60,7 +60,7 @@
   size_t n;
   char **nodes;
   size_t nnodes;
-  size_t all;
+  size_t all_nodes;
   struct shr_grant *grants;
   size_t ngrants;
   size_t next;
@@ -84,8 +84,8 @@
 free_account (struct account *a)
 {
   for (size_t i = 0; i < a->n; i++)
-    free (a->members[i].node);
-  free (a->members);
+    free (a->node_shares[i].node);
+  free (a->node_shares);
   free (a->name);
   free (a);
 }
@@ -128,30 +128,32 @@
   return a;
 }
 
-static struct member *
-member_of (struct account *a, struct str node)
+static struct node_share *
+get_node_share (struct account *a, struct str node)
 {
   for (size_t i = 0; i < a->n; i++)
-    if (str_is (node, a->members[i].node))
-      return &a->members[i];
-  a->members = xrealloc (a->members, (a->n + 1) * sizeof *a->members);
-  a->members[a->n] = (struct member){ .node = str_dup (node),
-                                      .demand_at = -SHR_DEMAND_TIMEOUT_MS };
-  return &a->members[a->n++];
+    if (str_is (node, a->node_shares[i].node))
+      return &a->node_shares[i];
+  a->node_shares
+      = xrealloc (a->node_shares, (a->n + 1) * sizeof *a->node_shares);
+  a->node_shares[a->n]
+      = (struct node_share){ .node = str_dup (node),
+                             .demand_at = -SHR_DEMAND_TIMEOUT_MS };
+  return &a->node_shares[a->n++];
 }
 
 static void
-sync_members (const struct shr *s, struct account *a)
+sync_node_shares (const struct shr *s, struct account *a)
 {
   for (size_t i = 0; i < a->n; i++)
-    a->members[i].listed = false;
+    a->node_shares[i].listed = false;
   for (size_t i = 0; i < s->nnodes; i++)
-    member_of (a, str_from (s->nodes[i]))->listed = true;
+    get_node_share (a, str_from (s->nodes[i]))->listed = true;
 }
 
 void
-shr_account (struct shr *s, clk_ms now, struct str account,
-             const struct shr_amount *limit, bool home)
+shr_set_account (struct shr *s, clk_ms now, struct str account,
+                 const struct shr_amount *limit, bool home)
 {
   struct account *a = find_account (s, account);
   if (a == NULL)
@@ -163,7 +165,7 @@
   a->home = home;
   a->limit[RATE] = limit->tokens_per_s;
   a->limit[CONCURRENCY] = limit->concurrency;
-  sync_members (s, a);
+  sync_node_shares (s, a);
 }
 
 void
@@ -182,39 +184,39 @@
 }
 
 void
-shr_nodes (struct shr *s, const struct str *names, size_t n, size_t all)
+shr_set_nodes (struct shr *s, const struct str *names, size_t n, size_t all)
 {
   free_nodes (s);
   s->nodes = xcalloc (n + 1, sizeof (char *));
   s->nnodes = n;
-  s->all = all < n ? n : all;
+  s->all_nodes = all < n ? n : all;
   for (size_t i = 0; i < n; i++)
     s->nodes[i] = str_dup (names[i]);
   for (size_t i = 0; i < s->n; i++)
-    sync_members (s, s->accounts[i]);
+    sync_node_shares (s, s->accounts[i]);
 }
 
 void
-shr_demand (struct shr *s, clk_ms now, struct str account, struct str node,
-            const struct shr_amount *demand)
+shr_report_demand (struct shr *s, clk_ms now, struct str account,
+                   struct str node, const struct shr_amount *demand)
 {
   struct account *a = find_account (s, account);
-  struct member *m;
+  struct node_share *ns;
   if (a == NULL)
     return;
-  m = member_of (a, node);
-  m->demand_at = now;
-  m->limits[RATE].demand = demand->tokens_per_s;
-  m->limits[CONCURRENCY].demand = demand->concurrency;
+  ns = get_node_share (a, node);
+  ns->demand_at = now;
+  ns->limits[RATE].demand = demand->tokens_per_s;
+  ns->limits[CONCURRENCY].demand = demand->concurrency;
 }
 
 static bool
-is_reachable (const struct member *m, clk_ms now)
+is_reachable (const struct node_share *ns, clk_ms now)
 {
-  return now - m->demand_at < SHR_DEMAND_TIMEOUT_MS;
+  return now - ns->demand_at < SHR_DEMAND_TIMEOUT_MS;
 }
 
-/** Remaining value of a grant; after expiry it decays towards an even part. */
+/** Remaining value of a grant, which decays to the even part after expiry. */
 static double
 remaining_grant (double share, clk_ms until, double even, clk_ms now)
 {
@@ -223,23 +225,22 @@
   return share > even ? shr_decayed_share (share, even, now - until) : 0;
 }
 
-/** Upper bound of what a node may use now. A share does not end with its
-    grant: a gateway without a new grant decays from it to an even part, so
-    granting the rest at once would exceed the limit. */
+/** Upper bound of what a node may use now. A gateway continues to use an
+ * expired share, which decays to the even part, so granting the rest at once
+ * would exceed the limit. */
 static double
-max_usage (const struct member *m, int kind, double even, clk_ms now)
+max_usage (const struct node_share *ns, int kind, double even, clk_ms now)
 {
-  const struct node_limit *p = &m->limits[kind];
+  const struct node_limit *p = &ns->limits[kind];
   double granted = remaining_grant (p->granted, p->granted_until, even, now);
 
-  if (m->demand_at - p->peak_at >= CONFIRM_MS && is_reachable (m, now))
+  if (ns->demand_at - p->peak_at >= CONFIRM_MS && is_reachable (ns, now))
     return granted;
   return fmax (granted, remaining_grant (p->peak, p->peak_until, even, now));
 }
 
 /**
- * Max-min fair level: no node gets more than its target, and the rest is
- * divided evenly among the others.
+ * Max-min fair division: each node gets its target, but at most the level.
  * @return  the level that uses up @p budget, or infinity if all targets fit
  */
 static double
@@ -249,22 +250,22 @@
   for (;;)
     {
       double used = 0, next = INFINITY;
-      size_t open = 0;
+      size_t unsatisfied = 0;
       for (size_t i = 0; i < a->n; i++)
         {
-          const struct member *m = &a->members[i];
-          double want = m->limits[kind].target;
-          if (!is_reachable (m, now))
+          const struct node_share *ns = &a->node_shares[i];
+          double want = ns->limits[kind].target;
+          if (!is_reachable (ns, now))
             continue;
           used += fmin (want, level);
-          open += want > level;
+          unsatisfied += want > level;
           if (want > level)
             next = fmin (next, want);
         }
-      if (open == 0)
+      if (unsatisfied == 0)
         return INFINITY;
       double rest = budget - used;
-      double step = rest / (double)open;
+      double step = rest / (double)unsatisfied;
       if (rest <= 0 || step <= next - level)
         return level + fmax (step, 0);
       level = next;
@@ -276,7 +277,7 @@
 {
   for (size_t i = 0; i < a->n; i++)
     {
-      struct node_limit *p = &a->members[i].limits[kind];
+      struct node_limit *p = &a->node_shares[i].limits[kind];
       p->target = fmax (p->demand * HEADROOM, even * IDLE_FRACTION);
     }
 }
@@ -290,17 +291,17 @@
   double reserved = 0;
   for (size_t i = 0; i < a->n; i++)
     {
-      const struct member *m = &a->members[i];
-      if (!is_reachable (m, now))
+      const struct node_share *ns = &a->node_shares[i];
+      if (!is_reachable (ns, now))
         reserved
-            += fmax (max_usage (m, kind, even, now), m->listed ? even : 0);
+            += fmax (max_usage (ns, kind, even, now), ns->listed ? even : 0);
     }
   return fmax (limit - reserved, 0);
 }
 
-/** A smaller grant may be lost on its way, and the old one stays valid until
-    it expires. If other nodes grew before that, the limit would be exceeded,
-    so they grow only into what is certainly free. */
+/** A reduced grant may be lost, and the old one stays valid until it expires.
+    So other nodes get more only from what is certainly free; otherwise the
+    limit would be exceeded. */
 static void
 set_grants (struct account *a, int kind, clk_ms now, double even,
             double budget, double level)
@@ -308,10 +309,10 @@
   double total_usage = 0, growth = 0;
   for (size_t i = 0; i < a->n; i++)
     {
-      struct node_limit *p = &a->members[i].limits[kind];
-      if (!is_reachable (&a->members[i], now))
+      struct node_limit *p = &a->node_shares[i].limits[kind];
+      if (!is_reachable (&a->node_shares[i], now))
         continue;
-      double peak = max_usage (&a->members[i], kind, even, now);
+      double peak = max_usage (&a->node_shares[i], kind, even, now);
       p->target = fmin (p->target, level);
       total_usage += peak;
       growth += fmax (p->target - peak, 0);
@@ -320,9 +321,9 @@
   double fraction = growth > room ? room / growth : 1;
   for (size_t i = 0; i < a->n; i++)
     {
-      struct node_limit *p = &a->members[i].limits[kind];
-      double peak = max_usage (&a->members[i], kind, even, now);
-      if (!is_reachable (&a->members[i], now))
+      struct node_limit *p = &a->node_shares[i].limits[kind];
+      double peak = max_usage (&a->node_shares[i], kind, even, now);
+      if (!is_reachable (&a->node_shares[i], now))
         continue;
       p->granted = p->target <= peak ? p->target
                                      : peak + fraction * (p->target - peak);
@@ -339,7 +340,7 @@
 static void
 divide_limit (const struct shr *s, struct account *a, int kind, clk_ms now)
 {
-  double all = s->all ? (double)s->all : 1;
+  double all = s->all_nodes ? (double)s->all_nodes : 1;
   double limit = a->limit[kind] * (double)s->nnodes / all;
   double even = a->limit[kind] / all;
   if (a->limit[kind] <= 0)
@@ -354,14 +355,15 @@
 {
   for (size_t i = 0; i < a->n; i++)
     {
-      const struct member *m = &a->members[i];
-      if (!is_reachable (m, now))
+      const struct node_share *ns = &a->node_shares[i];
+      if (!is_reachable (ns, now))
         continue;
       s->grants = xrealloc (s->grants, (s->ngrants + 1) * sizeof *s->grants);
       s->grants[s->ngrants++] = (struct shr_grant){
         .account = str_from (a->name),
-        .node = str_from (m->node),
-        .amount = { m->limits[RATE].granted, m->limits[CONCURRENCY].granted },
+        .node = str_from (ns->node),
+        .amount
+        = { ns->limits[RATE].granted, ns->limits[CONCURRENCY].granted },
         .valid_ms = SHR_VALID_MS,
       };
     }
@@ -375,10 +377,9 @@
   for (size_t i = 0; i < s->n; i++)
     {
       struct account *a = s->accounts[i];
-      /* The grants of the previous home are not known here; nearly all
-         of the limit may be granted to an unreachable node. Shares that
-         are not renewed decay to even parts, and their sum stays within
-         the limit; a grant now would be added on top. */
+      /* The previous home may have granted nearly all of the limit to an
+         unreachable node. Shares that are not renewed decay to even parts,
+         whose sum is the limit; a grant now would be added to it. */
       if (!a->home || now < a->grants_from
           || (a->limit[RATE] <= 0 && a->limit[CONCURRENCY] <= 0))
         continue;
--- a/route/share.h
+++ b/route/share.h
@@ -7,7 +7,8 @@
  * home and gets a share with a lifetime. The home adds up what may still be
  * valid: unexpired grants, and for unreachable nodes the even part of the
  * limit to which they decay. It increases grants only by what is left, so the
- * shares of one home never exceed the limit. Two homes on both sides of a
+ * shares of one home never exceed the limit. The even part is the limit
+ * divided by the number of nodes in all regions. Two homes on both sides of a
  * partition each reserve an even part for every node that they can't reach,
  * which keeps their sum within the limit once the grants from before the
  * partition have expired.
@@ -20,7 +21,7 @@
 
 /** Lifetime of a share. */
 #define SHR_VALID_MS ((clk_ms)3000)
-/** Half-life of an expired share's difference from an even part. */
+/** Half-life of the difference between an expired share and the even part. */
 #define SHR_DECAY_MS ((clk_ms)1000)
 /** Maximum transit time of a grant to its gateway, added to its lifetime. */
 #define SHR_MAX_TRANSIT_MS ((clk_ms)500)
@@ -53,25 +54,27 @@
 
 /**
  * Set an account's limits; zero means no limit and no grants.
- * @param home  whether this node is the account's home. A new home grants
- * nothing until the grants of its predecessor, which it has no record of, have
+ * @param home  whether this node is the account's home. A new home has no
+ * record of the grants of its predecessor and grants nothing until these have
  * expired and decayed.
  */
-void shr_account (struct shr *s, clk_ms now, struct str account,
-                  const struct shr_amount *limit, bool home);
+void shr_set_account (struct shr *s, clk_ms now, struct str account,
+                      const struct shr_amount *limit, bool home);
 
 /** Drop the accounts that were not set since the last call. */
 void shr_drop_unset (struct shr *s);
 
 /**
- * Set the known nodes of this region, including those that left as long as
- * they are remembered: an unreachable node may still serve requests.
- * @param all  nodes of all regions; the region divides its part of the limit
+ * Set the known nodes of this region, including unreachable nodes, which may
+ * still serve requests, until they are forgotten.
+ * @param all  number of nodes in all regions; this region divides n / all of
+ * the limit
  */
-void shr_nodes (struct shr *s, const struct str *names, size_t n, size_t all);
+void shr_set_nodes (struct shr *s, const struct str *names, size_t n,
+                    size_t all);
 
-void shr_demand (struct shr *s, clk_ms now, struct str account,
-                 struct str node, const struct shr_amount *demand);
+void shr_report_demand (struct shr *s, clk_ms now, struct str account,
+                        struct str node, const struct shr_amount *demand);
 
 /** Compute the grants, to be read with shr_next(). Call once a second. */
 void shr_tick (struct shr *s, clk_ms now);
