--- a/control/control.h
+++ b/control/control.h
@@ -134,14 +134,14 @@
 struct ctl_domains *ctl_domains_start (struct ctl *c, struct buf *err);
 void ctl_domains_stop (struct ctl_domains *d);
 void ctl_domains_config (struct ctl_domains *d);
-void ctl_domains_members (struct ctl_domains *d);
+void ctl_domains_on_members_changed (struct ctl_domains *d);
 /** Backend servers of plain services that leave, as this node or a home
     read it in the platform's list; valid until the next event. */
 char *const *ctl_domains_leaving (struct ctl_domains *d, size_t *n);
 /** A control process has linked: it knows none of this node's evidence. */
-void ctl_domains_peer (struct ctl_domains *d);
+void ctl_domains_on_peer_linked (struct ctl_domains *d);
 /** Evidence from another owner. */
-void ctl_domains_evidence (struct ctl_domains *d, const Lapis__Evidence *e);
+void ctl_domains_on_evidence (struct ctl_domains *d, const Lapis__Evidence *e);
 /** One replica as this node knows it, own evidence or another owner's. */
 struct ctl_replica
 {
--- a/control/dom-view.c
+++ b/control/dom-view.c
@@ -167,7 +167,7 @@
 }
 
 void
-ctl_domains_peer (struct ctl_domains *all)
+ctl_domains_on_peer_linked (struct ctl_domains *all)
 {
   for (size_t i = 0; i < all->n; i++)
     all->list[i]->full_more = DOM_FULL_MORE;
@@ -226,7 +226,7 @@
 }
 
 void
-ctl_domains_evidence (struct ctl_domains *all, const Lapis__Evidence *e)
+ctl_domains_on_evidence (struct ctl_domains *all, const Lapis__Evidence *e)
 {
   struct dom *d = dom_find (all, str_from (e->domain));
   clk_ms now = clk_now ();
--- a/control/domains.c
+++ b/control/domains.c
@@ -217,7 +217,7 @@
 }
 
 void
-ctl_domains_members (struct ctl_domains *all)
+ctl_domains_on_members_changed (struct ctl_domains *all)
 {
   clk_ms now = clk_now ();
 
@@ -310,7 +310,7 @@
       dom_free (old[i]);
   free (old);
   map_replicas (all);
-  ctl_domains_members (all);
+  ctl_domains_on_members_changed (all);
   if (old_cfg)
     cfg_unref (old_cfg);
 }
--- a/t/lib-site.h
+++ b/t/lib-site.h
@@ -16,7 +16,7 @@
 
 /** Evidence lasts three seconds; a view of it may be one second on its way
     from control to a busy gateway. */
-#define SITE_BOUND_MS 4000
+#define SITE_EVIDENCE_MS 4000
 
 enum site_servers
 {
@@ -69,6 +69,6 @@
 void site_store_fault (const struct site *s, const char *json);
 
 /** Number behind a key of a VM's state, e.g. "\"orders\"". */
-long site_vm_says (const struct site *s, int vm, const char *key);
+long site_vm_number (const struct site *s, int vm, const char *key);
 
 #endif
--- a/t/t6004-domains.c
+++ b/t/t6004-domains.c
@@ -196,7 +196,7 @@
     fixture->self.zone = STR ("y");
   else
     fixture->other.zone = STR ("y");
-  ctl_domains_members (fixture->ctl.domains);
+  ctl_domains_on_members_changed (fixture->ctl.domains);
 }
 
 static void
@@ -269,7 +269,7 @@
   e.seq = 1;
   e.n_replicas = 1;
   e.replicas = views;
-  ctl_domains_evidence (fixture->ctl.domains, &e);
+  ctl_domains_on_evidence (fixture->ctl.domains, &e);
 }
 
 /* Short evidence; @p rest names the full evidence, whose number here is 1. */
@@ -287,7 +287,7 @@
   e.age_ms = (uint32_t)age;
   e.n_loads = (size_t)n;
   e.loads = loads;
-  ctl_domains_evidence (fixture->ctl.domains, &e);
+  ctl_domains_on_evidence (fixture->ctl.domains, &e);
 }
 
 static void
@@ -358,7 +358,7 @@
   else if (str_is (word, "peer"))
     {
       fixture->log_forms = true;
-      ctl_domains_peer (fixture->ctl.domains);
+      ctl_domains_on_peer_linked (fixture->ctl.domains);
     }
   else if (str_is (word, "elsewhere"))
     for (unsigned i = 0; i < 5; i++)
--- a/t/t8101-peers.c
+++ b/t/t8101-peers.c
@@ -72,13 +72,13 @@
 
 /* The fakes' pointers are those of the node that they belong to. */
 void
-ctl_domains_evidence (struct ctl_domains *d, const Lapis__Evidence *e)
+ctl_domains_on_evidence (struct ctl_domains *d, const Lapis__Evidence *e)
 {
   ((struct node *)d)->evidence++;
 }
 
 void
-ctl_domains_peer (struct ctl_domains *d)
+ctl_domains_on_peer_linked (struct ctl_domains *d)
 {
 }
 
