--- a/control/admin-ask.c
+++ b/control/admin-ask.c
@@ -2,7 +2,7 @@
 
 #include <stdlib.h>
 
-/* Bound of what waits at once; operators are few. */
+/* Limit of requests that wait at the same time; there are few operators. */
 #define MAX_ASKS 256
 
 static void
--- a/control/admin-drain.c
+++ b/control/admin-drain.c
@@ -4,7 +4,7 @@
 #include "base/json.h"
 #include "control/admin.h"
 
-/* Longest wait for the node that carries out a drain. */
+/* Timeout of a drain that was forwarded to another node. */
 #define DRAIN_MS (2 * CLK_SECOND)
 
 static void
@@ -16,7 +16,7 @@
        LOG_I ("revision", c->cfg ? c->cfg->revision : 0));
 }
 
-/* Drain a replica that this node's domains own. */
+/* Drains a replica of a domain that this node owns. */
 static bool
 drain_here (struct ctl *c, struct str replica, bool on, struct str who)
 {
@@ -50,7 +50,7 @@
   adm_ask_end (k);
 }
 
-/* Hand a drain to the node that can carry it out. */
+/* Forwards a drain to the node that can run it. */
 static void
 forward_drain (const struct adm_request *r, struct str node,
                const Lapis__DrainAsk *asked)
@@ -85,9 +85,10 @@
 }
 
 /**
- * Whether to drain: an empty body or {"on": true}, against {"on": false}.
- * @return false when the body says neither, and then it was refused: taken
- *         for a drain, an undo with a slip in it would stop a replica
+ * Parses the request body: empty or {"on": true} drains, {"on": false} ends a
+ * drain.
+ * @return false when the body is neither; a 400 response was sent then,
+ * because a malformed request to end a drain must not start one
  */
 static bool
 read_on (struct httpd_req *http, bool *on)
@@ -95,8 +96,7 @@
   struct str body = str_trim (httpd_get (http)->body);
   json_object *root = jsn_parse (body);
   json_object *value = jsn_get (root, "on");
-  /* json-c ends the process when a value that is no object is asked for its
-     length. */
+  /* json-c aborts when asked for the length of a value that is no object. */
   bool empty = body.len == 0
                || (json_object_is_type (root, json_type_object)
                    && json_object_object_length (root) == 0);
@@ -177,7 +177,7 @@
   free (name);
 }
 
-/* Another node was asked; the operator's right was checked there. */
+/* The node that forwarded the request has checked the operator's role. */
 void
 adm_take_drain_ask (struct ctl_admin *a, uint64_t peer,
                     const Lapis__DrainAsk *ask)
--- a/control/admin-show.c
+++ b/control/admin-show.c
@@ -9,7 +9,7 @@
   [MBR_DEAD] = "dead",
 };
 
-/* Append ,"KEY": and leave the value to the caller. */
+/* Appends ,"KEY": to which the caller adds the value. */
 static void
 add_key (struct buf *out, const char *key)
 {
@@ -214,8 +214,8 @@
   buf_free (&out);
 }
 
-/* Which revision each node that is not dead has in force; what `config status
-   --wait` waits for. */
+/* Lists the revision in force at each node that is not dead; `config status
+   --wait` polls this list. */
 void
 adm_status (const struct adm_request *r)
 {
--- a/control/admin-trace.c
+++ b/control/admin-trace.c
@@ -2,12 +2,12 @@
 
 #include "control/admin.h"
 
-/* Longest wait for spans: of one's own gateway, and of the other nodes, which
-   ask their gateways in turn. */
+/* Timeouts for the spans of this node's gateway and of the other nodes, which
+   request them from their gateways in turn. */
 #define GATEWAY_SPANS_MS ((clk_ms)300)
 #define TRACE_MS CLK_SECOND
 
-/* Add the elements of a JSON array of spans. */
+/* Appends the elements of a JSON array of spans. */
 static void
 add_spans (struct adm_ask *k, struct str json)
 {
@@ -67,7 +67,7 @@
   finish_trace (k);
 }
 
-/* Spans of this node: its own, and those that its gateway will send. */
+/* Adds the spans of this process and requests those of its gateway. */
 static void
 begin_trace (struct adm_ask *k, const uint8_t trace[16])
 {
--- a/control/admin.c
+++ b/control/admin.c
@@ -14,8 +14,8 @@
 {
   const char *method;
   const char *resource;
-  bool named;       /* followed by a name */
-  const char *verb; /* after the name, or NULL */
+  bool named;       /* the path contains a name */
+  const char *verb; /* path segment after the name, or NULL */
   enum cfg_role role;
   void (*run) (const struct adm_request *r);
 };
@@ -64,7 +64,7 @@
   buf_free (&out);
 }
 
-/* Take the next part of a path; the rest is left in `path`. */
+/* Returns the first segment of `path` and removes it from `path`. */
 static struct str
 next_part (struct str *path)
 {
@@ -100,7 +100,8 @@
          && str_is (t->verb, r->verb ? r->verb : "");
 }
 
-/* The route, or NULL with the reason: no such path, or not by that method. */
+/* Returns the route, or NULL and the HTTP status: 404 for an unknown path, 405
+   for another method. */
 static const struct route *
 find_route (const struct httpd_view *view, struct target *t, int *status)
 {
--- a/control/admin.h
+++ b/control/admin.h
@@ -1,13 +1,13 @@
 /**
  * @file
- * Inside of the administration API: the parts of admin.c.
+ * Internal interface of the administration API.
  *
- *   admin.c       requests, operators and their roles, routes
- *   admin-show.c  what is listed and shown, as JSON
- *   admin-ask.c   what waits for answers of other nodes
- *   admin-drain.c drains, carried out here or by the node that can
- *   admin-trace.c the spans of one trace, from all nodes
- *   exposition.c  this process's metrics
+ *   admin.c        HTTP requests, authorization of operators, routes
+ *   admin-show.c   JSON of replicas, nodes, accounts and the configuration
+ *   admin-ask.c    requests that wait for responses of other nodes
+ *   admin-drain.c  drains, run here or forwarded to the node that can run them
+ *   admin-trace.c  the spans of one trace, collected from all nodes
+ *   exposition.c   metrics of this process
  */
 #ifndef LAPISLINE_CONTROL_ADMIN_H
 #define LAPISLINE_CONTROL_ADMIN_H
@@ -18,13 +18,14 @@
 {
   struct ctl *c;
   struct httpd *httpd;
-  struct adm_ask *asks; /**< waiting for other nodes */
+  struct adm_ask *asks; /**< that wait for responses of other nodes */
   uint64_t last_id;
 };
 
 /**
- * One thing asked of other nodes: by an operator here (http is set), or, for
- * spans of the own gateway, by the node `peer`.
+ * A request that waits for responses of other nodes.  It came from an operator
+ * over HTTP (http is set) or, for the spans of this node's gateway, from the
+ * control process `peer`.
  */
 struct adm_ask
 {
@@ -33,38 +34,39 @@
   struct adm_ask **prev;
   uint64_t id;
   uv_timer_t timer;
-  struct httpd_req *http; /**< NULL once the caller has gone */
-  uint64_t peer;          /**< who asked; with peer_id */
-  uint64_t peer_id;       /**< 0: asked here */
-  /* A drain. */
+  struct httpd_req *http; /**< NULL once the client has disconnected */
+  uint64_t peer;          /**< link that the request came over */
+  uint64_t peer_id; /**< the peer's id of the request; 0: from an operator */
+  /* Of a drain. */
   char *who;
   char *what;
-  char *node; /**< that was asked */
-  /* A trace. */
+  char *node; /**< that the drain was forwarded to */
+  /* Of a trace. */
   bool is_trace;
   uint8_t trace[16];
-  struct buf spans; /**< elements of the array, with commas */
-  unsigned waiting; /**< answers that have not come */
-  unsigned missing; /**< nodes that gave none in time */
+  struct buf spans; /**< elements of a JSON array, separated by commas */
+  unsigned waiting; /**< responses not yet received */
+  unsigned missing; /**< nodes without a link or without a response in time */
 };
 
-/** One request of an operator who may make it. */
+/** A request of an operator whose role permits it. */
 struct adm_request
 {
   struct ctl_admin *a;
   struct httpd_req *http;
-  struct str name; /**< in the path, or empty */
+  struct str
+      name; /**< of the replica, node or trace in the path; may be empty */
   const struct cfg_operator *who;
 };
 
-/** Answer with a body of JSON. */
+/** Sends a response with a JSON body. */
 void adm_answer (struct httpd_req *http, int status, struct str json);
 
-/** Answer {"error":{"code":...,"message":...}}. */
+/** Sends {"error":{"code":...,"message":...}}. */
 void adm_error (struct httpd_req *http, int status, const char *code,
                 const char *message);
 
-/* admin-show.c: each answers the request. */
+/* admin-show.c: each function sends the response. */
 void adm_replicas (const struct adm_request *r);
 void adm_replica (const struct adm_request *r);
 void adm_nodes (const struct adm_request *r);
@@ -73,7 +75,7 @@
 void adm_config (const struct adm_request *r);
 void adm_status (const struct adm_request *r);
 
-/** The member of that name with the highest boot, or NULL. */
+/** Returns the member of that name with the highest boot number, or NULL. */
 const struct mbr_node *adm_find_node (const struct ctl *c, struct str name);
 const struct ctl_replica *adm_find_replica (const struct ctl *c,
                                             struct str name);
@@ -81,19 +83,20 @@
 /* admin-ask.c */
 
 /**
- * Begin to wait, at most @p wait_ms.
+ * Registers a request that waits for other nodes for at most @p wait_ms.
  * @param http  the operator's request, or NULL
- * @return NULL when too many wait
+ * @return NULL when too many requests are waiting
  */
 struct adm_ask *adm_ask_new (struct ctl_admin *a, struct httpd_req *http,
                              clk_ms wait_ms, uv_timer_cb on_late);
 struct adm_ask *adm_ask_find (const struct ctl_admin *a, uint64_t id,
                               bool is_trace);
 void adm_ask_end (struct adm_ask *k);
-/** Answer and drop what waits. */
+/** Ends all waiting requests; operators get an error response. */
 void adm_asks_stop (struct ctl_admin *a);
 
-/* admin-drain.c: a request is answered now or when another node answered. */
+/* admin-drain.c: the response is sent at once, or when the node that the drain
+   was forwarded to has responded. */
 void adm_drain_replica (const struct adm_request *r);
 void adm_drain_node (const struct adm_request *r);
 void adm_take_drain_ask (struct ctl_admin *a, uint64_t peer,
@@ -101,7 +104,8 @@
 void adm_take_drain_answer (struct ctl_admin *a,
                             const Lapis__DrainAnswer *answer);
 
-/* admin-trace.c: a request is answered when all nodes answered, or late. */
+/* admin-trace.c: the response is sent when all nodes have responded or the
+   wait has timed out. */
 void adm_trace (const struct adm_request *r);
 void adm_take_trace_ask (struct ctl_admin *a, uint64_t peer,
                          const Lapis__TraceAsk *ask);
--- a/control/control.c
+++ b/control/control.c
@@ -6,27 +6,28 @@
 
 #include "store/etcd.h"
 
-/* Longest wait for one answer of the store. */
+/* Timeout of one store call. */
 #define STORE_CALL_MS (2 * CLK_SECOND)
 
-/* How often a leaving process looks whether it may go. */
+/* Interval at which a leaving process checks whether it can exit. */
 #define LEAVE_CHECK_MS ((clk_ms)100)
 
 /*
- * A leaving node stays at least this long: gossip needs a few rounds to tell
- * everybody that it leaves, and owned domains need a store answer to be given
- * back.  Without it the others would take it for dead and wait for its leases.
+ * A leaving node runs at least this long: gossip needs a few rounds to
+ * announce the leave to all nodes, and releasing owned domains takes a store
+ * call.  If it exited earlier, the others would declare it dead and wait for
+ * its leases to expire.
  */
 #define LEAVE_LEAST_MS CLK_SECOND
 
 #define SPANS 4096
 
-/* Rounds of the loop in which closing handles come to their end. */
+/* Limit of loop iterations that wait for closing handles. */
 #define CLOSE_ROUNDS 1000
 
 struct process
 {
-  struct ctl ctl; /* first: the modules know only this */
+  struct ctl ctl; /* must be first: see process_of() */
   uv_loop_t loop;
   uv_signal_t term;
   uv_signal_t interrupt;
@@ -74,8 +75,9 @@
     ctl_views_touch (c->views);
 }
 
-/* In the reverse order of their start.  A pointer is cleared once its module
-   is gone, as those that are left may still tell the others something. */
+/* Stops the modules in reverse order of their start.  Each pointer is cleared
+   after its module has stopped, because the remaining modules may still call
+   ctl_member_changed() and the like. */
 static void
 stop_modules (struct ctl *c)
 {
@@ -110,9 +112,9 @@
 }
 
 /*
- * Callers keep an address answer for its lifetime, and the gateway serves
- * them meanwhile and tells so by keeping its link.  Only when the link is
- * gone, or the last answer that names this node has run out, may control go.
+ * Clients use an address response until it expires, and until then the gateway
+ * serves them and keeps its link open.  The process exits once that link is
+ * closed or the last address response that names this node has expired.
  */
 static void
 on_leave_check (uv_timer_t *t)
@@ -228,9 +230,9 @@
       uv_signal_start (&p->interrupt, on_signal, SIGINT);
       LOG (process_started, LOG_I ("boot", p->ctl.boot));
       print_ready (&p->ctl);
-      /* Not uv_stop(): h2o runs the loop once more within the closing of a
-         server, which takes the stop back, and the process would stay for
-         ever with nothing left to do. */
+      /* uv_stop() doesn't work here: closing a server makes h2o run the loop
+         once more, which resets the stop flag, and uv_run() would then never
+         return. */
       while (!p->finished)
         uv_run (&p->loop, UV_RUN_ONCE);
       LOG (process_stopped, LOG_I ("boot", p->ctl.boot));
--- a/control/control.h
+++ b/control/control.h
@@ -1,10 +1,10 @@
 /**
  * @file
- * The control process of a node: shells around the decision cores.
+ * The control process of a node, which does the I/O of the decision cores.
  *
- * control.c owns the loop and starts the modules below in this order; each has
- * one job and reaches the others only through the functions here.  All run on
- * one loop in one thread.  builtin/control.c is the caller of ctl_run().
+ * control.c owns the event loop and starts the modules below in this order.
+ * All run in one thread and call each other only through the functions
+ * declared here.  builtin/control.c calls ctl_run().
  *
  *   swim.c     membership over UDP, with roster.c (fleet/member.h)
  *   peers.c    framed links to other control processes (peers.h)
@@ -14,12 +14,13 @@
  *   views.c    the link to this node's gateway (views.h)
  *   admin.c    administration API and metrics over HTTP (admin.h)
  *
- * The process leaves once, on SIGTERM or an operator's word: `leaving` is set,
- * membership says so and domains are given back; it ends when its gateway has
- * gone or the longest address answer has run out.
+ * SIGTERM or an operator's drain makes the process leave, once: `leaving` is
+ * set, membership announces it and owned domains are released.  The process
+ * exits when its gateway has closed the link or the address response with the
+ * longest lifetime has expired.
  *
- * Each module has a start, which returns NULL with the reason in @p err, and a
- * stop, after which its handles close as the loop turns.
+ * Each module has a start function, which returns NULL and sets @p err on
+ * failure, and a stop function, after which its handles close asynchronously.
  */
 #ifndef LAPISLINE_CONTROL_CONTROL_H
 #define LAPISLINE_CONTROL_CONTROL_H
@@ -43,18 +44,18 @@
 struct ctl_views;
 struct ctl_admin;
 
-/** What all modules of the process share. */
+/** State shared by all modules of the process. */
 struct ctl
 {
   uv_loop_t *loop;
   struct settings set;
-  uint64_t boot; /**< this process's boot number, from wall time */
+  uint64_t boot; /**< wall clock at the start of the process, in ms */
   struct rng rng;
   struct httpc *http;
   struct store *store;
   struct met_reg *met;
   struct trc_ring *spans;
-  struct cfg *cfg; /**< in force, or NULL before the first */
+  struct cfg *cfg; /**< configuration in force, or NULL before the first */
   bool leaving;
   struct ctl_swim *swim;
   struct ctl_peers *peers;
@@ -65,21 +66,21 @@
   struct ctl_admin *admin;
 };
 
-/* control.c: how modules tell the others. */
+/* control.c: notifications between modules. */
 
-/** A higher configuration is in force (called by spread.c); takes a reference
-    of its own. */
+/** A newer configuration is in force (called by spread.c); adds a
+    reference. */
 void ctl_config_changed (struct ctl *c, struct cfg *cfg, struct str text);
-/** A member appeared or changed (called by swim.c). */
+/** A member joined or its state changed (called by swim.c). */
 void ctl_member_changed (struct ctl *c, const struct mbr_node *node);
-/** Evidence about replicas changed (called by domains.c). */
+/** The state of a replica changed (called by domains.c). */
 void ctl_evidence_changed (struct ctl *c);
-/** Begin to leave: drain the gateway, then stop. */
+/** Starts to leave: the gateway drains, then the process exits. */
 void ctl_leave (struct ctl *c);
 /**
- * Run a control process until it was told to leave and has left.
- * @param set  taken over
- * @retval false  it could not start; the reason is in @p err
+ * Runs a control process until it has left.
+ * @param set  settings; ownership passes to the function
+ * @retval false  the process could not start; @p err says why
  */
 bool ctl_run (struct settings *set, struct buf *err);
 
@@ -89,34 +90,38 @@
 uint16_t ctl_swim_port (const struct ctl_swim *s);
 const struct mbr_node *const *ctl_swim_nodes (const struct ctl_swim *s,
                                               size_t *n);
-/** Where this process accepts links (called by peers.c). */
+/** Sets the address at which this process accepts links (called by
+    peers.c). */
 void ctl_swim_set_peer (struct ctl_swim *s, const struct net_addr *peer);
-/** Another control process told its membership address. */
+/** Adds a membership address to the seeds that this node joins through. */
 void ctl_swim_seed (struct ctl_swim *s, const struct net_addr *swim);
-/** Whether this node carries links to @p region for its own. */
+/** Whether this node keeps links to @p region on behalf of its own region. */
 bool ctl_swim_is_bridge (const struct ctl_swim *s, struct str region);
-/** The gateway's addresses, load or the revision in force changed. */
+/** Set what gossip announces of this node: the gateway's addresses and load,
+    and the revision in force. */
 void ctl_swim_set_gateway (struct ctl_swim *s, const struct net_addr *http,
                            const struct net_addr *peer, uint32_t load);
 void ctl_swim_set_revision (struct ctl_swim *s, int64_t revision);
 void ctl_swim_leave (struct ctl_swim *s);
 const struct mbr_counts *ctl_swim_counts (const struct ctl_swim *s);
 
-/* peers.c: links to the control processes of the region (and bridges). */
+/* peers.c: links to control processes of this region and, on bridge nodes, of
+   others. */
 struct ctl_peers *ctl_peers_start (struct ctl *c, struct buf *err);
 void ctl_peers_stop (struct ctl_peers *p);
 uint16_t ctl_peers_port (const struct ctl_peers *p);
 void ctl_peers_member (struct ctl_peers *p, const struct mbr_node *node);
-/** Send to one linked peer by its number, or to all linked nodes. */
+/** Send to the peer with that link number, or to all linked peers. */
 bool ctl_peers_send (struct ctl_peers *p, uint64_t peer,
                      const Lapis__Frame *f);
 void ctl_peers_broadcast (struct ctl_peers *p, const Lapis__Frame *f);
-/** Send to the node of that name; false when there is no link.  A link to it
-    is then opened and kept for a while, so that a later try gets through. */
+/** Sends to the node of that name.  Without a link it returns false and opens
+    one, which is kept for a while, so that a later call succeeds. */
 bool ctl_peers_send_node (struct ctl_peers *p, struct str node,
                           const Lapis__Frame *f);
 
-/** Linked control processes, and bytes on their links since the start. */
+/** Returns the number of linked control processes, and the bytes sent and
+    received on links since the process started. */
 size_t ctl_peers_traffic (const struct ctl_peers *p, uint64_t *out,
                           uint64_t *in);
 
@@ -135,14 +140,16 @@
 void ctl_domains_stop (struct ctl_domains *d);
 void ctl_domains_config (struct ctl_domains *d);
 void ctl_domains_members (struct ctl_domains *d);
-/** Backend servers of plain services that leave, as this node or a home
-    read it in the platform's list; valid until the next event. */
+/** Returns the backend servers of plain services that the platform lists as
+    leaving, from the list read here or reported by other homes; valid until
+    the next event. */
 char *const *ctl_domains_leaving (struct ctl_domains *d, size_t *n);
-/** A control process has linked: it knows none of this node's evidence. */
+/** A control process has linked; the next evidence is sent to it in full. */
 void ctl_domains_peer (struct ctl_domains *d);
-/** Evidence from another owner. */
+/** Handles evidence received from another node. */
 void ctl_domains_evidence (struct ctl_domains *d, const Lapis__Evidence *e);
-/** One replica as this node knows it, own evidence or another owner's. */
+/** The last state of one replica, from this node's probes or from evidence of
+    another node. */
 struct ctl_replica
 {
   struct str name, model, domain, owner;
@@ -156,7 +163,7 @@
 };
 const struct ctl_replica *ctl_domains_replicas (struct ctl_domains *d,
                                                 size_t *n);
-/** Operator's drain; false when there is no such replica. */
+/** Starts or ends a drain; false when this node does not probe the replica. */
 bool ctl_domains_drain (struct ctl_domains *d, struct str replica, bool on);
 
 /* shares.c */
@@ -169,23 +176,24 @@
 /* views.c */
 struct ctl_views *ctl_views_start (struct ctl *c, struct buf *err);
 void ctl_views_stop (struct ctl_views *v);
-/** A link on the peer port said that it is this node's gateway. */
+/** A process that linked to the peer port announced the role gateway. */
 void ctl_views_gateway (struct ctl_views *v, struct link *l,
                         const Lapis__Hello *hello);
 void ctl_views_gateway_down (struct ctl_views *v, struct link *l);
 void ctl_views_frame (struct ctl_views *v, struct link *l,
                       const Lapis__Frame *f);
-/** Something that the gateway sees changed; sent at the end of this turn. */
+/** Schedules a view, because its content changed. */
 void ctl_views_touch (struct ctl_views *v);
-/** Another configuration is in force in this process. */
+/** A newer configuration is in force in this process. */
 void ctl_views_config (struct ctl_views *v);
 void ctl_views_share (struct ctl_views *v, const Lapis__ShareGrant *g);
 /** Whether a gateway is linked. */
 bool ctl_views_linked (const struct ctl_views *v);
-/** Ask the gateway for its spans of one trace; false when none is linked. */
+/** Requests the gateway's spans of one trace; false when none is linked. */
 bool ctl_views_trace (struct ctl_views *v, uint64_t id,
                       const uint8_t trace[16]);
-/** Bytes on the gateway's link since the start. */
+/** Returns the bytes sent and received on gateway links since the process
+    started. */
 void ctl_views_traffic (const struct ctl_views *v, uint64_t *out,
                         uint64_t *in);
 
@@ -193,11 +201,11 @@
 struct ctl_admin *ctl_admin_start (struct ctl *c, struct buf *err);
 void ctl_admin_stop (struct ctl_admin *a);
 uint16_t ctl_admin_port (const struct ctl_admin *a);
-/** An operator's request or its answer from another node: DrainAsk,
-    DrainAnswer, TraceAsk, TraceAnswer (called by peers.c). */
+/** Handles DrainAsk, DrainAnswer, TraceAsk and TraceAnswer of another node
+    (called by peers.c). */
 void ctl_admin_frame (struct ctl_admin *a, uint64_t peer,
                       const Lapis__Frame *f);
-/** Spans of the gateway for a trace asked with ctl_views_trace(). */
+/** Handles the spans requested with ctl_views_trace(). */
 void ctl_admin_spans (struct ctl_admin *a, uint64_t id, struct str json);
 
 #endif
--- a/control/dom-calls.c
+++ b/control/dom-calls.c
@@ -4,7 +4,7 @@
 #include "base/json.h"
 #include "control/domains.h"
 
-/* A longer answer to a probe is no answer. */
+/* A probe with a longer response has failed. */
 #define MAX_STATE_BYTES ((size_t)16384)
 #define MAX_LIST_BYTES ((size_t)(4 << 20))
 
@@ -139,9 +139,9 @@
   end_call (ctx, end == HTTPC_WHOLE);
 }
 
-/* The last moment before bytes go out.  The order may have waited for its
-   connection, and the process may have been stopped meanwhile, so the time is
-   read here and not taken from the loop. */
+/* Checks the lease just before the order is sent.  The order may have waited
+   for its connection, and the process may have been suspended meanwhile, so
+   this reads the clock and doesn't use the loop's cached time. */
 static bool
 may_send_order (void *ctx)
 {
@@ -233,14 +233,14 @@
         httpc_cancel (call->http);
         call->http = NULL;
         end_call (call, false);
-        /* Ending may have freed or begun others. */
+        /* end_call() may have freed or started other calls. */
         call = d->calls;
       }
     else
       call = call->next;
 }
 
-/* ---- the platform's list ---- */
+/* ---- the platform's list of VMs ---- */
 
 static void
 tell_vm (struct ctl_domains *all, struct str vm, bool live)
@@ -281,8 +281,9 @@
   return same;
 }
 
-/* A plain service has no owner who could drain its backend server: that it
-   leaves is told to every gateway, which then sends it nothing new. */
+/* A plain service has no owner that could drain its backend server.  Its leave
+   is therefore reported to every gateway, which then sends it no new
+   requests. */
 static void
 set_leaving (struct ctl_domains *all, GPtrArray *names)
 {
@@ -337,8 +338,8 @@
     buf_add (&all->platform_body, bytes);
 }
 
-/* The list lags and may be down; an old one is as good as none, so a failed
-   call changes nothing. */
+/* The list is out of date anyway and its server may be down, so a failed read
+   keeps the last result. */
 static void
 on_platform_end (void *ctx, enum httpc_end end)
 {
@@ -353,7 +354,7 @@
   json_object_put (list);
 }
 
-/* Homes read the list, and every node where there is no domain at all. */
+/* Only homes read the list, or every node if no domain is configured. */
 static bool
 reads_list (const struct ctl_domains *all)
 {
@@ -384,7 +385,7 @@
     return;
   if (!reads_list (all))
     {
-      /* What was read as a home is nobody's word any more. */
+      /* No longer a home: the list read here is out of date. */
       if (all->leaving->len)
         set_leaving (all, g_ptr_array_new_with_free_func (free));
       return;
--- a/control/dom-store.c
+++ b/control/dom-store.c
@@ -26,7 +26,7 @@
   dom_pump (d);
 }
 
-/* A lease given back ends by itself if this is lost. */
+/* If the call failed, the lease expires by itself. */
 static void
 on_revoked (void *ctx, const struct store_result *r)
 {
--- a/control/dom-turn.c
+++ b/control/dom-turn.c
@@ -2,11 +2,11 @@
 
 #include "control/domains.h"
 
-/** How urgently a domain waits: lower goes first. */
+/** Sort key of a domain that waits to load weights; lower loads first. */
 struct urgency
 {
   bool waits;
-  unsigned live; /* of its scarcest model */
+  unsigned live; /* serving replicas of its model that has the fewest */
   uint64_t tie;
 };
 
@@ -22,7 +22,7 @@
   return (size_t)(cfg_model (cfg, name) - cfg->models);
 }
 
-/* Replicas of each model that serve, by the model's place in the
+/* Counts the serving replicas of each model, indexed as in the
    configuration. */
 static unsigned *
 count_live (const struct cfg *cfg, const struct ctl_replica *list, size_t n,
@@ -98,7 +98,8 @@
     d->waiting_since = 0;
   else if (!d->waiting_since)
     d->waiting_since = now;
-  /* A domain that cannot load must not keep the others waiting for ever. */
+  /* The limit on waiting keeps a domain that cannot load from blocking the
+     others for ever. */
   turn.on = before < DOM_LOADS
             || (d->waiting_since && now - d->waiting_since >= DOM_TURN_MS);
   rep_event (d->rep, now, &turn);
@@ -117,9 +118,10 @@
     }
 }
 
-/* Owners agree on the order without asking each other: each sorts the domains
-   that wait by what it knows from evidence.  Views that differ for a second
-   load one domain more or less at a time, which costs speed only. */
+/* Each owner sorts the waiting domains by the last evidence received, so that
+   owners agree on the order without messages.  When evidence differs between
+   nodes for a second, one domain more or less loads at a time, which affects
+   only the speed. */
 void
 dom_share_budget (struct ctl_domains *all, clk_ms now)
 {
--- a/control/dom-view.c
+++ b/control/dom-view.c
@@ -19,10 +19,11 @@
 }
 
 /*
- * A home that takes over has asked no member yet and would call every replica
- * not whole.  Its word counts everywhere, and each take-over would cut off a
- * domain that is well.  Until it has asked, gateways hold on to what the home
- * before said, and look themselves once that has run out.
+ * A new home has probed no member yet and would report every replica as
+ * incomplete.  All nodes would use that report, so each change of home would
+ * take a healthy domain out of service.  Until the home has probed its
+ * members, gateways use the evidence of the previous home and, once that has
+ * expired, check the servers themselves.
  */
 bool
 dom_speaks (struct dom *d, clk_ms now)
@@ -40,7 +41,7 @@
   return !d->quiet_until;
 }
 
-/* ---- to the other nodes ---- */
+/* ---- evidence to other nodes ---- */
 
 static uint32_t
 age (clk_ms now, clk_ms then)
@@ -48,8 +49,8 @@
   return then && now > then ? (uint32_t)(now - then) : 0;
 }
 
-/* The model and the domain are left out: who hears it has the configuration.
-   Text is what evidence costs most. */
+/* Model and domain are omitted: receivers have them from the configuration,
+   and strings are most of the size of evidence. */
 static void
 fill (Lapis__ReplicaView *out, const struct rep_view *v, clk_ms now)
 {
@@ -87,7 +88,8 @@
   Lapis__Frame frame = LAPIS__FRAME__INIT;
 
   e->domain = (char *)buf_c (&d->name);
-  /* Without a valid lease this is only what this node saw. */
+  /* 0: without a valid lease this is the evidence of a home, not of an
+     owner. */
   e->fence = owns (d) ? (uint64_t)own_fence (d->own) : 0;
   e->seq = ++d->seq;
   frame.body_case = LAPIS__FRAME__BODY_EVIDENCE;
@@ -140,14 +142,13 @@
   free (e.loads);
 }
 
-/* In rest, names and addresses are what evidence consists of: they go out
-   again only when something changed, and now and then for whoever missed it.
-   A node that has just come has missed it for certain and can do nothing with
-   the short form; callers that use it would hear for seconds that there is no
-   replica.  It may get its configuration, without which it takes no evidence,
-   a moment after its link, so the next few are full.  What changed since the
-   full one is told by d->changed, which stands for every step of the chart,
-   every whole or not, and ownership. */
+/* Names and addresses are most of the size of evidence.  They are sent when
+   something changed, and at an interval for nodes that missed a message.  A
+   newly linked node has missed the last full message and cannot use the short
+   form: its clients would get "no replica" for seconds.  It may receive its
+   configuration, without which it drops evidence, shortly after it has linked,
+   so the next few messages are full. d->changed covers every change since the
+   last full one: chart transitions, completeness and ownership. */
 void
 dom_broadcast (struct dom *d, clk_ms now)
 {
@@ -173,13 +174,14 @@
     all->list[i]->full_more = DOM_FULL_MORE;
 }
 
-/* ---- from the other nodes ---- */
+/* ---- evidence from other nodes ---- */
 
 /*
- * An owner that lost its domain while it was frozen may send what it saw
- * before: its number is lower than one seen already, and it is ignored.
- * Evidence without a number comes from a home that could not get the lease,
- * as the store is down; it counts when no owner is heard any more.
+ * Whether evidence is accepted.  An owner that lost its lease while suspended
+ * may send old evidence: its fence is below the highest received, and it is
+ * dropped.  Evidence without a fence comes from a home that could not get the
+ * lease because the store is down; it is accepted once no owner sends evidence
+ * any more.
  */
 static bool
 counts (const struct dom_remote *r, int64_t fence, clk_ms now)
@@ -202,7 +204,8 @@
   return out;
 }
 
-/* What the short form says stands in the list of the full one. */
+/* Applies a short message to the last full one, whose order of replicas it
+   follows; false when it does not belong to that one. */
 static bool
 renew (struct dom_remote *r, const Lapis__Evidence *e)
 {
@@ -282,7 +285,7 @@
 {
   clk_ms valid = v->valid_ms;
 
-  /* Whoever sent it, evidence never counts for longer than its time. */
+  /* Limits the validity that another node claims. */
   if (valid > REP_EVIDENCE_MS)
     valid = REP_EVIDENCE_MS;
   out->generation = (int64_t)v->generation;
@@ -308,7 +311,8 @@
   out->state = "unknown";
 }
 
-/* Another node owns it for certain, and this one only believes to be home. */
+/* Whether to use the evidence received: this node is not home, or has no lease
+   while an owner sent evidence recently, or has not probed enough yet. */
 static bool
 remote_is_better (const struct dom *d, clk_ms now)
 {
@@ -377,8 +381,8 @@
     g_ptr_array_add (names, name);
 }
 
-/* Only homes read the platform's list, which is long; what concerns everybody
-   comes with their evidence. */
+/* Only homes read the platform's list, which is long; other nodes get the
+   leaving backend servers with the homes' evidence. */
 char *const *
 ctl_domains_leaving (struct ctl_domains *all, size_t *n)
 {
--- a/control/domains.c
+++ b/control/domains.c
@@ -146,7 +146,7 @@
     }
 }
 
-/* A zone's region is known from any node that ever was in it. */
+/* The region of a zone is taken from any member of the zone, dead or alive. */
 static bool
 zone_is_elsewhere (const struct ctl *c, const struct mbr_node *const *nodes,
                    size_t n, struct str zone)
@@ -172,9 +172,9 @@
   return found;
 }
 
-/* The home of a domain is picked among the live nodes of its zone, or of the
-   region when the zone has none.  Two nodes may both believe that they are
-   home; the lease decides which of them may order. */
+/* Hashing picks a domain's home among the live nodes of its zone, or of the
+   region when the zone has none.  Two nodes may both pick themselves for a
+   time; only the one that gets the lease sends orders. */
 static bool
 is_home (struct dom *d)
 {
@@ -246,7 +246,7 @@
   return d;
 }
 
-/* The domain's former state, moved out of the old list, or a new one. */
+/* Moves the domain's state out of the old list, or creates it. */
 static struct dom *
 take_or_new (struct ctl_domains *all, struct dom **old, size_t n,
              struct str name)
@@ -266,7 +266,7 @@
 apply_config (struct dom *d, const struct cfg_domain *cfg, clk_ms now)
 {
   struct rep_event ev = { .kind = REP_CONFIG, .cfg = d->all->cfg };
-  /* How long a new owner waits was decided under the old word. */
+  /* The time that a new owner waits was set under the old value. */
   bool fencing_changed
       = d->cfg && d->rep && d->cfg->checks_fence != cfg->checks_fence;
 
--- a/control/domains.h
+++ b/control/domains.h
@@ -1,12 +1,17 @@
 /**
  * @file
- * What the files of domains.c share.
+ * Internal interface of the fabric domains.
  *
- *   domains.c    which domains this node is home of; the cores' actions
+ *   domains.c    which domains this node is home of; actions of the cores
  *   dom-calls.c  probes, orders and the platform's list over HTTP
- *   dom-store.c  the cores' store calls
+ *   dom-store.c  store calls of the cores
  *   dom-view.c   evidence to and from other nodes, and the merged list
- *   dom-turn.c   whose turn it is to load weights, over all domains
+ *   dom-turn.c   which domains may load weights at the same time
+ *
+ * The home of a domain is the node that hashing picks to probe its VMs.  The
+ * owner is the home that holds the domain's lease; only it sends orders.
+ * Evidence is the state of a domain's replicas that its home sends to the
+ * other nodes.
  */
 #ifndef LAPISLINE_CONTROL_DOMAINS_H
 #define LAPISLINE_CONTROL_DOMAINS_H
@@ -17,27 +22,26 @@
 #include <glib.h>
 
 #define DOM_TICK_MS ((clk_ms)100)
-/** A probe without an answer by then has failed. */
 #define DOM_PROBE_MS ((clk_ms)800)
-/** No order is under way for longer. */
 #define DOM_ORDER_MS ((clk_ms)2000)
 #define DOM_LEASE_MS ((clk_ms)6000)
 #define DOM_BROADCAST_MS ((clk_ms)1000)
-/** Evidence with all its names at least this often. */
+/** Longest interval between full messages of evidence, which contain names. */
 #define DOM_FULL_MS ((clk_ms)5000)
-/** Full broadcasts after a node has come. */
+/** Number of full broadcasts after a peer has linked. */
 #define DOM_FULL_MORE 3
 #define DOM_PLATFORM_MS ((clk_ms)1000)
-/** Domains that load weights at the same time, and how long a domain waits at
-    most for its turn. */
+/** Number of domains that load weights at the same time, and the time after
+    which a waiting domain may load regardless of it. */
 #define DOM_LOADS 4
 #define DOM_TURN_MS (10 * CLK_MINUTE)
 #define DOM_SHARE_MS ((clk_ms)1000)
-/** Evidence of nobody's owner counts once the last owner was silent so long;
-    shorter than the evidence time, so that nothing expires in between. */
+/** Evidence from a home without the lease is accepted once no owner has sent
+    any for this long.  Shorter than REP_EVIDENCE_MS, so that replica states
+    don't expire in between. */
 #define DOM_OWNER_SILENT_MS ((clk_ms)1500)
-/** A home that has just begun says nothing for so long, unless it has seen
-    every replica whole before. */
+/** A new home sends no evidence for this long, unless it finds every replica
+    complete earlier. */
 #define DOM_QUIET_MS ((clk_ms)3000)
 
 struct dom;
@@ -50,7 +54,7 @@
   DCALL_STORE_REPLICA
 };
 
-/** One call under way on behalf of a domain. */
+/** A probe, an order or a store call in progress for a domain. */
 struct dom_call
 {
   struct dom *dom;
@@ -64,13 +68,13 @@
   struct dom_call *next;
 };
 
-/** What another node said last about a domain. */
+/** The last evidence received about a domain. */
 struct dom_remote
 {
-  int64_t fence;   /* highest seen */
-  clk_ms owner_at; /* when evidence of that fence came last */
+  int64_t fence;   /* highest received */
+  clk_ms owner_at; /* last time that evidence of that fence was received */
   Lapis__Evidence *last;
-  clk_ms last_at; /* when it came */
+  clk_ms last_at; /* time of receipt */
 };
 
 /** One fabric domain of the configuration. */
@@ -79,20 +83,20 @@
   struct ctl_domains *all;
   struct buf name;
   const struct cfg_domain *cfg;
-  bool managed; /* has a replica that may get orders */
-  bool home;    /* this node probes it, and owns it if it can */
+  bool managed; /* has a replica of mode CFG_MANAGE */
+  bool home;    /* this node probes it, and owns it if it gets the lease */
   struct buf home_node;
-  bool changed;         /* evidence changed in this turn */
-  clk_ms waiting_since; /* for a turn to load weights; 0: is not */
+  bool changed;         /* evidence changed since the last tick */
+  clk_ms waiting_since; /* to load weights; 0: doesn't wait */
   struct own *own;
   struct rep *rep;
   struct dom_call *calls;
-  uint64_t seq; /* begins anywhere, so that no two senders share them */
+  uint64_t seq; /* starts at a random number, so that senders differ */
   uint64_t full_seq;
   size_t sent_replicas;
-  int full_more; /* broadcasts that shall be full */
+  int full_more; /* upcoming broadcasts that must be full */
   clk_ms sent_at, full_at;
-  clk_ms quiet_until; /* 0: it speaks */
+  clk_ms quiet_until; /* 0: evidence is sent */
   struct dom_remote remote;
 };
 
@@ -103,15 +107,15 @@
   struct cfg *cfg;
   struct dom **list;
   size_t n;
-  struct dom **dom_of; /* of each replica of the configuration */
+  struct dom **dom_of; /* for each replica of the configuration */
   clk_ms next_platform;
   clk_ms next_share;
   struct httpc_call *platform;
   struct buf platform_body;
   int platform_status;
-  GPtrArray
-      *leaving; /* backend servers, as the list that was read here says */
-  GPtrArray *all_leaving; /* and by the lists of other nodes; owns nothing */
+  GPtrArray *leaving; /* backend servers that leave, from the list read here */
+  GPtrArray *all_leaving; /* those and the ones other nodes reported; not
+                             owned */
   clk_ms platform_deadline;
   struct ctl_replica *merged;
   size_t nmerged;
@@ -119,16 +123,16 @@
 };
 
 /* domains.c */
-/** Carry out what the cores of the domain want; NULL-safe on its way out. */
+/** Runs the pending actions of the domain's cores. */
 void dom_pump (struct dom *d);
 struct dom *dom_find (const struct ctl_domains *all, struct str name);
 
 /* dom-calls.c */
 void dom_probe (struct dom *d, const struct cfg_vm *vm);
 void dom_order (struct dom *d, const struct rep_action *a);
-/** End calls that are past their deadline. */
+/** Fails calls that are past their deadline. */
 void dom_calls_tick (struct dom *d, clk_ms now);
-/** Drop every call without an answer. */
+/** Cancels every call; their callbacks don't run. */
 void dom_calls_cancel (struct dom *d);
 struct dom_call *dom_call_new (struct dom *d, enum dom_call_kind kind);
 void dom_call_free (struct dom_call *call);
@@ -143,12 +147,13 @@
 
 /* dom-view.c */
 void dom_broadcast (struct dom *d, clk_ms now);
-/** Whether what this home has seen so far may be told. */
+/** Whether this home has probed enough to send evidence. */
 bool dom_speaks (struct dom *d, clk_ms now);
 void dom_remote_free (struct dom_remote *r);
 
 /* dom-turn.c */
-/** Tell the cores whose turn it is to load weights, and who is alive. */
+/** Sets for each core whether it may load weights, and how many replicas of
+    each model serve. */
 void dom_share_budget (struct ctl_domains *all, clk_ms now);
 
 #endif
--- a/control/peer-policy.c
+++ b/control/peer-policy.c
@@ -8,10 +8,11 @@
 #define WAIT_FIRST_MS ((clk_ms)250)
 #define WAIT_LAST_MS (10 * CLK_SECOND)
 
-/* The larger name opens a link only if the smaller has not for so long. */
+/* The node with the larger name opens a link only after the one with the
+   smaller name has not done so for this long. */
 #define TURN_MS (3 * CLK_SECOND)
 
-/* A link opened for a frame is kept for this long after the last. */
+/* A link opened on demand is kept for this long after the last failed send. */
 #define WANTED_MS CLK_MINUTE
 
 static struct target *
@@ -95,14 +96,15 @@
     t->wanted_at = clk_now ();
 }
 
-/* --- whom to link ------------------------------------------------------- */
+/* --- which nodes to link to
+   -------------------------------------------------- */
 
-/** What the policy looks at, gathered once a tick. */
+/** Input of the policy, collected once per tick. */
 struct survey
 {
   const struct mbr_node *const *nodes;
   size_t n;
-  size_t region; /**< nodes of the own region that are there */
+  size_t region; /**< nodes of this region that are not dead */
   bool owner;    /**< this node owns a fabric domain */
   struct str picks[PRS_PICKS];
   size_t npicks;
@@ -169,10 +171,10 @@
 }
 
 /**
- * Whether this node is to open a link to that one by itself.  In a small
- * region all are linked.  In a large one evidence must reach everybody from
- * the owners, and configuration spreads over a few random links; a link for
- * anything else is opened when there is a frame for it.
+ * Whether this node should open a link to @p node.  Small regions are a full
+ * mesh.  In large ones evidence must reach every node from the owners, and
+ * configuration spreads over a few links picked by hashing; other links are
+ * opened on demand.
  */
 static bool
 is_ours_to_link (const struct ctl_peers *p, const struct survey *s,
@@ -236,7 +238,8 @@
     prs_close (peer);
 }
 
-/** An address of the settings is a way in; who is there turns out later. */
+/** An address of the settings is a seed, whose node is known only after its
+    hello. */
 static void
 tend_settings (struct ctl_peers *p, struct target *t, clk_ms now)
 {
@@ -244,7 +247,7 @@
     try_open (p, t, now);
 }
 
-/** Forget targets whose node is no member any more. */
+/** Drops targets whose node is no longer a member. */
 static void
 drop_targets (struct ctl_peers *p, const struct survey *s)
 {
--- a/control/peers.c
+++ b/control/peers.c
@@ -37,7 +37,7 @@
   return NULL;
 }
 
-/** Forget a peer whose link is gone or about to be closed. */
+/** Frees a peer whose link is closed or about to be closed. */
 static void
 remove_peer (struct peer *peer)
 {
@@ -73,7 +73,8 @@
   link_close (l);
 }
 
-/* --- greetings ---------------------------------------------------------- */
+/* --- hello messages
+   --------------------------------------------------------- */
 
 static char *
 addr_text (const struct net_addr *a)
@@ -120,9 +121,9 @@
 }
 
 /**
- * Of two links to one process both ends must keep the same: the one that the
- * smaller name opened, and of two opened by the same end the newer, as the
- * older may have gone silent.
+ * Both ends must keep the same of two links between them: the one opened by
+ * the node with the smaller name or, if one end opened both, the newer,
+ * because the older may be dead.
  */
 static bool
 old_link_stays (const struct peer *old, const struct peer *peer)
@@ -135,7 +136,8 @@
   return old_is_ours == own_is_smaller;
 }
 
-/** Whether the process that greets may stay; closes what it replaces. */
+/** Whether the link of the process that sent its hello is kept; closes an
+    older link to the same node. */
 static bool
 admit (struct peer *peer)
 {
@@ -149,8 +151,8 @@
         prs_target_is_self (peer->target);
       return false;
     }
-  /* A VM that was replaced may still run for a while, or its link hang: what
-     the predecessor says about owned domains must not be believed. */
+  /* A replaced VM may still run for a while, or its link may still be open:
+     its evidence about owned domains must not be used. */
   old = prs_find (p, str_from (peer->node));
   if ((known != NULL && known->boot > peer->boot)
       || (old != NULL && old->boot > peer->boot))
--- a/control/peers.h
+++ b/control/peers.h
@@ -1,8 +1,8 @@
 /**
  * @file
- * Links between control processes, inside:
+ * Internal interface of the links between control processes.
  *
- *   peers.c         links, greetings, frames to the modules that take them
+ *   peers.c         links, hello messages, dispatch of frames to the modules
  *   peer-policy.c   which processes a link is opened to, and when
  */
 #ifndef LAPISLINE_CONTROL_PEERS_H
@@ -10,43 +10,44 @@
 
 #include "control/control.h"
 
-/** Up to this many nodes of a region are all linked with each other. */
+/** Up to this many nodes, a region is a full mesh of links. */
 #define PRS_MESH 16
 
-/** Above that each node picks as many, besides those that pick it. */
+/** In larger regions each node opens links to this many others. */
 #define PRS_PICKS 4
 
 enum peer_role
 {
-  ROLE_UNKNOWN, /**< has not greeted yet */
+  ROLE_UNKNOWN, /**< no hello received yet */
   ROLE_GATEWAY,
   ROLE_CONTROL
 };
 
 struct peer;
 
-/** A process that links are opened to. */
+/** An address that this process opens links to. */
 struct target
 {
   struct target *next;
   struct net_addr addr;
-  char *node;    /**< NULL: an address of the settings, not yet heard of */
-  bool settings; /**< from the settings: kept for ever */
+  char *node; /**< NULL until a process at an address of the settings has sent
+                 its hello */
+  bool settings; /**< from the settings: never dropped */
   bool is_self;
   struct peer *peer; /**< the link opened to it, or NULL */
   clk_ms next_try;
-  clk_ms wait;      /**< before the next try but one */
-  clk_ms missed;    /**< since when it has been wanted without a link */
-  clk_ms wanted_at; /**< last time that somebody had a frame for it */
+  clk_ms wait;      /**< backoff after the next attempt */
+  clk_ms missed;    /**< last tick with a link, or when the target was added */
+  clk_ms wanted_at; /**< last time that a frame for it had no link */
 };
 
-/** One link and who is at its other end. */
+/** A link and the process at its other end. */
 struct peer
 {
   struct peer *next;
   struct ctl_peers *p;
   struct link *link;
-  struct target *target; /**< NULL: the other end opened the link */
+  struct target *target; /**< NULL: opened by the other end */
   uint64_t number;
   enum peer_role role;
   char *node;
@@ -63,12 +64,12 @@
   struct peer *peers;
   struct target *targets;
   uint64_t last_number;
-  uint64_t past_out, past_in; /**< traffic of links that are gone */
+  uint64_t past_out, past_in; /**< bytes on closed links */
   bool stopping;
 };
 
 struct peer *prs_find (const struct ctl_peers *p, struct str node);
-/** Close without a callback and forget. */
+/** Closes the link without a callback and frees the peer. */
 void prs_close (struct peer *peer);
 void prs_open (struct ctl_peers *p, struct target *target);
 
@@ -76,11 +77,11 @@
 void prs_policy_start (struct ctl_peers *p);
 void prs_policy_stop (struct ctl_peers *p);
 void prs_policy_tick (struct ctl_peers *p);
-/** A frame is there for a node without a link. */
+/** Called when a frame could not be sent because the node has no link. */
 void prs_want (struct ctl_peers *p, struct str node);
-/** The link opened to the target is gone. */
+/** Called when the link opened to the target has closed. */
 void prs_target_lost (struct target *t);
-/** The process at the target's address said who it is. */
+/** Called with the node that the target's hello names. */
 void prs_target_named (struct target *t, const char *node);
 void prs_target_is_self (struct target *t);
 
--- a/control/roster.c
+++ b/control/roster.c
@@ -5,7 +5,7 @@
 
 #include "base/json.h"
 
-/* Waits between two tries, doubled up to the last. */
+/* Range of the exponential backoff between attempts. */
 #define RETRY_FIRST_MS CLK_SECOND
 #define RETRY_LAST_MS (30 * CLK_SECOND)
 
@@ -40,7 +40,7 @@
     r->wait = RETRY_LAST_MS;
 }
 
-/** What a row says; false when it is not one of ours. */
+/** Parses a record; false when it is malformed. */
 static bool
 parse_row (struct str value, uint64_t *boot, struct net_addr *swim)
 {
@@ -55,8 +55,8 @@
 }
 
 /*
- * A write whose answer is lost may have taken effect; reading again tells,
- * and finds the row as it should be.
+ * A write without a response may have been applied; reading again shows the
+ * record.
  */
 static void
 on_written (void *ctx, const struct store_result *res)
@@ -81,9 +81,10 @@
 }
 
 /*
- * A row of a lower boot is a predecessor's and is replaced.  One of a higher
- * boot stands: a process that was paused while its VM was replaced would
- * otherwise send newcomers to an address that is gone.
+ * Replaces a record with a lower boot number, which an earlier process wrote.
+ * Keeps one with a higher boot number: a process that was suspended while its
+ * VM was replaced would otherwise direct joining nodes to an address that no
+ * longer exists.
  */
 static void
 settle_own (struct ctl_roster *r, const struct store_kv *own)
--- a/control/roster.h
+++ b/control/roster.h
@@ -1,8 +1,8 @@
 /**
  * @file
- * The roster: one key per node in the store, roster/ZONE/NODE, by which a
- * node that starts finds others of its zone.  Written once, on joining, and
- * under no lease: a stale row costs one unanswered packet.
+ * The roster: one key per node in the store, roster/ZONE/NODE, from which a
+ * starting node finds the others of its zone.  A node writes its record once,
+ * when it joins, without a lease: a stale record costs one unanswered packet.
  */
 #ifndef LAPISLINE_CONTROL_ROSTER_H
 #define LAPISLINE_CONTROL_ROSTER_H
@@ -11,10 +11,11 @@
 
 struct ctl_roster;
 
-/** A node of the zone has its membership socket there. */
+/** Called with the membership address of each other node of the zone. */
 typedef void (*ctl_roster_seed) (void *ctx, const struct net_addr *swim);
 
-/** Read the zone's rows and write the one of @p self, until both are done. */
+/** Reads the zone's records and writes that of @p self, retrying until both
+    succeed. */
 struct ctl_roster *ctl_roster_start (struct ctl *c,
                                      const struct mbr_node *self,
                                      ctl_roster_seed seed, void *ctx);
--- a/control/shares.c
+++ b/control/shares.c
@@ -14,7 +14,7 @@
   uv_timer_t timer;
 };
 
-/** The nodes of this region, gone ones included, or only those there. */
+/** Lists the nodes of this region: all of them, or only the live ones. */
 static size_t
 region_nodes (const struct ctl *c, bool there, struct str *names)
 {
@@ -29,10 +29,10 @@
 }
 
 /**
- * The account's home, picked by hashing.  During a partition each side picks
- * one, and for a moment after a change two nodes may both be one; the core
- * leaves enough for those it does not hear that this costs no more than the
- * limit.
+ * Returns the account's home, picked by hashing.  During a partition each side
+ * picks its own, and shortly after a membership change two nodes may both be
+ * home; the core reserves enough for nodes it receives nothing from that the
+ * grants stay within the limit.
  */
 static struct str
 home_of (const struct ctl *c, struct str account, const struct str *there,
@@ -138,8 +138,8 @@
   ctl_peers_send_node (s->c->peers, home, &frame);
 }
 
-/** An account without a limit has nothing to divide; a frame a second for it
-    from every node would carry nothing. */
+/** An account without a limit needs no grants; its demand would be one frame
+    per second from every node for nothing. */
 static bool
 has_limit (const struct ctl *c, struct str account)
 {
@@ -159,7 +159,7 @@
   struct str home;
   size_t n;
 
-  /* What comes from a peer came because it takes this node for the home. */
+  /* A peer sends demand only to the node that it picked as home. */
   if (!str_is (node, s->c->set.node))
     {
       shr_demand (s->core, clk_now (), account, node, &demand);
--- a/control/spread.c
+++ b/control/spread.c
@@ -9,8 +9,9 @@
 
 #define READERS 2
 
-/* Before membership has told who else is there, every node would take itself
-   for a reader; a zone that boots at once would all read the store. */
+/* Delay before a node may become a reader.  Until membership knows the other
+   nodes, each would pick itself, and all nodes of a zone that boots at once
+   would read the store. */
 #define READER_DELAY ((clk_ms)500)
 
 struct ctl_spread
@@ -18,16 +19,17 @@
   struct ctl *c;
   struct spr *spr;
   uv_timer_t *timer;
-  clk_ms readers_from; /* when this node may become a reader */
+  clk_ms readers_from; /* earliest time at which this node may become a
+                          reader */
   bool members_changed;
   bool reader;
   struct store_watch *watch;
   char *manifest_key;
-  struct buf doc_key;   /* of the document that was asked for last... */
+  struct buf doc_key;   /* of the document requested last... */
   int64_t doc_revision; /* ...and the manifest's revision */
   int64_t lower;        /* lower revision that was logged last */
   int64_t revision;
-  struct buf text; /* of what could be read and is in force */
+  struct buf text; /* of the configuration in force */
   struct met_series *met_bad;
   struct met_series *met_timeouts;
 };
@@ -42,8 +44,9 @@
   feed (s, &(struct spr_event){ .kind = SPR_STORE_FAILED });
 }
 
-/* A revision below the one in force is never taken: the store lost writes,
-   for instance by being restored, and what was accepted must not revert. */
+/* A revision below the one in force is rejected: the store has lost writes,
+   for instance after a restore, and an accepted configuration must not
+   revert. */
 static void
 log_if_lower (struct ctl_spread *s, int64_t revision)
 {
@@ -109,8 +112,8 @@
       feed_failure (s);
       return;
     }
-  /* The answer to an older question, told by its key: a newer manifest came
-     in between. */
+  /* Another key: this is the response to an older request, and a newer
+     manifest has been read since. */
   if (!str_eq (r->kvs[0].key, buf_str (&s->doc_key)))
     return;
   ev.revision = s->doc_revision;
@@ -135,7 +138,8 @@
 {
   struct ctl_spread *s = ctx;
 
-  /* Only the newest counts; a deleted manifest changes nothing in force. */
+  /* Only the newest event matters; deleting the manifest leaves the
+     configuration in force. */
   if (n > 0 && !ev[n - 1].deleted)
     take_manifest (s, &ev[n - 1].kv, revision);
 }
@@ -197,8 +201,8 @@
   ctl_peers_send (s->c->peers, a->peer, &f);
 }
 
-/* A chunk that the link does not take is missed by the peer, which then asks
-   another node. */
+/* If the link refuses a chunk, the peer's transfer times out and it requests
+   the document from another node. */
 static void
 send_chunk (struct ctl_spread *s, const struct spr_action *a)
 {
@@ -275,8 +279,9 @@
   struct cfg *cfg = cfg_parse (a->bytes, a->revision, &findings);
 
   if (!cfg)
-    /* Pushed by a newer program whose keys this one does not know: what was
-       in force stays, and peers still get the document from here. */
+    /* Written for a newer release with keys unknown to this one: the previous
+       configuration stays in force, and peers can still fetch the document
+       from this node. */
     LOG (config_unreadable, LOG_I ("revision", a->revision),
          LOG_C ("pointer", findings.items[0].pointer),
          LOG_C ("reason", findings.items[0].text));
@@ -338,9 +343,9 @@
 
 /* --- readers ------------------------------------------------------------ */
 
-/* Whether this node is one of the zone's readers, by rendezvous hash over its
-   live nodes.  Views may differ for a while; more or fewer readers for that
-   time cost some calls, and nothing else. */
+/* Whether this node is one of the zone's readers, which rendezvous hashing
+   picks among its live nodes.  While membership differs between nodes, more or
+   fewer nodes read, which costs only some store calls. */
 static bool
 is_reader (struct ctl_spread *s)
 {
@@ -379,8 +384,8 @@
   feed (s, &(struct spr_event){ .kind = SPR_READER, .on = reader });
 }
 
-/* Looked at with the next tick: members change in bursts, and this may be
-   called while a configuration is being handed on. */
+/* Evaluated with the next tick, because members change in bursts and this may
+   be called while a configuration is being forwarded. */
 void
 ctl_spread_members (struct ctl_spread *s)
 {
@@ -397,7 +402,8 @@
   feed (s, &(struct spr_event){ .kind = SPR_TICK });
 }
 
-/* --- life --------------------------------------------------------------- */
+/* --- start and stop
+   ----------------------------------------------------------- */
 
 static void
 start_metrics (struct ctl_spread *s)
--- a/control/swim.c
+++ b/control/swim.c
@@ -7,11 +7,13 @@
 
 #define TICK_MS 50
 
-/* Longest packet of the core, and some to see that one is too long. */
+/* More than the longest packet of the core, so that longer ones are
+   detected. */
 #define PACKET_MAX 2048
 
-/* How often one is asked to let this node in: alone, and with others there
-   (a side of a cut that was forgotten meanwhile is found again this way). */
+/* Intervals between joins through a seed: without other members and with some.
+   The latter reunites the sides of a partition that have dropped each other as
+   dead. */
 #define JOIN_ALONE_MS CLK_SECOND
 #define JOIN_MS (30 * CLK_SECOND)
 
@@ -22,11 +24,11 @@
   struct ctl *c;
   uv_udp_t udp;
   uv_timer_t timer;
-  int handles; /* not closed yet */
+  int handles; /* not yet closed */
   uint16_t port;
   struct mbr *core;
-  struct mbr_node self; /* strings are those of the settings */
-  bool draining;        /* its actions are being carried out */
+  struct mbr_node self; /* its strings belong to the settings */
+  bool draining;        /* run_actions() is on the stack */
   struct net_addr seeds[MAX_SEEDS];
   size_t nseeds;
   clk_ms next_join;
@@ -36,7 +38,8 @@
 
 /* --- actions ------------------------------------------------------------ */
 
-/* A full socket loses the packet, as the network may. */
+/* A packet that the socket buffer has no room for is dropped, as on a lossy
+   network. */
 static void
 send_packet (struct ctl_swim *s, const struct mbr_action *a)
 {
@@ -62,8 +65,9 @@
   log_write (events[n->status], fields, sizeof fields / sizeof fields[0]);
 }
 
-/* Modules that are told of a member may change what this node says about
-   itself, which comes back here: the outer call takes the new actions. */
+/* Not reentrant: a module notified of a member may change what this node
+   announces about itself, which calls this function again.  The outer call
+   runs the new actions. */
 static void
 carry_out (struct ctl_swim *s)
 {
@@ -130,7 +134,7 @@
   for (size_t i = 0; i < s->nseeds; i++)
     if (net_addr_eq (&s->seeds[i], swim))
       return;
-  /* A full list forgets one at random: they are ways in, no membership. */
+  /* A full list replaces a random seed; seeds are only used to join. */
   if (s->nseeds < MAX_SEEDS)
     s->seeds[s->nseeds++] = *swim;
   else
@@ -149,7 +153,7 @@
 
 /* --- socket and timer --------------------------------------------------- */
 
-/* One loop on one thread: each packet is used up before the next. */
+/* A static buffer is safe: each packet is handled before the next is read. */
 static void
 on_alloc (uv_handle_t *h, size_t suggested, uv_buf_t *out)
 {
@@ -240,7 +244,7 @@
   s->self.swim = c->set.control_swim;
   s->self.swim.port = s->port;
   opt.self = s->self;
-  /* A key of its own, so that no bytes of a link can pass for a packet. */
+  /* A separate key, so that bytes from a link are no valid packet. */
   HMAC (EVP_sha256 (), c->set.secret, sizeof c->set.secret,
         (const uint8_t *)label, sizeof label - 1, opt.secret, NULL);
   s->core = mbr_new (&opt, rng_next (&c->rng));
@@ -289,7 +293,8 @@
   uv_close ((uv_handle_t *)&s->timer, on_closed);
 }
 
-/* --- what others ask and tell ------------------------------------------- */
+/* --- interface to other modules
+   ----------------------------------------------- */
 
 uint16_t
 ctl_swim_port (const struct ctl_swim *s)
--- a/control/view-build.c
+++ b/control/view-build.c
@@ -2,7 +2,7 @@
 
 #include "control/views.h"
 
-/* Strings of a view are allocated in blocks of so many bytes. */
+/* Block size in bytes in which the strings of a view are allocated. */
 #define TEXT_CHUNK 4096
 
 static char *
--- a/control/views.c
+++ b/control/views.c
@@ -4,12 +4,13 @@
 #include "control/views.h"
 
 /*
- * Changes within this time go in one view.  A fleet that changes shape makes
- * many at once, and each view is whole.
+ * Shortest interval between two views.  A fleet that is being reconfigured
+ * makes many changes at once, and each view contains the whole state.
  */
 #define VIEW_GAP_MS ((clk_ms)50)
 
-/* Evidence in a view expires, so an unchanged view is said again. */
+/* An unchanged view is sent again at this interval, as its evidence
+   expires. */
 #define VIEW_REPEAT_MS CLK_SECOND
 
 /* The store counts as reachable again after this long without a failure. */
@@ -42,8 +43,9 @@
 }
 
 /*
- * The text goes only when the gateway doesn't have it, and one that exceeds a
- * chunk goes ahead in parts: a frame has a largest size, and a view behind a
+ * Sends the text of the configuration if the gateway doesn't have it; false
+ * when the link refused a frame.  A text longer than a chunk is sent in chunks
+ * before the view, because frames have a size limit and a view queued behind a
  * megabyte of text would be late.
  */
 static bool
@@ -108,8 +110,8 @@
   uv_timer_start (&v->send_timer, on_send, wait > 0 ? (uint64_t)wait : 0, 0);
 }
 
-/* The revision in force on this node is the gateway's, as requests run there;
-   without a gateway it is that of control. */
+/* Announces this node's revision: that of the gateway, which handles the
+   requests, or that of this process if no gateway is linked. */
 static void
 tell_revision (struct ctl_views *v)
 {
@@ -164,8 +166,8 @@
       LOG (gateway_foreign, LOG_C ("gateway", hello->node));
       return;
     }
-  /* A gateway that was replaced may still hold a link that has gone silent;
-     the newer boot is the one that callers reach. */
+  /* A replaced gateway process may still hold an open link; the process with
+     the higher boot number is the one that clients reach. */
   if (v->link && hello->boot < v->gateway_boot)
     return;
   if (v->link && v->link != l)
@@ -203,8 +205,8 @@
 take_report (struct ctl_views *v, const Lapis__Report *r)
 {
   static const struct net_addr none;
-  /* A gateway that leaves by itself still serves what it has, but no address
-     answer may name it. */
+  /* A leaving gateway completes its open requests, but address responses must
+     no longer name it. */
   ctl_swim_set_gateway (v->c->swim, r->leaving ? &none : &v->http, &v->peer,
                         r->open_requests);
   v->gateway_revision = (int64_t)r->config_revision;
--- a/control/views.h
+++ b/control/views.h
@@ -1,9 +1,9 @@
 /**
  * @file
- * The link to this node's gateway, inside:
+ * Internal interface of the link to this node's gateway.
  *
- *   views.c       the gateway and its reports, when a view goes out
- *   view-build.c  what a view holds of nodes, replicas and shares
+ *   views.c       the link, reports of the gateway, when a view is sent
+ *   view-build.c  nodes, replicas and shares of a view
  */
 #ifndef LAPISLINE_CONTROL_VIEWS_H
 #define LAPISLINE_CONTROL_VIEWS_H
@@ -13,7 +13,8 @@
 #include "base/digest.h"
 #include "control/control.h"
 
-/** What this node may give to one account, as its home granted it. */
+/** This node's share of one account's limit, as the account's home granted
+    it. */
 struct vws_share
 {
   char *account;
@@ -25,32 +26,32 @@
 struct ctl_views
 {
   struct ctl *c;
-  uv_timer_t send_timer;   /**< one shot, when something changed */
-  uv_timer_t repeat_timer; /**< an unchanged view is said again */
+  uv_timer_t send_timer;   /**< one shot, started when something changed */
+  uv_timer_t repeat_timer; /**< sends an unchanged view again */
   struct link *link;       /**< NULL: no gateway */
   struct net_addr http;    /**< of the gateway */
   struct net_addr peer;
   uint64_t gateway_boot;
-  int64_t gateway_revision; /**< in force there */
+  int64_t gateway_revision; /**< in force at the gateway */
   uint64_t seq;
   clk_ms sent_at;
-  int64_t hashed_revision; /**< that `hash` belongs to */
+  int64_t hashed_revision; /**< that `hash` was computed for */
   uint8_t hash[DIG_SIZE];
-  uint8_t sent_hash[DIG_SIZE]; /**< that the gateway has */
+  uint8_t sent_hash[DIG_SIZE]; /**< of the text sent to the gateway */
   GPtrArray *shares;           /**< of struct vws_share */
-  uint64_t store_failures;     /**< at the last look */
+  uint64_t store_failures;     /**< at the last check */
   clk_ms store_failed_at;
-  uint64_t past_out, past_in; /**< traffic of links that are gone */
+  uint64_t past_out, past_in; /**< bytes on closed links */
 };
 
-/** A view and its strings, released together after it was sent. */
+/** A view and its strings, which vws_free() releases. */
 struct vws_builder
 {
   GStringChunk *text;
   Lapis__View view;
 };
 
-/** Fill in all but number, configuration and state of the store. */
+/** Fills in all but sequence number, configuration and state of the store. */
 void vws_build (struct vws_builder *b, const struct ctl_views *v, clk_ms now);
 void vws_free (struct vws_builder *b);
 
