--- a/control/admin-ask.c
+++ b/control/admin-ask.c
@@ -3,105 +3,105 @@
 #include <stdlib.h>
 
 /* Limit of requests that wait at the same time; there are few operators. */
-#define MAX_ASKS 256
+#define MAX_PENDING 256
 
 static void
-free_ask (uv_handle_t *h)
+free_pending (uv_handle_t *h)
 {
-  struct adm_ask *k = h->data;
-  buf_free (&k->spans);
-  free (k->who);
-  free (k->what);
-  free (k->node);
-  free (k);
+  struct adm_pending *p = h->data;
+  buf_free (&p->spans);
+  free (p->operator_name);
+  free (p->target_name);
+  free (p->node);
+  free (p);
 }
 
 void
-adm_ask_end (struct adm_ask *k)
+adm_pending_end (struct adm_pending *p)
 {
-  if (k->next)
-    k->next->prev = k->prev;
-  *k->prev = k->next;
-  k->http = NULL;
-  uv_close ((uv_handle_t *)&k->timer, free_ask);
+  if (p->next)
+    p->next->prev = p->prev;
+  *p->prev = p->next;
+  p->http = NULL;
+  uv_close ((uv_handle_t *)&p->timer, free_pending);
 }
 
 static void
-on_gone (void *ctx)
+on_client_disconnect (void *ctx)
 {
-  struct adm_ask *k = ctx;
-  k->http = NULL;
+  struct adm_pending *p = ctx;
+  p->http = NULL;
 }
 
 static size_t
-count_asks (const struct ctl_admin *a)
+count_pending (const struct ctl_admin *a)
 {
   size_t n = 0;
-  for (const struct adm_ask *k = a->asks; k; k = k->next)
+  for (const struct adm_pending *p = a->pending; p; p = p->next)
     n++;
   return n;
 }
 
-struct adm_ask *
-adm_ask_new (struct ctl_admin *a, struct httpd_req *http, clk_ms wait_ms,
-             uv_timer_cb on_late)
+struct adm_pending *
+adm_pending_new (struct ctl_admin *a, struct httpd_req *http, clk_ms wait_ms,
+                 uv_timer_cb on_timeout)
 {
-  if (count_asks (a) >= MAX_ASKS)
+  if (count_pending (a) >= MAX_PENDING)
     return NULL;
-  struct adm_ask *k = xcalloc (1, sizeof *k);
-  k->a = a;
-  k->id = ++a->last_id;
-  k->http = http;
-  k->next = a->asks;
-  k->prev = &a->asks;
-  if (k->next)
-    k->next->prev = &k->next;
-  a->asks = k;
+  struct adm_pending *p = xcalloc (1, sizeof *p);
+  p->a = a;
+  p->id = ++a->last_id;
+  p->http = http;
+  p->next = a->pending;
+  p->prev = &a->pending;
+  if (p->next)
+    p->next->prev = &p->next;
+  a->pending = p;
   if (http)
-    httpd_on_gone (http, on_gone, k);
-  uv_timer_init (a->c->loop, &k->timer);
-  k->timer.data = k;
-  uv_timer_start (&k->timer, on_late, (uint64_t)wait_ms, 0);
-  return k;
+    httpd_on_gone (http, on_client_disconnect, p);
+  uv_timer_init (a->c->loop, &p->timer);
+  p->timer.data = p;
+  uv_timer_start (&p->timer, on_timeout, (uint64_t)wait_ms, 0);
+  return p;
 }
 
-struct adm_ask *
-adm_ask_find (const struct ctl_admin *a, uint64_t id, bool is_trace)
+struct adm_pending *
+adm_pending_find (const struct ctl_admin *a, uint64_t id, bool is_trace)
 {
-  for (struct adm_ask *k = a->asks; k; k = k->next)
-    if (k->id == id && k->is_trace == is_trace)
-      return k;
+  for (struct adm_pending *p = a->pending; p; p = p->next)
+    if (p->id == id && p->is_trace == is_trace)
+      return p;
   return NULL;
 }
 
 void
-adm_asks_stop (struct ctl_admin *a)
+adm_pending_stop (struct ctl_admin *a)
 {
-  while (a->asks)
+  while (a->pending)
     {
-      if (a->asks->http)
-        adm_error (a->asks->http, 504, "stopping",
+      if (a->pending->http)
+        adm_error (a->pending->http, 504, "stopping",
                    "this process stops; it may have happened");
-      adm_ask_end (a->asks);
+      adm_pending_end (a->pending);
     }
 }
 
 void
-ctl_admin_frame (struct ctl_admin *a, uint64_t peer, const Lapis__Frame *f)
+ctl_admin_on_frame (struct ctl_admin *a, uint64_t peer, const Lapis__Frame *f)
 {
   switch (f->body_case)
     {
     case LAPIS__FRAME__BODY_DRAIN_ASK:
-      adm_take_drain_ask (a, peer, f->drain_ask);
+      adm_on_drain_ask (a, peer, f->drain_ask);
       break;
     case LAPIS__FRAME__BODY_DRAIN_ANSWER:
-      adm_take_drain_answer (a, f->drain_answer);
+      adm_on_drain_answer (a, f->drain_answer);
       break;
     case LAPIS__FRAME__BODY_TRACE_ASK:
-      adm_take_trace_ask (a, peer, f->trace_ask);
+      adm_on_trace_ask (a, peer, f->trace_ask);
       break;
     case LAPIS__FRAME__BODY_TRACE_ANSWER:
-      ctl_admin_spans (
+      ctl_admin_on_spans (
           a, f->trace_answer->id,
           str_make (f->trace_answer->json.data, f->trace_answer->json.len));
       break;
--- a/control/admin-drain.c
+++ b/control/admin-drain.c
@@ -5,7 +5,7 @@
 #include "control/admin.h"
 
 /* Timeout of a drain that was forwarded to another node. */
-#define DRAIN_MS (2 * CLK_SECOND)
+#define DRAIN_TIMEOUT_MS (2 * CLK_SECOND)
 
 static void
 log_change (const struct ctl *c, struct str who, const char *what,
@@ -18,7 +18,7 @@
 
 /* Drains a replica of a domain that this node owns. */
 static bool
-drain_here (struct ctl *c, struct str replica, bool on, struct str who)
+drain_local (struct ctl *c, struct str replica, bool on, struct str who)
 {
   if (!ctl_domains_drain (c->domains, replica, on))
     return false;
@@ -27,7 +27,7 @@
 }
 
 static void
-answer_done (struct httpd_req *http, struct str name, const char *by)
+respond_done (struct httpd_req *http, struct str name, const char *by)
 {
   struct buf out = BUF_INIT;
   buf_add_c (&out, "{\"done\":true,\"name\":");
@@ -35,19 +35,19 @@
   buf_add_c (&out, ",\"node\":");
   buf_add_json (&out, str_from (by));
   buf_add_c (&out, "}\n");
-  adm_answer (http, 200, buf_str (&out));
+  adm_respond (http, 200, buf_str (&out));
   buf_free (&out);
 }
 
 static void
-on_drain_late (uv_timer_t *t)
+on_drain_timeout (uv_timer_t *t)
 {
-  struct adm_ask *k = t->data;
-  if (k->http)
-    adm_error (k->http, 504, "no-answer",
+  struct adm_pending *p = t->data;
+  if (p->http)
+    adm_error (p->http, 504, "no-answer",
                "the node that can do it gave no answer; it may have "
                "happened");
-  adm_ask_end (k);
+  adm_pending_end (p);
 }
 
 /* Forwards a drain to the node that can run it. */
@@ -58,30 +58,31 @@
   struct ctl *c = r->a->c;
   Lapis__DrainAsk ask = *asked;
   Lapis__Frame f = LAPIS__FRAME__INIT;
-  struct adm_ask *k = adm_ask_new (r->a, r->http, DRAIN_MS, on_drain_late);
-  if (!k)
+  struct adm_pending *p
+      = adm_pending_new (r->a, r->http, DRAIN_TIMEOUT_MS, on_drain_timeout);
+  if (!p)
     {
       adm_error (r->http, 503, "busy", "too many requests wait");
       return;
     }
-  k->who = str_dup (r->who->name);
-  k->what = str_dup (r->name);
-  k->node = str_dup (node);
-  ask.id = k->id;
-  ask.who = k->who;
+  p->operator_name = str_dup (r->operator->name);
+  p->target_name = str_dup (r->name);
+  p->node = str_dup (node);
+  ask.id = p->id;
+  ask.who = p->operator_name;
   ask.config_revision = (uint64_t)c->cfg->revision;
   f.body_case = LAPIS__FRAME__BODY_DRAIN_ASK;
   f.drain_ask = &ask;
   if (ctl_peers_send_node (c->peers, node, &f))
     {
-      LOG (admin_forwarded, LOG_S ("operator", r->who->name),
+      LOG (admin_forwarded, LOG_S ("operator", r->operator->name),
            LOG_S ("name", r->name), LOG_S ("to", node),
            LOG_I ("revision", c->cfg->revision));
       return;
     }
   adm_error (r->http, 503, "unreachable",
              "the node that can do it is not linked; nothing happened");
-  adm_ask_end (k);
+  adm_pending_end (p);
 }
 
 /**
@@ -91,7 +92,7 @@
  * because a malformed request to end a drain must not start one
  */
 static bool
-read_on (struct httpd_req *http, bool *on)
+parse_on (struct httpd_req *http, bool *on)
 {
   struct str body = str_trim (httpd_get (http)->body);
   json_object *root = jsn_parse (body);
@@ -116,7 +117,7 @@
   struct ctl *c = r->a->c;
   const struct ctl_replica *found = adm_find_replica (c, r->name);
   bool on;
-  if (!read_on (r->http, &on))
+  if (!parse_on (r->http, &on))
     return;
   if (!found || found->owner.len == 0)
     {
@@ -137,8 +138,8 @@
       free (name);
       return;
     }
-  if (drain_here (c, r->name, on, r->who->name))
-    answer_done (r->http, r->name, c->set.node);
+  if (drain_local (c, r->name, on, r->operator->name))
+    respond_done (r->http, r->name, c->set.node);
   else
     adm_error (r->http, 409, "not-drained",
                "this node can't drain the replica now");
@@ -149,7 +150,7 @@
 {
   struct ctl *c = r->a->c;
   bool on;
-  if (!read_on (r->http, &on))
+  if (!parse_on (r->http, &on))
     return;
   if (!on)
     {
@@ -159,8 +160,8 @@
     }
   if (str_is (r->name, c->set.node))
     {
-      log_change (c, r->who->name, "node", r->name, true);
-      answer_done (r->http, r->name, c->set.node);
+      log_change (c, r->operator->name, "node", r->name, true);
+      respond_done (r->http, r->name, c->set.node);
       ctl_leave (c);
       return;
     }
@@ -179,8 +180,8 @@
 
 /* The node that forwarded the request has checked the operator's role. */
 void
-adm_take_drain_ask (struct ctl_admin *a, uint64_t peer,
-                    const Lapis__DrainAsk *ask)
+adm_on_drain_ask (struct ctl_admin *a, uint64_t peer,
+                  const Lapis__DrainAsk *ask)
 {
   struct ctl *c = a->c;
   struct str who = str_from (ask->who);
@@ -193,7 +194,7 @@
     log_change (c, who, "node", str_from (ask->node), true);
   answer.done = node
                 || (r && str_is (r->owner, c->set.node)
-                    && drain_here (c, str_from (ask->replica), ask->on, who));
+                    && drain_local (c, str_from (ask->replica), ask->on, who));
   answer.reason = answer.done ? "" : "that node does not own the domain now";
   f.body_case = LAPIS__FRAME__BODY_DRAIN_ANSWER;
   f.drain_answer = &answer;
@@ -203,14 +204,14 @@
 }
 
 void
-adm_take_drain_answer (struct ctl_admin *a, const Lapis__DrainAnswer *answer)
+adm_on_drain_answer (struct ctl_admin *a, const Lapis__DrainAnswer *answer)
 {
-  struct adm_ask *k = adm_ask_find (a, answer->id, false);
-  if (!k)
+  struct adm_pending *p = adm_pending_find (a, answer->id, false);
+  if (!p)
     return;
-  if (k->http && answer->done)
-    answer_done (k->http, str_from (k->what), k->node);
-  else if (k->http)
-    adm_error (k->http, 409, "not-drained", answer->reason);
-  adm_ask_end (k);
+  if (p->http && answer->done)
+    respond_done (p->http, str_from (p->target_name), p->node);
+  else if (p->http)
+    adm_error (p->http, 409, "not-drained", answer->reason);
+  adm_pending_end (p);
 }
--- a/control/admin-show.c
+++ b/control/admin-show.c
@@ -64,7 +64,7 @@
 end_list (const struct adm_request *r, struct buf *out)
 {
   buf_add_c (out, "]}\n");
-  adm_answer (r->http, 200, buf_str (out));
+  adm_respond (r->http, 200, buf_str (out));
   buf_free (out);
 }
 
@@ -97,7 +97,7 @@
   add_int (out, "generation", r->generation);
   add_int (out, "fence", r->fence);
   add_text (out, "state", str_from (r->state));
-  add_bool (out, "whole", r->whole && left > 0);
+  add_bool (out, "whole", r->complete && left > 0);
   add_bool (out, "draining", r->draining);
   add_int (out, "valid_ms", left > 0 ? left : 0);
   add_int (out, "load", r->load);
@@ -145,7 +145,7 @@
     }
   add_replica (r->a->c, found, &out);
   buf_add_char (&out, '\n');
-  adm_answer (r->http, 200, buf_str (&out));
+  adm_respond (r->http, 200, buf_str (&out));
   buf_free (&out);
 }
 
@@ -210,7 +210,7 @@
     }
   add_node (found, &out);
   buf_add_char (&out, '\n');
-  adm_answer (r->http, 200, buf_str (&out));
+  adm_respond (r->http, 200, buf_str (&out));
   buf_free (&out);
 }
 
@@ -290,6 +290,6 @@
   buf_add_char (&out, '"');
   add_text (&out, "text", text);
   buf_add_c (&out, "}\n");
-  adm_answer (r->http, 200, buf_str (&out));
+  adm_respond (r->http, 200, buf_str (&out));
   buf_free (&out);
 }
--- a/control/admin.c
+++ b/control/admin.c
@@ -6,7 +6,7 @@
 
 #define MAX_BODY ((size_t)4096)
 #define MAX_CONNECTIONS 64
-#define REQUEST_MS (10 * CLK_SECOND)
+#define REQUEST_TIMEOUT_MS (10 * CLK_SECOND)
 
 #define PREFIX "/admin/v1/"
 
@@ -14,10 +14,10 @@
 {
   const char *method;
   const char *resource;
-  bool named;       /* the path contains a name */
+  bool has_name;    /* the path contains a name */
   const char *verb; /* path segment after the name, or NULL */
   enum cfg_role role;
-  void (*run) (const struct adm_request *r);
+  void (*handler) (const struct adm_request *r);
 };
 
 static const struct route routes[] = {
@@ -36,8 +36,8 @@
 #define NROUTES (sizeof routes / sizeof routes[0])
 
 static void
-answer_as (struct httpd_req *http, int status, struct str type,
-           struct str body)
+respond_with_type (struct httpd_req *http, int status, struct str type,
+                   struct str body)
 {
   struct http_header headers[] = {
     { STR ("content-type"), type },
@@ -47,9 +47,9 @@
 }
 
 void
-adm_answer (struct httpd_req *http, int status, struct str json)
+adm_respond (struct httpd_req *http, int status, struct str json)
 {
-  answer_as (http, status, STR ("application/json"), json);
+  respond_with_type (http, status, STR ("application/json"), json);
 }
 
 void
@@ -60,13 +60,13 @@
   buf_addf (&out, "{\"error\":{\"code\":\"%s\",\"message\":", code);
   buf_add_json (&out, str_from (message));
   buf_add_c (&out, "}}\n");
-  adm_answer (http, status, buf_str (&out));
+  adm_respond (http, status, buf_str (&out));
   buf_free (&out);
 }
 
 /* Returns the first segment of `path` and removes it from `path`. */
 static struct str
-next_part (struct str *path)
+next_segment (struct str *path)
 {
   size_t end = str_chr (*path, '/');
   struct str part = str_head (*path, end);
@@ -74,7 +74,7 @@
   return part;
 }
 
-struct target
+struct request_path
 {
   struct str resource;
   struct str name;
@@ -82,35 +82,37 @@
 };
 
 static bool
-parse_target (struct str path, struct target *t)
+parse_path (struct str path, struct request_path *rp)
 {
   if (!str_starts (path, STR (PREFIX)))
     return false;
   path = str_skip (path, sizeof PREFIX - 1);
-  t->resource = next_part (&path);
-  t->name = next_part (&path);
-  t->verb = next_part (&path);
+  rp->resource = next_segment (&path);
+  rp->name = next_segment (&path);
+  rp->verb = next_segment (&path);
   return path.len == 0;
 }
 
 static bool
-matches (const struct route *r, const struct target *t)
+matches (const struct route *r, const struct request_path *rp)
 {
-  return str_is (t->resource, r->resource) && (t->name.len > 0) == r->named
-         && str_is (t->verb, r->verb ? r->verb : "");
+  return str_is (rp->resource, r->resource)
+         && (rp->name.len > 0) == r->has_name
+         && str_is (rp->verb, r->verb ? r->verb : "");
 }
 
 /* Returns the route, or NULL and the HTTP status: 404 for an unknown path, 405
    for another method. */
 static const struct route *
-find_route (const struct httpd_view *view, struct target *t, int *status)
+find_route (const struct httpd_view *view, struct request_path *rp,
+            int *status)
 {
   *status = 404;
-  if (!parse_target (view->path, t))
+  if (!parse_path (view->path, rp))
     return NULL;
   for (size_t i = 0; i < NROUTES; i++)
     {
-      if (!matches (&routes[i], t))
+      if (!matches (&routes[i], rp))
         continue;
       if (str_is (view->method, routes[i].method))
         return &routes[i];
@@ -125,27 +127,27 @@
   struct buf digest = BUF_INIT;
   if (!dig_add_bearer (&digest, httpd_header (http, "authorization")))
     return NULL;
-  const struct cfg_operator *who
-      = cfg_operator_by_token (c->cfg, buf_str (&digest));
+  const struct cfg_operator *operator= cfg_operator_by_token (
+      c->cfg, buf_str (&digest));
   buf_free (&digest);
-  return who;
+  return operator;
 }
 
 static void
-refuse (struct httpd_req *http, int status, const char *code,
-        const char *message, struct str who)
+reject (struct httpd_req *http, int status, const char *code,
+        const char *message, struct str operator)
 {
   const struct httpd_view *view = httpd_get (http);
-  LOG (admin_refused, LOG_C ("code", code), LOG_S ("operator", who),
+  LOG (admin_refused, LOG_C ("code", code), LOG_S ("operator", operator),
        LOG_S ("method", view->method), LOG_S ("path", view->path),
        LOG_C ("from", view->peer.host));
   adm_error (http, status, code, message);
 }
 
 static void
-serve_route (struct ctl_admin *a, struct httpd_req *http)
+handle_api (struct ctl_admin *a, struct httpd_req *http)
 {
-  struct target t = { 0 };
+  struct request_path rp = { 0 };
   int status;
   if (!a->c->cfg)
     {
@@ -153,30 +155,31 @@
                  "no configuration is in force yet, so no operator is known");
       return;
     }
-  const struct cfg_operator *who = find_operator (a->c, http);
-  if (!who)
+  const struct cfg_operator *operator= find_operator (a->c, http);
+  if (!operator)
     {
-      refuse (http, 401, "unauthorized", "an operator's token is needed",
+      reject (http, 401, "unauthorized", "an operator's token is needed",
               STR_EMPTY);
       return;
     }
-  const struct route *route = find_route (httpd_get (http), &t, &status);
+  const struct route *route = find_route (httpd_get (http), &rp, &status);
   if (!route)
     adm_error (http, status, status == 404 ? "no-such-path" : "method",
                status == 404 ? "no such path" : "not by this method");
-  else if (who->role < route->role)
-    refuse (http, 403, "forbidden", "the role viewer may not do this",
-            who->name);
+  else if (operator->role<route->role)
+    reject (http, 403, "forbidden",
+            "the role viewer may not do this", operator->name);
   else
-    route->run (&(struct adm_request){ a, http, t.name, who });
+    route->handler (&(struct adm_request){ a, http, rp.name, operator });
 }
 
 static void
-serve_metrics (struct ctl_admin *a, struct httpd_req *http)
+handle_metrics (struct ctl_admin *a, struct httpd_req *http)
 {
   struct buf out = BUF_INIT;
-  adm_expose (a->c, &out);
-  answer_as (http, 200, STR ("text/plain; version=0.0.4"), buf_str (&out));
+  adm_write_metrics (a->c, &out);
+  respond_with_type (http, 200, STR ("text/plain; version=0.0.4"),
+                     buf_str (&out));
   buf_free (&out);
 }
 
@@ -186,9 +189,9 @@
   struct ctl_admin *a = ctx;
   const struct httpd_view *view = httpd_get (http);
   if (str_is (view->path, "/metrics") && str_is (view->method, "GET"))
-    serve_metrics (a, http);
+    handle_metrics (a, http);
   else
-    serve_route (a, http);
+    handle_api (a, http);
 }
 
 struct ctl_admin *
@@ -197,7 +200,7 @@
   static const struct httpd_limits limits
       = { .max_body = MAX_BODY,
           .max_connections = MAX_CONNECTIONS,
-          .request_ms = REQUEST_MS };
+          .request_ms = REQUEST_TIMEOUT_MS };
   struct ctl_admin *a = xcalloc (1, sizeof *a);
   a->c = c;
   a->httpd = httpd_listen (c->loop, &c->set.control_admin, &limits, on_request,
@@ -211,7 +214,7 @@
 void
 ctl_admin_stop (struct ctl_admin *a)
 {
-  adm_asks_stop (a);
+  adm_pending_stop (a);
   httpd_free (a->httpd);
   free (a);
 }
--- a/control/admin.h
+++ b/control/admin.h
@@ -18,35 +18,35 @@
 {
   struct ctl *c;
   struct httpd *httpd;
-  struct adm_ask *asks; /**< that wait for responses of other nodes */
+  struct adm_pending *pending; /**< that wait for responses of other nodes */
   uint64_t last_id;
 };
 
 /**
- * A request that waits for responses of other nodes.  It came from an operator
- * over HTTP (http is set) or, for the spans of this node's gateway, from the
- * control process `peer`.
+ * A request that waits for responses of other nodes.  An operator sent it over
+ * HTTP (http is set), or a control process requests the spans of this node's
+ * gateway (requester is set).
  */
-struct adm_ask
+struct adm_pending
 {
   struct ctl_admin *a;
-  struct adm_ask *next;
-  struct adm_ask **prev;
+  struct adm_pending *next;
+  struct adm_pending **prev;
   uint64_t id;
   uv_timer_t timer;
   struct httpd_req *http; /**< NULL once the client has disconnected */
-  uint64_t peer;          /**< link that the request came over */
-  uint64_t peer_id; /**< the peer's id of the request; 0: from an operator */
+  uint64_t requester;     /**< link of the control process */
+  uint64_t requester_id;  /**< its request id; 0: an operator */
   /* Of a drain. */
-  char *who;
-  char *what;
+  char *operator_name;
+  char *target_name;
   char *node; /**< that the drain was forwarded to */
   /* Of a trace. */
   bool is_trace;
   uint8_t trace[16];
-  struct buf spans; /**< elements of a JSON array, separated by commas */
-  unsigned waiting; /**< responses not yet received */
-  unsigned missing; /**< nodes without a link or without a response in time */
+  struct buf spans;       /**< elements of a JSON array, separated by commas */
+  unsigned outstanding;   /**< responses not yet received */
+  unsigned missing_nodes; /**< nodes not linked or timed out */
 };
 
 /** A request of an operator whose role permits it. */
@@ -54,13 +54,12 @@
 {
   struct ctl_admin *a;
   struct httpd_req *http;
-  struct str
-      name; /**< of the replica, node or trace in the path; may be empty */
-  const struct cfg_operator *who;
+  struct str name; /**< name or trace id in the path, or empty */
+  const struct cfg_operator *operator;
 };
 
 /** Sends a response with a JSON body. */
-void adm_answer (struct httpd_req *http, int status, struct str json);
+void adm_respond (struct httpd_req *http, int status, struct str json);
 
 /** Sends {"error":{"code":...,"message":...}}. */
 void adm_error (struct httpd_req *http, int status, const char *code,
@@ -87,30 +86,31 @@
  * @param http  the operator's request, or NULL
  * @return NULL when too many requests are waiting
  */
-struct adm_ask *adm_ask_new (struct ctl_admin *a, struct httpd_req *http,
-                             clk_ms wait_ms, uv_timer_cb on_late);
-struct adm_ask *adm_ask_find (const struct ctl_admin *a, uint64_t id,
-                              bool is_trace);
-void adm_ask_end (struct adm_ask *k);
+struct adm_pending *adm_pending_new (struct ctl_admin *a,
+                                     struct httpd_req *http, clk_ms wait_ms,
+                                     uv_timer_cb on_timeout);
+struct adm_pending *adm_pending_find (const struct ctl_admin *a, uint64_t id,
+                                      bool is_trace);
+void adm_pending_end (struct adm_pending *p);
 /** Ends all waiting requests; operators get an error response. */
-void adm_asks_stop (struct ctl_admin *a);
+void adm_pending_stop (struct ctl_admin *a);
 
 /* admin-drain.c: the response is sent at once, or when the node that the drain
    was forwarded to has responded. */
 void adm_drain_replica (const struct adm_request *r);
 void adm_drain_node (const struct adm_request *r);
-void adm_take_drain_ask (struct ctl_admin *a, uint64_t peer,
-                         const Lapis__DrainAsk *ask);
-void adm_take_drain_answer (struct ctl_admin *a,
-                            const Lapis__DrainAnswer *answer);
+void adm_on_drain_ask (struct ctl_admin *a, uint64_t peer,
+                       const Lapis__DrainAsk *ask);
+void adm_on_drain_answer (struct ctl_admin *a,
+                          const Lapis__DrainAnswer *answer);
 
 /* admin-trace.c: the response is sent when all nodes have responded or the
    wait has timed out. */
 void adm_trace (const struct adm_request *r);
-void adm_take_trace_ask (struct ctl_admin *a, uint64_t peer,
-                         const Lapis__TraceAsk *ask);
+void adm_on_trace_ask (struct ctl_admin *a, uint64_t peer,
+                       const Lapis__TraceAsk *ask);
 
 /* exposition.c */
-void adm_expose (struct ctl *c, struct buf *out);
+void adm_write_metrics (struct ctl *c, struct buf *out);
 
 #endif
--- a/control/control.c
+++ b/control/control.c
@@ -7,10 +7,10 @@
 #include "store/etcd.h"
 
 /* Timeout of one store call. */
-#define STORE_CALL_MS (2 * CLK_SECOND)
+#define STORE_TIMEOUT_MS (2 * CLK_SECOND)
 
 /* Interval at which a leaving process checks whether it can exit. */
-#define LEAVE_CHECK_MS ((clk_ms)100)
+#define LEAVE_CHECK_INTERVAL_MS ((clk_ms)100)
 
 /*
  * A leaving node runs at least this long: gossip needs a few rounds to
@@ -18,21 +18,21 @@
  * call.  If it exited earlier, the others would declare it dead and wait for
  * its leases to expire.
  */
-#define LEAVE_LEAST_MS CLK_SECOND
+#define LEAVE_MIN_MS CLK_SECOND
 
-#define SPANS 4096
+#define MAX_SPANS 4096
 
 /* Limit of loop iterations that wait for closing handles. */
-#define CLOSE_ROUNDS 1000
+#define MAX_CLOSE_ITERATIONS 1000
 
 struct process
 {
   struct ctl ctl; /* must be first: see process_of() */
   uv_loop_t loop;
-  uv_signal_t term;
-  uv_signal_t interrupt;
+  uv_signal_t sigterm;
+  uv_signal_t sigint;
   uv_timer_t leave_check;
-  clk_ms left_at;
+  clk_ms leave_started_at;
   bool finished;
 };
 
@@ -48,9 +48,9 @@
   struct cfg *old = c->cfg;
   c->cfg = cfg_ref (cfg);
   if (c->domains)
-    ctl_domains_config (c->domains);
+    ctl_domains_on_config (c->domains);
   if (c->views)
-    ctl_views_config (c->views);
+    ctl_views_on_config (c->views);
   if (old)
     cfg_unref (old);
 }
@@ -59,20 +59,20 @@
 ctl_member_changed (struct ctl *c, const struct mbr_node *node)
 {
   if (c->peers)
-    ctl_peers_member (c->peers, node);
+    ctl_peers_on_member_changed (c->peers, node);
   if (c->spread)
-    ctl_spread_members (c->spread);
+    ctl_spread_on_members_changed (c->spread);
   if (c->domains)
     ctl_domains_members (c->domains);
   if (c->views)
-    ctl_views_touch (c->views);
+    ctl_views_schedule (c->views);
 }
 
 void
 ctl_evidence_changed (struct ctl *c)
 {
   if (c->views)
-    ctl_views_touch (c->views);
+    ctl_views_schedule (c->views);
 }
 
 /* Stops the modules in reverse order of their start.  Each pointer is cleared
@@ -106,8 +106,8 @@
     return;
   p->finished = true;
   stop_modules (&p->ctl);
-  uv_close ((uv_handle_t *)&p->term, NULL);
-  uv_close ((uv_handle_t *)&p->interrupt, NULL);
+  uv_close ((uv_handle_t *)&p->sigterm, NULL);
+  uv_close ((uv_handle_t *)&p->sigint, NULL);
   uv_close ((uv_handle_t *)&p->leave_check, NULL);
 }
 
@@ -120,12 +120,13 @@
 on_leave_check (uv_timer_t *t)
 {
   struct process *p = t->data;
-  clk_ms past = clk_now () - p->left_at;
+  clk_ms elapsed = clk_now () - p->leave_started_at;
   bool linked = ctl_views_linked (p->ctl.views);
-  if (past < LEAVE_LEAST_MS || (linked && past < cfg_leave_ms (p->ctl.cfg)))
+  if (elapsed < LEAVE_MIN_MS
+      || (linked && elapsed < cfg_leave_ms (p->ctl.cfg)))
     return;
   if (linked)
-    LOG (gateway_still_linked, LOG_I ("after_ms", past));
+    LOG (gateway_still_linked, LOG_I ("after_ms", elapsed));
   finish (p);
 }
 
@@ -136,13 +137,13 @@
   if (c->leaving)
     return;
   c->leaving = true;
-  p->left_at = clk_now ();
+  p->leave_started_at = clk_now ();
   LOG (process_stopping, LOG_I ("boot", c->boot));
   ctl_swim_leave (c->swim);
   ctl_domains_members (c->domains);
-  ctl_views_touch (c->views);
-  uv_timer_start (&p->leave_check, on_leave_check, LEAVE_CHECK_MS,
-                  LEAVE_CHECK_MS);
+  ctl_views_schedule (c->views);
+  uv_timer_start (&p->leave_check, on_leave_check, LEAVE_CHECK_INTERVAL_MS,
+                  LEAVE_CHECK_INTERVAL_MS);
 }
 
 static void
@@ -179,7 +180,7 @@
 {
   struct ctl *c = &p->ctl;
   struct etcd_options store
-      = { .endpoints = c->set.endpoints, .call_ms = STORE_CALL_MS };
+      = { .endpoints = c->set.endpoints, .call_ms = STORE_TIMEOUT_MS };
   struct store_budget budget
       = { .writes = settings_writes (set, SETTINGS_CONTROL_WRITES),
           .reads = set->store_reads };
@@ -192,11 +193,11 @@
   c->http = httpc_new (c->loop);
   c->store = etcd_store_new (c->loop, c->http, &store, &budget);
   c->met = met_new ();
-  c->spans = trc_ring_new (SPANS);
-  uv_signal_init (c->loop, &p->term);
-  uv_signal_init (c->loop, &p->interrupt);
+  c->spans = trc_ring_new (MAX_SPANS);
+  uv_signal_init (c->loop, &p->sigterm);
+  uv_signal_init (c->loop, &p->sigint);
   uv_timer_init (c->loop, &p->leave_check);
-  p->term.data = p->interrupt.data = c;
+  p->sigterm.data = p->sigint.data = c;
   p->leave_check.data = p;
 }
 
@@ -206,7 +207,7 @@
   struct ctl *c = &p->ctl;
   store_free (c->store);
   httpc_free (c->http);
-  for (int i = 0; i < CLOSE_ROUNDS && uv_loop_alive (&p->loop); i++)
+  for (int i = 0; i < MAX_CLOSE_ITERATIONS && uv_loop_alive (&p->loop); i++)
     uv_run (&p->loop, UV_RUN_NOWAIT);
   uv_loop_close (&p->loop);
   if (c->cfg)
@@ -226,8 +227,8 @@
   bool started = start_modules (&p->ctl, err);
   if (started)
     {
-      uv_signal_start (&p->term, on_signal, SIGTERM);
-      uv_signal_start (&p->interrupt, on_signal, SIGINT);
+      uv_signal_start (&p->sigterm, on_signal, SIGTERM);
+      uv_signal_start (&p->sigint, on_signal, SIGINT);
       LOG (process_started, LOG_I ("boot", p->ctl.boot));
       print_ready (&p->ctl);
       /* uv_stop() doesn't work here: closing a server makes h2o run the loop
--- a/control/control.h
+++ b/control/control.h
@@ -92,9 +92,9 @@
                                               size_t *n);
 /** Sets the address at which this process accepts links (called by
     peers.c). */
-void ctl_swim_set_peer (struct ctl_swim *s, const struct net_addr *peer);
+void ctl_swim_set_peer_addr (struct ctl_swim *s, const struct net_addr *peer);
 /** Adds a membership address to the seeds that this node joins through. */
-void ctl_swim_seed (struct ctl_swim *s, const struct net_addr *swim);
+void ctl_swim_add_seed (struct ctl_swim *s, const struct net_addr *swim);
 /** Whether this node keeps links to @p region on behalf of its own region. */
 bool ctl_swim_is_bridge (const struct ctl_swim *s, struct str region);
 /** Set what gossip announces of this node: the gateway's addresses and load,
@@ -110,7 +110,8 @@
 struct ctl_peers *ctl_peers_start (struct ctl *c, struct buf *err);
 void ctl_peers_stop (struct ctl_peers *p);
 uint16_t ctl_peers_port (const struct ctl_peers *p);
-void ctl_peers_member (struct ctl_peers *p, const struct mbr_node *node);
+void ctl_peers_on_member_changed (struct ctl_peers *p,
+                                  const struct mbr_node *node);
 /** Send to the peer with that link number, or to all linked peers. */
 bool ctl_peers_send (struct ctl_peers *p, uint64_t peer,
                      const Lapis__Frame *f);
@@ -128,17 +129,17 @@
 /* spread.c */
 struct ctl_spread *ctl_spread_start (struct ctl *c, struct buf *err);
 void ctl_spread_stop (struct ctl_spread *s);
-void ctl_spread_peer (struct ctl_spread *s, uint64_t peer, bool up);
-void ctl_spread_frame (struct ctl_spread *s, uint64_t peer,
-                       const Lapis__Frame *f);
-void ctl_spread_members (struct ctl_spread *s);
+void ctl_spread_on_peer (struct ctl_spread *s, uint64_t peer, bool up);
+void ctl_spread_on_frame (struct ctl_spread *s, uint64_t peer,
+                          const Lapis__Frame *f);
+void ctl_spread_on_members_changed (struct ctl_spread *s);
 struct str ctl_spread_text (const struct ctl_spread *s);
 int64_t ctl_spread_revision (const struct ctl_spread *s);
 
 /* domains.c */
 struct ctl_domains *ctl_domains_start (struct ctl *c, struct buf *err);
 void ctl_domains_stop (struct ctl_domains *d);
-void ctl_domains_config (struct ctl_domains *d);
+void ctl_domains_on_config (struct ctl_domains *d);
 void ctl_domains_members (struct ctl_domains *d);
 /** Returns the backend servers of plain services that the platform lists as
     leaving, from the list read here or reported by other homes; valid until
@@ -155,7 +156,7 @@
   struct str name, model, domain, owner;
   int64_t generation, fence;
   const char *state;
-  bool whole, draining;
+  bool complete, draining;
   clk_ms valid_until;
   uint32_t load;
   clk_ms load_at;
@@ -169,29 +170,29 @@
 /* shares.c */
 struct ctl_shares *ctl_shares_start (struct ctl *c, struct buf *err);
 void ctl_shares_stop (struct ctl_shares *s);
-void ctl_shares_demand (struct ctl_shares *s, struct str node,
-                        const Lapis__ShareDemand *d);
-void ctl_shares_grant (struct ctl_shares *s, const Lapis__ShareGrant *g);
+void ctl_shares_on_demand (struct ctl_shares *s, struct str node,
+                           const Lapis__ShareDemand *d);
+void ctl_shares_on_grant (struct ctl_shares *s, const Lapis__ShareGrant *g);
 
 /* views.c */
 struct ctl_views *ctl_views_start (struct ctl *c, struct buf *err);
 void ctl_views_stop (struct ctl_views *v);
 /** A process that linked to the peer port announced the role gateway. */
-void ctl_views_gateway (struct ctl_views *v, struct link *l,
-                        const Lapis__Hello *hello);
-void ctl_views_gateway_down (struct ctl_views *v, struct link *l);
-void ctl_views_frame (struct ctl_views *v, struct link *l,
-                      const Lapis__Frame *f);
+void ctl_views_on_gateway (struct ctl_views *v, struct link *l,
+                           const Lapis__Hello *hello);
+void ctl_views_on_gateway_down (struct ctl_views *v, struct link *l);
+void ctl_views_on_frame (struct ctl_views *v, struct link *l,
+                         const Lapis__Frame *f);
 /** Schedules a view, because its content changed. */
-void ctl_views_touch (struct ctl_views *v);
+void ctl_views_schedule (struct ctl_views *v);
 /** A newer configuration is in force in this process. */
-void ctl_views_config (struct ctl_views *v);
-void ctl_views_share (struct ctl_views *v, const Lapis__ShareGrant *g);
+void ctl_views_on_config (struct ctl_views *v);
+void ctl_views_on_grant (struct ctl_views *v, const Lapis__ShareGrant *g);
 /** Whether a gateway is linked. */
 bool ctl_views_linked (const struct ctl_views *v);
 /** Requests the gateway's spans of one trace; false when none is linked. */
-bool ctl_views_trace (struct ctl_views *v, uint64_t id,
-                      const uint8_t trace[16]);
+bool ctl_views_request_spans (struct ctl_views *v, uint64_t id,
+                              const uint8_t trace[16]);
 /** Returns the bytes sent and received on gateway links since the process
     started. */
 void ctl_views_traffic (const struct ctl_views *v, uint64_t *out,
@@ -203,9 +204,9 @@
 uint16_t ctl_admin_port (const struct ctl_admin *a);
 /** Handles DrainAsk, DrainAnswer, TraceAsk and TraceAnswer of another node
     (called by peers.c). */
-void ctl_admin_frame (struct ctl_admin *a, uint64_t peer,
-                      const Lapis__Frame *f);
-/** Handles the spans requested with ctl_views_trace(). */
-void ctl_admin_spans (struct ctl_admin *a, uint64_t id, struct str json);
+void ctl_admin_on_frame (struct ctl_admin *a, uint64_t peer,
+                         const Lapis__Frame *f);
+/** Handles the spans requested with ctl_views_request_spans(). */
+void ctl_admin_on_spans (struct ctl_admin *a, uint64_t id, struct str json);
 
 #endif
--- a/control/dom-calls.c
+++ b/control/dom-calls.c
@@ -42,7 +42,7 @@
       if (d->calls->http)
         httpc_cancel (d->calls->http);
       else
-        store_forget (d->all->c->store, d->calls);
+        store_forget (d->domains->c->store, d->calls);
       dom_call_free (d->calls);
     }
 }
@@ -65,9 +65,9 @@
 }
 
 static struct json_object *
-parse (struct str text, size_t most)
+parse_limited (struct str text, size_t max_len)
 {
-  return text.len <= most ? jsn_parse (text) : NULL;
+  return text.len <= max_len ? jsn_parse (text) : NULL;
 }
 
 static bool
@@ -90,13 +90,14 @@
 }
 
 static void
-end_probe (struct dom_call *call, bool answered)
+finish_probe (struct dom_call *call, bool answered)
 {
   struct dom *d = call->dom;
   struct rep_event ev = { .kind = REP_PROBE_FAILED };
-  struct json_object *o = answered && call->status == 200
-                              ? parse (buf_str (&call->body), MAX_STATE_BYTES)
-                              : NULL;
+  struct json_object *o
+      = answered && call->status == 200
+            ? parse_limited (buf_str (&call->body), MAX_STATE_BYTES)
+            : NULL;
 
   ev.vm = buf_str (&call->vm);
   if (o && read_state (o, &ev.member))
@@ -107,7 +108,7 @@
 }
 
 static void
-end_order (struct dom_call *call, bool answered)
+finish_order (struct dom_call *call, bool answered)
 {
   struct dom *d = call->dom;
   struct rep_event ev = { .kind = REP_ORDER_DONE, .token = call->token };
@@ -122,21 +123,21 @@
 }
 
 static void
-end_call (struct dom_call *call, bool answered)
+finish_call (struct dom_call *call, bool answered)
 {
   struct dom *d = call->dom;
 
   if (call->kind == DCALL_PROBE)
-    end_probe (call, answered);
+    finish_probe (call, answered);
   else
-    end_order (call, answered);
-  dom_pump (d);
+    finish_order (call, answered);
+  dom_run_actions (d);
 }
 
 static void
 on_end (void *ctx, enum httpc_end end)
 {
-  end_call (ctx, end == HTTPC_WHOLE);
+  finish_call (ctx, end == HTTPC_WHOLE);
 }
 
 /* Checks the lease just before the order is sent.  The order may have waited
@@ -147,14 +148,15 @@
 {
   struct dom_call *call = ctx;
   struct dom *d = call->dom;
-  bool may = own_may_order (d->own, clk_now ());
+  bool allowed = own_may_order (d->own, clk_now ());
 
-  met_add (may ? d->all->orders : d->all->stopped_orders, 1);
-  return may;
+  met_add (allowed ? d->domains->orders : d->domains->stopped_orders, 1);
+  return allowed;
 }
 
 static void
-start (struct dom_call *call, struct httpc_request *req, clk_ms longest)
+start_call (struct dom_call *call, struct httpc_request *req,
+            clk_ms timeout_ms)
 {
   static const struct httpc_callbacks probe
       = { .on_head = on_head, .on_body = on_body, .on_end = on_end };
@@ -163,10 +165,10 @@
                                                 .on_body = on_body,
                                                 .on_end = on_end };
 
-  req->connect_ms = longest;
-  req->progress_ms = longest;
-  call->deadline = clk_now () + longest;
-  call->http = httpc_start (call->dom->all->c->http, req,
+  req->connect_ms = timeout_ms;
+  req->progress_ms = timeout_ms;
+  call->deadline = clk_now () + timeout_ms;
+  call->http = httpc_start (call->dom->domains->c->http, req,
                             call->kind == DCALL_PROBE ? &probe : &order, call);
 }
 
@@ -179,12 +181,12 @@
                                .path = STR ("/lapis/v1/state") };
 
   buf_add (&call->vm, vm->name);
-  met_add (d->all->probes, 1);
-  start (call, &req, DOM_PROBE_MS);
+  met_add (d->domains->probes, 1);
+  start_call (call, &req, DOM_PROBE_TIMEOUT_MS);
 }
 
 static void
-print_order (const struct rep_action *a, struct buf *out)
+format_order (const struct rep_action *a, struct buf *out)
 {
   buf_addf (out, "{\"order\":\"%s\",\"model\":",
             a->order == REP_LOAD ? "load" : "unload");
@@ -209,7 +211,7 @@
                                .nheaders = 1,
                                .fresh = true };
 
-  print_order (a, &body);
+  format_order (a, &body);
   req.body = buf_str (&body);
   buf_add (&call->vm, a->vm->name);
   call->token = a->token;
@@ -218,7 +220,7 @@
        LOG_C ("order", a->order == REP_LOAD ? "load" : "unload"),
        LOG_S ("replica", a->replica), LOG_I ("generation", a->generation),
        LOG_I ("fence", a->fence));
-  start (call, &req, DOM_ORDER_MS);
+  start_call (call, &req, DOM_ORDER_TIMEOUT_MS);
   buf_free (&body);
 }
 
@@ -232,8 +234,8 @@
       {
         httpc_cancel (call->http);
         call->http = NULL;
-        end_call (call, false);
-        /* end_call() may have freed or started other calls. */
+        finish_call (call, false);
+        /* finish_call() may have freed or started other calls. */
         call = d->calls;
       }
     else
@@ -243,17 +245,17 @@
 /* ---- the platform's list of VMs ---- */
 
 static void
-tell_vm (struct ctl_domains *all, struct str vm, bool live)
+set_vm_listed (struct ctl_domains *domains, struct str vm, bool live)
 {
   struct rep_event ev = { .kind = REP_PLATFORM, .vm = vm, .on = live };
 
-  for (size_t i = 0; i < all->n; i++)
-    if (all->list[i]->rep)
-      rep_event (all->list[i]->rep, clk_now (), &ev);
+  for (size_t i = 0; i < domains->n; i++)
+    if (domains->list[i]->rep)
+      rep_event (domains->list[i]->rep, clk_now (), &ev);
 }
 
 bool
-dom_named (const GPtrArray *names, const char *name)
+dom_list_contains (const GPtrArray *names, const char *name)
 {
   for (guint i = 0; i < names->len; i++)
     if (strcmp (names->pdata[i], name) == 0)
@@ -277,7 +279,7 @@
   bool same = a->len == b->len;
 
   for (guint i = 0; same && i < a->len; i++)
-    same = dom_named (b, a->pdata[i]);
+    same = dom_list_contains (b, a->pdata[i]);
   return same;
 }
 
@@ -285,21 +287,21 @@
    is therefore reported to every gateway, which then sends it no new
    requests. */
 static void
-set_leaving (struct ctl_domains *all, GPtrArray *names)
+set_leaving (struct ctl_domains *domains, GPtrArray *names)
 {
-  bool changed = !same_names (names, all->leaving);
+  bool changed = !same_names (names, domains->leaving);
 
-  g_ptr_array_free (all->leaving, TRUE);
-  all->leaving = names;
+  g_ptr_array_free (domains->leaving, TRUE);
+  domains->leaving = names;
   if (!changed)
     return;
-  for (size_t i = 0; i < all->n; i++)
-    all->list[i]->changed = true;
-  ctl_evidence_changed (all->c);
+  for (size_t i = 0; i < domains->n; i++)
+    domains->list[i]->changed = true;
+  ctl_evidence_changed (domains->c);
 }
 
 static void
-read_list (struct ctl_domains *all, struct json_object *list)
+apply_list (struct ctl_domains *domains, struct json_object *list)
 {
   GPtrArray *leaving;
 
@@ -314,12 +316,12 @@
 
       if (!name || !state)
         continue;
-      tell_vm (all, str_from (name), strcmp (state, "leaving") != 0);
-      if (strcmp (state, "leaving") == 0 && is_backend (all->cfg, name)
-          && !dom_named (leaving, name))
+      set_vm_listed (domains, str_from (name), strcmp (state, "leaving") != 0);
+      if (strcmp (state, "leaving") == 0 && is_backend (domains->cfg, name)
+          && !dom_list_contains (leaving, name))
         g_ptr_array_add (leaving, xstrdup (name));
     }
-  set_leaving (all, leaving);
+  set_leaving (domains, leaving);
 }
 
 static void
@@ -332,10 +334,10 @@
 static void
 on_platform_body (void *ctx, struct str bytes)
 {
-  struct ctl_domains *all = ctx;
+  struct ctl_domains *domains = ctx;
 
-  if (all->platform_body.len <= MAX_LIST_BYTES)
-    buf_add (&all->platform_body, bytes);
+  if (domains->platform_body.len <= MAX_LIST_BYTES)
+    buf_add (&domains->platform_body, bytes);
 }
 
 /* The list is out of date anyway and its server may be down, so a failed read
@@ -343,65 +345,65 @@
 static void
 on_platform_end (void *ctx, enum httpc_end end)
 {
-  struct ctl_domains *all = ctx;
+  struct ctl_domains *domains = ctx;
   struct json_object *list
-      = end == HTTPC_WHOLE && all->platform_status == 200
-            ? parse (buf_str (&all->platform_body), MAX_LIST_BYTES)
+      = end == HTTPC_WHOLE && domains->platform_status == 200
+            ? parse_limited (buf_str (&domains->platform_body), MAX_LIST_BYTES)
             : NULL;
 
-  all->platform = NULL;
-  read_list (all, list);
+  domains->platform = NULL;
+  apply_list (domains, list);
   json_object_put (list);
 }
 
 /* Only homes read the list, or every node if no domain is configured. */
 static bool
-reads_list (const struct ctl_domains *all)
+should_read_list (const struct ctl_domains *domains)
 {
-  for (size_t i = 0; i < all->n; i++)
-    if (all->list[i]->rep)
+  for (size_t i = 0; i < domains->n; i++)
+    if (domains->list[i]->rep)
       return true;
-  return all->n == 0 && all->cfg && all->cfg->nservices > 0;
+  return domains->n == 0 && domains->cfg && domains->cfg->nservices > 0;
 }
 
 void
-dom_platform_tick (struct ctl_domains *all, clk_ms now)
+dom_platform_tick (struct ctl_domains *domains, clk_ms now)
 {
   static const struct httpc_callbacks cb = { .on_head = on_platform_head,
                                              .on_body = on_platform_body,
                                              .on_end = on_platform_end };
-  struct httpc_request req = { .to = all->c->set.platform,
+  struct httpc_request req = { .to = domains->c->set.platform,
                                .method = STR ("GET"),
                                .path = STR ("/platform/v1/vms"),
-                               .connect_ms = DOM_PROBE_MS,
-                               .progress_ms = DOM_PROBE_MS };
+                               .connect_ms = DOM_PROBE_TIMEOUT_MS,
+                               .progress_ms = DOM_PROBE_TIMEOUT_MS };
 
-  if (all->platform && now >= all->platform_deadline)
+  if (domains->platform && now >= domains->platform_deadline)
     {
-      httpc_cancel (all->platform);
-      all->platform = NULL;
+      httpc_cancel (domains->platform);
+      domains->platform = NULL;
     }
-  if (!req.to.port || all->platform || now < all->next_platform)
+  if (!req.to.port || domains->platform || now < domains->next_platform_read)
     return;
-  if (!reads_list (all))
+  if (!should_read_list (domains))
     {
       /* No longer a home: the list read here is out of date. */
-      if (all->leaving->len)
-        set_leaving (all, g_ptr_array_new_with_free_func (free));
+      if (domains->leaving->len)
+        set_leaving (domains, g_ptr_array_new_with_free_func (free));
       return;
     }
-  all->next_platform = now + DOM_PLATFORM_MS;
-  all->platform_deadline = now + 2 * DOM_PLATFORM_MS;
-  all->platform_status = 0;
-  buf_clear (&all->platform_body);
-  all->platform = httpc_start (all->c->http, &req, &cb, all);
+  domains->next_platform_read = now + DOM_PLATFORM_INTERVAL_MS;
+  domains->platform_deadline = now + 2 * DOM_PLATFORM_INTERVAL_MS;
+  domains->platform_status = 0;
+  buf_clear (&domains->platform_body);
+  domains->platform = httpc_start (domains->c->http, &req, &cb, domains);
 }
 
 void
-dom_platform_stop (struct ctl_domains *all)
+dom_platform_stop (struct ctl_domains *domains)
 {
-  if (all->platform)
-    httpc_cancel (all->platform);
-  all->platform = NULL;
-  buf_free (&all->platform_body);
+  if (domains->platform)
+    httpc_cancel (domains->platform);
+  domains->platform = NULL;
+  buf_free (&domains->platform_body);
 }
--- a/control/dom-store.c
+++ b/control/dom-store.c
@@ -10,7 +10,7 @@
 
   own_store_answer (d->own, clk_now (), call->token, r);
   dom_call_free (call);
-  dom_pump (d);
+  dom_run_actions (d);
 }
 
 static void
@@ -23,7 +23,7 @@
 
   rep_event (d->rep, clk_now (), &ev);
   dom_call_free (call);
-  dom_pump (d);
+  dom_run_actions (d);
 }
 
 /* If the call failed, the lease expires by itself. */
@@ -44,12 +44,12 @@
 void
 dom_own_action (struct dom *d, const struct own_action *a)
 {
-  struct store *s = d->all->c->store;
+  struct store *s = d->domains->c->store;
   struct dom_call *call;
 
   if (a->kind == OWN_REVOKE)
     {
-      store_lease_revoke (s, a->lease, on_revoked, d->all->c);
+      store_lease_revoke (s, a->lease, on_revoked, d->domains->c);
       return;
     }
   call = new_call (d, DCALL_STORE_OWNER, a->token);
@@ -73,7 +73,7 @@
 void
 dom_rep_store (struct dom *d, const struct rep_action *a)
 {
-  struct store *s = d->all->c->store;
+  struct store *s = d->domains->c->store;
   struct dom_call *call = new_call (d, DCALL_STORE_REPLICA, a->token);
 
   if (a->kind == REP_STORE_TXN)
--- a/control/dom-turn.c
+++ b/control/dom-turn.c
@@ -3,17 +3,17 @@
 #include "control/domains.h"
 
 /** Sort key of a domain that waits to load weights; lower loads first. */
-struct urgency
+struct load_priority
 {
-  bool waits;
+  bool waiting;
   unsigned live; /* serving replicas of its model that has the fewest */
-  uint64_t tie;
+  uint64_t tie_break;
 };
 
 static bool
-serves (const struct ctl_replica *r, clk_ms now)
+is_serving (const struct ctl_replica *r, clk_ms now)
 {
-  return r->whole && r->valid_until > now;
+  return r->complete && r->valid_until > now;
 }
 
 static size_t
@@ -31,88 +31,90 @@
   unsigned *live = xcalloc (cfg->nmodels + 1, sizeof *live);
 
   for (size_t i = 0; i < n; i++)
-    if (serves (&list[i], now))
+    if (is_serving (&list[i], now))
       live[model_index (cfg, list[i].model)]++;
   return live;
 }
 
 static void
-note_waiting (const struct ctl_domains *all, const struct ctl_replica *r,
-              size_t index, const unsigned *live, clk_ms now,
-              struct urgency *u)
+add_waiting_replica (const struct ctl_domains *domains,
+                     const struct ctl_replica *r, size_t index,
+                     const unsigned *live, clk_ms now, struct load_priority *u)
 {
-  unsigned of_model = live[model_index (all->cfg, r->model)];
+  unsigned live_of_model = live[model_index (domains->cfg, r->model)];
 
-  if (all->cfg->replicas[index].mode != CFG_MANAGE || r->draining
-      || serves (r, now))
+  if (domains->cfg->replicas[index].mode != CFG_MANAGE || r->draining
+      || is_serving (r, now))
     return;
-  u->waits = true;
-  if (of_model < u->live)
-    u->live = of_model;
+  u->waiting = true;
+  if (live_of_model < u->live)
+    u->live = live_of_model;
 }
 
 static size_t
-dom_index (const struct ctl_domains *all, const struct dom *d)
+dom_index (const struct ctl_domains *domains, const struct dom *d)
 {
   size_t i = 0;
 
-  while (all->list[i] != d)
+  while (domains->list[i] != d)
     i++;
   return i;
 }
 
-static struct urgency *
-find_urgency (const struct ctl_domains *all, const struct ctl_replica *list,
-              size_t n, const unsigned *live, clk_ms now)
+static struct load_priority *
+compute_priorities (const struct ctl_domains *domains,
+                    const struct ctl_replica *list, size_t n,
+                    const unsigned *live, clk_ms now)
 {
-  struct urgency *u = xcalloc (all->n + 1, sizeof *u);
+  struct load_priority *u = xcalloc (domains->n + 1, sizeof *u);
 
-  for (size_t i = 0; i < all->n; i++)
-    u[i] = (struct urgency){ .live = UINT32_MAX,
-                             .tie
-                             = str_hash (buf_str (&all->list[i]->name), 0) };
+  for (size_t i = 0; i < domains->n; i++)
+    u[i] = (struct load_priority){ .live = UINT32_MAX,
+                                   .tie_break = str_hash (
+                                       buf_str (&domains->list[i]->name), 0) };
   for (size_t i = 0; i < n; i++)
-    note_waiting (all, &list[i], i, live, now,
-                  &u[dom_index (all, all->dom_of[i])]);
+    add_waiting_replica (domains, &list[i], i, live, now,
+                         &u[dom_index (domains, domains->dom_of[i])]);
   return u;
 }
 
 static bool
-goes_before (const struct urgency *a, const struct urgency *b)
+loads_before (const struct load_priority *a, const struct load_priority *b)
 {
-  if (!a->waits || a->live != b->live)
-    return a->waits && a->live < b->live;
-  return a->tie < b->tie;
+  if (!a->waiting || a->live != b->live)
+    return a->waiting && a->live < b->live;
+  return a->tie_break < b->tie_break;
 }
 
 static void
-give_turn (struct dom *d, const struct urgency *all, size_t n, size_t self,
-           clk_ms now)
+update_may_load (struct dom *d, const struct load_priority *priorities,
+                 size_t n, size_t self, clk_ms now)
 {
-  struct rep_event turn = { .kind = REP_TURN };
+  struct rep_event may_load = { .kind = REP_TURN };
   size_t before = 0;
 
   for (size_t i = 0; i < n; i++)
-    before += i != self && goes_before (&all[i], &all[self]);
-  if (!all[self].waits)
-    d->waiting_since = 0;
-  else if (!d->waiting_since)
-    d->waiting_since = now;
+    before += i != self && loads_before (&priorities[i], &priorities[self]);
+  if (!priorities[self].waiting)
+    d->load_wait_since = 0;
+  else if (!d->load_wait_since)
+    d->load_wait_since = now;
   /* The limit on waiting keeps a domain that cannot load from blocking the
      others for ever. */
-  turn.on = before < DOM_LOADS
-            || (d->waiting_since && now - d->waiting_since >= DOM_TURN_MS);
-  rep_event (d->rep, now, &turn);
+  may_load.on = before < DOM_MAX_LOADING
+                || (d->load_wait_since
+                    && now - d->load_wait_since >= DOM_MAX_LOAD_WAIT_MS);
+  rep_event (d->rep, now, &may_load);
 }
 
 static void
-tell_live (struct dom *d, const unsigned *live, clk_ms now)
+update_live_counts (struct dom *d, const unsigned *live, clk_ms now)
 {
-  for (size_t i = 0; i < d->all->cfg->nmodels; i++)
+  for (size_t i = 0; i < d->domains->cfg->nmodels; i++)
     {
       struct rep_event ev = { .kind = REP_LIVE };
 
-      ev.model = d->all->cfg->models[i].name;
+      ev.model = d->domains->cfg->models[i].name;
       ev.live = live[i];
       rep_event (d->rep, now, &ev);
     }
@@ -123,25 +125,25 @@
    nodes for a second, one domain more or less loads at a time, which affects
    only the speed. */
 void
-dom_share_budget (struct ctl_domains *all, clk_ms now)
+dom_update_load_order (struct ctl_domains *domains, clk_ms now)
 {
   const struct ctl_replica *list;
-  struct urgency *order;
+  struct load_priority *priorities;
   unsigned *live;
   size_t n;
 
-  if (!all->cfg || now < all->next_share)
+  if (!domains->cfg || now < domains->next_load_order)
     return;
-  all->next_share = now + DOM_SHARE_MS;
-  list = ctl_domains_replicas (all, &n);
-  live = count_live (all->cfg, list, n, now);
-  order = find_urgency (all, list, n, live, now);
-  for (size_t i = 0; i < all->n; i++)
-    if (all->list[i]->rep && all->list[i]->managed)
+  domains->next_load_order = now + DOM_LOAD_ORDER_INTERVAL_MS;
+  list = ctl_domains_replicas (domains, &n);
+  live = count_live (domains->cfg, list, n, now);
+  priorities = compute_priorities (domains, list, n, live, now);
+  for (size_t i = 0; i < domains->n; i++)
+    if (domains->list[i]->rep && domains->list[i]->managed)
       {
-        give_turn (all->list[i], order, all->n, i, now);
-        tell_live (all->list[i], live, now);
+        update_may_load (domains->list[i], priorities, domains->n, i, now);
+        update_live_counts (domains->list[i], live, now);
       }
-  free (order);
+  free (priorities);
   free (live);
 }
--- a/control/dom-view.c
+++ b/control/dom-view.c
@@ -7,13 +7,13 @@
 void
 dom_remote_free (struct dom_remote *r)
 {
-  if (r->last)
-    lapis__evidence__free_unpacked (r->last, NULL);
-  r->last = NULL;
+  if (r->evidence)
+    lapis__evidence__free_unpacked (r->evidence, NULL);
+  r->evidence = NULL;
 }
 
 static bool
-owns (const struct dom *d)
+is_owner (const struct dom *d)
 {
   return d->own && own_may_order (d->own, clk_now ());
 }
@@ -26,25 +26,25 @@
  * expired, check the servers themselves.
  */
 bool
-dom_speaks (struct dom *d, clk_ms now)
+dom_may_publish (struct dom *d, clk_ms now)
 {
-  size_t n, whole = 0;
+  size_t n, complete = 0;
   const struct rep_view *views;
 
-  if (!d->quiet_until)
+  if (!d->publish_after)
     return true;
   views = rep_views (d->rep, now, &n);
   for (size_t i = 0; i < n; i++)
-    whole += views[i].whole;
-  if ((n && whole == n) || now >= d->quiet_until)
-    d->quiet_until = 0;
-  return !d->quiet_until;
+    complete += views[i].whole;
+  if ((n && complete == n) || now >= d->publish_after)
+    d->publish_after = 0;
+  return !d->publish_after;
 }
 
 /* ---- evidence to other nodes ---- */
 
 static uint32_t
-age (clk_ms now, clk_ms then)
+ms_since (clk_ms now, clk_ms then)
 {
   return then && now > then ? (uint32_t)(now - then) : 0;
 }
@@ -52,7 +52,8 @@
 /* Model and domain are omitted: receivers have them from the configuration,
    and strings are most of the size of evidence. */
 static void
-fill (Lapis__ReplicaView *out, const struct rep_view *v, clk_ms now)
+init_replica_view (Lapis__ReplicaView *out, const struct rep_view *v,
+                   clk_ms now)
 {
   struct buf leader = BUF_INIT;
   clk_ms left = v->evidence_at + REP_EVIDENCE_MS - now;
@@ -62,7 +63,7 @@
   out->generation = (uint64_t)v->generation;
   out->whole = v->whole;
   out->draining = v->draining;
-  out->age_ms = age (now, v->evidence_at);
+  out->age_ms = ms_since (now, v->evidence_at);
   out->valid_ms = v->whole && left > 0 ? (uint32_t)left : 0;
   out->load = v->load;
   out->load_age_ms = out->age_ms;
@@ -75,7 +76,7 @@
 }
 
 static void
-unfill (Lapis__ReplicaView *v)
+clear_replica_view (Lapis__ReplicaView *v)
 {
   free (v->replica);
   if (v->leader_addr != protobuf_c_empty_string)
@@ -90,12 +91,12 @@
   e->domain = (char *)buf_c (&d->name);
   /* 0: without a valid lease this is the evidence of a home, not of an
      owner. */
-  e->fence = owns (d) ? (uint64_t)own_fence (d->own) : 0;
+  e->fence = is_owner (d) ? (uint64_t)own_fence (d->own) : 0;
   e->seq = ++d->seq;
   frame.body_case = LAPIS__FRAME__BODY_EVIDENCE;
   frame.evidence = e;
-  ctl_peers_broadcast (d->all->c->peers, &frame);
-  met_add (d->all->evidence_bytes,
+  ctl_peers_broadcast (d->domains->c->peers, &frame);
+  met_add (d->domains->evidence_bytes,
            (double)lapis__frame__get_packed_size (&frame));
 }
 
@@ -108,18 +109,18 @@
 
   for (size_t i = 0; i < n; i++)
     {
-      fill (&list[i], &views[i], now);
+      init_replica_view (&list[i], &views[i], now);
       ptrs[i] = &list[i];
     }
   e.n_replicas = n;
   e.replicas = ptrs;
-  e.n_leaving = d->all->leaving->len;
-  e.leaving = (char **)d->all->leaving->pdata;
+  e.n_leaving = d->domains->leaving->len;
+  e.leaving = (char **)d->domains->leaving->pdata;
   send_evidence (d, &e);
   d->full_seq = d->seq;
-  d->full_at = now;
+  d->full_sent_at = now;
   for (size_t i = 0; i < n; i++)
-    unfill (&list[i]);
+    clear_replica_view (&list[i]);
   free (list);
   free (ptrs);
 }
@@ -135,8 +136,8 @@
   for (size_t i = 0; i < n; i++)
     {
       e.loads[i] = views[i].load;
-      if (views[i].whole && age (now, views[i].evidence_at) > e.age_ms)
-        e.age_ms = age (now, views[i].evidence_at);
+      if (views[i].whole && ms_since (now, views[i].evidence_at) > e.age_ms)
+        e.age_ms = ms_since (now, views[i].evidence_at);
     }
   send_evidence (d, &e);
   free (e.loads);
@@ -155,12 +156,13 @@
   size_t n;
   const struct rep_view *views = rep_views (d->rep, now, &n);
   bool full = d->changed || !d->full_seq || n != d->sent_replicas
-              || d->full_more > 0 || now - d->full_at >= DOM_FULL_MS;
+              || d->full_remaining > 0
+              || now - d->full_sent_at >= DOM_FULL_INTERVAL_MS;
 
   d->sent_at = now;
   d->sent_replicas = n;
-  if (d->full_more > 0)
-    d->full_more--;
+  if (d->full_remaining > 0)
+    d->full_remaining--;
   if (full)
     send_full (d, views, n, now);
   else
@@ -168,10 +170,10 @@
 }
 
 void
-ctl_domains_peer (struct ctl_domains *all)
+ctl_domains_peer (struct ctl_domains *domains)
 {
-  for (size_t i = 0; i < all->n; i++)
-    all->list[i]->full_more = DOM_FULL_MORE;
+  for (size_t i = 0; i < domains->n; i++)
+    domains->list[i]->full_remaining = DOM_FULL_AFTER_LINK;
 }
 
 /* ---- evidence from other nodes ---- */
@@ -184,15 +186,16 @@
  * any more.
  */
 static bool
-counts (const struct dom_remote *r, int64_t fence, clk_ms now)
+accepts_fence (const struct dom_remote *r, int64_t fence, clk_ms now)
 {
   if (fence)
     return fence >= r->fence;
-  return !r->owner_at || now - r->owner_at >= DOM_OWNER_SILENT_MS;
+  return !r->owner_received_at
+         || now - r->owner_received_at >= DOM_OWNER_TIMEOUT_MS;
 }
 
 static Lapis__Evidence *
-copy (const Lapis__Evidence *e)
+copy_evidence (const Lapis__Evidence *e)
 {
   size_t len = lapis__evidence__get_packed_size (e);
   uint8_t *bytes = xmalloc (len + 1);
@@ -207,9 +210,9 @@
 /* Applies a short message to the last full one, whose order of replicas it
    follows; false when it does not belong to that one. */
 static bool
-renew (struct dom_remote *r, const Lapis__Evidence *e)
+apply_short (struct dom_remote *r, const Lapis__Evidence *e)
 {
-  Lapis__Evidence *full = r->last;
+  Lapis__Evidence *full = r->evidence;
 
   if (!full || full->seq != e->full_seq || full->fence != e->fence
       || full->n_replicas != e->n_loads)
@@ -229,48 +232,48 @@
 }
 
 void
-ctl_domains_evidence (struct ctl_domains *all, const Lapis__Evidence *e)
+ctl_domains_evidence (struct ctl_domains *domains, const Lapis__Evidence *e)
 {
-  struct dom *d = dom_find (all, str_from (e->domain));
+  struct dom *d = dom_find (domains, str_from (e->domain));
   clk_ms now = clk_now ();
   struct dom_remote *r;
 
   if (!d)
     return;
   r = &d->remote;
-  if (!counts (r, (int64_t)e->fence, now))
+  if (!accepts_fence (r, (int64_t)e->fence, now))
     return;
   if (e->full_seq)
     {
-      if (!renew (r, e))
+      if (!apply_short (r, e))
         return;
     }
   else
     {
       dom_remote_free (r);
-      r->last = copy (e);
+      r->evidence = copy_evidence (e);
     }
   if (e->fence)
     {
       r->fence = (int64_t)e->fence;
-      r->owner_at = now;
+      r->owner_received_at = now;
     }
-  r->last_at = now;
-  ctl_evidence_changed (all->c);
+  r->received_at = now;
+  ctl_evidence_changed (domains->c);
 }
 
 /* ---- the merged list ---- */
 
 static void
-take_own (const struct dom *d, const struct rep_view *v,
-          struct ctl_replica *out)
+fill_from_core (const struct dom *d, const struct rep_view *v,
+                struct ctl_replica *out)
 {
   const struct chart *chart = chart_embedded ("replica");
 
   out->generation = v->generation;
-  out->fence = owns (d) ? own_fence (d->own) : 0;
+  out->fence = is_owner (d) ? own_fence (d->own) : 0;
   out->state = chart_state_name (chart, v->state);
-  out->whole = v->whole;
+  out->complete = v->whole;
   out->draining = v->draining;
   out->valid_until = v->evidence_at + REP_EVIDENCE_MS;
   out->load = v->load;
@@ -280,8 +283,8 @@
 }
 
 static void
-take_remote (const struct dom_remote *r, const Lapis__ReplicaView *v,
-             struct ctl_replica *out)
+fill_from_evidence (const struct dom_remote *r, const Lapis__ReplicaView *v,
+                    struct ctl_replica *out)
 {
   clk_ms valid = v->valid_ms;
 
@@ -289,19 +292,19 @@
   if (valid > REP_EVIDENCE_MS)
     valid = REP_EVIDENCE_MS;
   out->generation = (int64_t)v->generation;
-  out->fence = (int64_t)r->last->fence;
-  out->whole = v->whole;
+  out->fence = (int64_t)r->evidence->fence;
+  out->complete = v->whole;
   out->draining = v->draining;
   out->state = v->draining ? "draining" : v->whole ? "whole" : "degraded";
-  out->valid_until = r->last_at + valid;
+  out->valid_until = r->received_at + valid;
   out->load = v->load;
-  out->load_at = r->last_at - (clk_ms)v->load_age_ms;
+  out->load_at = r->received_at - (clk_ms)v->load_age_ms;
   net_addr_parse (str_from (v->leader_addr), false, &out->leader);
 }
 
 static void
-start_row (const struct dom *d, const struct cfg_replica *c,
-           struct ctl_replica *out)
+init_replica (const struct dom *d, const struct cfg_replica *c,
+              struct ctl_replica *out)
 {
   memset (out, 0, sizeof *out);
   out->name = c->name;
@@ -314,87 +317,92 @@
 /* Whether to use the evidence received: this node is not home, or has no lease
    while an owner sent evidence recently, or has not probed enough yet. */
 static bool
-remote_is_better (const struct dom *d, clk_ms now)
+prefers_remote (const struct dom *d, clk_ms now)
 {
-  if (d->rep && d->quiet_until)
-    return d->remote.last && d->remote.last_at > d->sent_at;
-  return d->remote.last
+  if (d->rep && d->publish_after)
+    return d->remote.evidence && d->remote.received_at > d->sent_at;
+  return d->remote.evidence
          && (!d->rep
-             || (!owns (d) && d->remote.last->fence
-                 && now - d->remote.last_at < DOM_OWNER_SILENT_MS));
+             || (!is_owner (d) && d->remote.evidence->fence
+                 && now - d->remote.received_at < DOM_OWNER_TIMEOUT_MS));
 }
 
 static struct ctl_replica *
-row (struct ctl_domains *all, struct str replica)
+find_merged (struct ctl_domains *domains, struct str replica)
 {
   const struct cfg_replica *c
-      = all->cfg ? cfg_replica (all->cfg, replica) : NULL;
+      = domains->cfg ? cfg_replica (domains->cfg, replica) : NULL;
 
-  return c ? &all->merged[c - all->cfg->replicas] : NULL;
+  return c ? &domains->merged[c - domains->cfg->replicas] : NULL;
 }
 
 static void
-merge_dom (struct ctl_domains *all, struct dom *d, clk_ms now)
+merge_dom (struct ctl_domains *domains, struct dom *d, clk_ms now)
 {
   struct ctl_replica *out;
   size_t n = 0;
 
-  if (remote_is_better (d, now))
+  if (prefers_remote (d, now))
     {
-      for (size_t i = 0; i < d->remote.last->n_replicas; i++)
-        if ((out = row (all, str_from (d->remote.last->replicas[i]->replica))))
-          take_remote (&d->remote, d->remote.last->replicas[i], out);
+      for (size_t i = 0; i < d->remote.evidence->n_replicas; i++)
+        if ((out = find_merged (
+                 domains,
+                 str_from (d->remote.evidence->replicas[i]->replica))))
+          fill_from_evidence (&d->remote, d->remote.evidence->replicas[i],
+                              out);
       return;
     }
-  const struct rep_view *views
-      = d->rep && dom_speaks (d, now) ? rep_views (d->rep, now, &n) : NULL;
+  const struct rep_view *views = d->rep && dom_may_publish (d, now)
+                                     ? rep_views (d->rep, now, &n)
+                                     : NULL;
   for (size_t i = 0; i < n; i++)
-    if ((out = row (all, views[i].replica)))
-      take_own (d, &views[i], out);
+    if ((out = find_merged (domains, views[i].replica)))
+      fill_from_core (d, &views[i], out);
 }
 
 const struct ctl_replica *
-ctl_domains_replicas (struct ctl_domains *all, size_t *n)
+ctl_domains_replicas (struct ctl_domains *domains, size_t *n)
 {
   clk_ms now = clk_now ();
 
   *n = 0;
-  if (!all->cfg)
+  if (!domains->cfg)
     return NULL;
-  *n = all->cfg->nreplicas;
-  all->merged = xrealloc (all->merged, (*n + 1) * sizeof *all->merged);
+  *n = domains->cfg->nreplicas;
+  domains->merged
+      = xrealloc (domains->merged, (*n + 1) * sizeof *domains->merged);
   for (size_t i = 0; i < *n; i++)
     {
-      const struct cfg_replica *c = &all->cfg->replicas[i];
+      const struct cfg_replica *c = &domains->cfg->replicas[i];
 
-      start_row (all->dom_of[i], c, &all->merged[i]);
+      init_replica (domains->dom_of[i], c, &domains->merged[i]);
     }
-  for (size_t i = 0; i < all->n; i++)
-    merge_dom (all, all->list[i], now);
-  return all->merged;
+  for (size_t i = 0; i < domains->n; i++)
+    merge_dom (domains, domains->list[i], now);
+  return domains->merged;
 }
 
 static void
 add_leaving (GPtrArray *names, char *name)
 {
-  if (!dom_named (names, name))
+  if (!dom_list_contains (names, name))
     g_ptr_array_add (names, name);
 }
 
 /* Only homes read the platform's list, which is long; other nodes get the
    leaving backend servers with the homes' evidence. */
 char *const *
-ctl_domains_leaving (struct ctl_domains *all, size_t *n)
+ctl_domains_leaving (struct ctl_domains *domains, size_t *n)
 {
-  GPtrArray *names = all->all_leaving;
+  GPtrArray *names = domains->merged_leaving;
 
   g_ptr_array_set_size (names, 0);
-  for (guint i = 0; i < all->leaving->len; i++)
-    add_leaving (names, all->leaving->pdata[i]);
-  for (size_t i = 0; i < all->n; i++)
+  for (guint i = 0; i < domains->leaving->len; i++)
+    add_leaving (names, domains->leaving->pdata[i]);
+  for (size_t i = 0; i < domains->n; i++)
     {
       const Lapis__Evidence *e
-          = all->list[i]->rep ? NULL : all->list[i]->remote.last;
+          = domains->list[i]->rep ? NULL : domains->list[i]->remote.evidence;
 
       for (size_t k = 0; e && k < e->n_leaving; k++)
         add_leaving (names, e->leaving[k]);
--- a/control/domains.c
+++ b/control/domains.c
@@ -5,17 +5,17 @@
 #include "fleet/hash.h"
 
 struct dom *
-dom_find (const struct ctl_domains *all, struct str name)
+dom_find (const struct ctl_domains *domains, struct str name)
 {
-  for (size_t i = 0; i < all->n; i++)
-    if (str_eq (buf_str (&all->list[i]->name), name))
-      return all->list[i];
+  for (size_t i = 0; i < domains->n; i++)
+    if (str_eq (buf_str (&domains->list[i]->name), name))
+      return domains->list[i];
   return NULL;
 }
 
 static void
-add_key (struct buf *out, const struct ctl *c, struct str domain,
-         const char *what)
+format_key (struct buf *out, const struct ctl *c, struct str domain,
+            const char *what)
 {
   buf_addf (out, "%sdomain/%.*s/%s", c->set.store_prefix, STR_ARG (domain),
             what);
@@ -24,25 +24,25 @@
 static void
 start_cores (struct dom *d, clk_ms now)
 {
-  struct ctl *c = d->all->c;
+  struct ctl *c = d->domains->c;
   struct str name = buf_str (&d->name);
   struct buf owner = BUF_INIT, assignment = BUF_INIT;
-  struct rep_event config = { .kind = REP_CONFIG, .cfg = d->all->cfg };
+  struct rep_event config = { .kind = REP_CONFIG, .cfg = d->domains->cfg };
 
-  add_key (&owner, c, name, "owner");
-  add_key (&assignment, c, name, "assignment");
+  format_key (&owner, c, name, "owner");
+  format_key (&assignment, c, name, "assignment");
   struct own_options oo = { .key = buf_str (&owner),
                             .node = str_from (c->set.node),
                             .boot = c->boot,
                             .ttl = DOM_LEASE_MS,
                             .checks_fence = d->cfg->checks_fence,
-                            .order_flight_ms = DOM_ORDER_MS };
+                            .order_flight_ms = DOM_ORDER_TIMEOUT_MS };
   struct rep_options ro = { .domain = name,
                             .key = buf_str (&assignment),
                             .owner_key = buf_str (&owner) };
   d->own = own_new (&oo, rng_next (&c->rng));
   d->rep = rep_new (&ro, rng_next (&c->rng));
-  d->quiet_until = now + DOM_QUIET_MS;
+  d->publish_after = now + DOM_PUBLISH_DELAY_MS;
   rep_event (d->rep, now, &config);
   buf_free (&owner);
   buf_free (&assignment);
@@ -54,7 +54,7 @@
   if (!d->rep)
     return;
   own_want (d->own, now, false);
-  dom_pump (d);
+  dom_run_actions (d);
   dom_calls_cancel (d);
   own_free (d->own);
   rep_free (d->rep);
@@ -87,7 +87,7 @@
 }
 
 static void
-do_own (struct dom *d, const struct own_action *a)
+run_own_action (struct dom *d, const struct own_action *a)
 {
   switch (a->kind)
     {
@@ -103,7 +103,7 @@
 }
 
 static void
-do_rep (struct dom *d, const struct rep_action *a)
+run_rep_action (struct dom *d, const struct rep_action *a)
 {
   switch (a->kind)
     {
@@ -124,7 +124,7 @@
 }
 
 void
-dom_pump (struct dom *d)
+dom_run_actions (struct dom *d)
 {
   struct own_action own;
   struct rep_action rep;
@@ -136,20 +136,20 @@
       while (own_next (d->own, &own))
         {
           more = true;
-          do_own (d, &own);
+          run_own_action (d, &own);
         }
       while (rep_next (d->rep, &rep))
         {
           more = true;
-          do_rep (d, &rep);
+          run_rep_action (d, &rep);
         }
     }
 }
 
 /* The region of a zone is taken from any member of the zone, dead or alive. */
 static bool
-zone_is_elsewhere (const struct ctl *c, const struct mbr_node *const *nodes,
-                   size_t n, struct str zone)
+zone_in_other_region (const struct ctl *c, const struct mbr_node *const *nodes,
+                      size_t n, struct str zone)
 {
   for (size_t i = 0; i < n; i++)
     if (str_eq (nodes[i]->zone, zone))
@@ -178,13 +178,13 @@
 static bool
 is_home (struct dom *d)
 {
-  const struct ctl *c = d->all->c;
+  const struct ctl *c = d->domains->c;
   size_t n, found;
   const struct mbr_node *const *nodes = ctl_swim_nodes (c->swim, &n);
   struct str *names = xcalloc (n + 1, sizeof *names);
   bool home = false;
 
-  if (!zone_is_elsewhere (c, nodes, n, d->cfg->zone))
+  if (!zone_in_other_region (c, nodes, n, d->cfg->zone))
     {
       found = live_nodes (c, nodes, n, d->cfg->zone, names);
       if (!found)
@@ -212,17 +212,17 @@
   if (d->rep)
     {
       own_want (d->own, now, d->managed);
-      dom_pump (d);
+      dom_run_actions (d);
     }
 }
 
 void
-ctl_domains_members (struct ctl_domains *all)
+ctl_domains_members (struct ctl_domains *domains)
 {
   clk_ms now = clk_now ();
 
-  for (size_t i = 0; i < all->n; i++)
-    update_home (all->list[i], now);
+  for (size_t i = 0; i < domains->n; i++)
+    update_home (domains->list[i], now);
 }
 
 static bool
@@ -236,20 +236,20 @@
 }
 
 static struct dom *
-dom_new (struct ctl_domains *all, struct str name)
+dom_new (struct ctl_domains *domains, struct str name)
 {
   struct dom *d = xcalloc (1, sizeof *d);
 
-  d->all = all;
-  d->seq = rng_next (&all->c->rng) >> 24;
+  d->domains = domains;
+  d->seq = rng_next (&domains->c->rng) >> 24;
   buf_add (&d->name, name);
   return d;
 }
 
 /* Moves the domain's state out of the old list, or creates it. */
 static struct dom *
-take_or_new (struct ctl_domains *all, struct dom **old, size_t n,
-             struct str name)
+reuse_or_new (struct ctl_domains *domains, struct dom **old, size_t n,
+              struct str name)
 {
   for (size_t i = 0; i < n; i++)
     if (old[i] && str_eq (buf_str (&old[i]->name), name))
@@ -259,13 +259,13 @@
         old[i] = NULL;
         return d;
       }
-  return dom_new (all, name);
+  return dom_new (domains, name);
 }
 
 static void
 apply_config (struct dom *d, const struct cfg_domain *cfg, clk_ms now)
 {
-  struct rep_event ev = { .kind = REP_CONFIG, .cfg = d->all->cfg };
+  struct rep_event ev = { .kind = REP_CONFIG, .cfg = d->domains->cfg };
   /* The time that a new owner waits was set under the old value. */
   bool fencing_changed
       = d->cfg && d->rep && d->cfg->checks_fence != cfg->checks_fence;
@@ -273,44 +273,45 @@
   if (fencing_changed)
     stop_cores (d, now);
   d->cfg = cfg;
-  d->managed = has_managed (d->all->cfg, cfg->name);
+  d->managed = has_managed (d->domains->cfg, cfg->name);
   if (d->rep)
     rep_event (d->rep, now, &ev);
 }
 
 static void
-map_replicas (struct ctl_domains *all)
+index_replicas (struct ctl_domains *domains)
 {
-  free (all->dom_of);
-  all->dom_of = xcalloc (all->cfg->nreplicas + 1, sizeof *all->dom_of);
-  for (size_t i = 0; i < all->cfg->nreplicas; i++)
-    all->dom_of[i] = dom_find (all, all->cfg->replicas[i].domain);
+  free (domains->dom_of);
+  domains->dom_of
+      = xcalloc (domains->cfg->nreplicas + 1, sizeof *domains->dom_of);
+  for (size_t i = 0; i < domains->cfg->nreplicas; i++)
+    domains->dom_of[i] = dom_find (domains, domains->cfg->replicas[i].domain);
 }
 
 void
-ctl_domains_config (struct ctl_domains *all)
+ctl_domains_on_config (struct ctl_domains *domains)
 {
-  struct dom **old = all->list;
-  size_t nold = all->n;
-  struct cfg *old_cfg = all->cfg;
+  struct dom **old = domains->list;
+  size_t nold = domains->n;
+  struct cfg *old_cfg = domains->cfg;
   clk_ms now = clk_now ();
 
-  all->cfg = cfg_ref (all->c->cfg);
-  all->list = xcalloc (all->cfg->ndomains + 1, sizeof *all->list);
-  all->n = all->cfg->ndomains;
-  for (size_t i = 0; i < all->n; i++)
+  domains->cfg = cfg_ref (domains->c->cfg);
+  domains->list = xcalloc (domains->cfg->ndomains + 1, sizeof *domains->list);
+  domains->n = domains->cfg->ndomains;
+  for (size_t i = 0; i < domains->n; i++)
     {
-      const struct cfg_domain *cfg = &all->cfg->domains[i];
+      const struct cfg_domain *cfg = &domains->cfg->domains[i];
 
-      all->list[i] = take_or_new (all, old, nold, cfg->name);
-      apply_config (all->list[i], cfg, now);
+      domains->list[i] = reuse_or_new (domains, old, nold, cfg->name);
+      apply_config (domains->list[i], cfg, now);
     }
   for (size_t i = 0; i < nold; i++)
     if (old[i])
       dom_free (old[i]);
   free (old);
-  map_replicas (all);
-  ctl_domains_members (all);
+  index_replicas (domains);
+  ctl_domains_members (domains);
   if (old_cfg)
     cfg_unref (old_cfg);
 }
@@ -322,60 +323,60 @@
 
   dom_calls_tick (d, now);
   own_tick (d->own, now);
-  dom_pump (d);
+  dom_run_actions (d);
   rep_event (d->rep, now, &tick);
-  dom_pump (d);
-  if (dom_speaks (d, now)
-      && (d->changed || now - d->sent_at >= DOM_BROADCAST_MS))
+  dom_run_actions (d);
+  if (dom_may_publish (d, now)
+      && (d->changed || now - d->sent_at >= DOM_BROADCAST_INTERVAL_MS))
     dom_broadcast (d, now);
 }
 
 static void
 on_timer (uv_timer_t *t)
 {
-  struct ctl_domains *all = t->data;
+  struct ctl_domains *domains = t->data;
   clk_ms now = clk_now ();
   bool changed = false;
 
-  dom_share_budget (all, now);
-  for (size_t i = 0; i < all->n; i++)
-    if (all->list[i]->rep)
+  dom_update_load_order (domains, now);
+  for (size_t i = 0; i < domains->n; i++)
+    if (domains->list[i]->rep)
       {
-        tick_dom (all->list[i], now);
-        changed = changed || all->list[i]->changed;
-        all->list[i]->changed = false;
+        tick_dom (domains->list[i], now);
+        changed = changed || domains->list[i]->changed;
+        domains->list[i]->changed = false;
       }
-  dom_platform_tick (all, now);
+  dom_platform_tick (domains, now);
   if (changed)
-    ctl_evidence_changed (all->c);
+    ctl_evidence_changed (domains->c);
 }
 
 struct ctl_domains *
 ctl_domains_start (struct ctl *c, struct buf *err)
 {
-  struct ctl_domains *all = xcalloc (1, sizeof *all);
+  struct ctl_domains *domains = xcalloc (1, sizeof *domains);
 
   (void)err;
-  all->c = c;
-  all->probes = met_counter (c->met, "lapisline_probes_total",
-                             "Probes sent to VMs.", NULL);
-  all->orders = met_counter (c->met, "lapisline_orders_total",
-                             "Orders sent to VMs.", NULL);
-  all->stopped_orders
+  domains->c = c;
+  domains->probes = met_counter (c->met, "lapisline_probes_total",
+                                 "Probes sent to VMs.", NULL);
+  domains->orders = met_counter (c->met, "lapisline_orders_total",
+                                 "Orders sent to VMs.", NULL);
+  domains->stopped_orders
       = met_counter (c->met, "lapisline_orders_stopped_total",
                      "Orders held back, as ownership had lapsed.", NULL);
-  all->evidence_bytes
+  domains->evidence_bytes
       = met_counter (c->met, "lapisline_evidence_bytes_total",
                      "Bytes of evidence packed, before copies.", NULL);
-  uv_timer_init (c->loop, &all->timer);
-  all->timer.data = all;
-  uv_timer_start (&all->timer, on_timer, (uint64_t)DOM_TICK_MS,
+  uv_timer_init (c->loop, &domains->timer);
+  domains->timer.data = domains;
+  uv_timer_start (&domains->timer, on_timer, (uint64_t)DOM_TICK_MS,
                   (uint64_t)DOM_TICK_MS);
-  all->leaving = g_ptr_array_new_with_free_func (free);
-  all->all_leaving = g_ptr_array_new ();
+  domains->leaving = g_ptr_array_new_with_free_func (free);
+  domains->merged_leaving = g_ptr_array_new ();
   if (c->cfg)
-    ctl_domains_config (all);
-  return all;
+    ctl_domains_on_config (domains);
+  return domains;
 }
 
 static void
@@ -385,33 +386,33 @@
 }
 
 void
-ctl_domains_stop (struct ctl_domains *all)
+ctl_domains_stop (struct ctl_domains *domains)
 {
-  uv_timer_stop (&all->timer);
-  dom_platform_stop (all);
-  for (size_t i = 0; i < all->n; i++)
-    dom_free (all->list[i]);
-  free (all->list);
-  free (all->dom_of);
-  free (all->merged);
-  g_ptr_array_free (all->leaving, TRUE);
-  g_ptr_array_free (all->all_leaving, TRUE);
-  if (all->cfg)
-    cfg_unref (all->cfg);
-  uv_close ((uv_handle_t *)&all->timer, on_closed);
+  uv_timer_stop (&domains->timer);
+  dom_platform_stop (domains);
+  for (size_t i = 0; i < domains->n; i++)
+    dom_free (domains->list[i]);
+  free (domains->list);
+  free (domains->dom_of);
+  free (domains->merged);
+  g_ptr_array_free (domains->leaving, TRUE);
+  g_ptr_array_free (domains->merged_leaving, TRUE);
+  if (domains->cfg)
+    cfg_unref (domains->cfg);
+  uv_close ((uv_handle_t *)&domains->timer, on_closed);
 }
 
 bool
-ctl_domains_drain (struct ctl_domains *all, struct str replica, bool on)
+ctl_domains_drain (struct ctl_domains *domains, struct str replica, bool on)
 {
   const struct cfg_replica *r
-      = all->cfg ? cfg_replica (all->cfg, replica) : NULL;
-  struct dom *d = r ? dom_find (all, r->domain) : NULL;
+      = domains->cfg ? cfg_replica (domains->cfg, replica) : NULL;
+  struct dom *d = r ? dom_find (domains, r->domain) : NULL;
   struct rep_event ev = { .kind = REP_DRAIN, .replica = replica, .on = on };
 
   if (!d || !d->rep)
     return false;
   rep_event (d->rep, clk_now (), &ev);
-  dom_pump (d);
+  dom_run_actions (d);
   return true;
 }
--- a/control/domains.h
+++ b/control/domains.h
@@ -22,27 +22,27 @@
 #include <glib.h>
 
 #define DOM_TICK_MS ((clk_ms)100)
-#define DOM_PROBE_MS ((clk_ms)800)
-#define DOM_ORDER_MS ((clk_ms)2000)
+#define DOM_PROBE_TIMEOUT_MS ((clk_ms)800)
+#define DOM_ORDER_TIMEOUT_MS ((clk_ms)2000)
 #define DOM_LEASE_MS ((clk_ms)6000)
-#define DOM_BROADCAST_MS ((clk_ms)1000)
+#define DOM_BROADCAST_INTERVAL_MS ((clk_ms)1000)
 /** Longest interval between full messages of evidence, which contain names. */
-#define DOM_FULL_MS ((clk_ms)5000)
+#define DOM_FULL_INTERVAL_MS ((clk_ms)5000)
 /** Number of full broadcasts after a peer has linked. */
-#define DOM_FULL_MORE 3
-#define DOM_PLATFORM_MS ((clk_ms)1000)
+#define DOM_FULL_AFTER_LINK 3
+#define DOM_PLATFORM_INTERVAL_MS ((clk_ms)1000)
 /** Number of domains that load weights at the same time, and the time after
     which a waiting domain may load regardless of it. */
-#define DOM_LOADS 4
-#define DOM_TURN_MS (10 * CLK_MINUTE)
-#define DOM_SHARE_MS ((clk_ms)1000)
+#define DOM_MAX_LOADING 4
+#define DOM_MAX_LOAD_WAIT_MS (10 * CLK_MINUTE)
+#define DOM_LOAD_ORDER_INTERVAL_MS ((clk_ms)1000)
 /** Evidence from a home without the lease is accepted once no owner has sent
     any for this long.  Shorter than REP_EVIDENCE_MS, so that replica states
     don't expire in between. */
-#define DOM_OWNER_SILENT_MS ((clk_ms)1500)
+#define DOM_OWNER_TIMEOUT_MS ((clk_ms)1500)
 /** A new home sends no evidence for this long, unless it finds every replica
     complete earlier. */
-#define DOM_QUIET_MS ((clk_ms)3000)
+#define DOM_PUBLISH_DELAY_MS ((clk_ms)3000)
 
 struct dom;
 
@@ -71,32 +71,33 @@
 /** The last evidence received about a domain. */
 struct dom_remote
 {
-  int64_t fence;   /* highest received */
-  clk_ms owner_at; /* last time that evidence of that fence was received */
-  Lapis__Evidence *last;
-  clk_ms last_at; /* time of receipt */
+  int64_t fence;            /* highest received */
+  clk_ms owner_received_at; /* last time that evidence of that fence was
+                               received */
+  Lapis__Evidence *evidence;
+  clk_ms received_at; /* time of receipt */
 };
 
 /** One fabric domain of the configuration. */
 struct dom
 {
-  struct ctl_domains *all;
+  struct ctl_domains *domains;
   struct buf name;
   const struct cfg_domain *cfg;
   bool managed; /* has a replica of mode CFG_MANAGE */
   bool home;    /* this node probes it, and owns it if it gets the lease */
   struct buf home_node;
-  bool changed;         /* evidence changed since the last tick */
-  clk_ms waiting_since; /* to load weights; 0: doesn't wait */
+  bool changed;           /* evidence changed since the last tick */
+  clk_ms load_wait_since; /* to load weights; 0: doesn't wait */
   struct own *own;
   struct rep *rep;
   struct dom_call *calls;
   uint64_t seq; /* starts at a random number, so that senders differ */
   uint64_t full_seq;
   size_t sent_replicas;
-  int full_more; /* upcoming broadcasts that must be full */
-  clk_ms sent_at, full_at;
-  clk_ms quiet_until; /* 0: evidence is sent */
+  int full_remaining; /* upcoming broadcasts that must be full */
+  clk_ms sent_at, full_sent_at;
+  clk_ms publish_after; /* 0: evidence is sent */
   struct dom_remote remote;
 };
 
@@ -108,14 +109,13 @@
   struct dom **list;
   size_t n;
   struct dom **dom_of; /* for each replica of the configuration */
-  clk_ms next_platform;
-  clk_ms next_share;
+  clk_ms next_platform_read;
+  clk_ms next_load_order;
   struct httpc_call *platform;
   struct buf platform_body;
   int platform_status;
   GPtrArray *leaving; /* backend servers that leave, from the list read here */
-  GPtrArray *all_leaving; /* those and the ones other nodes reported; not
-                             owned */
+  GPtrArray *merged_leaving; /* also from other nodes; not owned */
   clk_ms platform_deadline;
   struct ctl_replica *merged;
   size_t nmerged;
@@ -124,8 +124,8 @@
 
 /* domains.c */
 /** Runs the pending actions of the domain's cores. */
-void dom_pump (struct dom *d);
-struct dom *dom_find (const struct ctl_domains *all, struct str name);
+void dom_run_actions (struct dom *d);
+struct dom *dom_find (const struct ctl_domains *domains, struct str name);
 
 /* dom-calls.c */
 void dom_probe (struct dom *d, const struct cfg_vm *vm);
@@ -136,10 +136,10 @@
 void dom_calls_cancel (struct dom *d);
 struct dom_call *dom_call_new (struct dom *d, enum dom_call_kind kind);
 void dom_call_free (struct dom_call *call);
-void dom_platform_tick (struct ctl_domains *all, clk_ms now);
-void dom_platform_stop (struct ctl_domains *all);
+void dom_platform_tick (struct ctl_domains *domains, clk_ms now);
+void dom_platform_stop (struct ctl_domains *domains);
 /** Whether a list of names holds @p name. */
-bool dom_named (const GPtrArray *names, const char *name);
+bool dom_list_contains (const GPtrArray *names, const char *name);
 
 /* dom-store.c */
 void dom_own_action (struct dom *d, const struct own_action *a);
@@ -148,12 +148,12 @@
 /* dom-view.c */
 void dom_broadcast (struct dom *d, clk_ms now);
 /** Whether this home has probed enough to send evidence. */
-bool dom_speaks (struct dom *d, clk_ms now);
+bool dom_may_publish (struct dom *d, clk_ms now);
 void dom_remote_free (struct dom_remote *r);
 
 /* dom-turn.c */
 /** Sets for each core whether it may load weights, and how many replicas of
     each model serve. */
-void dom_share_budget (struct ctl_domains *all, clk_ms now);
+void dom_update_load_order (struct ctl_domains *domains, clk_ms now);
 
 #endif
--- a/control/exposition.c
+++ b/control/exposition.c
@@ -16,79 +16,84 @@
 #define SWIM_HELP "Packets dropped and changes of opinion in membership."
 
 static void
-count (struct ctl *c, const char *name, const char *help, const char *labels,
-       uint64_t value)
+set_counter (struct ctl *c, const char *name, const char *help,
+             const char *labels, uint64_t value)
 {
   met_set (met_counter (c->met, name, help, labels), (double)value);
 }
 
 static void
-fill_swim (struct ctl *c)
+export_swim (struct ctl *c)
 {
   const struct mbr_counts *n = ctl_swim_counts (c->swim);
-  count (c, BYTES, BYTES_HELP, "mechanism=\"swim\",direction=\"out\"",
-         n->bytes_out);
-  count (c, BYTES, BYTES_HELP, "mechanism=\"swim\",direction=\"in\"",
-         n->bytes_in);
-  count (c, MESSAGES, MESSAGES_HELP, "mechanism=\"swim\",direction=\"out\"",
-         n->sent);
-  count (c, MESSAGES, MESSAGES_HELP, "mechanism=\"swim\",direction=\"in\"",
-         n->received);
-  count (c, SWIM, SWIM_HELP, "event=\"bad-mac\"", n->bad_mac);
-  count (c, SWIM, SWIM_HELP, "event=\"malformed\"", n->malformed);
-  count (c, SWIM, SWIM_HELP, "event=\"replayed\"", n->replayed);
-  count (c, SWIM, SWIM_HELP, "event=\"foreign\"", n->foreign);
-  count (c, SWIM, SWIM_HELP, "event=\"suspected\"", n->suspected);
-  count (c, SWIM, SWIM_HELP, "event=\"refuted\"", n->refuted);
-  count (c, SWIM, SWIM_HELP, "event=\"died\"", n->died);
-  count (c, SWIM, SWIM_HELP, "event=\"self-suspected\"", n->self_suspected);
-  count (c, SWIM, SWIM_HELP, "event=\"paused\"", n->pauses);
+  set_counter (c, BYTES, BYTES_HELP, "mechanism=\"swim\",direction=\"out\"",
+               n->bytes_out);
+  set_counter (c, BYTES, BYTES_HELP, "mechanism=\"swim\",direction=\"in\"",
+               n->bytes_in);
+  set_counter (c, MESSAGES, MESSAGES_HELP,
+               "mechanism=\"swim\",direction=\"out\"", n->sent);
+  set_counter (c, MESSAGES, MESSAGES_HELP,
+               "mechanism=\"swim\",direction=\"in\"", n->received);
+  set_counter (c, SWIM, SWIM_HELP, "event=\"bad-mac\"", n->bad_mac);
+  set_counter (c, SWIM, SWIM_HELP, "event=\"malformed\"", n->malformed);
+  set_counter (c, SWIM, SWIM_HELP, "event=\"replayed\"", n->replayed);
+  set_counter (c, SWIM, SWIM_HELP, "event=\"foreign\"", n->foreign);
+  set_counter (c, SWIM, SWIM_HELP, "event=\"suspected\"", n->suspected);
+  set_counter (c, SWIM, SWIM_HELP, "event=\"refuted\"", n->refuted);
+  set_counter (c, SWIM, SWIM_HELP, "event=\"died\"", n->died);
+  set_counter (c, SWIM, SWIM_HELP, "event=\"self-suspected\"",
+               n->self_suspected);
+  set_counter (c, SWIM, SWIM_HELP, "event=\"paused\"", n->pauses);
 }
 
 static void
-fill_store (struct ctl *c)
+export_store (struct ctl *c)
 {
   const struct store_counts *n = store_counts (c->store);
-  count (c, STORE, STORE_HELP, "kind=\"range\"", n->ranges);
-  count (c, STORE, STORE_HELP, "kind=\"txn\"", n->txns);
-  count (c, STORE, STORE_HELP, "kind=\"grant\"", n->grants);
-  count (c, STORE, STORE_HELP, "kind=\"keep\"", n->keeps);
-  count (c, STORE, STORE_HELP, "kind=\"revoke\"", n->revokes);
-  count (c, STORE, STORE_HELP, "kind=\"watch\"", n->watches);
-  count (c, ENDS, ENDS_HELP, "end=\"over-budget\"", n->over_budget);
-  count (c, ENDS, ENDS_HELP, "end=\"uncertain\"", n->uncertain);
-  count (c, ENDS, ENDS_HELP, "end=\"unavailable\"", n->unavailable);
-  count (c, ENDS, ENDS_HELP, "end=\"conflict\"", n->conflicts);
+  set_counter (c, STORE, STORE_HELP, "kind=\"range\"", n->ranges);
+  set_counter (c, STORE, STORE_HELP, "kind=\"txn\"", n->txns);
+  set_counter (c, STORE, STORE_HELP, "kind=\"grant\"", n->grants);
+  set_counter (c, STORE, STORE_HELP, "kind=\"keep\"", n->keeps);
+  set_counter (c, STORE, STORE_HELP, "kind=\"revoke\"", n->revokes);
+  set_counter (c, STORE, STORE_HELP, "kind=\"watch\"", n->watches);
+  set_counter (c, ENDS, ENDS_HELP, "end=\"over-budget\"", n->over_budget);
+  set_counter (c, ENDS, ENDS_HELP, "end=\"uncertain\"", n->uncertain);
+  set_counter (c, ENDS, ENDS_HELP, "end=\"unavailable\"", n->unavailable);
+  set_counter (c, ENDS, ENDS_HELP, "end=\"conflict\"", n->conflicts);
 }
 
 static void
-fill_views (struct ctl *c)
+export_views (struct ctl *c)
 {
   uint64_t out;
   uint64_t in;
   ctl_views_traffic (c->views, &out, &in);
-  count (c, BYTES, BYTES_HELP, "mechanism=\"view\",direction=\"out\"", out);
-  count (c, BYTES, BYTES_HELP, "mechanism=\"view\",direction=\"in\"", in);
+  set_counter (c, BYTES, BYTES_HELP, "mechanism=\"view\",direction=\"out\"",
+               out);
+  set_counter (c, BYTES, BYTES_HELP, "mechanism=\"view\",direction=\"in\"",
+               in);
   met_set (met_gauge (c->met, "lapisline_control_gateway_linked",
                       "Whether this node's gateway is linked.", NULL),
            ctl_views_linked (c->views));
 }
 
 static void
-fill_peers (struct ctl *c)
+export_peers (struct ctl *c)
 {
   uint64_t out;
   uint64_t in;
   size_t links = ctl_peers_traffic (c->peers, &out, &in);
-  count (c, BYTES, BYTES_HELP, "mechanism=\"peer\",direction=\"out\"", out);
-  count (c, BYTES, BYTES_HELP, "mechanism=\"peer\",direction=\"in\"", in);
+  set_counter (c, BYTES, BYTES_HELP, "mechanism=\"peer\",direction=\"out\"",
+               out);
+  set_counter (c, BYTES, BYTES_HELP, "mechanism=\"peer\",direction=\"in\"",
+               in);
   met_set (met_gauge (c->met, "lapisline_control_peer_links",
                       "Linked control processes.", NULL),
            (double)links);
 }
 
 static void
-fill_nodes (struct ctl *c)
+export_nodes (struct ctl *c)
 {
   static const char *const labels[] = {
     [MBR_ALIVE] = "status=\"alive\"",
@@ -108,20 +113,20 @@
 }
 
 static void
-fill_replicas (struct ctl *c)
+export_replicas (struct ctl *c)
 {
   size_t n;
-  size_t whole = 0;
+  size_t complete = 0;
   clk_ms now = clk_now ();
   const struct ctl_replica *all = ctl_domains_replicas (c->domains, &n);
   for (size_t i = 0; i < n; i++)
-    whole += all[i].whole && all[i].valid_until > now;
+    complete += all[i].complete && all[i].valid_until > now;
   met_set (met_gauge (c->met, "lapisline_control_replicas",
                       "Replicas known to this node.", NULL),
            (double)n);
   met_set (met_gauge (c->met, "lapisline_control_replicas_whole",
                       "Replicas with evidence that every VM is up.", NULL),
-           (double)whole);
+           (double)complete);
 }
 
 static double
@@ -147,7 +152,7 @@
 }
 
 static void
-fill_process (struct ctl *c)
+export_process (struct ctl *c)
 {
   met_set (met_counter (c->met, "lapisline_control_cpu_seconds_total",
                         "Processor time of this process.", NULL),
@@ -161,14 +166,14 @@
 }
 
 void
-adm_expose (struct ctl *c, struct buf *out)
+adm_write_metrics (struct ctl *c, struct buf *out)
 {
-  fill_swim (c);
-  fill_store (c);
-  fill_views (c);
-  fill_peers (c);
-  fill_nodes (c);
-  fill_replicas (c);
-  fill_process (c);
+  export_swim (c);
+  export_store (c);
+  export_views (c);
+  export_peers (c);
+  export_nodes (c);
+  export_replicas (c);
+  export_process (c);
   met_expose (c->met, out);
 }
--- a/control/peer-policy.c
+++ b/control/peer-policy.c
@@ -5,15 +5,15 @@
 
 #include "fleet/hash.h"
 
-#define WAIT_FIRST_MS ((clk_ms)250)
-#define WAIT_LAST_MS (10 * CLK_SECOND)
+#define BACKOFF_MIN_MS ((clk_ms)250)
+#define BACKOFF_MAX_MS (10 * CLK_SECOND)
 
 /* The node with the larger name opens a link only after the one with the
    smaller name has not done so for this long. */
-#define TURN_MS (3 * CLK_SECOND)
+#define SMALLER_NAME_OPENS_MS (3 * CLK_SECOND)
 
 /* A link opened on demand is kept for this long after the last failed send. */
-#define WANTED_MS CLK_MINUTE
+#define ON_DEMAND_KEEP_MS CLK_MINUTE
 
 static struct target *
 add_target (struct ctl_peers *p, const struct net_addr *addr)
@@ -21,8 +21,8 @@
   struct target *t = xcalloc (1, sizeof *t);
 
   t->addr = *addr;
-  t->wait = WAIT_FIRST_MS;
-  t->wanted_at = -WANTED_MS;
+  t->backoff = BACKOFF_MIN_MS;
+  t->requested_at = -ON_DEMAND_KEEP_MS;
   t->next = p->targets;
   p->targets = t;
   return t;
@@ -32,7 +32,7 @@
 find_target (const struct ctl_peers *p, struct str node)
 {
   for (struct target *t = p->targets; t != NULL; t = t->next)
-    if (t->node != NULL && !t->settings && str_is (node, t->node))
+    if (t->node != NULL && !t->from_settings && str_is (node, t->node))
       return t;
   return NULL;
 }
@@ -50,7 +50,7 @@
 prs_policy_start (struct ctl_peers *p)
 {
   for (size_t i = 0; i < p->c->set.npeers; i++)
-    add_target (p, &p->c->set.peers[i])->settings = true;
+    add_target (p, &p->c->set.peers[i])->from_settings = true;
 }
 
 void
@@ -66,48 +66,48 @@
 }
 
 void
-prs_target_lost (struct target *t)
+prs_on_target_unlinked (struct target *t)
 {
   t->peer = NULL;
 }
 
 void
-prs_target_named (struct target *t, const char *node)
+prs_on_target_hello (struct target *t, const char *node)
 {
   char *copy = xstrdup (node);
 
   free (t->node);
   t->node = copy;
-  t->wait = WAIT_FIRST_MS;
+  t->backoff = BACKOFF_MIN_MS;
 }
 
 void
-prs_target_is_self (struct target *t)
+prs_on_target_self (struct target *t)
 {
   t->is_self = true;
 }
 
 void
-prs_want (struct ctl_peers *p, struct str node)
+prs_request_link (struct ctl_peers *p, struct str node)
 {
   struct target *t = find_target (p, node);
 
   if (t != NULL)
-    t->wanted_at = clk_now ();
+    t->requested_at = clk_now ();
 }
 
 /* --- which nodes to link to
    -------------------------------------------------- */
 
 /** Input of the policy, collected once per tick. */
-struct survey
+struct policy_input
 {
   const struct mbr_node *const *nodes;
   size_t n;
-  size_t region; /**< nodes of this region that are not dead */
-  bool owner;    /**< this node owns a fabric domain */
-  struct str picks[PRS_PICKS];
-  size_t npicks;
+  size_t region_nodes; /**< nodes of this region that are not dead */
+  bool owns_domain;    /**< this node owns a fabric domain */
+  struct str picked_names[PRS_LINKS_PER_NODE];
+  size_t npicked;
 };
 
 static bool
@@ -117,7 +117,7 @@
 }
 
 static bool
-is_near (const struct ctl_peers *p, const struct mbr_node *node)
+in_own_region (const struct ctl_peers *p, const struct mbr_node *node)
 {
   return str_is (node->region, p->c->set.region);
 }
@@ -138,36 +138,38 @@
 }
 
 static void
-pick_some (const struct ctl_peers *p, struct survey *s)
+pick_links (const struct ctl_peers *p, struct policy_input *s)
 {
   struct str *names = xcalloc (s->n + 1, sizeof *names);
-  size_t picked[PRS_PICKS];
+  size_t picked[PRS_LINKS_PER_NODE];
   struct buf role = BUF_INIT;
   size_t n = 0;
 
   for (size_t i = 0; i < s->n; i++)
-    if (!is_self (p, s->nodes[i]) && is_near (p, s->nodes[i])
+    if (!is_self (p, s->nodes[i]) && in_own_region (p, s->nodes[i])
         && s->nodes[i]->status == MBR_ALIVE)
       names[n++] = s->nodes[i]->name;
   buf_addf (&role, "links of %s", p->c->set.node);
-  s->npicks = hash_pick_k (buf_str (&role), names, n, picked, PRS_PICKS);
-  for (size_t i = 0; i < s->npicks; i++)
-    s->picks[i] = names[picked[i]];
+  s->npicked
+      = hash_pick_k (buf_str (&role), names, n, picked, PRS_LINKS_PER_NODE);
+  for (size_t i = 0; i < s->npicked; i++)
+    s->picked_names[i] = names[picked[i]];
   buf_free (&role);
   free (names);
 }
 
 static void
-look_around (const struct ctl_peers *p, struct survey *s)
+collect_input (const struct ctl_peers *p, struct policy_input *s)
 {
   memset (s, 0, sizeof *s);
   s->nodes = ctl_swim_nodes (p->c->swim, &s->n);
   for (size_t i = 0; i < s->n; i++)
-    s->region += is_near (p, s->nodes[i]) && s->nodes[i]->status != MBR_DEAD;
-  if (s->region <= PRS_MESH)
+    s->region_nodes
+        += in_own_region (p, s->nodes[i]) && s->nodes[i]->status != MBR_DEAD;
+  if (s->region_nodes <= PRS_MAX_FULL_MESH)
     return;
-  s->owner = owns_a_domain (p);
-  pick_some (p, s);
+  s->owns_domain = owns_a_domain (p);
+  pick_links (p, s);
 }
 
 /**
@@ -177,42 +179,42 @@
  * opened on demand.
  */
 static bool
-is_ours_to_link (const struct ctl_peers *p, const struct survey *s,
-                 const struct mbr_node *node, const struct target *t,
-                 clk_ms now)
+should_open_link (const struct ctl_peers *p, const struct policy_input *s,
+                  const struct mbr_node *node, const struct target *t,
+                  clk_ms now)
 {
   bool smaller = str_cmp (str_from (p->c->set.node), node->name) < 0;
 
-  if (t->wanted_at + WANTED_MS > now)
+  if (t->requested_at + ON_DEMAND_KEEP_MS > now)
     return true;
-  if (!is_near (p, node))
+  if (!in_own_region (p, node))
     return ctl_swim_is_bridge (p->c->swim, node->region);
-  if (s->region <= PRS_MESH)
-    return smaller || now - t->missed >= TURN_MS;
-  for (size_t i = 0; i < s->npicks; i++)
-    if (str_eq (s->picks[i], node->name))
+  if (s->region_nodes <= PRS_MAX_FULL_MESH)
+    return smaller || now - t->last_linked_at >= SMALLER_NAME_OPENS_MS;
+  for (size_t i = 0; i < s->npicked; i++)
+    if (str_eq (s->picked_names[i], node->name))
       return true;
-  return s->owner;
+  return s->owns_domain;
 }
 
 static void
 try_open (struct ctl_peers *p, struct target *t, clk_ms now)
 {
-  clk_ms half = t->wait / 2;
+  clk_ms half = t->backoff / 2;
 
   if (t->peer != NULL || t->is_self || now < t->next_try)
     return;
   t->next_try
       = now + half + (clk_ms)rng_below (&p->c->rng, (uint64_t)half + 1);
-  t->wait *= 2;
-  if (t->wait > WAIT_LAST_MS)
-    t->wait = WAIT_LAST_MS;
+  t->backoff *= 2;
+  if (t->backoff > BACKOFF_MAX_MS)
+    t->backoff = BACKOFF_MAX_MS;
   prs_open (p, t);
 }
 
 static void
-tend_member (struct ctl_peers *p, const struct survey *s,
-             const struct mbr_node *node, clk_ms now)
+update_member_link (struct ctl_peers *p, const struct policy_input *s,
+                    const struct mbr_node *node, clk_ms now)
 {
   struct target *t = find_target (p, node->name);
   struct peer *peer = prs_find (p, node->name);
@@ -221,27 +223,28 @@
     {
       t = add_target (p, &node->peer);
       t->node = str_dup (node->name);
-      t->missed = now;
+      t->last_linked_at = now;
     }
   t->addr = node->peer;
   if (peer != NULL)
     {
-      t->missed = now;
-      t->wait = WAIT_FIRST_MS;
+      t->last_linked_at = now;
+      t->backoff = BACKOFF_MIN_MS;
     }
-  if (is_ours_to_link (p, s, node, t, now))
+  if (should_open_link (p, s, node, t, now))
     {
       if (peer == NULL && node->peer.port != 0)
         try_open (p, t, now);
     }
-  else if (peer != NULL && peer == t->peer && s->region > PRS_MESH)
+  else if (peer != NULL && peer == t->peer
+           && s->region_nodes > PRS_MAX_FULL_MESH)
     prs_close (peer);
 }
 
 /** An address of the settings is a seed, whose node is known only after its
     hello. */
 static void
-tend_settings (struct ctl_peers *p, struct target *t, clk_ms now)
+update_seed_link (struct ctl_peers *p, struct target *t, clk_ms now)
 {
   if (t->node == NULL || prs_find (p, str_from (t->node)) == NULL)
     try_open (p, t, now);
@@ -249,18 +252,18 @@
 
 /** Drops targets whose node is no longer a member. */
 static void
-drop_targets (struct ctl_peers *p, const struct survey *s)
+drop_stale_targets (struct ctl_peers *p, const struct policy_input *s)
 {
   struct target **at = &p->targets;
 
   while (*at != NULL)
     {
       struct target *t = *at;
-      bool known = t->settings;
+      bool keep = t->from_settings;
 
-      for (size_t i = 0; i < s->n && !known; i++)
-        known = str_is (s->nodes[i]->name, t->node);
-      if (known)
+      for (size_t i = 0; i < s->n && !keep; i++)
+        keep = str_is (s->nodes[i]->name, t->node);
+      if (keep)
         {
           at = &t->next;
           continue;
@@ -274,14 +277,14 @@
 prs_policy_tick (struct ctl_peers *p)
 {
   clk_ms now = clk_now ();
-  struct survey s;
+  struct policy_input s;
 
-  look_around (p, &s);
+  collect_input (p, &s);
   for (size_t i = 0; i < s.n; i++)
     if (!is_self (p, s.nodes[i]) && s.nodes[i]->status != MBR_DEAD)
-      tend_member (p, &s, s.nodes[i], now);
+      update_member_link (p, &s, s.nodes[i], now);
   for (struct target *t = p->targets; t != NULL; t = t->next)
-    if (t->settings)
-      tend_settings (p, t, now);
-  drop_targets (p, &s);
+    if (t->from_settings)
+      update_seed_link (p, t, now);
+  drop_stale_targets (p, &s);
 }
--- a/control/peers.c
+++ b/control/peers.c
@@ -22,7 +22,7 @@
   peer->p = p;
   peer->link = l;
   peer->target = target;
-  peer->number = ++p->last_number;
+  peer->id = ++p->last_id;
   peer->next = p->peers;
   p->peers = peer;
   return peer;
@@ -49,17 +49,17 @@
     at = &(*at)->next;
   *at = peer->next;
   link_traffic (peer->link, &out, &in);
-  p->past_out += out;
-  p->past_in += in;
+  p->closed_out += out;
+  p->closed_in += in;
   if (peer->target != NULL)
-    prs_target_lost (peer->target);
+    prs_on_target_unlinked (peer->target);
   if (peer->role == ROLE_GATEWAY)
-    ctl_views_gateway_down (p->c->views, peer->link);
+    ctl_views_on_gateway_down (p->c->views, peer->link);
   if (peer->role == ROLE_CONTROL)
     {
       LOG (peer_gone, LOG_C ("peer", peer->node), LOG_I ("boot", peer->boot));
       if (p->c->spread != NULL)
-        ctl_spread_peer (p->c->spread, peer->number, false);
+        ctl_spread_on_peer (p->c->spread, peer->id, false);
     }
   free_peer (peer);
 }
@@ -77,7 +77,7 @@
    --------------------------------------------------------- */
 
 static char *
-addr_text (const struct net_addr *a)
+format_addr (const struct net_addr *a)
 {
   struct buf text = BUF_INIT;
 
@@ -99,8 +99,8 @@
   hello.role = "control";
   hello.zone = c->set.zone;
   hello.region = c->set.region;
-  hello.peer_addr = addr_text (&peer->p->self);
-  hello.swim_addr = addr_text (&swim);
+  hello.peer_addr = format_addr (&peer->p->self);
+  hello.swim_addr = format_addr (&swim);
   f.body_case = LAPIS__FRAME__BODY_HELLO;
   f.hello = &hello;
   link_send (peer->link, &f);
@@ -109,7 +109,7 @@
 }
 
 static const struct mbr_node *
-member (const struct ctl_peers *p, struct str name)
+find_member (const struct ctl_peers *p, struct str name)
 {
   size_t n;
   const struct mbr_node *const *nodes = ctl_swim_nodes (p->c->swim, &n);
@@ -126,7 +126,7 @@
  * because the older may be dead.
  */
 static bool
-old_link_stays (const struct peer *old, const struct peer *peer)
+keeps_old_link (const struct peer *old, const struct peer *peer)
 {
   bool own_is_smaller = strcmp (peer->p->c->set.node, peer->node) < 0;
   bool old_is_ours = old->target != NULL;
@@ -139,22 +139,22 @@
 /** Whether the link of the process that sent its hello is kept; closes an
     older link to the same node. */
 static bool
-admit (struct peer *peer)
+accept_link (struct peer *peer)
 {
   struct ctl_peers *p = peer->p;
-  const struct mbr_node *known = member (p, str_from (peer->node));
+  const struct mbr_node *current = find_member (p, str_from (peer->node));
   struct peer *old;
 
   if (strcmp (peer->node, p->c->set.node) == 0)
     {
       if (peer->target != NULL)
-        prs_target_is_self (peer->target);
+        prs_on_target_self (peer->target);
       return false;
     }
   /* A replaced VM may still run for a while, or its link may still be open:
      its evidence about owned domains must not be used. */
   old = prs_find (p, str_from (peer->node));
-  if ((known != NULL && known->boot > peer->boot)
+  if ((current != NULL && current->boot > peer->boot)
       || (old != NULL && old->boot > peer->boot))
     {
       LOG (peer_refused, LOG_C ("peer", peer->node),
@@ -163,10 +163,10 @@
     }
   if (old == NULL)
     return true;
-  if (old->boot == peer->boot && old_link_stays (old, peer))
+  if (old->boot == peer->boot && keeps_old_link (old, peer))
     {
       if (peer->target != NULL)
-        prs_target_named (peer->target, peer->node);
+        prs_on_target_hello (peer->target, peer->node);
       return false;
     }
   prs_close (old);
@@ -174,38 +174,38 @@
 }
 
 static void
-greet_control (struct peer *peer, const Lapis__Hello *hello)
+on_control_hello (struct peer *peer, const Lapis__Hello *hello)
 {
   struct ctl_peers *p = peer->p;
   struct net_addr swim;
 
   peer->node = xstrdup (hello->node);
   peer->boot = hello->boot;
-  if (!admit (peer))
+  if (!accept_link (peer))
     {
       prs_close (peer);
       return;
     }
   peer->role = ROLE_CONTROL;
   if (peer->target != NULL)
-    prs_target_named (peer->target, peer->node);
+    prs_on_target_hello (peer->target, peer->node);
   LOG (peer_linked, LOG_C ("peer", peer->node), LOG_I ("boot", peer->boot));
   if (net_addr_parse (str_from (hello->swim_addr), false, &swim))
-    ctl_swim_seed (p->c->swim, &swim);
-  ctl_spread_peer (p->c->spread, peer->number, true);
+    ctl_swim_add_seed (p->c->swim, &swim);
+  ctl_spread_on_peer (p->c->spread, peer->id, true);
   ctl_domains_peer (p->c->domains);
 }
 
 static void
-take_hello (struct peer *peer, const Lapis__Hello *hello)
+on_hello (struct peer *peer, const Lapis__Hello *hello)
 {
   if (strcmp (hello->role, "gateway") == 0 && peer->target == NULL)
     {
       peer->role = ROLE_GATEWAY;
-      ctl_views_gateway (peer->p->c->views, peer->link, hello);
+      ctl_views_on_gateway (peer->p->c->views, peer->link, hello);
     }
   else if (strcmp (hello->role, "control") == 0)
-    greet_control (peer, hello);
+    on_control_hello (peer, hello);
   else
     {
       LOG (peer_refused, LOG_C ("peer", hello->node),
@@ -225,7 +225,7 @@
 }
 
 static void
-take_frame (struct peer *peer, const Lapis__Frame *f)
+dispatch_frame (struct peer *peer, const Lapis__Frame *f)
 {
   struct ctl *c = peer->p->c;
 
@@ -235,22 +235,22 @@
     case LAPIS__FRAME__BODY_CONFIG_HAVE:
     case LAPIS__FRAME__BODY_CONFIG_WANT:
     case LAPIS__FRAME__BODY_CONFIG_CHUNK:
-      ctl_spread_frame (c->spread, peer->number, f);
+      ctl_spread_on_frame (c->spread, peer->id, f);
       break;
     case LAPIS__FRAME__BODY_EVIDENCE:
       ctl_domains_evidence (c->domains, f->evidence);
       break;
     case LAPIS__FRAME__BODY_SHARE_DEMAND:
-      ctl_shares_demand (c->shares, str_from (peer->node), f->share_demand);
+      ctl_shares_on_demand (c->shares, str_from (peer->node), f->share_demand);
       break;
     case LAPIS__FRAME__BODY_SHARE_GRANT:
-      ctl_shares_grant (c->shares, f->share_grant);
+      ctl_shares_on_grant (c->shares, f->share_grant);
       break;
     case LAPIS__FRAME__BODY_TRACE_ASK:
     case LAPIS__FRAME__BODY_TRACE_ANSWER:
     case LAPIS__FRAME__BODY_DRAIN_ASK:
     case LAPIS__FRAME__BODY_DRAIN_ANSWER:
-      ctl_admin_frame (c->admin, peer->number, f);
+      ctl_admin_on_frame (c->admin, peer->id, f);
       break;
     default:
       break;
@@ -267,12 +267,12 @@
   if (f->body_case == LAPIS__FRAME__BODY_HELLO)
     {
       if (peer->role == ROLE_UNKNOWN)
-        take_hello (peer, f->hello);
+        on_hello (peer, f->hello);
     }
   else if (peer->role == ROLE_GATEWAY)
-    ctl_views_frame (peer->p->c->views, l, f);
+    ctl_views_on_frame (peer->p->c->views, l, f);
   else if (peer->role == ROLE_CONTROL)
-    take_frame (peer, f);
+    dispatch_frame (peer, f);
 }
 
 /* --- links -------------------------------------------------------------- */
@@ -322,10 +322,10 @@
 }
 
 bool
-ctl_peers_send (struct ctl_peers *p, uint64_t number, const Lapis__Frame *f)
+ctl_peers_send (struct ctl_peers *p, uint64_t id, const Lapis__Frame *f)
 {
   for (struct peer *at = p->peers; at != NULL; at = at->next)
-    if (at->number == number && at->role == ROLE_CONTROL)
+    if (at->id == id && at->role == ROLE_CONTROL)
       return send_frame (at, f);
   return false;
 }
@@ -346,14 +346,14 @@
 
   if (peer != NULL)
     return send_frame (peer, f);
-  prs_want (p, node);
+  prs_request_link (p, node);
   return false;
 }
 
 /* --- start, stop, figures ----------------------------------------------- */
 
 void
-ctl_peers_member (struct ctl_peers *p, const struct mbr_node *node)
+ctl_peers_on_member_changed (struct ctl_peers *p, const struct mbr_node *node)
 {
   struct peer *peer = prs_find (p, node->name);
 
@@ -390,7 +390,7 @@
   p->timer.data = p;
   uv_timer_start (&p->timer, on_tick, 0, (uint64_t)TICK_MS);
   prs_policy_start (p);
-  ctl_swim_set_peer (c->swim, &p->self);
+  ctl_swim_set_peer_addr (c->swim, &p->self);
   return p;
 }
 
@@ -425,8 +425,8 @@
 {
   size_t n = 0;
 
-  *out = p->past_out;
-  *in = p->past_in;
+  *out = p->closed_out;
+  *in = p->closed_in;
   for (const struct peer *at = p->peers; at != NULL; at = at->next)
     {
       uint64_t o, i;
--- a/control/peers.h
+++ b/control/peers.h
@@ -11,10 +11,10 @@
 #include "control/control.h"
 
 /** Up to this many nodes, a region is a full mesh of links. */
-#define PRS_MESH 16
+#define PRS_MAX_FULL_MESH 16
 
 /** In larger regions each node opens links to this many others. */
-#define PRS_PICKS 4
+#define PRS_LINKS_PER_NODE 4
 
 enum peer_role
 {
@@ -30,15 +30,15 @@
 {
   struct target *next;
   struct net_addr addr;
-  char *node; /**< NULL until a process at an address of the settings has sent
-                 its hello */
-  bool settings; /**< from the settings: never dropped */
+  char *node;         /**< NULL until the first hello */
+  bool from_settings; /**< from the settings: never dropped */
   bool is_self;
   struct peer *peer; /**< the link opened to it, or NULL */
   clk_ms next_try;
-  clk_ms wait;      /**< backoff after the next attempt */
-  clk_ms missed;    /**< last tick with a link, or when the target was added */
-  clk_ms wanted_at; /**< last time that a frame for it had no link */
+  clk_ms backoff;        /**< backoff after the next attempt */
+  clk_ms last_linked_at; /**< last tick with a link, or when the target was
+                            added */
+  clk_ms requested_at;   /**< last time that a frame for it had no link */
 };
 
 /** A link and the process at its other end. */
@@ -48,7 +48,7 @@
   struct ctl_peers *p;
   struct link *link;
   struct target *target; /**< NULL: opened by the other end */
-  uint64_t number;
+  uint64_t id;
   enum peer_role role;
   char *node;
   uint64_t boot;
@@ -63,8 +63,8 @@
   uv_timer_t timer;
   struct peer *peers;
   struct target *targets;
-  uint64_t last_number;
-  uint64_t past_out, past_in; /**< bytes on closed links */
+  uint64_t last_id;
+  uint64_t closed_out, closed_in; /**< bytes on closed links */
   bool stopping;
 };
 
@@ -78,11 +78,11 @@
 void prs_policy_stop (struct ctl_peers *p);
 void prs_policy_tick (struct ctl_peers *p);
 /** Called when a frame could not be sent because the node has no link. */
-void prs_want (struct ctl_peers *p, struct str node);
+void prs_request_link (struct ctl_peers *p, struct str node);
 /** Called when the link opened to the target has closed. */
-void prs_target_lost (struct target *t);
+void prs_on_target_unlinked (struct target *t);
 /** Called with the node that the target's hello names. */
-void prs_target_named (struct target *t, const char *node);
-void prs_target_is_self (struct target *t);
+void prs_on_target_hello (struct target *t, const char *node);
+void prs_on_target_self (struct target *t);
 
 #endif
--- a/control/roster.c
+++ b/control/roster.c
@@ -6,8 +6,8 @@
 #include "base/json.h"
 
 /* Range of the exponential backoff between attempts. */
-#define RETRY_FIRST_MS CLK_SECOND
-#define RETRY_LAST_MS (30 * CLK_SECOND)
+#define BACKOFF_MIN_MS CLK_SECOND
+#define BACKOFF_MAX_MS (30 * CLK_SECOND)
 
 struct ctl_roster
 {
@@ -16,7 +16,7 @@
   struct buf prefix; /* roster/ZONE/ */
   struct buf key;
   struct buf value; /* of this node */
-  clk_ms wait;
+  clk_ms backoff;
   ctl_roster_seed seed;
   void *ctx;
 };
@@ -30,19 +30,19 @@
 }
 
 static void
-retry (struct ctl_roster *r)
+schedule_retry (struct ctl_roster *r)
 {
-  uint64_t jitter = rng_below (&r->c->rng, (uint64_t)r->wait / 2 + 1);
+  uint64_t jitter = rng_below (&r->c->rng, (uint64_t)r->backoff / 2 + 1);
 
-  uv_timer_start (&r->timer, on_retry, (uint64_t)r->wait / 2 + jitter, 0);
-  r->wait *= 2;
-  if (r->wait > RETRY_LAST_MS)
-    r->wait = RETRY_LAST_MS;
+  uv_timer_start (&r->timer, on_retry, (uint64_t)r->backoff / 2 + jitter, 0);
+  r->backoff *= 2;
+  if (r->backoff > BACKOFF_MAX_MS)
+    r->backoff = BACKOFF_MAX_MS;
 }
 
 /** Parses a record; false when it is malformed. */
 static bool
-parse_row (struct str value, uint64_t *boot, struct net_addr *swim)
+parse_record (struct str value, uint64_t *boot, struct net_addr *swim)
 {
   json_object *root = jsn_parse (value);
   bool ok = jsn_get (root, "boot")
@@ -66,11 +66,11 @@
   if (res->status == STORE_OK)
     LOG (roster_written, LOG_S ("at", buf_str (&r->key)));
   else
-    retry (r);
+    schedule_retry (r);
 }
 
 static void
-write_row (struct ctl_roster *r, int64_t mod_rev)
+write_record (struct ctl_roster *r, int64_t mod_rev)
 {
   struct store_compare unchanged = { buf_str (&r->key), mod_rev };
   struct store_put put = { buf_str (&r->key), buf_str (&r->value), 0 };
@@ -87,30 +87,30 @@
  * longer exists.
  */
 static void
-settle_own (struct ctl_roster *r, const struct store_kv *own)
+update_own_record (struct ctl_roster *r, const struct store_kv *own)
 {
   struct net_addr swim;
   uint64_t boot = 0;
 
-  if (own != NULL && !parse_row (own->value, &boot, &swim))
+  if (own != NULL && !parse_record (own->value, &boot, &swim))
     boot = 0;
   if (boot > r->c->boot)
     LOG (roster_outranked, LOG_I ("boot", r->c->boot), LOG_I ("other", boot));
   else if (own != NULL && str_eq (own->value, buf_str (&r->value)))
     LOG (roster_written, LOG_S ("at", buf_str (&r->key)));
   else
-    write_row (r, own != NULL ? own->mod_rev : 0);
+    write_record (r, own != NULL ? own->mod_rev : 0);
 }
 
 static void
-on_rows (void *ctx, const struct store_result *res)
+on_records (void *ctx, const struct store_result *res)
 {
   struct ctl_roster *r = ctx;
   const struct store_kv *own = NULL;
 
   if (res->status != STORE_OK)
     {
-      retry (r);
+      schedule_retry (r);
       return;
     }
   for (size_t i = 0; i < res->nkvs; i++)
@@ -120,10 +120,10 @@
 
       if (str_eq (res->kvs[i].key, buf_str (&r->key)))
         own = &res->kvs[i];
-      else if (parse_row (res->kvs[i].value, &boot, &swim))
+      else if (parse_record (res->kvs[i].value, &boot, &swim))
         r->seed (r->ctx, &swim);
     }
-  settle_own (r, own);
+  update_own_record (r, own);
 }
 
 static void
@@ -133,7 +133,7 @@
 
   store_prefix_end (buf_str (&r->prefix), &end);
   store_range (r->c->store, STORE_ROSTER, buf_str (&r->prefix), buf_str (&end),
-               on_rows, r);
+               on_records, r);
   buf_free (&end);
 }
 
@@ -157,7 +157,7 @@
   r->c = c;
   r->seed = seed;
   r->ctx = ctx;
-  r->wait = RETRY_FIRST_MS;
+  r->backoff = BACKOFF_MIN_MS;
   buf_addf (&r->prefix, "%sroster/%s/", c->set.store_prefix, c->set.zone);
   buf_addf (&r->key, "%s%s", buf_c (&r->prefix), c->set.node);
   buf_addf (&r->value, "{\"boot\":%llu", (unsigned long long)c->boot);
--- a/control/shares.c
+++ b/control/shares.c
@@ -16,14 +16,14 @@
 
 /** Lists the nodes of this region: all of them, or only the live ones. */
 static size_t
-region_nodes (const struct ctl *c, bool there, struct str *names)
+list_region_nodes (const struct ctl *c, bool live, struct str *names)
 {
   size_t n, found = 0;
   const struct mbr_node *const *nodes = ctl_swim_nodes (c->swim, &n);
 
   for (size_t i = 0; i < n; i++)
     if (str_is (nodes[i]->region, c->set.region)
-        && (!there || nodes[i]->status <= MBR_SUSPECT))
+        && (!live || nodes[i]->status <= MBR_SUSPECT))
       names[found++] = nodes[i]->name;
   return found;
 }
@@ -35,15 +35,15 @@
  * grants stay within the limit.
  */
 static struct str
-home_of (const struct ctl *c, struct str account, const struct str *there,
+home_of (const struct ctl *c, struct str account, const struct str *live,
          size_t n)
 {
-  return n ? there[hash_pick (account, there, n)] : str_from (c->set.node);
+  return n ? live[hash_pick (account, live, n)] : str_from (c->set.node);
 }
 
 static void
-set_accounts (struct ctl_shares *s, clk_ms now, const struct str *there,
-              size_t n)
+update_accounts (struct ctl_shares *s, clk_ms now, const struct str *live,
+                 size_t n)
 {
   const struct cfg *cfg = s->c->cfg;
 
@@ -51,7 +51,7 @@
     {
       const struct cfg_account *a = &cfg->accounts[i];
       struct shr_amount limit = { a->tokens_per_s, a->concurrency };
-      struct str home = home_of (s->c, a->name, there, n);
+      struct str home = home_of (s->c, a->name, live, n);
 
       shr_account (s->core, now, a->name, &limit,
                    str_is (home, s->c->set.node));
@@ -73,7 +73,7 @@
   frame.body_case = LAPIS__FRAME__BODY_SHARE_GRANT;
   frame.share_grant = &grant;
   if (str_is (g->node, s->c->set.node))
-    ctl_shares_grant (s, &grant);
+    ctl_shares_on_grant (s, &grant);
   else
     ctl_peers_send_node (s->c->peers, g->node, &frame);
   free (account);
@@ -90,10 +90,10 @@
 
   ctl_swim_nodes (s->c->swim, &all);
   names = xcalloc (all + 1, sizeof *names);
-  n = region_nodes (s->c, false, names);
+  n = list_region_nodes (s->c, false, names);
   shr_nodes (s->core, names, n, all);
-  n = region_nodes (s->c, true, names);
-  set_accounts (s, now, names, n);
+  n = list_region_nodes (s->c, true, names);
+  update_accounts (s, now, names, n);
   shr_tick (s->core, now);
   while (shr_next (s->core, &grant))
     send_grant (s, &grant);
@@ -150,12 +150,12 @@
 }
 
 void
-ctl_shares_demand (struct ctl_shares *s, struct str node,
-                   const Lapis__ShareDemand *d)
+ctl_shares_on_demand (struct ctl_shares *s, struct str node,
+                      const Lapis__ShareDemand *d)
 {
   struct shr_amount demand = { d->tokens_per_s, d->concurrency };
   struct str account = str_from (d->account);
-  struct str *there;
+  struct str *live;
   struct str home;
   size_t n;
 
@@ -168,19 +168,19 @@
   if (!has_limit (s->c, account))
     return;
   ctl_swim_nodes (s->c->swim, &n);
-  there = xcalloc (n + 1, sizeof *there);
-  n = region_nodes (s->c, true, there);
-  home = home_of (s->c, account, there, n);
+  live = xcalloc (n + 1, sizeof *live);
+  n = list_region_nodes (s->c, true, live);
+  home = home_of (s->c, account, live, n);
   if (str_is (home, s->c->set.node))
     shr_demand (s->core, clk_now (), account, node, &demand);
   else
     forward_demand (s, home, d);
-  free (there);
+  free (live);
 }
 
 void
-ctl_shares_grant (struct ctl_shares *s, const Lapis__ShareGrant *g)
+ctl_shares_on_grant (struct ctl_shares *s, const Lapis__ShareGrant *g)
 {
   if (s->c->views != NULL)
-    ctl_views_share (s->c->views, g);
+    ctl_views_on_grant (s->c->views, g);
 }
--- a/control/spread.c
+++ b/control/spread.c
@@ -7,41 +7,41 @@
 #include "control/control.h"
 #include "fleet/hash.h"
 
-#define READERS 2
+#define READERS_PER_ZONE 2
 
 /* Delay before a node may become a reader.  Until membership knows the other
    nodes, each would pick itself, and all nodes of a zone that boots at once
    would read the store. */
-#define READER_DELAY ((clk_ms)500)
+#define READER_DELAY_MS ((clk_ms)500)
 
 struct ctl_spread
 {
   struct ctl *c;
   struct spr *spr;
   uv_timer_t *timer;
-  clk_ms readers_from; /* earliest time at which this node may become a
+  clk_ms reader_allowed_at; /* earliest time at which this node may become a
                           reader */
   bool members_changed;
   bool reader;
   struct store_watch *watch;
   char *manifest_key;
-  struct buf doc_key;   /* of the document requested last... */
-  int64_t doc_revision; /* ...and the manifest's revision */
-  int64_t lower;        /* lower revision that was logged last */
+  struct buf doc_key;            /* of the document requested last... */
+  int64_t doc_revision;          /* ...and the manifest's revision */
+  int64_t logged_lower_revision; /* lower revision that was logged last */
   int64_t revision;
   struct buf text; /* of the configuration in force */
   struct met_series *met_bad;
   struct met_series *met_timeouts;
 };
 
-static void feed (struct ctl_spread *s, const struct spr_event *ev);
+static void handle_event (struct ctl_spread *s, const struct spr_event *ev);
 
 /* --- store -------------------------------------------------------------- */
 
 static void
-feed_failure (struct ctl_spread *s)
+handle_store_failure (struct ctl_spread *s)
 {
-  feed (s, &(struct spr_event){ .kind = SPR_STORE_FAILED });
+  handle_event (s, &(struct spr_event){ .kind = SPR_STORE_FAILED });
 }
 
 /* A revision below the one in force is rejected: the store has lost writes,
@@ -50,9 +50,10 @@
 static void
 log_if_lower (struct ctl_spread *s, int64_t revision)
 {
-  if (revision >= spr_revision (s->spr) || revision == s->lower)
+  if (revision >= spr_revision (s->spr)
+      || revision == s->logged_lower_revision)
     return;
-  s->lower = revision;
+  s->logged_lower_revision = revision;
   LOG (manifest_lower, LOG_I ("revision", revision),
        LOG_I ("in_force", spr_revision (s->spr)));
 }
@@ -77,17 +78,17 @@
 }
 
 static void
-take_manifest (struct ctl_spread *s, const struct store_kv *kv, int64_t seen)
+handle_manifest (struct ctl_spread *s, const struct store_kv *kv, int64_t seen)
 {
   struct spr_event ev = { .kind = SPR_STORE_MANIFEST, .seen = seen };
 
   if (kv && !read_manifest (s, kv, &ev))
     {
-      feed_failure (s);
+      handle_store_failure (s);
       return;
     }
   log_if_lower (s, ev.revision);
-  feed (s, &ev);
+  handle_event (s, &ev);
 }
 
 static void
@@ -96,9 +97,9 @@
   struct ctl_spread *s = ctx;
 
   if (r->status == STORE_OK)
-    take_manifest (s, r->nkvs ? &r->kvs[0] : NULL, r->revision);
+    handle_manifest (s, r->nkvs ? &r->kvs[0] : NULL, r->revision);
   else
-    feed_failure (s);
+    handle_store_failure (s);
 }
 
 static void
@@ -109,7 +110,7 @@
 
   if (r->status != STORE_OK || r->nkvs == 0)
     {
-      feed_failure (s);
+      handle_store_failure (s);
       return;
     }
   /* Another key: this is the response to an older request, and a newer
@@ -118,11 +119,11 @@
     return;
   ev.revision = s->doc_revision;
   ev.bytes = r->kvs[0].value;
-  feed (s, &ev);
+  handle_event (s, &ev);
 }
 
 static void
-ask_document (struct ctl_spread *s, const struct spr_action *a)
+request_document (struct ctl_spread *s, const struct spr_action *a)
 {
   s->doc_revision = a->revision;
   buf_clear (&s->doc_key);
@@ -133,15 +134,15 @@
 }
 
 static void
-on_watched (void *ctx, int64_t revision, const struct store_watch_event *ev,
-            size_t n)
+on_watch_events (void *ctx, int64_t revision,
+                 const struct store_watch_event *ev, size_t n)
 {
   struct ctl_spread *s = ctx;
 
   /* Only the newest event matters; deleting the manifest leaves the
      configuration in force. */
   if (n > 0 && !ev[n - 1].deleted)
-    take_manifest (s, &ev[n - 1].kv, revision);
+    handle_manifest (s, &ev[n - 1].kv, revision);
 }
 
 static void
@@ -150,7 +151,7 @@
   struct ctl_spread *s = ctx;
 
   s->watch = NULL;
-  feed_failure (s);
+  handle_store_failure (s);
 }
 
 static void
@@ -165,7 +166,7 @@
 start_watch (struct ctl_spread *s, int64_t from)
 {
   static const struct store_watch_cb callbacks
-      = { .on_events = on_watched, .on_end = on_watch_end };
+      = { .on_events = on_watch_events, .on_end = on_watch_end };
 
   stop_watch (s);
   s->watch = store_watch (s->c->store, str_from (s->manifest_key), STR_EMPTY,
@@ -220,10 +221,11 @@
 }
 
 void
-ctl_spread_peer (struct ctl_spread *s, uint64_t peer, bool up)
+ctl_spread_on_peer (struct ctl_spread *s, uint64_t peer, bool up)
 {
-  feed (s, &(struct spr_event){ .kind = up ? SPR_PEER_UP : SPR_PEER_DOWN,
-                                .peer = peer });
+  handle_event (s,
+                &(struct spr_event){ .kind = up ? SPR_PEER_UP : SPR_PEER_DOWN,
+                                     .peer = peer });
 }
 
 static bool
@@ -236,7 +238,8 @@
 }
 
 void
-ctl_spread_frame (struct ctl_spread *s, uint64_t peer, const Lapis__Frame *f)
+ctl_spread_on_frame (struct ctl_spread *s, uint64_t peer,
+                     const Lapis__Frame *f)
 {
   struct spr_event ev = { .peer = peer };
   ProtobufCBinaryData hash;
@@ -267,13 +270,13 @@
       return;
     }
   if (set_hash (&ev, hash))
-    feed (s, &ev);
+    handle_event (s, &ev);
 }
 
 /* --- in force ----------------------------------------------------------- */
 
 static void
-put_in_force (struct ctl_spread *s, const struct spr_action *a)
+apply_document (struct ctl_spread *s, const struct spr_action *a)
 {
   struct fnd_list findings = { 0 };
   struct cfg *cfg = cfg_parse (a->bytes, a->revision, &findings);
@@ -299,7 +302,7 @@
 }
 
 static void
-carry_out (struct ctl_spread *s, const struct spr_action *a)
+run_action (struct ctl_spread *s, const struct spr_action *a)
 {
   switch (a->kind)
     {
@@ -308,7 +311,7 @@
                    STR_EMPTY, on_manifest, s);
       break;
     case SPR_READ_DOCUMENT:
-      ask_document (s, a);
+      request_document (s, a);
       break;
     case SPR_WATCH:
       start_watch (s, a->revision);
@@ -323,19 +326,19 @@
       send_chunk (s, a);
       break;
     case SPR_IN_FORCE:
-      put_in_force (s, a);
+      apply_document (s, a);
       break;
     }
 }
 
 static void
-feed (struct ctl_spread *s, const struct spr_event *ev)
+handle_event (struct ctl_spread *s, const struct spr_event *ev)
 {
   struct spr_action a;
 
   spr_event (s->spr, clk_now (), ev);
   while (spr_next (s->spr, &a))
-    carry_out (s, &a);
+    run_action (s, &a);
   met_set (s->met_bad, (double)(spr_counts (s->spr)->bad_documents
                                 + spr_counts (s->spr)->bad_chunks));
   met_set (s->met_timeouts, (double)spr_counts (s->spr)->timeouts);
@@ -352,7 +355,7 @@
   struct ctl *c = s->c;
   size_t n;
   size_t nnames = 0;
-  size_t picks[READERS];
+  size_t picks[READERS_PER_ZONE];
   const struct mbr_node *const *nodes = ctl_swim_nodes (c->swim, &n);
   struct str *names = xcalloc (n + 1, sizeof *names);
   bool found = false;
@@ -360,9 +363,9 @@
   for (size_t i = 0; i < n; i++)
     if (nodes[i]->status == MBR_ALIVE && str_is (nodes[i]->zone, c->set.zone))
       names[nnames++] = nodes[i]->name;
-  n = nnames
-          ? hash_pick_k (str_from (c->set.zone), names, nnames, picks, READERS)
-          : 0;
+  n = nnames ? hash_pick_k (str_from (c->set.zone), names, nnames, picks,
+                            READERS_PER_ZONE)
+             : 0;
   for (size_t i = 0; i < n; i++)
     found = found || str_is (names[picks[i]], c->set.node);
   free (names);
@@ -370,7 +373,7 @@
 }
 
 static void
-choose_readers (struct ctl_spread *s)
+update_reader (struct ctl_spread *s)
 {
   bool reader = is_reader (s);
 
@@ -381,13 +384,13 @@
   LOG (config_reader, LOG_C ("on", reader ? "yes" : "no"));
   if (!reader)
     stop_watch (s);
-  feed (s, &(struct spr_event){ .kind = SPR_READER, .on = reader });
+  handle_event (s, &(struct spr_event){ .kind = SPR_READER, .on = reader });
 }
 
 /* Evaluated with the next tick, because members change in bursts and this may
    be called while a configuration is being forwarded. */
 void
-ctl_spread_members (struct ctl_spread *s)
+ctl_spread_on_members_changed (struct ctl_spread *s)
 {
   s->members_changed = true;
 }
@@ -397,9 +400,9 @@
 {
   struct ctl_spread *s = t->data;
 
-  if (s->members_changed && clk_now () >= s->readers_from)
-    choose_readers (s);
-  feed (s, &(struct spr_event){ .kind = SPR_TICK });
+  if (s->members_changed && clk_now () >= s->reader_allowed_at)
+    update_reader (s);
+  handle_event (s, &(struct spr_event){ .kind = SPR_TICK });
 }
 
 /* --- start and stop
@@ -429,7 +432,7 @@
   s->manifest_key = str_dup (buf_str (&key));
   buf_free (&key);
   s->members_changed = true;
-  s->readers_from = clk_now () + READER_DELAY;
+  s->reader_allowed_at = clk_now () + READER_DELAY_MS;
   start_metrics (s);
   s->timer = xcalloc (1, sizeof *s->timer);
   uv_timer_init (c->loop, s->timer);
--- a/control/swim.c
+++ b/control/swim.c
@@ -9,7 +9,7 @@
 
 /* More than the longest packet of the core, so that longer ones are
    detected. */
-#define PACKET_MAX 2048
+#define MAX_PACKET 2048
 
 /* Intervals between joins through a seed: without other members and with some.
    The latter reunites the sides of a partition that have dropped each other as
@@ -28,7 +28,7 @@
   uint16_t port;
   struct mbr *core;
   struct mbr_node self; /* its strings belong to the settings */
-  bool draining;        /* run_actions() is on the stack */
+  bool running_actions; /* run_actions() is on the stack */
   struct net_addr seeds[MAX_SEEDS];
   size_t nseeds;
   clk_ms next_join;
@@ -69,13 +69,13 @@
    announces about itself, which calls this function again.  The outer call
    runs the new actions. */
 static void
-carry_out (struct ctl_swim *s)
+run_actions (struct ctl_swim *s)
 {
   struct mbr_action a;
 
-  if (s->draining)
+  if (s->running_actions)
     return;
-  s->draining = true;
+  s->running_actions = true;
   while (mbr_next (s->core, &a))
     {
       if (a.kind == MBR_SEND)
@@ -86,7 +86,7 @@
           ctl_member_changed (s->c, a.node);
         }
     }
-  s->draining = false;
+  s->running_actions = false;
   if (mbr_counts (s->core)->pauses != s->pauses)
     LOG (paused, LOG_I ("times", mbr_counts (s->core)->pauses));
   s->pauses = mbr_counts (s->core)->pauses;
@@ -107,7 +107,7 @@
 }
 
 static void
-join_some (struct ctl_swim *s, clk_ms now)
+join_through_seeds (struct ctl_swim *s, clk_ms now)
 {
   size_t n;
   size_t first = s->nseeds ? (size_t)rng_below (&s->c->rng, s->nseeds) : 0;
@@ -127,7 +127,7 @@
 }
 
 void
-ctl_swim_seed (struct ctl_swim *s, const struct net_addr *swim)
+ctl_swim_add_seed (struct ctl_swim *s, const struct net_addr *swim)
 {
   if (swim->port == 0 || net_addr_eq (swim, &s->self.swim))
     return;
@@ -142,13 +142,13 @@
   if (is_member (s, swim))
     return;
   mbr_join (s->core, clk_now (), swim);
-  carry_out (s);
+  run_actions (s);
 }
 
 static void
 on_roster_seed (void *ctx, const struct net_addr *swim)
 {
-  ctl_swim_seed (ctx, swim);
+  ctl_swim_add_seed (ctx, swim);
 }
 
 /* --- socket and timer --------------------------------------------------- */
@@ -157,13 +157,13 @@
 static void
 on_alloc (uv_handle_t *h, size_t suggested, uv_buf_t *out)
 {
-  static char bytes[PACKET_MAX];
+  static char bytes[MAX_PACKET];
 
   *out = uv_buf_init (bytes, sizeof bytes);
 }
 
 static bool
-addr_of (const struct sockaddr *from, struct net_addr *out)
+parse_sockaddr (const struct sockaddr *from, struct net_addr *out)
 {
   memset (out, 0, sizeof *out);
   if (from->sa_family == AF_INET6)
@@ -185,10 +185,10 @@
   struct ctl_swim *s = udp->data;
   struct net_addr addr;
 
-  if (n <= 0 || from == NULL || !addr_of (from, &addr))
+  if (n <= 0 || from == NULL || !parse_sockaddr (from, &addr))
     return;
   mbr_packet (s->core, clk_now (), &addr, str_make (b->base, (size_t)n));
-  carry_out (s);
+  run_actions (s);
 }
 
 static void
@@ -199,8 +199,8 @@
 
   mbr_tick (s->core, now);
   if (now >= s->next_join)
-    join_some (s, now);
-  carry_out (s);
+    join_through_seeds (s, now);
+  run_actions (s);
 }
 
 static bool
@@ -217,7 +217,7 @@
     rc = uv_udp_getsockname (&s->udp, (struct sockaddr *)&ss, &len);
   if (rc == 0)
     rc = uv_udp_recv_start (&s->udp, on_alloc, on_packet);
-  if (rc != 0 || !addr_of ((struct sockaddr *)&ss, &at))
+  if (rc != 0 || !parse_sockaddr ((struct sockaddr *)&ss, &at))
     {
       buf_addf (err, "cannot open the membership socket on %s:%u: %s",
                 s->c->set.control_swim.host,
@@ -321,17 +321,17 @@
 }
 
 static void
-tell_self (struct ctl_swim *s)
+announce_self (struct ctl_swim *s)
 {
   mbr_update_self (s->core, clk_now (), &s->self);
-  carry_out (s);
+  run_actions (s);
 }
 
 void
-ctl_swim_set_peer (struct ctl_swim *s, const struct net_addr *peer)
+ctl_swim_set_peer_addr (struct ctl_swim *s, const struct net_addr *peer)
 {
   s->self.peer = *peer;
-  tell_self (s);
+  announce_self (s);
   if (s->roster == NULL)
     s->roster = ctl_roster_start (s->c, &s->self, on_roster_seed, s);
 }
@@ -343,19 +343,19 @@
   s->self.gw_http = *http;
   s->self.gw_peer = *peer;
   s->self.load = load;
-  tell_self (s);
+  announce_self (s);
 }
 
 void
 ctl_swim_set_revision (struct ctl_swim *s, int64_t revision)
 {
   s->self.config_revision = revision;
-  tell_self (s);
+  announce_self (s);
 }
 
 void
 ctl_swim_leave (struct ctl_swim *s)
 {
   mbr_leave (s->core, clk_now ());
-  carry_out (s);
+  run_actions (s);
 }
--- a/control/view-build.c
+++ b/control/view-build.c
@@ -3,22 +3,22 @@
 #include "control/views.h"
 
 /* Block size in bytes in which the strings of a view are allocated. */
-#define TEXT_CHUNK 4096
+#define STRING_BLOCK_BYTES 4096
 
 static char *
-text_of (struct vws_builder *b, struct str s)
+add_string (struct vws_builder *b, struct str s)
 {
   return g_string_chunk_insert_len (b->text, s.ptr ? s.ptr : "",
                                     (gssize)s.len);
 }
 
 static char *
-addr_text (struct vws_builder *b, const struct net_addr *a)
+add_addr (struct vws_builder *b, const struct net_addr *a)
 {
   struct buf text = BUF_INIT;
   if (a->port != 0)
     net_addr_format (a, &text);
-  char *copy = text_of (b, buf_str (&text));
+  char *copy = add_string (b, buf_str (&text));
   buf_free (&text);
   return copy;
 }
@@ -28,13 +28,13 @@
 {
   Lapis__NodeView *v = xmalloc (sizeof *v);
   lapis__node_view__init (v);
-  v->node = text_of (b, n->name);
+  v->node = add_string (b, n->name);
   v->boot = n->boot;
-  v->zone = text_of (b, n->zone);
-  v->region = text_of (b, n->region);
+  v->zone = add_string (b, n->zone);
+  v->region = add_string (b, n->region);
   v->status = n->status;
-  v->http_addr = addr_text (b, &n->gw_http);
-  v->peer_addr = addr_text (b, &n->gw_peer);
+  v->http_addr = add_addr (b, &n->gw_http);
+  v->peer_addr = add_addr (b, &n->gw_peer);
   v->load = n->load;
   return v;
 }
@@ -50,7 +50,7 @@
 }
 
 static uint32_t
-span_ms (clk_ms from, clk_ms to)
+duration_ms (clk_ms from, clk_ms to)
 {
   return to <= from               ? 0
          : to - from > UINT32_MAX ? UINT32_MAX
@@ -62,17 +62,17 @@
 {
   Lapis__ReplicaView *v = xmalloc (sizeof *v);
   lapis__replica_view__init (v);
-  v->replica = text_of (b, r->name);
-  v->model = text_of (b, r->model);
-  v->domain = text_of (b, r->domain);
+  v->replica = add_string (b, r->name);
+  v->model = add_string (b, r->model);
+  v->domain = add_string (b, r->domain);
   v->generation = (uint64_t)r->generation;
-  v->whole = r->whole;
+  v->whole = r->complete;
   v->draining = r->draining;
-  v->valid_ms = span_ms (now, r->valid_until);
-  v->age_ms = span_ms (r->valid_until - REP_EVIDENCE_MS, now);
+  v->valid_ms = duration_ms (now, r->valid_until);
+  v->age_ms = duration_ms (r->valid_until - REP_EVIDENCE_MS, now);
   v->load = r->load;
-  v->load_age_ms = span_ms (r->load_at, now);
-  v->leader_addr = addr_text (b, &r->leader);
+  v->load_age_ms = duration_ms (r->load_at, now);
+  v->leader_addr = add_addr (b, &r->leader);
   v->fence = (uint64_t)r->fence;
   return v;
 }
@@ -95,14 +95,14 @@
   for (guint i = 0; i < v->shares->len; i++)
     {
       const struct vws_share *s = v->shares->pdata[i];
-      if (s->until <= now)
+      if (s->expires_at <= now)
         continue;
       Lapis__ShareGrant *g = xmalloc (sizeof *g);
       lapis__share_grant__init (g);
-      g->account = text_of (b, str_from (s->account));
+      g->account = add_string (b, str_from (s->account));
       g->tokens_per_s = s->tokens_per_s;
       g->concurrency = s->concurrency;
-      g->valid_ms = span_ms (now, s->until);
+      g->valid_ms = duration_ms (now, s->expires_at);
       b->view.shares[b->view.n_shares++] = g;
     }
 }
@@ -125,7 +125,7 @@
 void
 vws_build (struct vws_builder *b, const struct ctl_views *v, clk_ms now)
 {
-  b->text = g_string_chunk_new (TEXT_CHUNK);
+  b->text = g_string_chunk_new (STRING_BLOCK_BYTES);
   lapis__view__init (&b->view);
   b->view.leaving = v->c->leaving;
   b->view.leaving_backends = (char **)ctl_domains_leaving (
--- a/control/views.c
+++ b/control/views.c
@@ -7,14 +7,14 @@
  * Shortest interval between two views.  A fleet that is being reconfigured
  * makes many changes at once, and each view contains the whole state.
  */
-#define VIEW_GAP_MS ((clk_ms)50)
+#define VIEW_MIN_INTERVAL_MS ((clk_ms)50)
 
 /* An unchanged view is sent again at this interval, as its evidence
    expires. */
-#define VIEW_REPEAT_MS CLK_SECOND
+#define VIEW_REPEAT_INTERVAL_MS CLK_SECOND
 
 /* The store counts as reachable again after this long without a failure. */
-#define STORE_OK_AFTER_MS (3 * CLK_SECOND)
+#define STORE_RECOVERY_MS (3 * CLK_SECOND)
 
 static void
 free_share (void *p)
@@ -32,7 +32,7 @@
   struct str part = str_head (str_skip (text, offset), LINK_CHUNK);
   Lapis__ConfigChunk chunk = LAPIS__CONFIG_CHUNK__INIT;
   Lapis__Frame f = LAPIS__FRAME__INIT;
-  chunk.revision = (uint64_t)v->hashed_revision;
+  chunk.revision = (uint64_t)v->hash_revision;
   chunk.hash = (ProtobufCBinaryData){ sizeof v->hash, v->hash };
   chunk.offset = offset;
   chunk.size = text.len;
@@ -55,9 +55,9 @@
   if (!v->c->cfg || text.len == 0)
     return true;
   int64_t revision = v->c->cfg->revision;
-  if (v->hashed_revision != revision)
+  if (v->hash_revision != revision)
     dig_sha256 (text, v->hash);
-  v->hashed_revision = revision;
+  v->hash_revision = revision;
   b->view.config_revision = (uint64_t)revision;
   b->view.config_hash = (ProtobufCBinaryData){ sizeof v->hash, v->hash };
   if (memcmp (v->hash, v->sent_hash, sizeof v->hash) == 0)
@@ -78,7 +78,7 @@
   struct vws_builder b;
   vws_build (&b, v, now);
   b.view.seq = ++v->seq;
-  b.view.store_ok = now - v->store_failed_at >= STORE_OK_AFTER_MS;
+  b.view.store_ok = now - v->store_failed_at >= STORE_RECOVERY_MS;
   f.body_case = LAPIS__FRAME__BODY_VIEW;
   f.view = &b.view;
   if (add_config (v, &b) && link_send (v->link, &f))
@@ -102,18 +102,18 @@
 }
 
 void
-ctl_views_touch (struct ctl_views *v)
+ctl_views_schedule (struct ctl_views *v)
 {
   if (!v->link || uv_is_active ((uv_handle_t *)&v->send_timer))
     return;
-  clk_ms wait = v->sent_at + VIEW_GAP_MS - clk_now ();
+  clk_ms wait = v->sent_at + VIEW_MIN_INTERVAL_MS - clk_now ();
   uv_timer_start (&v->send_timer, on_send, wait > 0 ? (uint64_t)wait : 0, 0);
 }
 
 /* Announces this node's revision: that of the gateway, which handles the
    requests, or that of this process if no gateway is linked. */
 static void
-tell_revision (struct ctl_views *v)
+announce_revision (struct ctl_views *v)
 {
   int64_t revision = v->c->cfg ? v->c->cfg->revision : 0;
   if (v->link && v->gateway_revision < revision)
@@ -122,20 +122,20 @@
 }
 
 void
-ctl_views_config (struct ctl_views *v)
+ctl_views_on_config (struct ctl_views *v)
 {
-  tell_revision (v);
-  ctl_views_touch (v);
+  announce_revision (v);
+  ctl_views_schedule (v);
 }
 
 static void
-look_at_store (struct ctl_views *v, clk_ms now)
+check_store (struct ctl_views *v, clk_ms now)
 {
   const struct store_counts *n = store_counts (v->c->store);
   uint64_t failures = n->unavailable + n->uncertain;
-  if (failures != v->store_failures)
+  if (failures != v->store_failure_count)
     v->store_failed_at = now;
-  v->store_failures = failures;
+  v->store_failure_count = failures;
 }
 
 static void
@@ -143,9 +143,9 @@
 {
   struct ctl_views *v = t->data;
   clk_ms now = clk_now ();
-  look_at_store (v, now);
-  if (now - v->sent_at >= VIEW_REPEAT_MS)
-    ctl_views_touch (v);
+  check_store (v, now);
+  if (now - v->sent_at >= VIEW_REPEAT_INTERVAL_MS)
+    ctl_views_schedule (v);
 }
 
 /* --- the gateway -------------------------------------------------------- */
@@ -158,8 +158,8 @@
 }
 
 void
-ctl_views_gateway (struct ctl_views *v, struct link *l,
-                   const Lapis__Hello *hello)
+ctl_views_on_gateway (struct ctl_views *v, struct link *l,
+                      const Lapis__Hello *hello)
 {
   if (strcmp (hello->node, v->c->set.node) != 0)
     {
@@ -171,7 +171,7 @@
   if (v->link && hello->boot < v->gateway_boot)
     return;
   if (v->link && v->link != l)
-    ctl_views_gateway_down (v, v->link);
+    ctl_views_on_gateway_down (v, v->link);
   v->link = l;
   v->gateway_boot = hello->boot;
   v->gateway_revision = 0;
@@ -180,11 +180,11 @@
   memset (v->sent_hash, 0, sizeof v->sent_hash);
   LOG (gateway_linked, LOG_C ("http", hello->http_addr));
   ctl_swim_set_gateway (v->c->swim, &v->http, &v->peer, 0);
-  ctl_views_config (v);
+  ctl_views_on_config (v);
 }
 
 void
-ctl_views_gateway_down (struct ctl_views *v, struct link *l)
+ctl_views_on_gateway_down (struct ctl_views *v, struct link *l)
 {
   static const struct net_addr none;
   uint64_t out;
@@ -192,17 +192,17 @@
   if (!v || l != v->link)
     return;
   link_traffic (l, &out, &in);
-  v->past_out += out;
-  v->past_in += in;
+  v->closed_out += out;
+  v->closed_in += in;
   v->link = NULL;
   uv_timer_stop (&v->send_timer);
   LOG (gateway_gone, LOG_I ("boot", v->gateway_boot));
   ctl_swim_set_gateway (v->c->swim, &none, &none, 0);
-  tell_revision (v);
+  announce_revision (v);
 }
 
 static void
-take_report (struct ctl_views *v, const Lapis__Report *r)
+on_report (struct ctl_views *v, const Lapis__Report *r)
 {
   static const struct net_addr none;
   /* A leaving gateway completes its open requests, but address responses must
@@ -210,13 +210,14 @@
   ctl_swim_set_gateway (v->c->swim, r->leaving ? &none : &v->http, &v->peer,
                         r->open_requests);
   v->gateway_revision = (int64_t)r->config_revision;
-  tell_revision (v);
+  announce_revision (v);
   for (size_t i = 0; i < r->n_demand; i++)
-    ctl_shares_demand (v->c->shares, str_from (v->c->set.node), r->demand[i]);
+    ctl_shares_on_demand (v->c->shares, str_from (v->c->set.node),
+                          r->demand[i]);
 }
 
 void
-ctl_views_frame (struct ctl_views *v, struct link *l, const Lapis__Frame *f)
+ctl_views_on_frame (struct ctl_views *v, struct link *l, const Lapis__Frame *f)
 {
   if (l != v->link)
     return;
@@ -225,9 +226,9 @@
                         "mechanism=\"view\",direction=\"in\""),
            1);
   if (f->body_case == LAPIS__FRAME__BODY_REPORT)
-    take_report (v, f->report);
+    on_report (v, f->report);
   else if (f->body_case == LAPIS__FRAME__BODY_TRACE_ANSWER && v->c->admin)
-    ctl_admin_spans (
+    ctl_admin_on_spans (
         v->c->admin, f->trace_answer->id,
         str_make (f->trace_answer->json.data, f->trace_answer->json.len));
 }
@@ -239,7 +240,8 @@
 }
 
 bool
-ctl_views_trace (struct ctl_views *v, uint64_t id, const uint8_t trace[16])
+ctl_views_request_spans (struct ctl_views *v, uint64_t id,
+                         const uint8_t trace[16])
 {
   Lapis__TraceAsk ask = LAPIS__TRACE_ASK__INIT;
   Lapis__Frame f = LAPIS__FRAME__INIT;
@@ -256,12 +258,12 @@
   *out = *in = 0;
   if (v->link)
     link_traffic (v->link, out, in);
-  *out += v->past_out;
-  *in += v->past_in;
+  *out += v->closed_out;
+  *in += v->closed_in;
 }
 
 void
-ctl_views_share (struct ctl_views *v, const Lapis__ShareGrant *g)
+ctl_views_on_grant (struct ctl_views *v, const Lapis__ShareGrant *g)
 {
   struct vws_share *s = NULL;
   for (guint i = 0; i < v->shares->len && !s; i++)
@@ -278,8 +280,8 @@
     }
   s->tokens_per_s = g->tokens_per_s;
   s->concurrency = g->concurrency;
-  s->until = clk_now () + g->valid_ms;
-  ctl_views_touch (v);
+  s->expires_at = clk_now () + g->valid_ms;
+  ctl_views_schedule (v);
 }
 
 /* --- start and stop ----------------------------------------------------- */
@@ -289,14 +291,14 @@
 {
   struct ctl_views *v = xcalloc (1, sizeof *v);
   v->c = c;
-  v->hashed_revision = -1;
-  v->store_failed_at = -STORE_OK_AFTER_MS;
+  v->hash_revision = -1;
+  v->store_failed_at = -STORE_RECOVERY_MS;
   v->shares = g_ptr_array_new_with_free_func (free_share);
   uv_timer_init (c->loop, &v->send_timer);
   uv_timer_init (c->loop, &v->repeat_timer);
   v->send_timer.data = v->repeat_timer.data = v;
-  uv_timer_start (&v->repeat_timer, on_repeat, VIEW_REPEAT_MS / 2,
-                  VIEW_REPEAT_MS / 2);
+  uv_timer_start (&v->repeat_timer, on_repeat, VIEW_REPEAT_INTERVAL_MS / 2,
+                  VIEW_REPEAT_INTERVAL_MS / 2);
   return v;
 }
 
--- a/control/views.h
+++ b/control/views.h
@@ -20,7 +20,7 @@
   char *account;
   double tokens_per_s;
   double concurrency;
-  clk_ms until;
+  clk_ms expires_at;
 };
 
 struct ctl_views
@@ -35,13 +35,13 @@
   int64_t gateway_revision; /**< in force at the gateway */
   uint64_t seq;
   clk_ms sent_at;
-  int64_t hashed_revision; /**< that `hash` was computed for */
+  int64_t hash_revision; /**< that `hash` was computed for */
   uint8_t hash[DIG_SIZE];
-  uint8_t sent_hash[DIG_SIZE]; /**< of the text sent to the gateway */
-  GPtrArray *shares;           /**< of struct vws_share */
-  uint64_t store_failures;     /**< at the last check */
+  uint8_t sent_hash[DIG_SIZE];  /**< of the text sent to the gateway */
+  GPtrArray *shares;            /**< of struct vws_share */
+  uint64_t store_failure_count; /**< at the last check */
   clk_ms store_failed_at;
-  uint64_t past_out, past_in; /**< bytes on closed links */
+  uint64_t closed_out, closed_in; /**< bytes on closed links */
 };
 
 /** A view and its strings, which vws_free() releases. */
--- a/t/t8001-admin.c
+++ b/t/t8001-admin.c
@@ -143,7 +143,8 @@
 }
 
 bool
-ctl_views_trace (struct ctl_views *v, uint64_t id, const uint8_t trace[16])
+ctl_views_request_spans (struct ctl_views *v, uint64_t id,
+                         const uint8_t trace[16])
 {
   w.asked = id;
   w.sent = w.gateway;
@@ -256,7 +257,7 @@
   answer.reason = "not the owner";
   f.body_case = LAPIS__FRAME__BODY_DRAIN_ANSWER;
   f.drain_answer = &answer;
-  ctl_admin_frame (w.c.admin, 1, &f);
+  ctl_admin_on_frame (w.c.admin, 1, &f);
 }
 
 static void
@@ -273,7 +274,7 @@
     ask.replica = name;
   f.body_case = LAPIS__FRAME__BODY_DRAIN_ASK;
   f.drain_ask = &ask;
-  ctl_admin_frame (w.c.admin, 1, &f);
+  ctl_admin_on_frame (w.c.admin, 1, &f);
 }
 
 static void
@@ -288,9 +289,9 @@
   f.body_case = LAPIS__FRAME__BODY_TRACE_ANSWER;
   f.trace_answer = &answer;
   if (strcmp (from, "gateway") == 0)
-    ctl_admin_spans (w.c.admin, w.asked, str_from (json));
+    ctl_admin_on_spans (w.c.admin, w.asked, str_from (json));
   else
-    ctl_admin_frame (w.c.admin, 1, &f);
+    ctl_admin_on_frame (w.c.admin, 1, &f);
 }
 
 static void
--- a/t/t8002-views.c
+++ b/t/t8002-views.c
@@ -72,7 +72,8 @@
 const struct ctl_replica *
 ctl_domains_replicas (struct ctl_domains *d, size_t *n)
 {
-  static struct ctl_replica r = { .name = STR ("ghala-lm-1"), .whole = true };
+  static struct ctl_replica r
+      = { .name = STR ("ghala-lm-1"), .complete = true };
   r.valid_until = clk_now () + CLK_MINUTE;
   *n = 1;
   return &r;
@@ -85,13 +86,13 @@
 }
 
 void
-ctl_shares_demand (struct ctl_shares *s, struct str node,
-                   const Lapis__ShareDemand *d)
+ctl_shares_on_demand (struct ctl_shares *s, struct str node,
+                      const Lapis__ShareDemand *d)
 {
 }
 
 void
-ctl_admin_spans (struct ctl_admin *a, uint64_t id, struct str json)
+ctl_admin_on_spans (struct ctl_admin *a, uint64_t id, struct str json)
 {
 }
 
@@ -158,7 +159,7 @@
   hello.node = node;
   hello.boot = boot;
   hello.http_addr = addr;
-  ctl_views_gateway (w.c.views, link_of (link), &hello);
+  ctl_views_on_gateway (w.c.views, link_of (link), &hello);
 }
 
 static void
@@ -176,7 +177,7 @@
   report.leaving = leaving;
   f.body_case = LAPIS__FRAME__BODY_REPORT;
   f.report = &report;
-  ctl_views_frame (w.c.views, link_of (link), &f);
+  ctl_views_on_frame (w.c.views, link_of (link), &f);
 }
 
 static void
@@ -186,7 +187,7 @@
   Lapis__ShareGrant g = LAPIS__SHARE_GRANT__INIT;
   sscanf (line, "share %31s %lf %u", account, &g.tokens_per_s, &g.valid_ms);
   g.account = account;
-  ctl_views_share (w.c.views, &g);
+  ctl_views_on_grant (w.c.views, &g);
 }
 
 static void
@@ -201,7 +202,7 @@
     buf_add_char (&w.text, (char)('a' + revision));
   cfg.revision = revision;
   w.c.cfg = &cfg;
-  ctl_views_config (w.c.views);
+  ctl_views_on_config (w.c.views);
 }
 
 static void
@@ -224,7 +225,7 @@
   else if (strncmp (line, "gateway", 7) == 0)
     do_gateway (line);
   else if (strncmp (line, "down", 4) == 0)
-    ctl_views_gateway_down (w.c.views, link_of (line + 5));
+    ctl_views_on_gateway_down (w.c.views, link_of (line + 5));
   else if (strncmp (line, "report", 6) == 0)
     do_report (line);
   else if (strncmp (line, "share", 5) == 0)
--- a/t/t8101-peers.c
+++ b/t/t8101-peers.c
@@ -57,16 +57,17 @@
 ctl_member_changed (struct ctl *c, const struct mbr_node *node)
 {
   if (c->peers != NULL)
-    ctl_peers_member (c->peers, node);
+    ctl_peers_on_member_changed (c->peers, node);
 }
 
 void
-ctl_spread_peer (struct ctl_spread *s, uint64_t peer, bool up)
+ctl_spread_on_peer (struct ctl_spread *s, uint64_t peer, bool up)
 {
 }
 
 void
-ctl_spread_frame (struct ctl_spread *s, uint64_t peer, const Lapis__Frame *f)
+ctl_spread_on_frame (struct ctl_spread *s, uint64_t peer,
+                     const Lapis__Frame *f)
 {
 }
 
@@ -90,36 +91,36 @@
 }
 
 void
-ctl_shares_demand (struct ctl_shares *s, struct str node,
-                   const Lapis__ShareDemand *d)
+ctl_shares_on_demand (struct ctl_shares *s, struct str node,
+                      const Lapis__ShareDemand *d)
 {
 }
 
 void
-ctl_shares_grant (struct ctl_shares *s, const Lapis__ShareGrant *g)
+ctl_shares_on_grant (struct ctl_shares *s, const Lapis__ShareGrant *g)
 {
 }
 
 void
-ctl_views_gateway (struct ctl_views *v, struct link *l,
-                   const Lapis__Hello *hello)
+ctl_views_on_gateway (struct ctl_views *v, struct link *l,
+                      const Lapis__Hello *hello)
 {
   ((struct node *)v)->gateway = true;
 }
 
 void
-ctl_views_gateway_down (struct ctl_views *v, struct link *l)
+ctl_views_on_gateway_down (struct ctl_views *v, struct link *l)
 {
   ((struct node *)v)->gateway = false;
 }
 
 void
-ctl_views_frame (struct ctl_views *v, struct link *l, const Lapis__Frame *f)
+ctl_views_on_frame (struct ctl_views *v, struct link *l, const Lapis__Frame *f)
 {
 }
 
 void
-ctl_admin_frame (struct ctl_admin *a, uint64_t peer, const Lapis__Frame *f)
+ctl_admin_on_frame (struct ctl_admin *a, uint64_t peer, const Lapis__Frame *f)
 {
 }
 
