--- a/control/admin-ask.c
+++ b/control/admin-ask.c
@@ -80,8 +80,9 @@
   while (a->pending)
     {
       if (a->pending->http)
-        adm_error (a->pending->http, 504, "stopping",
-                   "this process stops; it may have happened");
+        adm_error (
+            a->pending->http, 504, "stopping",
+            "this process is stopping; the request may have been executed");
       adm_pending_end (a->pending);
     }
 }
--- a/control/admin-drain.c
+++ b/control/admin-drain.c
@@ -44,9 +44,10 @@
 {
   struct adm_pending *p = t->data;
   if (p->http)
-    adm_error (p->http, 504, "no-answer",
-               "the node that can do it gave no answer; it may have "
-               "happened");
+    adm_error (
+        p->http, 504, "no-answer",
+        "the responsible node did not respond in time; the drain may have "
+        "been executed");
   adm_pending_end (p);
 }
 
@@ -62,7 +63,8 @@
       = adm_pending_new (r->a, r->http, DRAIN_TIMEOUT_MS, on_drain_timeout);
   if (!p)
     {
-      adm_error (r->http, 503, "busy", "too many requests wait");
+      adm_error (r->http, 503, "busy",
+                 "too many requests are waiting for other nodes");
       return;
     }
   p->operator_name = str_dup (r->operator->name);
@@ -81,7 +83,7 @@
       return;
     }
   adm_error (r->http, 503, "unreachable",
-             "the node that can do it is not linked; nothing happened");
+             "the responsible node is not linked; the drain was not executed");
   adm_pending_end (p);
 }
 
@@ -107,7 +109,7 @@
   json_object_put (root);
   if (!good)
     adm_error (http, 400, "bad-request",
-               "the body is neither empty nor {\"on\": true} or false");
+               "the body must be empty, {\"on\": true} or {\"on\": false}");
   return good;
 }
 
@@ -125,7 +127,7 @@
         adm_error (r->http, 404, "no-replica", "no replica of that name");
       else
         adm_error (r->http, 503, "no-owner",
-                   "the replica's fabric domain has no owner now");
+                   "the replica's fabric domain has no owner at present");
       return;
     }
   if (!str_is (found->owner, c->set.node))
@@ -142,7 +144,7 @@
     respond_done (r->http, r->name, c->set.node);
   else
     adm_error (r->http, 409, "not-drained",
-               "this node can't drain the replica now");
+               "this node no longer probes the replica's fabric domain");
 }
 
 void
@@ -155,7 +157,7 @@
   if (!on)
     {
       adm_error (r->http, 400, "not-taken-back",
-                 "a node that leaves can't be taken back; start it again");
+                 "a leaving node can't be undrained; restart it");
       return;
     }
   if (str_is (r->name, c->set.node))
--- a/control/admin.c
+++ b/control/admin.c
@@ -152,23 +152,25 @@
   if (!a->c->cfg)
     {
       adm_error (http, 503, "no-configuration",
-                 "no configuration is in force yet, so no operator is known");
+                 "no configuration is in force yet, so no operator can be "
+                 "authenticated");
       return;
     }
   const struct cfg_operator *operator= find_operator (a->c, http);
   if (!operator)
     {
-      reject (http, 401, "unauthorized", "an operator's token is needed",
+      reject (http, 401, "unauthorized", "a valid operator token is required",
               STR_EMPTY);
       return;
     }
   const struct route *route = find_route (httpd_get (http), &rp, &status);
   if (!route)
     adm_error (http, status, status == 404 ? "no-such-path" : "method",
-               status == 404 ? "no such path" : "not by this method");
+               status == 404 ? "no such path"
+                             : "this path does not support the method");
   else if (operator->role<route->role)
     reject (http, 403, "forbidden",
-            "the role viewer may not do this", operator->name);
+            "the role viewer does not permit this request", operator->name);
   else
     route->handler (&(struct adm_request){ a, http, rp.name, operator });
 }
