--- a/control/admin-show.c
+++ b/control/admin-show.c
@@ -68,7 +68,8 @@
   buf_free (out);
 }
 
-/* --- replicas ----------------------------------------------------------- */
+/* --- replicas -------------------------------------------------------------
+ */
 
 static void
 add_vms (const struct ctl *c, struct str replica, struct buf *out)
@@ -149,7 +150,8 @@
   buf_free (&out);
 }
 
-/* --- nodes -------------------------------------------------------------- */
+/* --- nodes ----------------------------------------------------------------
+ */
 
 static void
 add_node (const struct mbr_node *n, struct buf *out)
@@ -239,7 +241,8 @@
   end_list (r, &out);
 }
 
-/* --- accounts and configuration ----------------------------------------- */
+/* --- accounts and configuration -------------------------------------------
+ */
 
 static void
 add_account (const struct cfg_account *a, struct buf *out)
--- a/control/swim.c
+++ b/control/swim.c
@@ -36,7 +36,8 @@
   struct ctl_roster *roster;
 };
 
-/* --- actions ------------------------------------------------------------ */
+/* --- actions --------------------------------------------------------------
+ */
 
 /* A packet that the socket buffer has no room for is dropped, as on a lossy
    network. */
@@ -92,7 +93,8 @@
   s->pauses = mbr_counts (s->core)->pauses;
 }
 
-/* --- joining ------------------------------------------------------------ */
+/* --- joining --------------------------------------------------------------
+ */
 
 static bool
 is_member (const struct ctl_swim *s, const struct net_addr *at)
@@ -151,7 +153,8 @@
   ctl_swim_add_seed (ctx, swim);
 }
 
-/* --- socket and timer --------------------------------------------------- */
+/* --- socket and timer -----------------------------------------------------
+ */
 
 /* A static buffer is safe: each packet is handled before the next is read. */
 static void
@@ -228,7 +231,8 @@
   return true;
 }
 
-/* --- start and stop ----------------------------------------------------- */
+/* --- start and stop -------------------------------------------------------
+ */
 
 static void
 make_core (struct ctl_swim *s)
@@ -293,8 +297,8 @@
   uv_close ((uv_handle_t *)&s->timer, on_closed);
 }
 
-/* --- interface to other modules
-   ----------------------------------------------- */
+/* --- interface to other modules -------------------------------------------
+ */
 
 uint16_t
 ctl_swim_port (const struct ctl_swim *s)
--- a/t/lib-control.c
+++ b/t/lib-control.c
@@ -8,7 +8,7 @@
 
 #define SECRET "a secret of the test"
 
-/* "A B" as "\"A\",\"B\"". */
+/* Appends the words of "A B" as "\"A\",\"B\"". */
 static void
 add_quoted (struct buf *out, struct str words)
 {
--- a/t/lib-site.c
+++ b/t/lib-site.c
@@ -8,7 +8,7 @@
 #include <criterion/criterion.h>
 
 #define TURN_US 50000
-#define TURNS 1200 /* a minute */
+#define TURNS 1200 /* one minute */
 
 #define REPLICA "/admin/v1/replicas/r1"
 
@@ -173,7 +173,7 @@
   return false;
 }
 
-/* ---- what control says ---- */
+/* ---- state reported by control ---- */
 
 void
 site_until (const struct site *s, int node, const char *text)
@@ -212,7 +212,7 @@
   web_free (&a);
 }
 
-/** Number behind a word of an answer. */
+/** The number after @p word in a response. */
 static long
 number_at (const char *addr, const char *path, const char *word)
 {
--- a/t/t8001-admin.c
+++ b/t/t8001-admin.c
@@ -8,14 +8,15 @@
 #include "t/lib-transcript.h"
 
 /*
- * The administration API with fakes in place of the modules beside it, and
- * one transcript of calls and answers for each run.  Its commands:
- *   call TOKEN METHOD PATH [BODY]   and wait until it is answered or waits
- *   gone                            the last caller closes its connection
- *   answer done|refused             of the node that was asked to drain
- *   ask node|replica NAME           another node asks this one to drain
+ * The administration API with stubs for the other modules.  Each test checks a
+ * transcript of commands and their output:
+ *   call TOKEN METHOD PATH [BODY]   call and wait until it has ended or has
+ *                                   sent a frame to another node
+ *   disconnect                      the client of the open call disconnects
+ *   answer done|refused             DrainAnswer of the other node
+ *   ask node|replica NAME           DrainAsk of another node
  *   spans gateway|peer NAME         one span arrives
- *   wait                            until the open call is answered
+ *   wait                            until the open call has ended
  */
 
 #define WAIT_MS 10000
@@ -29,13 +30,14 @@
   struct httpc_call *call;
   struct buf body;
   int status;
-  bool linked; /* entry-2 */
+  bool linked; /* to entry-2 */
   bool gateway;
   bool sent;
-  uint64_t asked; /* id of what was last sent */
+  uint64_t asked; /* id of the last request sent */
 } w;
 
-/* --- fakes -------------------------------------------------------------- */
+/* --- stubs ----------------------------------------------------------------
+ */
 
 static const struct mbr_node nodes[] = {
   { .name = STR ("entry-1"), .zone = STR ("hall-a"), .boot = 1 },
@@ -163,7 +165,8 @@
   buf_add_c (&w.log, "  leave\n");
 }
 
-/* --- calls -------------------------------------------------------------- */
+/* --- calls ----------------------------------------------------------------
+ */
 
 static bool
 on_connected (void *ctx)
@@ -194,7 +197,8 @@
   w.call = NULL;
 }
 
-/* Run the loop until the call is answered, or waits for another node. */
+/* Runs the loop until the call has ended or, unless `until_end`, has sent a
+   frame to another node. */
 static void
 pump (bool to_the_end)
 {
@@ -316,7 +320,8 @@
     pump (strcmp (command, "wait") == 0 || strcmp (command, "answer") == 0);
 }
 
-/* --- the world ---------------------------------------------------------- */
+/* --- setup ----------------------------------------------------------------
+ */
 
 static struct cfg *
 make_config (void)
@@ -388,8 +393,9 @@
 
 Test (admin, roles)
 {
-  /* A viewer sees all and changes nothing; whoever has no token gets
-     nowhere, not even to learn which paths there are. */
+  /* A viewer can list everything and change nothing.  Without a valid token a
+     request fails with 401, also for unknown paths, so that it doesn't reveal
+     which paths exist. */
   w.c.cfg = make_config ();
   check ("> call - GET /admin/v1/nodes\n"
          "  401 unauthorized\n"
@@ -431,8 +437,8 @@
 
 Test (admin, drains_go_to_the_node_that_can)
 {
-  /* Any node takes the operator's call; only the owner of the domain, or the
-     node itself, can act, and its answer is the operator's answer. */
+  /* Any node accepts the operator's call and forwards it to the owner of the
+     domain, or to the node to drain, whose answer is passed on. */
   w.c.cfg = make_config ();
   check ("> call operate POST /admin/v1/replicas/mine/drain\n"
          "  drain mine on\n"
@@ -463,9 +469,9 @@
 
 Test (admin, a_slip_in_an_undo_drains_nothing)
 {
-  /* An operator takes a drain back by a call with a slip in its body.  Read
-     as "no word of off", it would drain the replica, or the node, that the
-     operator meant to keep. */
+  /* A malformed body in a request to end a drain must not count as an empty
+     one, which would drain the replica or node that the operator meant to
+     keep. */
   w.c.cfg = make_config ();
   check ("> call operate POST /admin/v1/replicas/mine/drain "
          "{\"on\":\"false\"}\n"
@@ -490,8 +496,8 @@
 
 Test (admin, a_drain_asked_by_another_node)
 {
-  /* The domain may have changed hands while the frame was on its way: a node
-     that is no longer the owner must refuse, not act on an old view. */
+  /* The domain may have changed its owner while the frame was in transit: a
+     node that is no longer the owner must refuse. */
   w.c.cfg = make_config ();
   check ("> ask replica mine\n"
          "  drain mine on\n"
@@ -509,10 +515,9 @@
 
 Test (admin, no_answer_is_not_a_no)
 {
-  /* The other node takes the ask and freezes, or the link is down.  In the
-     first case the drain may have happened and the operator must hear so;
-     in the second it did not.  A late answer and one for a caller that has
-     gone reach nobody. */
+  /* Without an answer the drain may have been executed, and the response must
+     say so; without a link it was not.  A late answer, and one to a client
+     that has disconnected, are dropped. */
   w.c.cfg = make_config ();
   check ("> call operate POST /admin/v1/replicas/theirs/drain\n"
          "  to entry-2: drain node= replica=theirs on by amina\n"
--- a/t/t8002-views.c
+++ b/t/t8002-views.c
@@ -7,9 +7,10 @@
 #include "t/lib-transcript.h"
 
 /*
- * The link to the gateway with fakes beside it.  Commands of a transcript:
+ * The link to the gateway, with stubs for the other modules.  Commands of a
+ * transcript:
  *   config REVISION BYTES               a document of that size is in force
- *   gateway LINK NODE BOOT ADDR         a link said hello as a gateway
+ *   gateway LINK NODE BOOT ADDR         a gateway's hello arrives
  *   down LINK
  *   report LINK REVISION OPEN LEAVING
  *   share ACCOUNT TOKENS VALID_MS
@@ -35,7 +36,8 @@
   unsigned views;
 } w;
 
-/* --- fakes -------------------------------------------------------------- */
+/* --- stubs ----------------------------------------------------------------
+ */
 
 const struct mbr_node *const *
 ctl_swim_nodes (const struct ctl_swim *s, size_t *n)
@@ -139,7 +141,8 @@
   return true;
 }
 
-/* --- scripts ------------------------------------------------------------ */
+/* --- scripts --------------------------------------------------------------
+ */
 
 static struct link *
 link_of (const char *name)
@@ -268,8 +271,9 @@
 
 Test (views, text_goes_once_a_gateway)
 {
-  /* Evidence makes a view each second; a text of a megabyte in each would be
-     a megabyte a second.  A restarted gateway has no text, so it gets it. */
+  /* A view is sent each second; with a text of a megabyte in each, that would
+     be a megabyte per second.  A restarted gateway has no text and gets it
+     again. */
   check ("> config 1 5\n"
          "  membership: revision 1\n"
          "> gateway a entry-1 1 127.0.0.1:80\n"
@@ -300,10 +304,10 @@
 
 Test (views, which_gateway_counts)
 {
-  /* The gateway is killed and restarted, and its old link has gone silent
-     but is not down yet: the new one must be served at once, and neither the
-     old one's late hello nor its end may take the address away again.  A
-     gateway with another node's settings is nobody's here. */
+  /* The gateway was killed and restarted, and its old link is dead but not yet
+     closed.  The new process must get views at once, and neither a late hello
+     on the old link nor its end may remove the new address.  A gateway with
+     another node's name is ignored. */
   check ("> gateway a entry-2 1 127.0.0.1:80\n"
          "> gateway a entry-1 1 127.0.0.1:80\n"
          "  membership: http port 80, load 0\n"
@@ -320,9 +324,9 @@
 
 Test (views, revision_in_force_is_the_gateways)
 {
-  /* `config status --wait` must not say "in force" while the gateway still
-     serves under the old one.  A gateway that leaves by itself goes on with
-     what it has, but its address is given to nobody. */
+  /* `config status --wait` must not report a revision while the gateway still
+     serves an older one.  A leaving gateway completes its requests, but its
+     address is no longer announced. */
   check ("> config 3 5\n"
          "  membership: revision 3\n"
          "> gateway a entry-1 1 127.0.0.1:80\n"
--- a/t/t8003-control.c
+++ b/t/t8003-control.c
@@ -5,14 +5,14 @@
 
 #include "t/lib-control.h"
 
-/* The control process as it ships, with the store's stand-in and, where a
-   gateway is needed, a link of this test in its place. */
+/* The control process with the store's stand-in and, where a test needs a
+   gateway, a link that the test opens itself. */
 
 #define NOBODY "127.0.0.1:1"
 
 static const char *token_file;
 
-/* Push a configuration and wait until every node has it in force. */
+/* Pushes a configuration and waits until it is in force at every node. */
 static void
 push (const char *path, const char *admin, int address_ms)
 {
@@ -42,8 +42,8 @@
 
 Test (control, starts_and_stops_without_a_store)
 {
-  /* The store is down when the VM boots.  The node must come up, answer what
-     it can and leave when told, as it would with a store. */
+  /* With the store down when the VM boots, the process must start, respond to
+     what it can and leave on SIGTERM. */
   struct proc *p = control_up (control_settings ("entry-1", NOBODY, "", ""));
   const char *admin = proc_addr (p, "admin");
   struct web_answer a;
@@ -65,9 +65,9 @@
 
 Test (control, drain_of_another_node)
 {
-  /* An operator asks one node to drain another.  The other ends with 0, the
-     first goes on and says so; a viewer's token and a wrong name change
-     nothing. */
+  /* An operator drains one node through another.  The drained process exits
+     with 0, the other one keeps running and no longer lists it as alive.  A
+     viewer's token and an unknown name change nothing. */
   struct proc *store = PROC_UP ("standin", "store");
   const char *at = proc_addr (store, "http");
   const char *path = control_settings ("entry-1", at, "", "");
@@ -105,7 +105,8 @@
   buf_free (&out);
 }
 
-/* --- a gateway's link --------------------------------------------------- */
+/* --- the gateway's link ---------------------------------------------------
+ */
 
 static uv_loop_t loop;
 static struct control_gateway gw;
@@ -145,7 +146,7 @@
   return false;
 }
 
-/* Turn the loop, which also keeps the link's heartbeat, until `done`. */
+/* Runs the loop, which also sends the link's heartbeats, until `done`. */
 static bool
 pump (bool (*done) (void), clk_ms wait_ms)
 {
@@ -167,7 +168,7 @@
   uv_loop_close (&loop);
 }
 
-/* One node with a gateway linked and a configuration in force. */
+/* Starts a node with a linked gateway and a configuration in force. */
 static struct proc *
 node_up (int address_ms)
 {
@@ -184,10 +185,10 @@
 
 Test (control, goes_after_its_gateway)
 {
-  /* SIGTERM while callers still hold this node's address.  The gateway hears
-     that the node leaves and serves them out; control goes only after it.
-     Without the wait the gateway would lose its views, and with them its
-     evidence, while it still serves. */
+  /* SIGTERM while clients still use this node's address.  The gateway receives
+     a view that says leaving and completes its requests; control exits only
+     after it.  If it exited earlier, the evidence in the gateway's last view
+     would expire while the gateway still serves. */
   struct proc *p = node_up (60000);
   cr_expect (!leaving);
   proc_signal (p, SIGTERM);
@@ -200,9 +201,9 @@
 
 Test (control, goes_when_the_last_address_answer_has_run_out)
 {
-  /* The gateway hangs and keeps its link.  Nobody holds this node's address
-     any more after the longest answer's life, so control goes; a planned
-     stop that never ends would be killed, and cut what it protects. */
+  /* The gateway hangs with an open link.  After the longest lifetime of an
+     address response no client uses this node's address, so control exits;
+     otherwise a planned stop would hang until the process is killed. */
   struct proc *p = node_up (1500);
   proc_signal (p, SIGTERM);
   cr_expect (pump (is_down, PROC_WAIT_MS), "control waits for ever");
--- a/t/t8004-shares.c
+++ b/t/t8004-shares.c
@@ -4,15 +4,14 @@
 
 #include "t/lib-control.h"
 
-/* Two control processes as they ship, with links of this test in the place of
-   their gateways. */
+/* Two control processes; the test opens the links of their gateways. */
 
 #define NODES 2
 
 static struct gateway
 {
-  struct control_gateway at; /* first */
-  double rate; /* granted for the account; below 0: nothing came */
+  struct control_gateway at; /* must be first: see on_view() */
+  double rate;               /* granted for the account; below 0: none yet */
 } gws[NODES];
 
 static uv_loop_t loop;
@@ -62,7 +61,7 @@
   return true;
 }
 
-/** Report every 200 ms until each gateway has that share. */
+/** Sends reports every 200 ms until each gateway has that share. */
 static bool
 pump (double rate, clk_ms wait_ms)
 {
@@ -85,9 +84,9 @@
 
 Test (shares, reach_every_gateway_from_the_home)
 {
-  /* One of two nodes is home of the account.  The other's demand must reach
-     it and the grant come back, or that gateway would stay at what it takes
-     for an even part whatever it needs. */
+  /* One of two nodes is home of the account.  The other node's demand must be
+     sent to it and the grant come back; otherwise that gateway would keep
+     assuming an even share, whatever its demand. */
   struct proc *store = PROC_UP ("standin", "store");
   const char *at = proc_addr (store, "http");
   const char *path = control_settings ("entry-1", at, "", "");
--- a/t/t8101-peers.c
+++ b/t/t8101-peers.c
@@ -7,22 +7,22 @@
 #include "t/lib-latekv.h"
 
 /*
- * Membership, roster and links of several control processes, each with its
- * own sockets, all in one loop; fakes in place of the other modules.  A
- * process is a NAME or NAME/BOOT.  Commands of a script:
- *   store up|down|loses-answer      what the store does from now on
- *   start PROCESS [PEER...]         with the links of PEERs in its settings
+ * Membership, roster and links of several control processes, each with its own
+ * sockets, in one loop; stubs for the other modules.  A process is a NAME or
+ * NAME/BOOT.  Commands of a script:
+ *   store up|down|loses-answer      state of the store from now on
+ *   start PROCESS [PEER...]         with the addresses of PEERs as settings
  *   stop PROCESS
- *   until CONDITION                 turn the loop until it holds; it must
- *   send FROM TO                    evidence by name, which must go out
- *   pester FROM TO                  try to send it for two seconds
- * and of a condition:
- *   alive PROCESS N                 it knows so many live nodes
- *   links PROCESS LEAST MOST        it holds so many links
- *   got PROCESS N                   so much evidence has reached it
- *   row NAME BOOT                   the roster names that boot
- *   gateway PROCESS                 its gateway has greeted
- *   closed stranger                 the link of a stranger was closed
+ *   until CONDITION                 run the loop until it holds; it must
+ *   send FROM TO                    evidence by name, which must be sent
+ *   retry-send FROM TO              try to send it for two seconds
+ * Conditions:
+ *   alive PROCESS N                 number of live nodes that it lists
+ *   links PROCESS MIN MAX           number of its links
+ *   got PROCESS N                   messages of evidence that it received
+ *   record NAME BOOT                boot number in the roster
+ *   gateway PROCESS                 it received its gateway's hello
+ *   closed rejected                 the link of an unknown role was closed
  */
 
 #define WAIT_MS (20 * CLK_SECOND)
@@ -32,7 +32,7 @@
 
 struct node
 {
-  struct ctl c; /* first: fakes get it from the modules' pointers */
+  struct ctl c; /* must be first: stubs cast the modules' pointers to it */
   char name[16];
   bool running;
   size_t evidence;
@@ -42,16 +42,17 @@
 static struct world
 {
   uv_loop_t loop;
-  uv_timer_t wake; /* no wait for a condition is longer */
+  uv_timer_t wake; /* bounds each turn of the loop */
   struct node nodes[MAX_NODES];
   size_t n;
   struct latekv store;
-  bool closed; /* a stranger's link */
+  bool closed; /* the link of an unknown role */
 } w;
 
 static const struct net_addr any_port = { .host = "127.0.0.1" };
 
-/* --- fakes of the other modules ----------------------------------------- */
+/* --- stubs of the other modules -------------------------------------------
+ */
 
 void
 ctl_member_changed (struct ctl *c, const struct mbr_node *node)
@@ -71,7 +72,7 @@
 {
 }
 
-/* The fakes' pointers are those of the node that they belong to. */
+/* The module pointers of a node point to the node itself. */
 void
 ctl_domains_evidence (struct ctl_domains *d, const Lapis__Evidence *e)
 {
@@ -124,7 +125,8 @@
 {
 }
 
-/* --- processes ---------------------------------------------------------- */
+/* --- processes ------------------------------------------------------------
+ */
 
 static struct node *
 find_node (const char *name)
@@ -202,7 +204,8 @@
   settings_free (&n->c.set);
 }
 
-/* --- conditions --------------------------------------------------------- */
+/* --- conditions -----------------------------------------------------------
+ */
 
 static size_t
 alive (const struct node *n)
@@ -289,7 +292,8 @@
     }
 }
 
-/* --- a gateway ---------------------------------------------------------- */
+/* --- a gateway ------------------------------------------------------------
+ */
 
 static void
 on_gateway_state (void *ctx, struct link *l, enum link_state state)
@@ -313,7 +317,8 @@
 {
 }
 
-/* --- scripts ------------------------------------------------------------ */
+/* --- scripts --------------------------------------------------------------
+ */
 
 static void
 run_line (char *line)
@@ -391,8 +396,8 @@
 
 Test (peers, nodes_find_each_other_by_the_roster)
 {
-  /* Three entry VMs start with nothing but the store.  Each must know the
-     others and hold exactly one link to each, whoever opened it first. */
+  /* Three nodes start with nothing but the store.  Each must list the others
+     and hold exactly one link to each, whichever end opened it first. */
   scripted ("start n1\n"
             "until row n1 1\n"
             "start n2\n"
@@ -411,9 +416,8 @@
 
 Test (peers, store_down_they_join_through_settings)
 {
-  /* The store is out while VMs are replaced: a node must come in through any
-     peer that its settings name, and its row follows when the store is
-     back. */
+  /* The store is down while VMs are replaced: a node must join through any
+     peer in its settings and write its record once the store is back. */
   scripted ("store down\n"
             "start n1\n"
             "start n2 n1\n"
@@ -428,9 +432,9 @@
 
 Test (peers, predecessor_is_turned_away)
 {
-  /* n2 is replaced while its old VM still runs, as the platform's list lags.
-     What the old one says about its domains must reach nobody any more, and
-     it must not take the roster's row back. */
+  /* n2 is replaced while its old VM still runs, because the platform's list is
+     out of date.  Evidence of the old process must be dropped, and it must not
+     overwrite the new process's record in the roster. */
   scripted ("start n1\n"
             "until row n1 1\n"
             "start n2/1 n1\n"
@@ -454,8 +458,9 @@
 
 Test (peers, roster_keeps_the_higher_boot)
 {
-  /* A process that was paused while its VM was replaced wakes and joins: the
-     row of the successor stands, and a lost answer writes no second time. */
+  /* A process that was suspended while its VM was replaced resumes and joins:
+     the record of its successor stays.  A lost response doesn't cause a second
+     write. */
   begin ();
   play ("store loses-answer\n"
         "start n1/5\n"
@@ -471,8 +476,8 @@
 
 Test (peers, large_regions_are_not_a_mesh)
 {
-  /* Twenty nodes: a link from each to each would cost more with every node.
-     Each holds a few; a frame for another node opens a link on demand. */
+  /* With twenty nodes, a full mesh would cost more with every node.  Each node
+     keeps a few links; a frame for another node opens one on demand. */
   struct buf script = BUF_INIT;
 
   begin ();
@@ -503,8 +508,8 @@
 
 Test (peers, gateways_and_strangers)
 {
-  /* The same port takes this node's gateway; whoever has the secret but
-     claims another role gets nowhere. */
+  /* The same port accepts this node's gateway.  A process with the secret but
+     an unknown role is rejected. */
   static const struct link_callbacks cb
       = { on_gateway_state, on_gateway_frame };
   struct link_secret secret = { { 't', 'e', 's', 't', 's' } };
--- a/t/t8102-members.c
+++ b/t/t8102-members.c
@@ -6,8 +6,8 @@
 
 #include "t/lib-control.h"
 
-/* Membership of control processes as they ship, killed and stopped by
-   signals; what they think is read from their metrics. */
+/* Membership of control processes that are killed and suspended by signals,
+   read from their metrics. */
 
 #define NODES 4
 #define WAIT_MS 20000
@@ -65,9 +65,8 @@
 
 Test (members, killed_process_is_seen_and_its_successor_too)
 {
-  /* An entry VM dies without a word and is replaced under its name: the
-     others must hold it for dead, then for alive, and link with the new
-     process. */
+  /* A node is killed and replaced under its name: the others must list it as
+     dead, then as alive, and link to the new process. */
   start_all ();
   proc_signal (nodes[3], SIGKILL);
   all_show ("nodes{status=\"dead\"}", "1", 3);
@@ -80,9 +79,9 @@
 
 Test (members, stopped_process_is_taken_back_and_kills_nobody)
 {
-  /* A process is stopped for as long as the others need to hold it for dead.
-     When it goes on, all its deadlines have passed; it must notice that it
-     slept, have nobody declared dead, and be taken back in its old boot. */
+  /* A process is suspended until the others have declared it dead.  When it
+     resumes, all its timeouts have expired: it must detect the pause, declare
+     nobody dead, and rejoin with its old boot number. */
   start_all ();
   proc_signal (nodes[2], SIGSTOP);
   for (int i = 0; i < NODES; i++)
--- a/t/t8201-commands.c
+++ b/t/t8201-commands.c
@@ -1,7 +1,4 @@
-/*
- * The command line as an operator meets it: help, wrong options, missing
- * files and exit codes.
- */
+/* The command line: help, invalid options, missing files and exit codes. */
 #include <criterion/criterion.h>
 #include <string.h>
 
@@ -30,8 +27,8 @@
   buf_free (&out);
 }
 
-/* Scripts act on exit codes: 2 for a wrong command line, 3 for errors in
-   files, 4 when nobody answers. */
+/* Scripts depend on exit codes: 2 for an invalid command line, 3 for errors in
+   files, 4 for no response. */
 Test (commands, exit_codes)
 {
   static const struct run runs[] = {
@@ -65,7 +62,7 @@
     check (&runs[i]);
 }
 
-/* Help is read on servers, where the locale is "C". */
+/* Servers run with the locale "C", in which other characters print as "?". */
 Test (commands, help_is_plain_text)
 {
   static const char *const commands[]
