--- a/t/lib-site.c
+++ b/t/lib-site.c
@@ -7,8 +7,8 @@
 
 #include <criterion/criterion.h>
 
-#define TURN_US 50000
-#define TURNS 1200 /* one minute */
+#define POLL_INTERVAL_US 50000
+#define MAX_POLLS 1200 /* one minute */
 
 #define REPLICA "/admin/v1/replicas/r1"
 
@@ -164,11 +164,11 @@
 bool
 site_call_until (const struct site *s, int node, const char *outcome)
 {
-  for (int i = 0; i < TURNS; i++)
+  for (int i = 0; i < MAX_POLLS; i++)
     {
       if (strcmp (site_call (s, node), outcome) == 0)
         return true;
-      usleep (TURN_US);
+      usleep (POLL_INTERVAL_US);
     }
   return false;
 }
@@ -238,11 +238,11 @@
 void
 site_until_fence_above (const struct site *s, int node, long fence)
 {
-  for (int i = 0; i < TURNS; i++)
+  for (int i = 0; i < MAX_POLLS; i++)
     {
       if (site_fence (s, node) > fence)
         return;
-      usleep (TURN_US);
+      usleep (POLL_INTERVAL_US);
     }
   cr_assert (false, "entry-%d did not get the domain", node + 1);
 }
--- a/t/t8001-admin.c
+++ b/t/t8001-admin.c
@@ -33,7 +33,7 @@
   bool linked; /* to entry-2 */
   bool gateway;
   bool sent;
-  uint64_t asked; /* id of the last request sent */
+  uint64_t request_id; /* of the last request sent */
 } w;
 
 /* --- stubs ----------------------------------------------------------------
@@ -92,7 +92,7 @@
       const Lapis__DrainAsk *ask = f->drain_ask;
       buf_addf (&w.log, "  to %s: drain node=%s replica=%s %s by %s\n", to,
                 ask->node, ask->replica, ask->on ? "on" : "off", ask->who);
-      w.asked = ask->id;
+      w.request_id = ask->id;
       w.sent = true;
     }
   else if (f->body_case == LAPIS__FRAME__BODY_DRAIN_ANSWER)
@@ -102,7 +102,7 @@
   else if (f->body_case == LAPIS__FRAME__BODY_TRACE_ASK)
     {
       buf_addf (&w.log, "  to %s: spans?\n", to);
-      w.asked = f->trace_ask->id;
+      w.request_id = f->trace_ask->id;
       w.sent = true;
     }
 }
@@ -148,7 +148,7 @@
 ctl_views_request_spans (struct ctl_views *v, uint64_t id,
                          const uint8_t trace[16])
 {
-  w.asked = id;
+  w.request_id = id;
   w.sent = w.gateway;
   return w.gateway;
 }
@@ -200,10 +200,10 @@
 /* Runs the loop until the call has ended or, unless `until_end`, has sent a
    frame to another node. */
 static void
-pump (bool to_the_end)
+run_loop (bool until_end)
 {
   clk_ms until = clk_now () + WAIT_MS;
-  while (w.call && (to_the_end || !w.sent))
+  while (w.call && (until_end || !w.sent))
     {
       cr_assert_lt (clk_now (), until, "no answer; so far:\n%s",
                     buf_c (&w.log));
@@ -239,11 +239,11 @@
   buf_clear (&w.body);
   w.sent = false;
   w.call = httpc_start (w.c.http, &req, &callbacks, NULL);
-  pump (false);
+  run_loop (false);
 }
 
 static void
-do_gone (void)
+do_disconnect (void)
 {
   httpc_cancel (w.call);
   w.call = NULL;
@@ -256,7 +256,7 @@
 {
   Lapis__DrainAnswer answer = LAPIS__DRAIN_ANSWER__INIT;
   Lapis__Frame f = LAPIS__FRAME__INIT;
-  answer.id = w.asked;
+  answer.id = w.request_id;
   answer.done = strcmp (what, "done") == 0;
   answer.reason = "not the owner";
   f.body_case = LAPIS__FRAME__BODY_DRAIN_ANSWER;
@@ -288,12 +288,12 @@
   snprintf (json, sizeof json, "[{\"name\":\"%s\"}]", name);
   Lapis__TraceAnswer answer = LAPIS__TRACE_ANSWER__INIT;
   Lapis__Frame f = LAPIS__FRAME__INIT;
-  answer.id = w.asked;
+  answer.id = w.request_id;
   answer.json = (ProtobufCBinaryData){ strlen (json), (uint8_t *)json };
   f.body_case = LAPIS__FRAME__BODY_TRACE_ANSWER;
   f.trace_answer = &answer;
   if (strcmp (from, "gateway") == 0)
-    ctl_admin_on_spans (w.c.admin, w.asked, str_from (json));
+    ctl_admin_on_spans (w.c.admin, w.request_id, str_from (json));
   else
     ctl_admin_on_frame (w.c.admin, 1, &f);
 }
@@ -308,8 +308,8 @@
   sscanf (line, "%15s%n %63s %63s", command, &used, a, b);
   if (strcmp (command, "call") == 0)
     do_call (line + used);
-  else if (strcmp (command, "gone") == 0)
-    do_gone ();
+  else if (strcmp (command, "disconnect") == 0)
+    do_disconnect ();
   else if (strcmp (command, "answer") == 0)
     do_answer (a);
   else if (strcmp (command, "ask") == 0)
@@ -317,7 +317,8 @@
   else if (strcmp (command, "spans") == 0)
     do_spans (a, b);
   if (strcmp (command, "call") != 0)
-    pump (strcmp (command, "wait") == 0 || strcmp (command, "answer") == 0);
+    run_loop (strcmp (command, "wait") == 0
+              || strcmp (command, "answer") == 0);
 }
 
 /* --- setup ----------------------------------------------------------------
@@ -345,7 +346,7 @@
 }
 
 static void
-start_world (void)
+setup (void)
 {
   struct buf err = BUF_INIT;
   uv_loop_init (&w.loop);
@@ -364,7 +365,7 @@
 }
 
 static void
-stop_world (void)
+teardown (void)
 {
   ctl_admin_stop (w.c.admin);
   httpc_free (w.c.http);
@@ -383,9 +384,9 @@
   transcript_check (&w.log, run_line, transcript);
 }
 
-TestSuite (admin, .init = start_world, .fini = stop_world, .timeout = 60);
+TestSuite (admin, .init = setup, .fini = teardown, .timeout = 60);
 
-Test (admin, nobody_is_known_before_a_configuration)
+Test (admin, requests_fail_without_a_configuration)
 {
   check ("> call operate GET /admin/v1/nodes\n"
          "  503 no-configuration\n");
@@ -416,7 +417,7 @@
          "  200 {\"done\":true,\"name\":\"entry-1\",\"node\":\"entry-1\"}\n");
 }
 
-Test (admin, lists_tell_no_digests)
+Test (admin, lists_contain_no_digests)
 {
   w.c.cfg = make_config ();
   check ("> call view GET /admin/v1/accounts\n"
@@ -435,7 +436,7 @@
          "  404 no-replica\n");
 }
 
-Test (admin, drains_go_to_the_node_that_can)
+Test (admin, drains_are_forwarded_to_the_owner)
 {
   /* Any node accepts the operator's call and forwards it to the owner of the
      domain, or to the node to drain, whose answer is passed on. */
@@ -467,7 +468,7 @@
          "  404 no-node\n");
 }
 
-Test (admin, a_slip_in_an_undo_drains_nothing)
+Test (admin, malformed_body_drains_nothing)
 {
   /* A malformed body in a request to end a drain must not count as an empty
      one, which would drain the replica or node that the operator meant to
@@ -494,7 +495,7 @@
          "  200 {\"done\":true,\"name\":\"mine\",\"node\":\"entry-1\"}\n");
 }
 
-Test (admin, a_drain_asked_by_another_node)
+Test (admin, drain_forwarded_by_another_node)
 {
   /* The domain may have changed its owner while the frame was in transit: a
      node that is no longer the owner must refuse. */
@@ -513,7 +514,7 @@
          "  leave\n");
 }
 
-Test (admin, no_answer_is_not_a_no)
+Test (admin, drain_without_a_response)
 {
   /* Without an answer the drain may have been executed, and the response must
      say so; without a link it was not.  A late answer, and one to a client
@@ -526,7 +527,7 @@
          "> answer done\n"
          "> call operate POST /admin/v1/replicas/theirs/drain\n"
          "  to entry-2: drain node= replica=theirs on by amina\n"
-         "> gone\n"
+         "> disconnect\n"
          "> answer done\n");
   w.linked = false;
   check ("> call operate POST /admin/v1/replicas/theirs/drain\n"
@@ -535,7 +536,7 @@
 
 #define TRACE "4bf92f3577b34da6a3ce929d0e0e4736"
 
-Test (admin, a_trace_over_all_nodes)
+Test (admin, trace_contains_spans_of_all_nodes)
 {
   w.c.cfg = make_config ();
   check ("> call view GET /admin/v1/traces/xyz\n"
--- a/t/t8002-views.c
+++ b/t/t8002-views.c
@@ -33,7 +33,7 @@
   uv_loop_t loop;
   struct buf log;
   struct buf text;
-  unsigned views;
+  unsigned nviews;
 } w;
 
 /* --- stubs ----------------------------------------------------------------
@@ -126,7 +126,7 @@
     buf_addf (&w.log, " share %s %g", v->shares[i]->account,
               v->shares[i]->tokens_per_s);
   buf_addf (&w.log, "%s\n", v->leaving ? " leaving" : "");
-  w.views++;
+  w.nviews++;
 }
 
 bool
@@ -145,7 +145,7 @@
  */
 
 static struct link *
-link_of (const char *name)
+find_link (const char *name)
 {
   return &links[name[0] == 'b'];
 }
@@ -162,7 +162,7 @@
   hello.node = node;
   hello.boot = boot;
   hello.http_addr = addr;
-  ctl_views_on_gateway (w.c.views, link_of (link), &hello);
+  ctl_views_on_gateway (w.c.views, find_link (link), &hello);
 }
 
 static void
@@ -180,7 +180,7 @@
   report.leaving = leaving;
   f.body_case = LAPIS__FRAME__BODY_REPORT;
   f.report = &report;
-  ctl_views_on_frame (w.c.views, link_of (link), &f);
+  ctl_views_on_frame (w.c.views, find_link (link), &f);
 }
 
 static void
@@ -211,9 +211,9 @@
 static void
 wait_view (void)
 {
-  unsigned before = w.views;
+  unsigned before = w.nviews;
   clk_ms until = clk_now () + WAIT_MS;
-  while (w.views == before)
+  while (w.nviews == before)
     {
       cr_assert_lt (clk_now (), until, "no view; so far:\n%s", buf_c (&w.log));
       uv_run (&w.loop, UV_RUN_ONCE);
@@ -228,7 +228,7 @@
   else if (strncmp (line, "gateway", 7) == 0)
     do_gateway (line);
   else if (strncmp (line, "down", 4) == 0)
-    ctl_views_on_gateway_down (w.c.views, link_of (line + 5));
+    ctl_views_on_gateway_down (w.c.views, find_link (line + 5));
   else if (strncmp (line, "report", 6) == 0)
     do_report (line);
   else if (strncmp (line, "share", 5) == 0)
@@ -246,7 +246,7 @@
 }
 
 static void
-start_world (void)
+setup (void)
 {
   uv_loop_init (&w.loop);
   w.c.loop = &w.loop;
@@ -257,7 +257,7 @@
 }
 
 static void
-stop_world (void)
+teardown (void)
 {
   ctl_views_stop (w.c.views);
   uv_run (&w.loop, UV_RUN_DEFAULT);
@@ -267,9 +267,9 @@
   buf_free (&w.text);
 }
 
-TestSuite (views, .init = start_world, .fini = stop_world, .timeout = 60);
+TestSuite (views, .init = setup, .fini = teardown, .timeout = 60);
 
-Test (views, text_goes_once_a_gateway)
+Test (views, text_is_sent_once_per_gateway)
 {
   /* A view is sent each second; with a text of a megabyte in each, that would
      be a megabyte per second.  A restarted gateway has no text and gets it
@@ -302,7 +302,7 @@
          "  to b: view 5 revision 2 ghala-lm-1\n");
 }
 
-Test (views, which_gateway_counts)
+Test (views, newer_gateway_replaces_older)
 {
   /* The gateway was killed and restarted, and its old link is dead but not yet
      closed.  The new process must get views at once, and neither a late hello
@@ -322,7 +322,7 @@
          "  to b: view 1 revision 0 ghala-lm-1\n");
 }
 
-Test (views, revision_in_force_is_the_gateways)
+Test (views, revision_is_that_of_the_gateway)
 {
   /* `config status --wait` must not report a revision while the gateway still
      serves an older one.  A leaving gateway completes its requests, but its
--- a/t/t8003-control.c
+++ b/t/t8003-control.c
@@ -8,7 +8,7 @@
 /* The control process with the store's stand-in and, where a test needs a
    gateway, a link that the test opens itself. */
 
-#define NOBODY "127.0.0.1:1"
+#define UNREACHABLE "127.0.0.1:1"
 
 static const char *token_file;
 
@@ -34,7 +34,7 @@
 
 TestSuite (control, .fini = proc_stop_all, .timeout = 120);
 
-Test (control, wrong_settings)
+Test (control, invalid_settings)
 {
   const char *bad = proc_file ("bad.json", "{\"node\":\"\",\"zon\":1}");
   cr_expect_eq (PROC_RUN (NULL, "lapisline", "control", "--settings", bad), 3);
@@ -44,7 +44,8 @@
 {
   /* With the store down when the VM boots, the process must start, respond to
      what it can and leave on SIGTERM. */
-  struct proc *p = control_up (control_settings ("entry-1", NOBODY, "", ""));
+  struct proc *p
+      = control_up (control_settings ("entry-1", UNREACHABLE, "", ""));
   const char *admin = proc_addr (p, "admin");
   struct web_answer a;
   cr_assert (web_call (admin, "GET", "/admin/v1/nodes", NULL, NULL, &a));
@@ -56,8 +57,8 @@
   cr_expect (web_until (admin, "/metrics", NULL,
                         "store_ends_total{end=\"unavailable\"} ",
                         PROC_WAIT_MS));
-  cr_expect_eq (PROC_RUN (NULL, "lapisline", "node", "list", "--admin", NOBODY,
-                          "--token-file", "/nowhere"),
+  cr_expect_eq (PROC_RUN (NULL, "lapisline", "node", "list", "--admin",
+                          UNREACHABLE, "--token-file", "/nowhere"),
                 2);
   proc_signal (p, SIGTERM);
   cr_expect_eq (proc_wait (p, PROC_WAIT_MS), 0);
@@ -110,22 +111,22 @@
 
 static uv_loop_t loop;
 static struct control_gateway gw;
-static uint64_t views;
+static uint64_t last_view;
 static bool leaving;
-static size_t text;
+static size_t text_bytes;
 
 static void
 on_view (struct control_gateway *g, const Lapis__View *view)
 {
-  views = view->seq;
+  last_view = view->seq;
   leaving = view->leaving;
-  text += view->config.len;
+  text_bytes += view->config.len;
 }
 
 static bool
 has_text (void)
 {
-  return views > 0 && text > 0;
+  return last_view > 0 && text_bytes > 0;
 }
 
 static bool
@@ -148,7 +149,7 @@
 
 /* Runs the loop, which also sends the link's heartbeats, until `done`. */
 static bool
-pump (bool (*done) (void), clk_ms wait_ms)
+run_loop_until (bool (*done) (void), clk_ms wait_ms)
 {
   clk_ms until = clk_now () + wait_ms;
   while (!done () && clk_now () < until)
@@ -160,7 +161,7 @@
 }
 
 static void
-gateway_down (void)
+close_gateway (void)
 {
   if (gw.state != LINK_DOWN)
     link_close (gw.link);
@@ -170,7 +171,7 @@
 
 /* Starts a node with a linked gateway and a configuration in force. */
 static struct proc *
-node_up (int address_ms)
+start_node (int address_ms)
 {
   struct proc *store = PROC_UP ("standin", "store");
   const char *path
@@ -179,35 +180,37 @@
   push (path, proc_addr (p, "admin"), address_ms);
   uv_loop_init (&loop);
   control_gateway_up (&gw, &loop, "entry-1", proc_addr (p, "peer"), on_view);
-  cr_assert (pump (has_text, PROC_WAIT_MS), "the gateway got no text");
+  cr_assert (run_loop_until (has_text, PROC_WAIT_MS),
+             "the gateway got no text");
   return p;
 }
 
-Test (control, goes_after_its_gateway)
+Test (control, exits_after_its_gateway)
 {
   /* SIGTERM while clients still use this node's address.  The gateway receives
      a view that says leaving and completes its requests; control exits only
      after it.  If it exited earlier, the evidence in the gateway's last view
      would expire while the gateway still serves. */
-  struct proc *p = node_up (60000);
+  struct proc *p = start_node (60000);
   cr_expect (!leaving);
   proc_signal (p, SIGTERM);
-  cr_expect (pump (is_leaving, PROC_WAIT_MS), "the gateway was not told");
-  cr_expect (!pump (never, 1500));
+  cr_expect (run_loop_until (is_leaving, PROC_WAIT_MS),
+             "the gateway was not told");
+  cr_expect (!run_loop_until (never, 1500));
   cr_expect_eq (proc_wait (p, 0), -1, "control did not wait");
-  gateway_down ();
+  close_gateway ();
   cr_expect_eq (proc_wait (p, PROC_WAIT_MS), 0);
 }
 
-Test (control, goes_when_the_last_address_answer_has_run_out)
+Test (control, exits_when_address_responses_have_expired)
 {
   /* The gateway hangs with an open link.  After the longest lifetime of an
      address response no client uses this node's address, so control exits;
      otherwise a planned stop would hang until the process is killed. */
-  struct proc *p = node_up (1500);
+  struct proc *p = start_node (1500);
   proc_signal (p, SIGTERM);
-  cr_expect (pump (is_down, PROC_WAIT_MS), "control waits for ever");
+  cr_expect (run_loop_until (is_down, PROC_WAIT_MS), "control waits for ever");
   cr_expect_eq (proc_wait (p, PROC_WAIT_MS), 0);
   cr_expect (leaving);
-  gateway_down ();
+  close_gateway ();
 }
--- a/t/t8004-shares.c
+++ b/t/t8004-shares.c
@@ -12,7 +12,7 @@
 {
   struct control_gateway at; /* must be first: see on_view() */
   double rate;               /* granted for the account; below 0: none yet */
-} gws[NODES];
+} gateways[NODES];
 
 static uv_loop_t loop;
 
@@ -27,7 +27,7 @@
 }
 
 static void
-gateway_up (struct gateway *g, const char *name, struct proc *control)
+connect_gateway (struct gateway *g, const char *name, struct proc *control)
 {
   g->rate = -1;
   control_gateway_up (&g->at, &loop, name, proc_addr (control, "peer"),
@@ -56,14 +56,14 @@
 all_granted (double rate)
 {
   for (int i = 0; i < NODES; i++)
-    if (gws[i].rate != rate)
+    if (gateways[i].rate != rate)
       return false;
   return true;
 }
 
 /** Sends reports every 200 ms until each gateway has that share. */
 static bool
-pump (double rate, clk_ms wait_ms)
+report_until_granted (double rate, clk_ms wait_ms)
 {
   clk_ms until = clk_now () + wait_ms, next = 0;
   while (!all_granted (rate) && clk_now () < until)
@@ -72,7 +72,7 @@
         {
           next = clk_now () + 200;
           for (int i = 0; i < NODES; i++)
-            send_report (&gws[i]);
+            send_report (&gateways[i]);
         }
       uv_run (&loop, UV_RUN_NOWAIT);
       uv_sleep (1);
@@ -82,7 +82,7 @@
 
 TestSuite (shares, .fini = proc_stop_all, .timeout = 120);
 
-Test (shares, reach_every_gateway_from_the_home)
+Test (shares, grants_reach_every_gateway)
 {
   /* One of two nodes is home of the account.  The other node's demand must be
      sent to it and the grant come back; otherwise that gateway would keep
@@ -101,13 +101,13 @@
              "\"tokens_per_s\":1000}}}");
   control_push ("--settings", path);
   uv_loop_init (&loop);
-  gateway_up (&gws[0], "entry-1", one);
-  gateway_up (&gws[1], "entry-2", two);
-  cr_expect (pump (500, 3 * PROC_WAIT_MS), "granted: %.0f and %.0f",
-             gws[0].rate, gws[1].rate);
+  connect_gateway (&gateways[0], "entry-1", one);
+  connect_gateway (&gateways[1], "entry-2", two);
+  cr_expect (report_until_granted (500, 3 * PROC_WAIT_MS),
+             "granted: %.0f and %.0f", gateways[0].rate, gateways[1].rate);
   for (int i = 0; i < NODES; i++)
-    if (gws[i].at.state == LINK_UP)
-      link_close (gws[i].at.link);
+    if (gateways[i].at.state == LINK_UP)
+      link_close (gateways[i].at.link);
   uv_run (&loop, UV_RUN_DEFAULT);
   uv_loop_close (&loop);
 }
--- a/t/t8101-peers.c
+++ b/t/t8101-peers.c
@@ -26,8 +26,8 @@
  */
 
 #define WAIT_MS (20 * CLK_SECOND)
-#define PESTER_MS (2 * CLK_SECOND)
-#define WAKE_MS 10
+#define RESEND_MS (2 * CLK_SECOND)
+#define LOOP_TURN_MS 10
 #define MAX_NODES 24
 
 struct node
@@ -42,11 +42,11 @@
 static struct world
 {
   uv_loop_t loop;
-  uv_timer_t wake; /* bounds each turn of the loop */
+  uv_timer_t turn_timer; /* bounds each turn of the loop */
   struct node nodes[MAX_NODES];
   size_t n;
   struct latekv store;
-  bool closed; /* the link of an unknown role */
+  bool rejected_closed; /* the link of an unknown role */
 } w;
 
 static const struct net_addr any_port = { .host = "127.0.0.1" };
@@ -139,7 +139,7 @@
 }
 
 static void
-configure (struct node *n, const char *peers)
+fill_settings (struct node *n, const char *peers)
 {
   struct settings *set = &n->c.set;
   char *list = xstrdup (peers);
@@ -173,7 +173,7 @@
     *peers++ = '\0';
   snprintf (n->name, sizeof n->name, "%s", args);
   boot = strchr (n->name, '/');
-  configure (n, peers != NULL ? peers : "");
+  fill_settings (n, peers != NULL ? peers : "");
   n->c.loop = &w.loop;
   n->c.boot = boot != NULL ? strtoull (boot + 1, NULL, 10) : 1;
   rng_seed (&n->c.rng, w.n);
@@ -208,7 +208,7 @@
  */
 
 static size_t
-alive (const struct node *n)
+count_alive (const struct node *n)
 {
   size_t all, count = 0;
   const struct mbr_node *const *nodes = ctl_swim_nodes (n->c.swim, &all);
@@ -219,23 +219,23 @@
 }
 
 static bool
-row_names (const char *name, unsigned boot)
+record_has_boot (const char *name, unsigned boot)
 {
   struct buf key = BUF_INIT, want = BUF_INIT;
-  struct store_result row;
+  struct store_result record;
   bool ok;
 
   buf_addf (&key, "/lapisline/roster/hall-a/%s", name);
   buf_addf (&want, "{\"boot\":%u,", boot);
-  row = memkv_range (w.store.kv, buf_str (&key));
-  ok = row.nkvs == 1 && str_starts (row.kvs->value, buf_str (&want));
+  record = memkv_range (w.store.kv, buf_str (&key));
+  ok = record.nkvs == 1 && str_starts (record.kvs->value, buf_str (&want));
   buf_free (&key);
   buf_free (&want);
   return ok;
 }
 
 static bool
-holds (const char *condition)
+condition_holds (const char *condition)
 {
   char what[16], name[16];
   unsigned a = 0, b = 0;
@@ -243,14 +243,14 @@
   size_t links;
 
   cr_assert (sscanf (condition, "%15s %15s %u %u", what, name, &a, &b) >= 2);
-  if (strcmp (what, "row") == 0)
-    return row_names (name, a);
+  if (strcmp (what, "record") == 0)
+    return record_has_boot (name, a);
   if (strcmp (what, "alive") == 0)
-    return alive (find_node (name)) == a;
+    return count_alive (find_node (name)) == a;
   if (strcmp (what, "got") == 0)
     return find_node (name)->evidence == a;
   if (strcmp (what, "closed") == 0)
-    return w.closed;
+    return w.rejected_closed;
   if (strcmp (what, "gateway") == 0)
     return find_node (name)->gateway;
   links = ctl_peers_traffic (find_node (name)->c.peers, &out, &in);
@@ -258,13 +258,13 @@
 }
 
 static void
-until (const char *condition)
+wait_until (const char *condition)
 {
-  clk_ms end = clk_now () + WAIT_MS;
+  clk_ms deadline = clk_now () + WAIT_MS;
 
-  while (!holds (condition) && clk_now () < end)
+  while (!condition_holds (condition) && clk_now () < deadline)
     uv_run (&w.loop, UV_RUN_ONCE);
-  cr_assert (holds (condition), "not in time: %s", condition);
+  cr_assert (condition_holds (condition), "not in time: %s", condition);
 }
 
 static bool
@@ -281,11 +281,11 @@
 }
 
 static void
-pester (const char *args)
+retry_send (const char *args)
 {
-  clk_ms end = clk_now () + PESTER_MS;
+  clk_ms deadline = clk_now () + RESEND_MS;
 
-  while (clk_now () < end)
+  while (clk_now () < deadline)
     {
       try_to_send (args);
       uv_run (&w.loop, UV_RUN_ONCE);
@@ -302,7 +302,7 @@
   Lapis__Frame f = LAPIS__FRAME__INIT;
 
   if (state == LINK_DOWN)
-    w.closed = true;
+    w.rejected_closed = true;
   if (state != LINK_UP)
     return;
   hello.node = strcmp (ctx, "gateway") == 0 ? "n1" : "n9";
@@ -337,17 +337,17 @@
   else if (strcmp (line, "stop") == 0)
     stop (find_node (args));
   else if (strcmp (line, "until") == 0)
-    until (args);
+    wait_until (args);
   else if (strcmp (line, "send") == 0)
     cr_assert (try_to_send (args), "no link: %s", args);
-  else if (strcmp (line, "pester") == 0)
-    pester (args);
+  else if (strcmp (line, "retry-send") == 0)
+    retry_send (args);
   else
     cr_assert (false, "command '%s'", line);
 }
 
 static void
-play (const char *script)
+run_script (const char *script)
 {
   char *text = xstrdup (script);
   char *save = NULL;
@@ -359,27 +359,27 @@
 }
 
 static void
-on_wake (uv_timer_t *t)
+on_turn (uv_timer_t *t)
 {
 }
 
 static void
-begin (void)
+setup (void)
 {
   memset (&w, 0, sizeof w);
   uv_loop_init (&w.loop);
-  uv_timer_init (&w.loop, &w.wake);
-  uv_timer_start (&w.wake, on_wake, WAKE_MS, WAKE_MS);
+  uv_timer_init (&w.loop, &w.turn_timer);
+  uv_timer_start (&w.turn_timer, on_turn, LOOP_TURN_MS, LOOP_TURN_MS);
   latekv_init (&w.store, &w.loop);
   log_setup (LOG_TEXT, LOG_ERROR, STR ("test"));
 }
 
 static void
-end (void)
+teardown (void)
 {
   for (size_t i = 0; i < w.n; i++)
     stop (&w.nodes[i]);
-  uv_close ((uv_handle_t *)&w.wake, NULL);
+  uv_close ((uv_handle_t *)&w.turn_timer, NULL);
   for (int i = 0; i < 100 && uv_loop_alive (&w.loop); i++)
     uv_run (&w.loop, UV_RUN_NOWAIT);
   cr_expect_eq (uv_loop_close (&w.loop), 0, "handles are left");
@@ -387,73 +387,73 @@
 }
 
 static void
-scripted (const char *script)
+run_scripted (const char *script)
 {
-  begin ();
-  play (script);
-  end ();
+  setup ();
+  run_script (script);
+  teardown ();
 }
 
-Test (peers, nodes_find_each_other_by_the_roster)
+Test (peers, nodes_join_through_the_roster)
 {
   /* Three nodes start with nothing but the store.  Each must list the others
      and hold exactly one link to each, whichever end opened it first. */
-  scripted ("start n1\n"
-            "until row n1 1\n"
-            "start n2\n"
-            "start n3\n"
-            "until alive n1 3\n"
-            "until alive n2 3\n"
-            "until alive n3 3\n"
-            "until links n1 2 2\n"
-            "until links n2 2 2\n"
-            "until links n3 2 2\n"
-            "send n1 n3\n"
-            "send n3 n1\n"
-            "until got n3 1\n"
-            "until got n1 1\n");
-}
-
-Test (peers, store_down_they_join_through_settings)
+  run_scripted ("start n1\n"
+                "until record n1 1\n"
+                "start n2\n"
+                "start n3\n"
+                "until alive n1 3\n"
+                "until alive n2 3\n"
+                "until alive n3 3\n"
+                "until links n1 2 2\n"
+                "until links n2 2 2\n"
+                "until links n3 2 2\n"
+                "send n1 n3\n"
+                "send n3 n1\n"
+                "until got n3 1\n"
+                "until got n1 1\n");
+}
+
+Test (peers, nodes_join_through_settings_without_a_store)
 {
   /* The store is down while VMs are replaced: a node must join through any
      peer in its settings and write its record once the store is back. */
-  scripted ("store down\n"
-            "start n1\n"
-            "start n2 n1\n"
-            "start n3 n1 n2\n"
-            "until alive n1 3\n"
-            "until alive n3 3\n"
-            "until links n1 2 2\n"
-            "until links n2 2 2\n"
-            "store up\n"
-            "until row n3 1\n");
+  run_scripted ("store down\n"
+                "start n1\n"
+                "start n2 n1\n"
+                "start n3 n1 n2\n"
+                "until alive n1 3\n"
+                "until alive n3 3\n"
+                "until links n1 2 2\n"
+                "until links n2 2 2\n"
+                "store up\n"
+                "until record n3 1\n");
 }
 
-Test (peers, predecessor_is_turned_away)
+Test (peers, replaced_process_is_rejected)
 {
   /* n2 is replaced while its old VM still runs, because the platform's list is
      out of date.  Evidence of the old process must be dropped, and it must not
      overwrite the new process's record in the roster. */
-  scripted ("start n1\n"
-            "until row n1 1\n"
-            "start n2/1 n1\n"
-            "until links n1 1 1\n"
-            "send n2/1 n1\n"
-            "until got n1 1\n"
-            "until row n2 1\n"
-            "start n2/2 n1\n"
-            "until links n2/2 1 1\n"
-            "until row n2 2\n"
-            "until links n2/1 0 0\n"
-            "pester n2/1 n1\n"
-            "until got n1 1\n"
-            "until links n2/2 1 1\n"
-            "send n2/2 n1\n"
-            "until got n1 2\n"
-            "send n1 n2\n"
-            "until got n2/2 1\n"
-            "until row n2 2\n");
+  run_scripted ("start n1\n"
+                "until record n1 1\n"
+                "start n2/1 n1\n"
+                "until links n1 1 1\n"
+                "send n2/1 n1\n"
+                "until got n1 1\n"
+                "until record n2 1\n"
+                "start n2/2 n1\n"
+                "until links n2/2 1 1\n"
+                "until record n2 2\n"
+                "until links n2/1 0 0\n"
+                "retry-send n2/1 n1\n"
+                "until got n1 1\n"
+                "until links n2/2 1 1\n"
+                "send n2/2 n1\n"
+                "until got n1 2\n"
+                "send n1 n2\n"
+                "until got n2/2 1\n"
+                "until record n2 2\n");
 }
 
 Test (peers, roster_keeps_the_higher_boot)
@@ -461,35 +461,35 @@
   /* A process that was suspended while its VM was replaced resumes and joins:
      the record of its successor stays.  A lost response doesn't cause a second
      write. */
-  begin ();
-  play ("store loses-answer\n"
-        "start n1/5\n"
-        "until row n1 5\n"
-        "start n1/4\n"
-        "start n2\n"
-        "until row n2 1\n"
-        "until row n1 5\n"
-        "until alive n2 2\n");
+  setup ();
+  run_script ("store loses-answer\n"
+              "start n1/5\n"
+              "until record n1 5\n"
+              "start n1/4\n"
+              "start n2\n"
+              "until record n2 1\n"
+              "until record n1 5\n"
+              "until alive n2 2\n");
   cr_expect_eq (memkv_range (w.store.kv, STR ("")).revision, 2);
-  end ();
+  teardown ();
 }
 
-Test (peers, large_regions_are_not_a_mesh)
+Test (peers, large_regions_are_not_a_full_mesh)
 {
   /* With twenty nodes, a full mesh would cost more with every node.  Each node
      keeps a few links; a frame for another node opens one on demand. */
   struct buf script = BUF_INIT;
 
-  begin ();
-  play ("start n1\nuntil row n1 1\n");
+  setup ();
+  run_script ("start n1\nuntil record n1 1\n");
   for (int i = 2; i <= 20; i++)
     buf_addf (&script, "start n%d\n", i);
-  play (buf_c (&script));
-  play ("until alive n1 20\n"
-        "until alive n20 20\n"
-        "until links n1 4 16\n"
-        "until links n7 4 16\n"
-        "until links n20 4 16\n");
+  run_script (buf_c (&script));
+  run_script ("until alive n1 20\n"
+              "until alive n20 20\n"
+              "until links n1 4 16\n"
+              "until links n7 4 16\n"
+              "until links n20 4 16\n");
   for (int i = 2; i <= 20; i++)
     {
       char to[16];
@@ -501,12 +501,12 @@
       f.heartbeat = &hb;
       ctl_peers_send_node (w.nodes[0].c.peers, str_from (to), &f);
     }
-  play ("until links n1 19 19\n");
+  run_script ("until links n1 19 19\n");
   buf_free (&script);
-  end ();
+  teardown ();
 }
 
-Test (peers, gateways_and_strangers)
+Test (peers, gateway_and_unknown_role)
 {
   /* The same port accepts this node's gateway.  A process with the secret but
      an unknown role is rejected. */
@@ -516,14 +516,14 @@
   struct net_addr at = any_port;
   struct link *gateway;
 
-  begin ();
-  play ("start n1\n");
+  setup ();
+  run_script ("start n1\n");
   at.port = ctl_peers_port (w.nodes[0].c.peers);
   gateway = link_connect (&w.loop, &at, &secret, &cb, "gateway");
-  play ("until gateway n1\n");
+  run_script ("until gateway n1\n");
   link_connect (&w.loop, &at, &secret, &cb, "operator");
-  play ("until closed stranger\n"
-        "until gateway n1\n");
+  run_script ("until closed rejected\n"
+              "until gateway n1\n");
   link_close (gateway);
-  end ();
+  teardown ();
 }
--- a/t/t8102-members.c
+++ b/t/t8102-members.c
@@ -31,7 +31,7 @@
 }
 
 static bool
-shows (int i, const char *series, const char *value, int wait_ms)
+wait_for_metric (int i, const char *series, const char *value, int wait_ms)
 {
   char text[128];
 
@@ -41,12 +41,12 @@
 }
 
 static void
-all_show (const char *series, const char *value, int except)
+expect_metric_at_all (const char *series, const char *value, int except)
 {
   for (int i = 0; i < NODES; i++)
     if (i != except)
-      cr_assert (shows (i, series, value, WAIT_MS), "entry-%d: %s %s", i + 1,
-                 series, value);
+      cr_assert (wait_for_metric (i, series, value, WAIT_MS),
+                 "entry-%d: %s %s", i + 1, series, value);
 }
 
 static void
@@ -57,27 +57,27 @@
   memset (nodes, 0, sizeof nodes);
   for (int i = 0; i < NODES; i++)
     start (i, proc_addr (store, "http"));
-  all_show ("nodes{status=\"alive\"}", "4", -1);
-  all_show ("peer_links", "3", -1);
+  expect_metric_at_all ("nodes{status=\"alive\"}", "4", -1);
+  expect_metric_at_all ("peer_links", "3", -1);
 }
 
 TestSuite (members, .fini = proc_stop_all, .timeout = 120);
 
-Test (members, killed_process_is_seen_and_its_successor_too)
+Test (members, killed_process_is_replaced)
 {
   /* A node is killed and replaced under its name: the others must list it as
      dead, then as alive, and link to the new process. */
   start_all ();
   proc_signal (nodes[3], SIGKILL);
-  all_show ("nodes{status=\"dead\"}", "1", 3);
+  expect_metric_at_all ("nodes{status=\"dead\"}", "1", 3);
   nodes[3] = NULL;
   start (3, "127.0.0.1:1");
-  all_show ("nodes{status=\"alive\"}", "4", -1);
-  all_show ("nodes{status=\"dead\"}", "0", -1);
-  all_show ("peer_links", "3", -1);
+  expect_metric_at_all ("nodes{status=\"alive\"}", "4", -1);
+  expect_metric_at_all ("nodes{status=\"dead\"}", "0", -1);
+  expect_metric_at_all ("peer_links", "3", -1);
 }
 
-Test (members, stopped_process_is_taken_back_and_kills_nobody)
+Test (members, suspended_process_rejoins)
 {
   /* A process is suspended until the others have declared it dead.  When it
      resumes, all its timeouts have expired: it must detect the pause, declare
@@ -86,10 +86,12 @@
   proc_signal (nodes[2], SIGSTOP);
   for (int i = 0; i < NODES; i++)
     if (i != 2)
-      cr_assert (shows (i, "nodes{status=\"dead\"}", "1", WAIT_MS));
+      cr_assert (wait_for_metric (i, "nodes{status=\"dead\"}", "1", WAIT_MS));
   proc_signal (nodes[2], SIGCONT);
-  all_show ("nodes{status=\"alive\"}", "4", -1);
-  all_show ("peer_links", "3", -1);
-  cr_expect (shows (2, "swim_events_total{event=\"died\"}", "0", WAIT_MS));
-  cr_expect (!shows (2, "swim_events_total{event=\"paused\"}", "0", 0));
+  expect_metric_at_all ("nodes{status=\"alive\"}", "4", -1);
+  expect_metric_at_all ("peer_links", "3", -1);
+  cr_expect (
+      wait_for_metric (2, "swim_events_total{event=\"died\"}", "0", WAIT_MS));
+  cr_expect (
+      !wait_for_metric (2, "swim_events_total{event=\"paused\"}", "0", 0));
 }
--- a/t/t8201-commands.c
+++ b/t/t8201-commands.c
@@ -6,18 +6,18 @@
 
 TestSuite (commands, .fini = proc_stop_all, .timeout = 60);
 
-#define MOST 8
+#define MAX_ARGS 8
 
 struct run
 {
-  const char *args[MOST]; /**< after the program's name */
+  const char *args[MAX_ARGS]; /**< after the program's name */
   int code;
 };
 
 static void
 check (const struct run *r)
 {
-  const char *argv[MOST + 2] = { "lapisline" };
+  const char *argv[MAX_ARGS + 2] = { "lapisline" };
   struct buf out = BUF_INIT;
 
   memcpy (argv + 1, r->args, sizeof r->args);
