--- a/control/admin-drain.c
+++ b/control/admin-drain.c
@@ -144,7 +144,7 @@
     respond_done (r->http, r->name, c->set.node);
   else
     adm_error (r->http, 409, "not-drained",
-               "this node no longer probes the replica's fabric domain");
+               "this node doesn't probe the replica's fabric domain now");
 }
 
 void
--- a/t/lib-site.c
+++ b/t/lib-site.c
@@ -127,7 +127,8 @@
     }
   site_until_both (s, "\"whole\":true");
   for (int i = 0; i < SITE_NODES; i++)
-    cr_assert (site_call_until (s, i, "200 done -"), "not routed to");
+    cr_assert (site_call_until (s, i, "200 done -"),
+               "entry-%d is not routed to", i + 1);
 }
 
 void
@@ -179,7 +180,7 @@
 site_until (const struct site *s, int node, const char *text)
 {
   cr_assert (web_until (s->admin[node], REPLICA, SITE_ADMIN, text, 60000),
-             "entry-%d never said %s", node + 1, text);
+             "entry-%d did not return %s", node + 1, text);
 }
 
 void
@@ -244,7 +245,7 @@
         return;
       usleep (POLL_INTERVAL_US);
     }
-  cr_assert (false, "entry-%d did not get the domain", node + 1);
+  cr_assert (false, "entry-%d did not become the owner", node + 1);
 }
 
 long
--- a/t/t8003-control.c
+++ b/t/t8003-control.c
@@ -195,9 +195,9 @@
   cr_expect (!leaving);
   proc_signal (p, SIGTERM);
   cr_expect (run_loop_until (is_leaving, PROC_WAIT_MS),
-             "the gateway was not told");
+             "no view with leaving set");
   cr_expect (!run_loop_until (never, 1500));
-  cr_expect_eq (proc_wait (p, 0), -1, "control did not wait");
+  cr_expect_eq (proc_wait (p, 0), -1, "control exited too early");
   close_gateway ();
   cr_expect_eq (proc_wait (p, PROC_WAIT_MS), 0);
 }
@@ -209,7 +209,7 @@
      otherwise a planned stop would hang until the process is killed. */
   struct proc *p = start_node (1500);
   proc_signal (p, SIGTERM);
-  cr_expect (run_loop_until (is_down, PROC_WAIT_MS), "control waits for ever");
+  cr_expect (run_loop_until (is_down, PROC_WAIT_MS), "control did not exit");
   cr_expect_eq (proc_wait (p, PROC_WAIT_MS), 0);
   cr_expect (leaving);
   close_gateway ();
--- a/t/t8101-peers.c
+++ b/t/t8101-peers.c
@@ -264,7 +264,7 @@
 
   while (!condition_holds (condition) && clk_now () < deadline)
     uv_run (&w.loop, UV_RUN_ONCE);
-  cr_assert (condition_holds (condition), "not in time: %s", condition);
+  cr_assert (condition_holds (condition), "timed out: %s", condition);
 }
 
 static bool
@@ -382,7 +382,7 @@
   uv_close ((uv_handle_t *)&w.turn_timer, NULL);
   for (int i = 0; i < 100 && uv_loop_alive (&w.loop); i++)
     uv_run (&w.loop, UV_RUN_NOWAIT);
-  cr_expect_eq (uv_loop_close (&w.loop), 0, "handles are left");
+  cr_expect_eq (uv_loop_close (&w.loop), 0, "handles remain open");
   latekv_end (&w.store);
 }
 
