--- a/control/admin.c
+++ b/control/admin.c
@@ -101,8 +101,7 @@
          && str_is (rp->verb, r->verb ? r->verb : "");
 }
 
-/* Returns the route, or NULL and the HTTP status: 404 for an unknown path, 405
-   for another method. */
+/* Returns the route, or NULL and status 404 or 405. */
 static const struct route *
 find_route (const struct httpd_view *view, struct request_path *rp,
             int *status)
--- a/control/admin.h
+++ b/control/admin.h
@@ -58,7 +58,6 @@
   const struct cfg_operator *operator;
 };
 
-/** Sends a response with a JSON body. */
 void adm_respond (struct httpd_req *http, int status, struct str json);
 
 /** Sends {"error":{"code":...,"message":...}}. */
@@ -95,8 +94,7 @@
 /** Ends all waiting requests; operators get an error response. */
 void adm_pending_stop (struct ctl_admin *a);
 
-/* admin-drain.c: the response is sent at once, or when the node that the drain
-   was forwarded to has responded. */
+/* admin-drain.c: the response may wait for another node. */
 void adm_drain_replica (const struct adm_request *r);
 void adm_drain_node (const struct adm_request *r);
 void adm_on_drain_ask (struct ctl_admin *a, uint64_t peer,
@@ -104,8 +102,7 @@
 void adm_on_drain_answer (struct ctl_admin *a,
                           const Lapis__DrainAnswer *answer);
 
-/* admin-trace.c: the response is sent when all nodes have responded or the
-   wait has timed out. */
+/* admin-trace.c: the response waits for all nodes or a timeout. */
 void adm_trace (const struct adm_request *r);
 void adm_on_trace_ask (struct ctl_admin *a, uint64_t peer,
                        const Lapis__TraceAsk *ask);
--- a/control/control.c
+++ b/control/control.c
@@ -6,17 +6,15 @@
 
 #include "store/etcd.h"
 
-/* Timeout of one store call. */
 #define STORE_TIMEOUT_MS (2 * CLK_SECOND)
 
 /* Interval at which a leaving process checks whether it can exit. */
 #define LEAVE_CHECK_INTERVAL_MS ((clk_ms)100)
 
 /*
- * A leaving node runs at least this long: gossip needs a few rounds to
- * announce the leave to all nodes, and releasing owned domains takes a store
- * call.  If it exited earlier, the others would declare it dead and wait for
- * its leases to expire.
+ * Time for gossip to announce the leave and for the store call that releases
+ * owned domains.  Without it the others would declare the node dead and wait
+ * for its leases to expire.
  */
 #define LEAVE_MIN_MS CLK_SECOND
 
@@ -75,9 +73,8 @@
     ctl_views_schedule (c->views);
 }
 
-/* Stops the modules in reverse order of their start.  Each pointer is cleared
-   after its module has stopped, because the remaining modules may still call
-   ctl_member_changed() and the like. */
+/* In reverse order of the start.  Pointers are cleared because modules still
+   running may notify the others. */
 static void
 stop_modules (struct ctl *c)
 {
--- a/control/control.h
+++ b/control/control.h
@@ -68,8 +68,7 @@
 
 /* control.c: notifications between modules. */
 
-/** A newer configuration is in force (called by spread.c); adds a
-    reference. */
+/** A newer configuration is in force (from spread.c); adds a reference. */
 void ctl_config_changed (struct ctl *c, struct cfg *cfg, struct str text);
 /** A member joined or its state changed (called by swim.c). */
 void ctl_member_changed (struct ctl *c, const struct mbr_node *node);
@@ -90,23 +89,20 @@
 uint16_t ctl_swim_port (const struct ctl_swim *s);
 const struct mbr_node *const *ctl_swim_nodes (const struct ctl_swim *s,
                                               size_t *n);
-/** Sets the address at which this process accepts links (called by
-    peers.c). */
+/** Sets the address at which this process accepts links. */
 void ctl_swim_set_peer_addr (struct ctl_swim *s, const struct net_addr *peer);
 /** Adds a membership address to the seeds that this node joins through. */
 void ctl_swim_add_seed (struct ctl_swim *s, const struct net_addr *swim);
 /** Whether this node keeps links to @p region on behalf of its own region. */
 bool ctl_swim_is_bridge (const struct ctl_swim *s, struct str region);
-/** Set what gossip announces of this node: the gateway's addresses and load,
-    and the revision in force. */
+/** Set what gossip announces of this node's gateway and configuration. */
 void ctl_swim_set_gateway (struct ctl_swim *s, const struct net_addr *http,
                            const struct net_addr *peer, uint32_t load);
 void ctl_swim_set_revision (struct ctl_swim *s, int64_t revision);
 void ctl_swim_leave (struct ctl_swim *s);
 const struct mbr_counts *ctl_swim_counts (const struct ctl_swim *s);
 
-/* peers.c: links to control processes of this region and, on bridge nodes, of
-   others. */
+/* peers.c: links to control processes of this region (and bridges). */
 struct ctl_peers *ctl_peers_start (struct ctl *c, struct buf *err);
 void ctl_peers_stop (struct ctl_peers *p);
 uint16_t ctl_peers_port (const struct ctl_peers *p);
@@ -121,8 +117,8 @@
 bool ctl_peers_send_node (struct ctl_peers *p, struct str node,
                           const Lapis__Frame *f);
 
-/** Returns the number of linked control processes, and the bytes sent and
-    received on links since the process started. */
+/** Returns the number of linked control processes, and the bytes on their
+    links since the start. */
 size_t ctl_peers_traffic (const struct ctl_peers *p, uint64_t *out,
                           uint64_t *in);
 
@@ -141,16 +137,14 @@
 void ctl_domains_stop (struct ctl_domains *d);
 void ctl_domains_on_config (struct ctl_domains *d);
 void ctl_domains_members (struct ctl_domains *d);
-/** Returns the backend servers of plain services that the platform lists as
-    leaving, from the list read here or reported by other homes; valid until
-    the next event. */
+/** Returns the backend servers of plain services that leave, as read from the
+    platform's list here or by other homes; valid until the next event. */
 char *const *ctl_domains_leaving (struct ctl_domains *d, size_t *n);
 /** A control process has linked; the next evidence is sent to it in full. */
 void ctl_domains_peer (struct ctl_domains *d);
 /** Handles evidence received from another node. */
 void ctl_domains_evidence (struct ctl_domains *d, const Lapis__Evidence *e);
-/** The last state of one replica, from this node's probes or from evidence of
-    another node. */
+/** Last state of a replica, from own probes or received evidence. */
 struct ctl_replica
 {
   struct str name, model, domain, owner;
@@ -193,8 +187,7 @@
 /** Requests the gateway's spans of one trace; false when none is linked. */
 bool ctl_views_request_spans (struct ctl_views *v, uint64_t id,
                               const uint8_t trace[16]);
-/** Returns the bytes sent and received on gateway links since the process
-    started. */
+/** Returns the bytes on gateway links since the start. */
 void ctl_views_traffic (const struct ctl_views *v, uint64_t *out,
                         uint64_t *in);
 
--- a/control/dom-calls.c
+++ b/control/dom-calls.c
@@ -140,9 +140,9 @@
   finish_call (ctx, end == HTTPC_WHOLE);
 }
 
-/* Checks the lease just before the order is sent.  The order may have waited
-   for its connection, and the process may have been suspended meanwhile, so
-   this reads the clock and doesn't use the loop's cached time. */
+/* Checks the lease just before sending.  The order may have waited for its
+   connection, and the process may have been suspended, so this reads the clock
+   and not the loop's cached time. */
 static bool
 may_send_order (void *ctx)
 {
@@ -283,9 +283,8 @@
   return same;
 }
 
-/* A plain service has no owner that could drain its backend server.  Its leave
-   is therefore reported to every gateway, which then sends it no new
-   requests. */
+/* A plain service has no owner that could drain its backend server, so all
+   gateways are notified and send it no new requests. */
 static void
 set_leaving (struct ctl_domains *domains, GPtrArray *names)
 {
@@ -340,8 +339,8 @@
     buf_add (&domains->platform_body, bytes);
 }
 
-/* The list is out of date anyway and its server may be down, so a failed read
-   keeps the last result. */
+/* The list is never current and its server may be down, so a failed read keeps
+   the last result. */
 static void
 on_platform_end (void *ctx, enum httpc_end end)
 {
--- a/control/dom-turn.c
+++ b/control/dom-turn.c
@@ -99,8 +99,7 @@
     d->load_wait_since = 0;
   else if (!d->load_wait_since)
     d->load_wait_since = now;
-  /* The limit on waiting keeps a domain that cannot load from blocking the
-     others for ever. */
+  /* A domain that cannot load must not block the others for ever. */
   may_load.on = before < DOM_MAX_LOADING
                 || (d->load_wait_since
                     && now - d->load_wait_since >= DOM_MAX_LOAD_WAIT_MS);
@@ -120,10 +119,9 @@
     }
 }
 
-/* Each owner sorts the waiting domains by the last evidence received, so that
-   owners agree on the order without messages.  When evidence differs between
-   nodes for a second, one domain more or less loads at a time, which affects
-   only the speed. */
+/* Owners agree without messages: each sorts the waiting domains by the
+   evidence received.  Where it differs for a second, one domain more or less
+   loads at a time, which only affects the speed. */
 void
 dom_update_load_order (struct ctl_domains *domains, clk_ms now)
 {
--- a/control/dom-view.c
+++ b/control/dom-view.c
@@ -20,10 +20,9 @@
 
 /*
  * A new home has probed no member yet and would report every replica as
- * incomplete.  All nodes would use that report, so each change of home would
- * take a healthy domain out of service.  Until the home has probed its
- * members, gateways use the evidence of the previous home and, once that has
- * expired, check the servers themselves.
+ * incomplete, which would take a healthy domain out of service at every
+ * gateway.  Until the members are probed, gateways use the previous home's
+ * evidence and, once it has expired, check the servers themselves.
  */
 bool
 dom_may_publish (struct dom *d, clk_ms now)
@@ -50,7 +49,7 @@
 }
 
 /* Model and domain are omitted: receivers have them from the configuration,
-   and strings are most of the size of evidence. */
+   and strings are most of the size. */
 static void
 init_replica_view (Lapis__ReplicaView *out, const struct rep_view *v,
                    clk_ms now)
@@ -143,13 +142,12 @@
   free (e.loads);
 }
 
-/* Names and addresses are most of the size of evidence.  They are sent when
-   something changed, and at an interval for nodes that missed a message.  A
-   newly linked node has missed the last full message and cannot use the short
-   form: its clients would get "no replica" for seconds.  It may receive its
-   configuration, without which it drops evidence, shortly after it has linked,
-   so the next few messages are full. d->changed covers every change since the
-   last full one: chart transitions, completeness and ownership. */
+/* Names and addresses are most of the size, so full messages are sent only
+   after a change (d->changed: chart transitions, completeness, ownership), at
+   an interval for nodes that missed one, and after a node has linked.  That
+   node cannot use the short form, and its clients would get "no replica" for
+   seconds.  It gets several full ones, because it drops evidence until it has
+   received the configuration, which may be shortly after the link. */
 void
 dom_broadcast (struct dom *d, clk_ms now)
 {
@@ -179,11 +177,10 @@
 /* ---- evidence from other nodes ---- */
 
 /*
- * Whether evidence is accepted.  An owner that lost its lease while suspended
- * may send old evidence: its fence is below the highest received, and it is
- * dropped.  Evidence without a fence comes from a home that could not get the
- * lease because the store is down; it is accepted once no owner sends evidence
- * any more.
+ * An owner that lost its lease while suspended may send old evidence: its
+ * fence is below the highest received, and it is dropped.  Evidence without a
+ * fence comes from a home that could not get the lease because the store is
+ * down; it is accepted once no owner sends any.
  */
 static bool
 accepts_fence (const struct dom_remote *r, int64_t fence, clk_ms now)
@@ -207,8 +204,8 @@
   return out;
 }
 
-/* Applies a short message to the last full one, whose order of replicas it
-   follows; false when it does not belong to that one. */
+/* Applies a short message to the full one that it refers to, in whose order
+   its loads are. */
 static bool
 apply_short (struct dom_remote *r, const Lapis__Evidence *e)
 {
@@ -314,8 +311,8 @@
   out->state = "unknown";
 }
 
-/* Whether to use the evidence received: this node is not home, or has no lease
-   while an owner sent evidence recently, or has not probed enough yet. */
+/* Whether received evidence is used: this node is not home, has no lease while
+   an owner sends evidence, or has not probed enough yet. */
 static bool
 prefers_remote (const struct dom *d, clk_ms now)
 {
@@ -389,8 +386,8 @@
     g_ptr_array_add (names, name);
 }
 
-/* Only homes read the platform's list, which is long; other nodes get the
-   leaving backend servers with the homes' evidence. */
+/* Only homes read the platform's long list; other nodes receive the leaving
+   servers with evidence. */
 char *const *
 ctl_domains_leaving (struct ctl_domains *domains, size_t *n)
 {
--- a/control/domains.c
+++ b/control/domains.c
@@ -172,9 +172,9 @@
   return found;
 }
 
-/* Hashing picks a domain's home among the live nodes of its zone, or of the
-   region when the zone has none.  Two nodes may both pick themselves for a
-   time; only the one that gets the lease sends orders. */
+/* A domain's home is picked by hashing among the live nodes of its zone, or of
+   the region when the zone has none.  Two nodes may both pick themselves for a
+   time; only the one with the lease sends orders. */
 static bool
 is_home (struct dom *d)
 {
--- a/control/domains.h
+++ b/control/domains.h
@@ -31,8 +31,7 @@
 /** Number of full broadcasts after a peer has linked. */
 #define DOM_FULL_AFTER_LINK 3
 #define DOM_PLATFORM_INTERVAL_MS ((clk_ms)1000)
-/** Number of domains that load weights at the same time, and the time after
-    which a waiting domain may load regardless of it. */
+/** Limit of domains that load weights at once, and of a domain's wait. */
 #define DOM_MAX_LOADING 4
 #define DOM_MAX_LOAD_WAIT_MS (10 * CLK_MINUTE)
 #define DOM_LOAD_ORDER_INTERVAL_MS ((clk_ms)1000)
@@ -72,10 +71,9 @@
 struct dom_remote
 {
   int64_t fence;            /* highest received */
-  clk_ms owner_received_at; /* last time that evidence of that fence was
-                               received */
+  clk_ms owner_received_at; /* of the last evidence of that fence */
   Lapis__Evidence *evidence;
-  clk_ms received_at; /* time of receipt */
+  clk_ms received_at;
 };
 
 /** One fabric domain of the configuration. */
@@ -88,16 +86,16 @@
   bool home;    /* this node probes it, and owns it if it gets the lease */
   struct buf home_node;
   bool changed;           /* evidence changed since the last tick */
-  clk_ms load_wait_since; /* to load weights; 0: doesn't wait */
+  clk_ms load_wait_since; /* to load weights; 0: not waiting */
   struct own *own;
   struct rep *rep;
   struct dom_call *calls;
-  uint64_t seq; /* starts at a random number, so that senders differ */
+  uint64_t seq; /* random start, so that senders differ */
   uint64_t full_seq;
   size_t sent_replicas;
   int full_remaining; /* upcoming broadcasts that must be full */
   clk_ms sent_at, full_sent_at;
-  clk_ms publish_after; /* 0: evidence is sent */
+  clk_ms publish_after; /* 0: has started to publish */
   struct dom_remote remote;
 };
 
--- a/control/peer-policy.c
+++ b/control/peer-policy.c
@@ -8,8 +8,7 @@
 #define BACKOFF_MIN_MS ((clk_ms)250)
 #define BACKOFF_MAX_MS (10 * CLK_SECOND)
 
-/* The node with the larger name opens a link only after the one with the
-   smaller name has not done so for this long. */
+/* The node with the larger name opens a link only after this long without. */
 #define SMALLER_NAME_OPENS_MS (3 * CLK_SECOND)
 
 /* A link opened on demand is kept for this long after the last failed send. */
@@ -241,8 +240,7 @@
     prs_close (peer);
 }
 
-/** An address of the settings is a seed, whose node is known only after its
-    hello. */
+/** The node at an address of the settings is unknown until its hello. */
 static void
 update_seed_link (struct ctl_peers *p, struct target *t, clk_ms now)
 {
@@ -250,7 +248,7 @@
     try_open (p, t, now);
 }
 
-/** Drops targets whose node is no longer a member. */
+/** Frees targets whose node is no longer a member. */
 static void
 drop_stale_targets (struct ctl_peers *p, const struct policy_input *s)
 {
--- a/control/peers.c
+++ b/control/peers.c
@@ -137,8 +137,7 @@
   return old_is_ours == own_is_smaller;
 }
 
-/** Whether the link of the process that sent its hello is kept; closes an
-    older link to the same node. */
+/** Whether to keep the link; closes an older one to the same node. */
 static bool
 accept_link (struct peer *peer)
 {
@@ -152,8 +151,8 @@
         prs_on_target_self (peer->target);
       return false;
     }
-  /* A replaced VM may still run for a while, or its link may still be open:
-     its evidence about owned domains must not be used. */
+  /* A replaced VM or its link may last for a while; its evidence about domains
+     must not be used. */
   old = prs_find (p, str_from (peer->node));
   if ((current != NULL && current->boot > peer->boot)
       || (old != NULL && old->boot > peer->boot))
--- a/control/peers.h
+++ b/control/peers.h
@@ -10,7 +10,7 @@
 
 #include "control/control.h"
 
-/** Up to this many nodes, a region is a full mesh of links. */
+/** A region of up to this many nodes is a full mesh of links. */
 #define PRS_MAX_FULL_MESH 16
 
 /** In larger regions each node opens links to this many others. */
@@ -36,8 +36,7 @@
   struct peer *peer; /**< the link opened to it, or NULL */
   clk_ms next_try;
   clk_ms backoff;        /**< backoff after the next attempt */
-  clk_ms last_linked_at; /**< last tick with a link, or when the target was
-                            added */
+  clk_ms last_linked_at; /**< last tick with a link, or of its adding */
   clk_ms requested_at;   /**< last time that a frame for it had no link */
 };
 
@@ -79,9 +78,7 @@
 void prs_policy_tick (struct ctl_peers *p);
 /** Called when a frame could not be sent because the node has no link. */
 void prs_request_link (struct ctl_peers *p, struct str node);
-/** Called when the link opened to the target has closed. */
 void prs_on_target_unlinked (struct target *t);
-/** Called with the node that the target's hello names. */
 void prs_on_target_hello (struct target *t, const char *node);
 void prs_on_target_self (struct target *t);
 
--- a/control/roster.c
+++ b/control/roster.c
@@ -81,10 +81,9 @@
 }
 
 /*
- * Replaces a record with a lower boot number, which an earlier process wrote.
- * Keeps one with a higher boot number: a process that was suspended while its
- * VM was replaced would otherwise direct joining nodes to an address that no
- * longer exists.
+ * Replaces the record of an earlier process (lower boot number) but not of a
+ * later one: a process suspended while its VM was replaced would direct
+ * joining nodes to an address that no longer exists.
  */
 static void
 update_own_record (struct ctl_roster *r, const struct store_kv *own)
--- a/control/shares.c
+++ b/control/shares.c
@@ -29,10 +29,9 @@
 }
 
 /**
- * Returns the account's home, picked by hashing.  During a partition each side
- * picks its own, and shortly after a membership change two nodes may both be
- * home; the core reserves enough for nodes it receives nothing from that the
- * grants stay within the limit.
+ * Picks the account's home by hashing.  During a partition, and shortly after
+ * a membership change, two nodes may both be home; the core reserves enough
+ * for nodes it receives nothing from that grants stay within the limit.
  */
 static struct str
 home_of (const struct ctl *c, struct str account, const struct str *live,
@@ -138,8 +137,8 @@
   ctl_peers_send_node (s->c->peers, home, &frame);
 }
 
-/** An account without a limit needs no grants; its demand would be one frame
-    per second from every node for nothing. */
+/** Without a limit there is nothing to grant, and every node would send a
+    frame per second for nothing. */
 static bool
 has_limit (const struct ctl *c, struct str account)
 {
--- a/control/spread.c
+++ b/control/spread.c
@@ -9,9 +9,8 @@
 
 #define READERS_PER_ZONE 2
 
-/* Delay before a node may become a reader.  Until membership knows the other
-   nodes, each would pick itself, and all nodes of a zone that boots at once
-   would read the store. */
+/* Until membership lists the other nodes, each would pick itself as reader,
+   and all nodes of a zone that boots at once would read the store. */
 #define READER_DELAY_MS ((clk_ms)500)
 
 struct ctl_spread
@@ -19,8 +18,7 @@
   struct ctl *c;
   struct spr *spr;
   uv_timer_t *timer;
-  clk_ms reader_allowed_at; /* earliest time at which this node may become a
-                          reader */
+  clk_ms reader_allowed_at;
   bool members_changed;
   bool reader;
   struct store_watch *watch;
@@ -45,9 +43,8 @@
   handle_event (s, &(struct spr_event){ .kind = SPR_STORE_FAILED });
 }
 
-/* A revision below the one in force is rejected: the store has lost writes,
-   for instance after a restore, and an accepted configuration must not
-   revert. */
+/* The store lost writes, for instance in a restore; the core rejects the
+   revision, because an accepted configuration must not revert. */
 static void
 log_if_lower (struct ctl_spread *s, int64_t revision)
 {
@@ -114,8 +111,7 @@
       handle_store_failure (s);
       return;
     }
-  /* Another key: this is the response to an older request, and a newer
-     manifest has been read since. */
+  /* The response to an older request: a newer manifest was read since. */
   if (!str_eq (r->kvs[0].key, buf_str (&s->doc_key)))
     return;
   ev.revision = s->doc_revision;
@@ -140,8 +136,7 @@
 {
   struct ctl_spread *s = ctx;
 
-  /* Only the newest event matters; deleting the manifest leaves the
-     configuration in force. */
+  /* Only the newest event matters; deleting the manifest changes nothing. */
   if (n > 0 && !ev[n - 1].deleted)
     handle_manifest (s, &ev[n - 1].kv, revision);
 }
@@ -285,9 +280,8 @@
   struct cfg *cfg = cfg_parse (a->bytes, a->revision, &findings);
 
   if (!cfg)
-    /* Written for a newer release with keys unknown to this one: the previous
-       configuration stays in force, and peers can still fetch the document
-       from this node. */
+    /* From a newer release, with unknown keys: the previous configuration
+       stays in force, and peers can still fetch this one here. */
     LOG (config_unreadable, LOG_I ("revision", a->revision),
          LOG_C ("pointer", findings.items[0].pointer),
          LOG_C ("reason", findings.items[0].text));
@@ -350,9 +344,9 @@
 /* --- readers --------------------------------------------------------------
  */
 
-/* Whether this node is one of the zone's readers, which rendezvous hashing
-   picks among its live nodes.  While membership differs between nodes, more or
-   fewer nodes read, which costs only some store calls. */
+/* Readers of a zone are picked by rendezvous hashing among its live nodes.
+   While membership differs between nodes, more or fewer of them read, which
+   only costs some store calls. */
 static bool
 is_reader (struct ctl_spread *s)
 {
@@ -391,8 +385,8 @@
   handle_event (s, &(struct spr_event){ .kind = SPR_READER, .on = reader });
 }
 
-/* Evaluated with the next tick, because members change in bursts and this may
-   be called while a configuration is being forwarded. */
+/* Evaluated with the next tick: members change in bursts, and this may be
+   called while a configuration is forwarded. */
 void
 ctl_spread_on_members_changed (struct ctl_spread *s)
 {
--- a/control/swim.c
+++ b/control/swim.c
@@ -11,9 +11,8 @@
    detected. */
 #define MAX_PACKET 2048
 
-/* Intervals between joins through a seed: without other members and with some.
-   The latter reunites the sides of a partition that have dropped each other as
-   dead. */
+/* Join intervals without and with other members.  The latter reunites the
+   sides of a partition that have dropped each other as dead. */
 #define JOIN_ALONE_MS CLK_SECOND
 #define JOIN_MS (30 * CLK_SECOND)
 
@@ -28,7 +27,7 @@
   uint16_t port;
   struct mbr *core;
   struct mbr_node self; /* its strings belong to the settings */
-  bool running_actions; /* run_actions() is on the stack */
+  bool running_actions;
   struct net_addr seeds[MAX_SEEDS];
   size_t nseeds;
   clk_ms next_join;
@@ -39,8 +38,7 @@
 /* --- actions --------------------------------------------------------------
  */
 
-/* A packet that the socket buffer has no room for is dropped, as on a lossy
-   network. */
+/* A full socket buffer drops the packet, as the network may. */
 static void
 send_packet (struct ctl_swim *s, const struct mbr_action *a)
 {
@@ -66,9 +64,8 @@
   log_write (events[n->status], fields, sizeof fields / sizeof fields[0]);
 }
 
-/* Not reentrant: a module notified of a member may change what this node
-   announces about itself, which calls this function again.  The outer call
-   runs the new actions. */
+/* Not reentrant: ctl_member_changed() may change what this node announces,
+   which calls this again; the outer call runs the new actions. */
 static void
 run_actions (struct ctl_swim *s)
 {
--- a/control/views.c
+++ b/control/views.c
@@ -4,8 +4,8 @@
 #include "control/views.h"
 
 /*
- * Shortest interval between two views.  A fleet that is being reconfigured
- * makes many changes at once, and each view contains the whole state.
+ * Changes within this time share one view.  A reconfigured fleet makes many at
+ * once, and each view is complete.
  */
 #define VIEW_MIN_INTERVAL_MS ((clk_ms)50)
 
@@ -44,10 +44,9 @@
 }
 
 /*
- * Sends the text of the configuration if the gateway doesn't have it; false
- * when the link refused a frame.  A text longer than a chunk is sent in chunks
- * before the view, because frames have a size limit and a view queued behind a
- * megabyte of text would be late.
+ * Sends the text if the gateway doesn't have it; false when the link refused a
+ * frame.  A text longer than a chunk precedes the view in chunks: frames have
+ * a size limit, and a view behind a megabyte of text would be late.
  */
 static bool
 add_config (struct ctl_views *v, struct vws_builder *b)
@@ -111,8 +110,8 @@
   uv_timer_start (&v->send_timer, on_send, wait > 0 ? (uint64_t)wait : 0, 0);
 }
 
-/* Announces this node's revision: that of the gateway, which handles the
-   requests, or that of this process if no gateway is linked. */
+/* Announces the lower of the revisions in force here and at the gateway, which
+   handles the requests. */
 static void
 announce_revision (struct ctl_views *v)
 {
@@ -168,8 +167,8 @@
       LOG (gateway_foreign, LOG_C ("gateway", hello->node));
       return;
     }
-  /* A replaced gateway process may still hold an open link; the process with
-     the higher boot number is the one that clients reach. */
+  /* A replaced gateway process may still hold a dead link; clients reach the
+     one with the higher boot number. */
   if (v->link && hello->boot < v->gateway_boot)
     return;
   if (v->link && v->link != l)
@@ -207,8 +206,8 @@
 on_report (struct ctl_views *v, const Lapis__Report *r)
 {
   static const struct net_addr none;
-  /* A leaving gateway completes its open requests, but address responses must
-     no longer name it. */
+  /* A leaving gateway completes its requests, but no address response may name
+     it. */
   ctl_swim_set_gateway (v->c->swim, r->leaving ? &none : &v->http, &v->peer,
                         r->open_requests);
   v->gateway_revision = (int64_t)r->config_revision;
--- a/control/views.h
+++ b/control/views.h
@@ -13,8 +13,7 @@
 #include "base/digest.h"
 #include "control/control.h"
 
-/** This node's share of one account's limit, as the account's home granted
-    it. */
+/** This node's share of an account's limit, granted by the account's home. */
 struct vws_share
 {
   char *account;
--- a/t/lib-site.h
+++ b/t/lib-site.h
@@ -14,8 +14,7 @@
 #define SITE_VMS 3
 #define SITE_ADMIN "Authorization: Bearer site-token\r\n"
 
-/** Evidence is valid for three seconds, and a view of it may take one second
-    from control to a busy gateway. */
+/** Evidence is valid for 3 s and may take another to reach a busy gateway. */
 #define SITE_BOUND_MS 4000
 
 enum site_servers
@@ -52,16 +51,14 @@
 /** Repeats site_call() until it returns @p outcome; false after a minute. */
 bool site_call_until (const struct site *s, int node, const char *outcome);
 
-/** Waits until the administration API of a node's control shows @p text for
-    the replica. */
+/** Waits until a node's administration API shows @p text for the replica. */
 void site_until (const struct site *s, int node, const char *text);
 void site_until_both (const struct site *s, const char *text);
 
 /** Returns the number of the node that owns the domain. */
 int site_owner (const struct site *s);
 
-/** Returns the fencing number of the domain's owner that a node last received;
-    0: none. */
+/** Returns the owner's fencing number as listed by a node; 0: none. */
 long site_fence (const struct site *s, int node);
 
 /** Waits until a node shows a fencing number above @p fence. */
--- a/t/t8001-admin.c
+++ b/t/t8001-admin.c
@@ -10,8 +10,7 @@
 /*
  * The administration API with stubs for the other modules.  Each test checks a
  * transcript of commands and their output:
- *   call TOKEN METHOD PATH [BODY]   call and wait until it has ended or has
- *                                   sent a frame to another node
+ *   call TOKEN METHOD PATH [BODY]   until it has ended or waits for a node
  *   disconnect                      the client of the open call disconnects
  *   answer done|refused             DrainAnswer of the other node
  *   ask node|replica NAME           DrainAsk of another node
@@ -197,8 +196,7 @@
   w.call = NULL;
 }
 
-/* Runs the loop until the call has ended or, unless `until_end`, has sent a
-   frame to another node. */
+/* Runs the loop until the call has ended or, unless `until_end`, waits. */
 static void
 run_loop (bool until_end)
 {
@@ -394,9 +392,8 @@
 
 Test (admin, roles)
 {
-  /* A viewer can list everything and change nothing.  Without a valid token a
-     request fails with 401, also for unknown paths, so that it doesn't reveal
-     which paths exist. */
+  /* A viewer can list everything and change nothing; without a valid token
+     even unknown paths are answered with 401, so that no path is revealed. */
   w.c.cfg = make_config ();
   check ("> call - GET /admin/v1/nodes\n"
          "  401 unauthorized\n"
@@ -438,8 +435,8 @@
 
 Test (admin, drains_are_forwarded_to_the_owner)
 {
-  /* Any node accepts the operator's call and forwards it to the owner of the
-     domain, or to the node to drain, whose answer is passed on. */
+  /* Any node accepts the call and forwards it to the owner of the domain, or
+     to the node to drain, whose answer is passed on. */
   w.c.cfg = make_config ();
   check ("> call operate POST /admin/v1/replicas/mine/drain\n"
          "  drain mine on\n"
@@ -470,9 +467,8 @@
 
 Test (admin, malformed_body_drains_nothing)
 {
-  /* A malformed body in a request to end a drain must not count as an empty
-     one, which would drain the replica or node that the operator meant to
-     keep. */
+  /* A malformed body in a request to end a drain must not count as empty,
+     which would drain what the operator meant to keep. */
   w.c.cfg = make_config ();
   check ("> call operate POST /admin/v1/replicas/mine/drain "
          "{\"on\":\"false\"}\n"
--- a/t/t8002-views.c
+++ b/t/t8002-views.c
@@ -271,9 +271,8 @@
 
 Test (views, text_is_sent_once_per_gateway)
 {
-  /* A view is sent each second; with a text of a megabyte in each, that would
-     be a megabyte per second.  A restarted gateway has no text and gets it
-     again. */
+  /* With a text of a megabyte, sending it in each view would take a megabyte
+     per second.  A restarted gateway has no text and gets it again. */
   check ("> config 1 5\n"
          "  membership: revision 1\n"
          "> gateway a entry-1 1 127.0.0.1:80\n"
