--- a/control/admin-show.c
+++ b/control/admin-show.c
@@ -68,8 +68,7 @@
   buf_free (out);
 }
 
-/* --- replicas -------------------------------------------------------------
- */
+/* --- replicas ----------------------------------------------------------- */
 
 static void
 add_vms (const struct ctl *c, struct str replica, struct buf *out)
@@ -150,8 +149,7 @@
   buf_free (&out);
 }
 
-/* --- nodes ----------------------------------------------------------------
- */
+/* --- nodes -------------------------------------------------------------- */
 
 static void
 add_node (const struct mbr_node *n, struct buf *out)
@@ -241,8 +239,7 @@
   end_list (r, &out);
 }
 
-/* --- accounts and configuration -------------------------------------------
- */
+/* --- accounts and configuration ----------------------------------------- */
 
 static void
 add_account (const struct cfg_account *a, struct buf *out)
--- a/control/peer-policy.c
+++ b/control/peer-policy.c
@@ -95,8 +95,7 @@
     t->requested_at = clk_now ();
 }
 
-/* --- which nodes to link to -----------------------------------------------
- */
+/* --- which nodes to link to --------------------------------------------- */
 
 /** Input of the policy, collected once per tick. */
 struct policy_input
--- a/control/peers.c
+++ b/control/peers.c
@@ -5,8 +5,7 @@
 
 #define TICK_MS ((clk_ms)250)
 
-/* --- linked processes -----------------------------------------------------
- */
+/* --- linked processes --------------------------------------------------- */
 
 static void
 free_peer (struct peer *peer)
@@ -74,8 +73,7 @@
   link_close (l);
 }
 
-/* --- hello messages -------------------------------------------------------
- */
+/* --- hello messages ----------------------------------------------------- */
 
 static char *
 format_addr (const struct net_addr *a)
@@ -214,8 +212,7 @@
     }
 }
 
-/* --- frames ---------------------------------------------------------------
- */
+/* --- frames ------------------------------------------------------------- */
 
 static void
 count_frame (struct ctl_peers *p, const char *labels)
@@ -276,8 +273,7 @@
     dispatch_frame (peer, f);
 }
 
-/* --- links ----------------------------------------------------------------
- */
+/* --- links -------------------------------------------------------------- */
 
 static void
 on_accepted_state (void *ctx, struct link *l, enum link_state state)
@@ -314,8 +310,7 @@
   peer->link = link_connect (p->c->loop, &target->addr, &p->secret, &cb, peer);
 }
 
-/* --- sending --------------------------------------------------------------
- */
+/* --- sending ------------------------------------------------------------ */
 
 static bool
 send_frame (struct peer *peer, const Lapis__Frame *f)
@@ -353,8 +348,7 @@
   return false;
 }
 
-/* --- start, stop, figures -------------------------------------------------
- */
+/* --- start, stop, figures ----------------------------------------------- */
 
 void
 ctl_peers_on_member_changed (struct ctl_peers *p, const struct mbr_node *node)
--- a/control/spread.c
+++ b/control/spread.c
@@ -34,8 +34,7 @@
 
 static void handle_event (struct ctl_spread *s, const struct spr_event *ev);
 
-/* --- store ----------------------------------------------------------------
- */
+/* --- store -------------------------------------------------------------- */
 
 static void
 handle_store_failure (struct ctl_spread *s)
@@ -169,8 +168,7 @@
                           from, &callbacks, s);
 }
 
-/* --- peers ----------------------------------------------------------------
- */
+/* --- peers -------------------------------------------------------------- */
 
 static void
 send_have (struct ctl_spread *s, const struct spr_action *a)
@@ -270,8 +268,7 @@
     handle_event (s, &ev);
 }
 
-/* --- in force -------------------------------------------------------------
- */
+/* --- in force ----------------------------------------------------------- */
 
 static void
 apply_document (struct ctl_spread *s, const struct spr_action *a)
@@ -341,8 +338,7 @@
   met_set (s->met_timeouts, (double)spr_counts (s->spr)->timeouts);
 }
 
-/* --- readers --------------------------------------------------------------
- */
+/* --- readers ------------------------------------------------------------ */
 
 /* Readers of a zone are picked by rendezvous hashing among its live nodes.
    While membership differs between nodes, more or fewer of them read, which
@@ -403,8 +399,7 @@
   handle_event (s, &(struct spr_event){ .kind = SPR_TICK });
 }
 
-/* --- start and stop -------------------------------------------------------
- */
+/* --- start and stop ----------------------------------------------------- */
 
 static void
 start_metrics (struct ctl_spread *s)
--- a/control/swim.c
+++ b/control/swim.c
@@ -35,8 +35,7 @@
   struct ctl_roster *roster;
 };
 
-/* --- actions --------------------------------------------------------------
- */
+/* --- actions ------------------------------------------------------------ */
 
 /* A full socket buffer drops the packet, as the network may. */
 static void
@@ -90,8 +89,7 @@
   s->pauses = mbr_counts (s->core)->pauses;
 }
 
-/* --- joining --------------------------------------------------------------
- */
+/* --- joining ------------------------------------------------------------ */
 
 static bool
 is_member (const struct ctl_swim *s, const struct net_addr *at)
@@ -150,8 +148,7 @@
   ctl_swim_add_seed (ctx, swim);
 }
 
-/* --- socket and timer -----------------------------------------------------
- */
+/* --- socket and timer --------------------------------------------------- */
 
 /* A static buffer is safe: each packet is handled before the next is read. */
 static void
@@ -228,8 +225,7 @@
   return true;
 }
 
-/* --- start and stop -------------------------------------------------------
- */
+/* --- start and stop ----------------------------------------------------- */
 
 static void
 make_core (struct ctl_swim *s)
@@ -294,8 +290,7 @@
   uv_close ((uv_handle_t *)&s->timer, on_closed);
 }
 
-/* --- interface to other modules -------------------------------------------
- */
+/* --- interface to other modules ----------------------------------------- */
 
 uint16_t
 ctl_swim_port (const struct ctl_swim *s)
--- a/control/views.c
+++ b/control/views.c
@@ -24,8 +24,7 @@
   free (s);
 }
 
-/* --- sending --------------------------------------------------------------
- */
+/* --- sending ------------------------------------------------------------ */
 
 static bool
 send_chunk (struct ctl_views *v, struct str text, size_t offset)
@@ -148,8 +147,7 @@
     ctl_views_schedule (v);
 }
 
-/* --- the gateway ----------------------------------------------------------
- */
+/* --- the gateway -------------------------------------------------------- */
 
 static void
 parse_addr (const char *text, struct net_addr *out)
@@ -285,8 +283,7 @@
   ctl_views_schedule (v);
 }
 
-/* --- start and stop -------------------------------------------------------
- */
+/* --- start and stop ----------------------------------------------------- */
 
 struct ctl_views *
 ctl_views_start (struct ctl *c, struct buf *err)
--- a/t/t8001-admin.c
+++ b/t/t8001-admin.c
@@ -35,8 +35,7 @@
   uint64_t request_id; /* of the last request sent */
 } w;
 
-/* --- stubs ----------------------------------------------------------------
- */
+/* --- stubs -------------------------------------------------------------- */
 
 static const struct mbr_node nodes[] = {
   { .name = STR ("entry-1"), .zone = STR ("hall-a"), .boot = 1 },
@@ -164,8 +163,7 @@
   buf_add_c (&w.log, "  leave\n");
 }
 
-/* --- calls ----------------------------------------------------------------
- */
+/* --- calls -------------------------------------------------------------- */
 
 static bool
 on_connected (void *ctx)
@@ -319,8 +317,7 @@
               || strcmp (command, "answer") == 0);
 }
 
-/* --- setup ----------------------------------------------------------------
- */
+/* --- setup -------------------------------------------------------------- */
 
 static struct cfg *
 make_config (void)
--- a/t/t8002-views.c
+++ b/t/t8002-views.c
@@ -36,8 +36,7 @@
   unsigned nviews;
 } w;
 
-/* --- stubs ----------------------------------------------------------------
- */
+/* --- stubs -------------------------------------------------------------- */
 
 const struct mbr_node *const *
 ctl_swim_nodes (const struct ctl_swim *s, size_t *n)
@@ -141,8 +140,7 @@
   return true;
 }
 
-/* --- scripts --------------------------------------------------------------
- */
+/* --- scripts ------------------------------------------------------------ */
 
 static struct link *
 find_link (const char *name)
--- a/t/t8003-control.c
+++ b/t/t8003-control.c
@@ -106,8 +106,7 @@
   buf_free (&out);
 }
 
-/* --- the gateway's link ---------------------------------------------------
- */
+/* --- the gateway's link ------------------------------------------------- */
 
 static uv_loop_t loop;
 static struct control_gateway gw;
--- a/t/t8101-peers.c
+++ b/t/t8101-peers.c
@@ -51,8 +51,7 @@
 
 static const struct net_addr any_port = { .host = "127.0.0.1" };
 
-/* --- stubs of the other modules -------------------------------------------
- */
+/* --- stubs of the other modules ----------------------------------------- */
 
 void
 ctl_member_changed (struct ctl *c, const struct mbr_node *node)
@@ -125,8 +124,7 @@
 {
 }
 
-/* --- processes ------------------------------------------------------------
- */
+/* --- processes ---------------------------------------------------------- */
 
 static struct node *
 find_node (const char *name)
@@ -204,8 +202,7 @@
   settings_free (&n->c.set);
 }
 
-/* --- conditions -----------------------------------------------------------
- */
+/* --- conditions --------------------------------------------------------- */
 
 static size_t
 count_alive (const struct node *n)
@@ -292,8 +289,7 @@
     }
 }
 
-/* --- a gateway ------------------------------------------------------------
- */
+/* --- a gateway ---------------------------------------------------------- */
 
 static void
 on_gateway_state (void *ctx, struct link *l, enum link_state state)
@@ -317,8 +313,7 @@
 {
 }
 
-/* --- scripts --------------------------------------------------------------
- */
+/* --- scripts ------------------------------------------------------------ */
 
 static void
 run_line (char *line)
