--- a/control/dom-turn.c
+++ b/control/dom-turn.c
@@ -74,7 +74,7 @@
                                        buf_str (&domains->list[i]->name), 0) };
   for (size_t i = 0; i < n; i++)
     add_waiting_replica (domains, &list[i], i, live, now,
-                         &u[dom_index (domains, domains->dom_of[i])]);
+                         &u[dom_index (domains, domains->dom_by_replica[i])]);
   return u;
 }
 
--- a/control/dom-view.c
+++ b/control/dom-view.c
@@ -372,7 +372,7 @@
     {
       const struct cfg_replica *c = &domains->cfg->replicas[i];
 
-      init_replica (domains->dom_of[i], c, &domains->merged[i]);
+      init_replica (domains->dom_by_replica[i], c, &domains->merged[i]);
     }
   for (size_t i = 0; i < domains->n; i++)
     merge_dom (domains, domains->list[i], now);
--- a/control/domains.c
+++ b/control/domains.c
@@ -281,11 +281,12 @@
 static void
 index_replicas (struct ctl_domains *domains)
 {
-  free (domains->dom_of);
-  domains->dom_of
-      = xcalloc (domains->cfg->nreplicas + 1, sizeof *domains->dom_of);
+  free (domains->dom_by_replica);
+  domains->dom_by_replica
+      = xcalloc (domains->cfg->nreplicas + 1, sizeof *domains->dom_by_replica);
   for (size_t i = 0; i < domains->cfg->nreplicas; i++)
-    domains->dom_of[i] = dom_find (domains, domains->cfg->replicas[i].domain);
+    domains->dom_by_replica[i]
+        = dom_find (domains, domains->cfg->replicas[i].domain);
 }
 
 void
@@ -393,7 +394,7 @@
   for (size_t i = 0; i < domains->n; i++)
     dom_free (domains->list[i]);
   free (domains->list);
-  free (domains->dom_of);
+  free (domains->dom_by_replica);
   free (domains->merged);
   g_ptr_array_free (domains->leaving, TRUE);
   g_ptr_array_free (domains->merged_leaving, TRUE);
--- a/control/domains.h
+++ b/control/domains.h
@@ -106,7 +106,8 @@
   struct cfg *cfg;
   struct dom **list;
   size_t n;
-  struct dom **dom_of; /* for each replica of the configuration */
+  struct dom **dom_by_replica; /* in the order of the configuration's
+                                  replicas */
   clk_ms next_platform_read;
   clk_ms next_load_order;
   struct httpc_call *platform;
--- a/control/peer-policy.c
+++ b/control/peer-policy.c
@@ -103,7 +103,7 @@
   const struct mbr_node *const *nodes;
   size_t n;
   size_t region_nodes; /**< nodes of this region that are not dead */
-  bool owns_domain;    /**< this node owns a fabric domain */
+  bool owns_domain;
   struct str picked_names[PRS_LINKS_PER_NODE];
   size_t npicked;
 };
--- a/control/peers.h
+++ b/control/peers.h
@@ -36,7 +36,7 @@
   struct peer *peer; /**< the link opened to it, or NULL */
   clk_ms next_try;
   clk_ms backoff;        /**< backoff after the next attempt */
-  clk_ms last_linked_at; /**< last tick with a link, or of its adding */
+  clk_ms last_linked_at; /**< last tick with a link; at first, when added */
   clk_ms requested_at;   /**< last time that a frame for it had no link */
 };
 
--- a/control/shares.c
+++ b/control/shares.c
@@ -140,7 +140,7 @@
 /** Without a limit there is nothing to grant, and every node would send a
     frame per second for nothing. */
 static bool
-has_limit (const struct ctl *c, struct str account)
+account_has_limit (const struct ctl *c, struct str account)
 {
   const struct cfg_account *a
       = c->cfg != NULL ? cfg_account (c->cfg, account) : NULL;
@@ -164,7 +164,7 @@
       shr_demand (s->core, clk_now (), account, node, &demand);
       return;
     }
-  if (!has_limit (s->c, account))
+  if (!account_has_limit (s->c, account))
     return;
   ctl_swim_nodes (s->c->swim, &n);
   live = xcalloc (n + 1, sizeof *live);
--- a/t/t8001-admin.c
+++ b/t/t8001-admin.c
@@ -20,7 +20,7 @@
 
 #define WAIT_MS 10000
 
-static struct world
+static struct fixture
 {
   struct ctl c;
   uv_loop_t loop;
@@ -33,7 +33,7 @@
   bool gateway;
   bool sent;
   uint64_t request_id; /* of the last request sent */
-} w;
+} fx;
 
 /* --- stubs -------------------------------------------------------------- */
 
@@ -78,7 +78,8 @@
 bool
 ctl_domains_drain (struct ctl_domains *d, struct str replica, bool on)
 {
-  buf_addf (&w.log, "  drain %.*s %s\n", STR_ARG (replica), on ? "on" : "off");
+  buf_addf (&fx.log, "  drain %.*s %s\n", STR_ARG (replica),
+            on ? "on" : "off");
   return true;
 }
 
@@ -88,20 +89,20 @@
   if (f->body_case == LAPIS__FRAME__BODY_DRAIN_ASK)
     {
       const Lapis__DrainAsk *ask = f->drain_ask;
-      buf_addf (&w.log, "  to %s: drain node=%s replica=%s %s by %s\n", to,
+      buf_addf (&fx.log, "  to %s: drain node=%s replica=%s %s by %s\n", to,
                 ask->node, ask->replica, ask->on ? "on" : "off", ask->who);
-      w.request_id = ask->id;
-      w.sent = true;
+      fx.request_id = ask->id;
+      fx.sent = true;
     }
   else if (f->body_case == LAPIS__FRAME__BODY_DRAIN_ANSWER)
     buf_addf (
-        &w.log, "  to %s: %s%s\n", to,
+        &fx.log, "  to %s: %s%s\n", to,
         f->drain_answer->done ? "done" : "refused: ", f->drain_answer->reason);
   else if (f->body_case == LAPIS__FRAME__BODY_TRACE_ASK)
     {
-      buf_addf (&w.log, "  to %s: spans?\n", to);
-      w.request_id = f->trace_ask->id;
-      w.sent = true;
+      buf_addf (&fx.log, "  to %s: spans?\n", to);
+      fx.request_id = f->trace_ask->id;
+      fx.sent = true;
     }
 }
 
@@ -110,10 +111,10 @@
                      const Lapis__Frame *f)
 {
   char *to = str_dup (node);
-  if (w.linked)
+  if (fx.linked)
     log_frame (to, f);
   free (to);
-  return w.linked;
+  return fx.linked;
 }
 
 bool
@@ -127,7 +128,7 @@
 ctl_peers_traffic (const struct ctl_peers *p, uint64_t *out, uint64_t *in)
 {
   *out = *in = 0;
-  return w.linked;
+  return fx.linked;
 }
 
 struct str
@@ -139,16 +140,16 @@
 bool
 ctl_views_linked (const struct ctl_views *v)
 {
-  return w.gateway;
+  return fx.gateway;
 }
 
 bool
 ctl_views_request_spans (struct ctl_views *v, uint64_t id,
                          const uint8_t trace[16])
 {
-  w.request_id = id;
-  w.sent = w.gateway;
-  return w.gateway;
+  fx.request_id = id;
+  fx.sent = fx.gateway;
+  return fx.gateway;
 }
 
 void
@@ -160,7 +161,7 @@
 void
 ctl_leave (struct ctl *c)
 {
-  buf_add_c (&w.log, "  leave\n");
+  buf_add_c (&fx.log, "  leave\n");
 }
 
 /* --- calls -------------------------------------------------------------- */
@@ -174,24 +175,24 @@
 static void
 on_head (void *ctx, int status, const struct http_header *headers, size_t n)
 {
-  w.status = status;
+  fx.status = status;
 }
 
 static void
 on_body (void *ctx, struct str bytes)
 {
-  buf_add (&w.body, bytes);
+  buf_add (&fx.body, bytes);
 }
 
 static void
 on_end (void *ctx, enum httpc_end end)
 {
   char code[64];
-  if (sscanf (buf_c (&w.body), "{\"error\":{\"code\":\"%63[^\"]", code) == 1)
-    buf_addf (&w.log, "  %d %s\n", w.status, code);
+  if (sscanf (buf_c (&fx.body), "{\"error\":{\"code\":\"%63[^\"]", code) == 1)
+    buf_addf (&fx.log, "  %d %s\n", fx.status, code);
   else
-    buf_addf (&w.log, "  %d %s", w.status, w.body.ptr);
-  w.call = NULL;
+    buf_addf (&fx.log, "  %d %s", fx.status, fx.body.ptr);
+  fx.call = NULL;
 }
 
 /* Runs the loop until the call has ended or, unless `until_end`, waits. */
@@ -199,11 +200,11 @@
 run_loop (bool until_end)
 {
   clk_ms until = clk_now () + WAIT_MS;
-  while (w.call && (until_end || !w.sent))
+  while (fx.call && (until_end || !fx.sent))
     {
       cr_assert_lt (clk_now (), until, "no answer; so far:\n%s",
-                    buf_c (&w.log));
-      uv_run (&w.loop, UV_RUN_NOWAIT);
+                    buf_c (&fx.log));
+      uv_run (&fx.loop, UV_RUN_NOWAIT);
     }
 }
 
@@ -223,7 +224,7 @@
   sscanf (rest, "%31s %7s %127s %63s", token, method, path, body);
   snprintf (bearer, sizeof bearer, "Bearer %s", token);
   struct http_header header = { STR ("authorization"), str_from (bearer) };
-  struct httpc_request req = { .to = w.at,
+  struct httpc_request req = { .to = fx.at,
                                .method = str_from (method),
                                .path = str_from (path),
                                .headers = &header,
@@ -232,19 +233,19 @@
                                .connect_ms = WAIT_MS,
                                .progress_ms = WAIT_MS,
                                .fresh = true };
-  buf_clear (&w.body);
-  w.sent = false;
-  w.call = httpc_start (w.c.http, &req, &callbacks, NULL);
+  buf_clear (&fx.body);
+  fx.sent = false;
+  fx.call = httpc_start (fx.c.http, &req, &callbacks, NULL);
   run_loop (false);
 }
 
 static void
 do_disconnect (void)
 {
-  httpc_cancel (w.call);
-  w.call = NULL;
-  while (httpd_open (w.c.admin->httpd) > 0)
-    uv_run (&w.loop, UV_RUN_NOWAIT);
+  httpc_cancel (fx.call);
+  fx.call = NULL;
+  while (httpd_open (fx.c.admin->httpd) > 0)
+    uv_run (&fx.loop, UV_RUN_NOWAIT);
 }
 
 static void
@@ -252,12 +253,12 @@
 {
   Lapis__DrainAnswer answer = LAPIS__DRAIN_ANSWER__INIT;
   Lapis__Frame f = LAPIS__FRAME__INIT;
-  answer.id = w.request_id;
+  answer.id = fx.request_id;
   answer.done = strcmp (what, "done") == 0;
   answer.reason = "not the owner";
   f.body_case = LAPIS__FRAME__BODY_DRAIN_ANSWER;
   f.drain_answer = &answer;
-  ctl_admin_on_frame (w.c.admin, 1, &f);
+  ctl_admin_on_frame (fx.c.admin, 1, &f);
 }
 
 static void
@@ -274,7 +275,7 @@
     ask.replica = name;
   f.body_case = LAPIS__FRAME__BODY_DRAIN_ASK;
   f.drain_ask = &ask;
-  ctl_admin_on_frame (w.c.admin, 1, &f);
+  ctl_admin_on_frame (fx.c.admin, 1, &f);
 }
 
 static void
@@ -284,14 +285,14 @@
   snprintf (json, sizeof json, "[{\"name\":\"%s\"}]", name);
   Lapis__TraceAnswer answer = LAPIS__TRACE_ANSWER__INIT;
   Lapis__Frame f = LAPIS__FRAME__INIT;
-  answer.id = w.request_id;
+  answer.id = fx.request_id;
   answer.json = (ProtobufCBinaryData){ strlen (json), (uint8_t *)json };
   f.body_case = LAPIS__FRAME__BODY_TRACE_ANSWER;
   f.trace_answer = &answer;
   if (strcmp (from, "gateway") == 0)
-    ctl_admin_on_spans (w.c.admin, w.request_id, str_from (json));
+    ctl_admin_on_spans (fx.c.admin, fx.request_id, str_from (json));
   else
-    ctl_admin_on_frame (w.c.admin, 1, &f);
+    ctl_admin_on_frame (fx.c.admin, 1, &f);
 }
 
 static void
@@ -344,39 +345,39 @@
 setup (void)
 {
   struct buf err = BUF_INIT;
-  uv_loop_init (&w.loop);
-  w.c.loop = &w.loop;
-  w.c.http = httpc_new (&w.loop);
-  w.c.set.node = "entry-1";
-  w.c.spans = trc_ring_new (4);
-  snprintf (w.c.set.control_admin.host, sizeof w.c.set.control_admin.host,
+  uv_loop_init (&fx.loop);
+  fx.c.loop = &fx.loop;
+  fx.c.http = httpc_new (&fx.loop);
+  fx.c.set.node = "entry-1";
+  fx.c.spans = trc_ring_new (4);
+  snprintf (fx.c.set.control_admin.host, sizeof fx.c.set.control_admin.host,
             "127.0.0.1");
-  w.c.admin = ctl_admin_start (&w.c, &err);
-  cr_assert_not_null (w.c.admin, "%s", buf_c (&err));
-  w.at = w.c.set.control_admin;
-  w.at.port = ctl_admin_port (w.c.admin);
-  w.linked = w.gateway = true;
+  fx.c.admin = ctl_admin_start (&fx.c, &err);
+  cr_assert_not_null (fx.c.admin, "%s", buf_c (&err));
+  fx.at = fx.c.set.control_admin;
+  fx.at.port = ctl_admin_port (fx.c.admin);
+  fx.linked = fx.gateway = true;
   log_setup (LOG_JSON, LOG_ERROR, STR ("entry-1"));
 }
 
 static void
 teardown (void)
 {
-  ctl_admin_stop (w.c.admin);
-  httpc_free (w.c.http);
-  uv_run (&w.loop, UV_RUN_DEFAULT);
-  uv_loop_close (&w.loop);
-  trc_ring_free (w.c.spans);
-  if (w.c.cfg)
-    cfg_unref (w.c.cfg);
-  buf_free (&w.body);
-  buf_free (&w.log);
+  ctl_admin_stop (fx.c.admin);
+  httpc_free (fx.c.http);
+  uv_run (&fx.loop, UV_RUN_DEFAULT);
+  uv_loop_close (&fx.loop);
+  trc_ring_free (fx.c.spans);
+  if (fx.c.cfg)
+    cfg_unref (fx.c.cfg);
+  buf_free (&fx.body);
+  buf_free (&fx.log);
 }
 
 static void
 check (const char *transcript)
 {
-  transcript_check (&w.log, run_line, transcript);
+  transcript_check (&fx.log, run_line, transcript);
 }
 
 TestSuite (admin, .init = setup, .fini = teardown, .timeout = 60);
@@ -391,7 +392,7 @@
 {
   /* A viewer can list everything and change nothing; without a valid token
      even unknown paths are answered with 401, so that no path is revealed. */
-  w.c.cfg = make_config ();
+  fx.c.cfg = make_config ();
   check ("> call - GET /admin/v1/nodes\n"
          "  401 unauthorized\n"
          "> call wrong GET /nowhere\n"
@@ -413,7 +414,7 @@
 
 Test (admin, lists_contain_no_digests)
 {
-  w.c.cfg = make_config ();
+  fx.c.cfg = make_config ();
   check ("> call view GET /admin/v1/accounts\n"
          "  200 {\"revision\":7,\"accounts\":[{\"account\":\"broker-app\","
          "\"keys\":1,\"weight\":2,\"priority\":1,\"tokens_per_s\":1000,"
@@ -434,7 +435,7 @@
 {
   /* Any node accepts the call and forwards it to the owner of the domain, or
      to the node to drain, whose answer is passed on. */
-  w.c.cfg = make_config ();
+  fx.c.cfg = make_config ();
   check ("> call operate POST /admin/v1/replicas/mine/drain\n"
          "  drain mine on\n"
          "  200 {\"done\":true,\"name\":\"mine\",\"node\":\"entry-1\"}\n"
@@ -466,7 +467,7 @@
 {
   /* A malformed body in a request to end a drain must not count as empty,
      which would drain what the operator meant to keep. */
-  w.c.cfg = make_config ();
+  fx.c.cfg = make_config ();
   check ("> call operate POST /admin/v1/replicas/mine/drain "
          "{\"on\":\"false\"}\n"
          "  400 bad-request\n"
@@ -492,7 +493,7 @@
 {
   /* The domain may have changed its owner while the frame was in transit: a
      node that is no longer the owner must refuse. */
-  w.c.cfg = make_config ();
+  fx.c.cfg = make_config ();
   check ("> ask replica mine\n"
          "  drain mine on\n"
          "  to peer: done\n"
@@ -512,7 +513,7 @@
   /* Without an answer the drain may have been executed, and the response must
      say so; without a link it was not.  A late answer, and one to a client
      that has disconnected, are dropped. */
-  w.c.cfg = make_config ();
+  fx.c.cfg = make_config ();
   check ("> call operate POST /admin/v1/replicas/theirs/drain\n"
          "  to entry-2: drain node= replica=theirs on by amina\n"
          "> wait\n"
@@ -522,7 +523,7 @@
          "  to entry-2: drain node= replica=theirs on by amina\n"
          "> disconnect\n"
          "> answer done\n");
-  w.linked = false;
+  fx.linked = false;
   check ("> call operate POST /admin/v1/replicas/theirs/drain\n"
          "  503 unreachable\n");
 }
@@ -531,7 +532,7 @@
 
 Test (admin, trace_contains_spans_of_all_nodes)
 {
-  w.c.cfg = make_config ();
+  fx.c.cfg = make_config ();
   check ("> call view GET /admin/v1/traces/xyz\n"
          "  400 no-trace-id\n"
          "> call view GET /admin/v1/traces/" TRACE "\n"
--- a/t/t8002-views.c
+++ b/t/t8002-views.c
@@ -27,14 +27,14 @@
 
 static struct link links[] = { { "a" }, { "b" } };
 
-static struct world
+static struct fixture
 {
   struct ctl c;
   uv_loop_t loop;
   struct buf log;
   struct buf text;
   unsigned nviews;
-} w;
+} fx;
 
 /* --- stubs -------------------------------------------------------------- */
 
@@ -51,7 +51,8 @@
 ctl_swim_set_gateway (struct ctl_swim *s, const struct net_addr *http,
                       const struct net_addr *peer, uint32_t load)
 {
-  buf_addf (&w.log, "  membership: http port %u, load %u\n", http->port, load);
+  buf_addf (&fx.log, "  membership: http port %u, load %u\n", http->port,
+            load);
 }
 
 void
@@ -59,7 +60,7 @@
 {
   static int64_t last = -1;
   if (revision != last)
-    buf_addf (&w.log, "  membership: revision %d\n", (int)revision);
+    buf_addf (&fx.log, "  membership: revision %d\n", (int)revision);
   last = revision;
 }
 
@@ -83,7 +84,7 @@
 struct str
 ctl_spread_text (const struct ctl_spread *s)
 {
-  return buf_str (&w.text);
+  return buf_str (&fx.text);
 }
 
 void
@@ -114,18 +115,18 @@
 static void
 log_view (const struct link *l, const Lapis__View *v)
 {
-  buf_addf (&w.log, "  to %s: view %d", l->name, (int)v->seq);
-  buf_addf (&w.log, " revision %d", (int)v->config_revision);
+  buf_addf (&fx.log, "  to %s: view %d", l->name, (int)v->seq);
+  buf_addf (&fx.log, " revision %d", (int)v->config_revision);
   if (v->config.len > 0)
-    buf_addf (&w.log, " text %zu", v->config.len);
+    buf_addf (&fx.log, " text %zu", v->config.len);
   for (size_t i = 0; i < v->n_replicas; i++)
-    buf_addf (&w.log, " %s%s", v->replicas[i]->replica,
+    buf_addf (&fx.log, " %s%s", v->replicas[i]->replica,
               v->replicas[i]->valid_ms > 0 ? "" : " expired");
   for (size_t i = 0; i < v->n_shares; i++)
-    buf_addf (&w.log, " share %s %g", v->shares[i]->account,
+    buf_addf (&fx.log, " share %s %g", v->shares[i]->account,
               v->shares[i]->tokens_per_s);
-  buf_addf (&w.log, "%s\n", v->leaving ? " leaving" : "");
-  w.nviews++;
+  buf_addf (&fx.log, "%s\n", v->leaving ? " leaving" : "");
+  fx.nviews++;
 }
 
 bool
@@ -134,7 +135,7 @@
   if (f->body_case == LAPIS__FRAME__BODY_VIEW)
     log_view (l, f->view);
   else
-    buf_addf (&w.log, "  to %s: chunk %d + %zu of %d\n", l->name,
+    buf_addf (&fx.log, "  to %s: chunk %d + %zu of %d\n", l->name,
               (int)f->config_chunk->offset, f->config_chunk->bytes.len,
               (int)f->config_chunk->size);
   return true;
@@ -160,7 +161,7 @@
   hello.node = node;
   hello.boot = boot;
   hello.http_addr = addr;
-  ctl_views_on_gateway (w.c.views, find_link (link), &hello);
+  ctl_views_on_gateway (fx.c.views, find_link (link), &hello);
 }
 
 static void
@@ -178,7 +179,7 @@
   report.leaving = leaving;
   f.body_case = LAPIS__FRAME__BODY_REPORT;
   f.report = &report;
-  ctl_views_on_frame (w.c.views, find_link (link), &f);
+  ctl_views_on_frame (fx.c.views, find_link (link), &f);
 }
 
 static void
@@ -188,7 +189,7 @@
   Lapis__ShareGrant g = LAPIS__SHARE_GRANT__INIT;
   sscanf (line, "share %31s %lf %u", account, &g.tokens_per_s, &g.valid_ms);
   g.account = account;
-  ctl_views_on_grant (w.c.views, &g);
+  ctl_views_on_grant (fx.c.views, &g);
 }
 
 static void
@@ -198,23 +199,24 @@
   size_t bytes;
   static struct cfg cfg;
   sscanf (line, "config %d %zu", &revision, &bytes);
-  buf_clear (&w.text);
-  while (w.text.len < bytes)
-    buf_add_char (&w.text, (char)('a' + revision));
+  buf_clear (&fx.text);
+  while (fx.text.len < bytes)
+    buf_add_char (&fx.text, (char)('a' + revision));
   cfg.revision = revision;
-  w.c.cfg = &cfg;
-  ctl_views_on_config (w.c.views);
+  fx.c.cfg = &cfg;
+  ctl_views_on_config (fx.c.views);
 }
 
 static void
 wait_view (void)
 {
-  unsigned before = w.nviews;
+  unsigned before = fx.nviews;
   clk_ms until = clk_now () + WAIT_MS;
-  while (w.nviews == before)
+  while (fx.nviews == before)
     {
-      cr_assert_lt (clk_now (), until, "no view; so far:\n%s", buf_c (&w.log));
-      uv_run (&w.loop, UV_RUN_ONCE);
+      cr_assert_lt (clk_now (), until, "no view; so far:\n%s",
+                    buf_c (&fx.log));
+      uv_run (&fx.loop, UV_RUN_ONCE);
     }
 }
 
@@ -226,13 +228,13 @@
   else if (strncmp (line, "gateway", 7) == 0)
     do_gateway (line);
   else if (strncmp (line, "down", 4) == 0)
-    ctl_views_on_gateway_down (w.c.views, find_link (line + 5));
+    ctl_views_on_gateway_down (fx.c.views, find_link (line + 5));
   else if (strncmp (line, "report", 6) == 0)
     do_report (line);
   else if (strncmp (line, "share", 5) == 0)
     do_share (line);
   else if (strcmp (line, "leave") == 0)
-    w.c.leaving = true;
+    fx.c.leaving = true;
   else if (strcmp (line, "view") == 0)
     wait_view ();
 }
@@ -240,29 +242,29 @@
 static void
 check (const char *transcript)
 {
-  transcript_check (&w.log, run_line, transcript);
+  transcript_check (&fx.log, run_line, transcript);
 }
 
 static void
 setup (void)
 {
-  uv_loop_init (&w.loop);
-  w.c.loop = &w.loop;
-  w.c.met = met_new ();
-  w.c.set.node = "entry-1";
-  w.c.views = ctl_views_start (&w.c, NULL);
+  uv_loop_init (&fx.loop);
+  fx.c.loop = &fx.loop;
+  fx.c.met = met_new ();
+  fx.c.set.node = "entry-1";
+  fx.c.views = ctl_views_start (&fx.c, NULL);
   log_setup (LOG_JSON, LOG_ERROR, STR ("entry-1"));
 }
 
 static void
 teardown (void)
 {
-  ctl_views_stop (w.c.views);
-  uv_run (&w.loop, UV_RUN_DEFAULT);
-  uv_loop_close (&w.loop);
-  met_free (w.c.met);
-  buf_free (&w.log);
-  buf_free (&w.text);
+  ctl_views_stop (fx.c.views);
+  uv_run (&fx.loop, UV_RUN_DEFAULT);
+  uv_loop_close (&fx.loop);
+  met_free (fx.c.met);
+  buf_free (&fx.log);
+  buf_free (&fx.text);
 }
 
 TestSuite (views, .init = setup, .fini = teardown, .timeout = 60);
--- a/t/t8101-peers.c
+++ b/t/t8101-peers.c
@@ -39,7 +39,7 @@
   bool gateway;
 };
 
-static struct world
+static struct fixture
 {
   uv_loop_t loop;
   uv_timer_t turn_timer; /* bounds each turn of the loop */
@@ -47,7 +47,7 @@
   size_t n;
   struct latekv store;
   bool rejected_closed; /* the link of an unknown role */
-} w;
+} fx;
 
 static const struct net_addr any_port = { .host = "127.0.0.1" };
 
@@ -129,9 +129,9 @@
 static struct node *
 find_node (const char *name)
 {
-  for (size_t i = 0; i < w.n; i++)
-    if (strcmp (w.nodes[i].name, name) == 0)
-      return &w.nodes[i];
+  for (size_t i = 0; i < fx.n; i++)
+    if (strcmp (fx.nodes[i].name, name) == 0)
+      return &fx.nodes[i];
   cr_assert (false, "no process '%s'", name);
   return NULL;
 }
@@ -162,7 +162,7 @@
 static void
 start (char *args)
 {
-  struct node *n = &w.nodes[w.n++];
+  struct node *n = &fx.nodes[fx.n++];
   char *peers = strchr (args, ' ');
   struct buf err = BUF_INIT;
   const char *boot;
@@ -172,11 +172,11 @@
   snprintf (n->name, sizeof n->name, "%s", args);
   boot = strchr (n->name, '/');
   fill_settings (n, peers != NULL ? peers : "");
-  n->c.loop = &w.loop;
+  n->c.loop = &fx.loop;
   n->c.boot = boot != NULL ? strtoull (boot + 1, NULL, 10) : 1;
-  rng_seed (&n->c.rng, w.n);
+  rng_seed (&n->c.rng, fx.n);
   n->c.met = met_new ();
-  n->c.store = latekv_store (&w.store);
+  n->c.store = latekv_store (&fx.store);
   n->c.domains = (struct ctl_domains *)n;
   n->c.views = (struct ctl_views *)n;
   n->c.spread = (struct ctl_spread *)n;
@@ -224,7 +224,7 @@
 
   buf_addf (&key, "/lapisline/roster/hall-a/%s", name);
   buf_addf (&want, "{\"boot\":%u,", boot);
-  record = memkv_range (w.store.kv, buf_str (&key));
+  record = memkv_range (fx.store.kv, buf_str (&key));
   ok = record.nkvs == 1 && str_starts (record.kvs->value, buf_str (&want));
   buf_free (&key);
   buf_free (&want);
@@ -247,7 +247,7 @@
   if (strcmp (what, "got") == 0)
     return find_node (name)->evidence == a;
   if (strcmp (what, "closed") == 0)
-    return w.rejected_closed;
+    return fx.rejected_closed;
   if (strcmp (what, "gateway") == 0)
     return find_node (name)->gateway;
   links = ctl_peers_traffic (find_node (name)->c.peers, &out, &in);
@@ -260,7 +260,7 @@
   clk_ms deadline = clk_now () + WAIT_MS;
 
   while (!condition_holds (condition) && clk_now () < deadline)
-    uv_run (&w.loop, UV_RUN_ONCE);
+    uv_run (&fx.loop, UV_RUN_ONCE);
   cr_assert (condition_holds (condition), "timed out: %s", condition);
 }
 
@@ -285,7 +285,7 @@
   while (clk_now () < deadline)
     {
       try_to_send (args);
-      uv_run (&w.loop, UV_RUN_ONCE);
+      uv_run (&fx.loop, UV_RUN_ONCE);
     }
 }
 
@@ -298,7 +298,7 @@
   Lapis__Frame f = LAPIS__FRAME__INIT;
 
   if (state == LINK_DOWN)
-    w.rejected_closed = true;
+    fx.rejected_closed = true;
   if (state != LINK_UP)
     return;
   hello.node = strcmp (ctx, "gateway") == 0 ? "n1" : "n9";
@@ -324,8 +324,8 @@
   *args++ = '\0';
   if (strcmp (line, "store") == 0)
     {
-      w.store.down = strcmp (args, "down") == 0;
-      w.store.loses_answer = strcmp (args, "loses-answer") == 0;
+      fx.store.down = strcmp (args, "down") == 0;
+      fx.store.loses_answer = strcmp (args, "loses-answer") == 0;
     }
   else if (strcmp (line, "start") == 0)
     start (args);
@@ -361,24 +361,24 @@
 static void
 setup (void)
 {
-  memset (&w, 0, sizeof w);
-  uv_loop_init (&w.loop);
-  uv_timer_init (&w.loop, &w.turn_timer);
-  uv_timer_start (&w.turn_timer, on_turn, LOOP_TURN_MS, LOOP_TURN_MS);
-  latekv_init (&w.store, &w.loop);
+  memset (&fx, 0, sizeof fx);
+  uv_loop_init (&fx.loop);
+  uv_timer_init (&fx.loop, &fx.turn_timer);
+  uv_timer_start (&fx.turn_timer, on_turn, LOOP_TURN_MS, LOOP_TURN_MS);
+  latekv_init (&fx.store, &fx.loop);
   log_setup (LOG_TEXT, LOG_ERROR, STR ("test"));
 }
 
 static void
 teardown (void)
 {
-  for (size_t i = 0; i < w.n; i++)
-    stop (&w.nodes[i]);
-  uv_close ((uv_handle_t *)&w.turn_timer, NULL);
-  for (int i = 0; i < 100 && uv_loop_alive (&w.loop); i++)
-    uv_run (&w.loop, UV_RUN_NOWAIT);
-  cr_expect_eq (uv_loop_close (&w.loop), 0, "handles remain open");
-  latekv_end (&w.store);
+  for (size_t i = 0; i < fx.n; i++)
+    stop (&fx.nodes[i]);
+  uv_close ((uv_handle_t *)&fx.turn_timer, NULL);
+  for (int i = 0; i < 100 && uv_loop_alive (&fx.loop); i++)
+    uv_run (&fx.loop, UV_RUN_NOWAIT);
+  cr_expect_eq (uv_loop_close (&fx.loop), 0, "handles remain open");
+  latekv_end (&fx.store);
 }
 
 static void
@@ -465,7 +465,7 @@
               "until record n2 1\n"
               "until record n1 5\n"
               "until alive n2 2\n");
-  cr_expect_eq (memkv_range (w.store.kv, STR ("")).revision, 2);
+  cr_expect_eq (memkv_range (fx.store.kv, STR ("")).revision, 2);
   teardown ();
 }
 
@@ -494,7 +494,7 @@
       snprintf (to, sizeof to, "n%d", i);
       f.body_case = LAPIS__FRAME__BODY_HEARTBEAT;
       f.heartbeat = &hb;
-      ctl_peers_send_node (w.nodes[0].c.peers, str_from (to), &f);
+      ctl_peers_send_node (fx.nodes[0].c.peers, str_from (to), &f);
     }
   run_script ("until links n1 19 19\n");
   buf_free (&script);
@@ -513,10 +513,10 @@
 
   setup ();
   run_script ("start n1\n");
-  at.port = ctl_peers_port (w.nodes[0].c.peers);
-  gateway = link_connect (&w.loop, &at, &secret, &cb, "gateway");
+  at.port = ctl_peers_port (fx.nodes[0].c.peers);
+  gateway = link_connect (&fx.loop, &at, &secret, &cb, "gateway");
   run_script ("until gateway n1\n");
-  link_connect (&w.loop, &at, &secret, &cb, "operator");
+  link_connect (&fx.loop, &at, &secret, &cb, "operator");
   run_script ("until closed rejected\n"
               "until gateway n1\n");
   link_close (gateway);
--- a/t/t8102-members.c
+++ b/t/t8102-members.c
@@ -41,10 +41,11 @@
 }
 
 static void
-expect_metric_at_all (const char *series, const char *value, int except)
+expect_metric_at_all_nodes (const char *series, const char *value,
+                            int skipped_node)
 {
   for (int i = 0; i < NODES; i++)
-    if (i != except)
+    if (i != skipped_node)
       cr_assert (wait_for_metric (i, series, value, WAIT_MS),
                  "entry-%d: %s %s", i + 1, series, value);
 }
@@ -57,8 +58,8 @@
   memset (nodes, 0, sizeof nodes);
   for (int i = 0; i < NODES; i++)
     start (i, proc_addr (store, "http"));
-  expect_metric_at_all ("nodes{status=\"alive\"}", "4", -1);
-  expect_metric_at_all ("peer_links", "3", -1);
+  expect_metric_at_all_nodes ("nodes{status=\"alive\"}", "4", -1);
+  expect_metric_at_all_nodes ("peer_links", "3", -1);
 }
 
 TestSuite (members, .fini = proc_stop_all, .timeout = 120);
@@ -69,12 +70,12 @@
      dead, then as alive, and link to the new process. */
   start_all ();
   proc_signal (nodes[3], SIGKILL);
-  expect_metric_at_all ("nodes{status=\"dead\"}", "1", 3);
+  expect_metric_at_all_nodes ("nodes{status=\"dead\"}", "1", 3);
   nodes[3] = NULL;
   start (3, "127.0.0.1:1");
-  expect_metric_at_all ("nodes{status=\"alive\"}", "4", -1);
-  expect_metric_at_all ("nodes{status=\"dead\"}", "0", -1);
-  expect_metric_at_all ("peer_links", "3", -1);
+  expect_metric_at_all_nodes ("nodes{status=\"alive\"}", "4", -1);
+  expect_metric_at_all_nodes ("nodes{status=\"dead\"}", "0", -1);
+  expect_metric_at_all_nodes ("peer_links", "3", -1);
 }
 
 Test (members, suspended_process_rejoins)
@@ -88,8 +89,8 @@
     if (i != 2)
       cr_assert (wait_for_metric (i, "nodes{status=\"dead\"}", "1", WAIT_MS));
   proc_signal (nodes[2], SIGCONT);
-  expect_metric_at_all ("nodes{status=\"alive\"}", "4", -1);
-  expect_metric_at_all ("peer_links", "3", -1);
+  expect_metric_at_all_nodes ("nodes{status=\"alive\"}", "4", -1);
+  expect_metric_at_all_nodes ("peer_links", "3", -1);
   cr_expect (
       wait_for_metric (2, "swim_events_total{event=\"died\"}", "0", WAIT_MS));
   cr_expect (
--- a/t/t8201-commands.c
+++ b/t/t8201-commands.c
@@ -8,14 +8,14 @@
 
 #define MAX_ARGS 8
 
-struct run
+struct invocation
 {
   const char *args[MAX_ARGS]; /**< after the program's name */
   int code;
 };
 
 static void
-check (const struct run *r)
+check (const struct invocation *r)
 {
   const char *argv[MAX_ARGS + 2] = { "lapisline" };
   struct buf out = BUF_INIT;
@@ -31,7 +31,7 @@
    files, 4 for no response. */
 Test (commands, exit_codes)
 {
-  static const struct run runs[] = {
+  static const struct invocation invocations[] = {
     { { "--version" }, 0 },
     { { "version", "--nosuch" }, 2 },
     { { "version", "now" }, 2 },
@@ -58,8 +58,8 @@
     { { "replay", "/nosuch" }, 3 },
   };
 
-  for (size_t i = 0; i < sizeof runs / sizeof runs[0]; i++)
-    check (&runs[i]);
+  for (size_t i = 0; i < sizeof invocations / sizeof invocations[0]; i++)
+    check (&invocations[i]);
 }
 
 /* Servers run with the locale "C", in which other characters print as "?". */
