--- a/control/dom-view.c
+++ b/control/dom-view.c
@@ -88,8 +88,7 @@
   Lapis__Frame frame = LAPIS__FRAME__INIT;
 
   e->domain = (char *)buf_c (&d->name);
-  /* 0: without a valid lease this is the evidence of a home, not of an
-     owner. */
+  /* Without a valid lease, 0 marks evidence that is not the owner's. */
   e->fence = is_owner (d) ? (uint64_t)own_fence (d->own) : 0;
   e->seq = ++d->seq;
   frame.body_case = LAPIS__FRAME__BODY_EVIDENCE;
--- a/control/roster.c
+++ b/control/roster.c
@@ -55,8 +55,8 @@
 }
 
 /*
- * A write without a response may have been applied; reading again shows the
- * record.
+ * After a write without a response, reading again shows whether it was
+ * applied.
  */
 static void
 on_written (void *ctx, const struct store_result *res)
--- a/control/shares.c
+++ b/control/shares.c
@@ -137,8 +137,8 @@
   ctl_peers_send_node (s->c->peers, home, &frame);
 }
 
-/** Without a limit there is nothing to grant, and every node would send a
-    frame per second for nothing. */
+/** Without a limit there is nothing to grant; every node would send a frame
+    per second for nothing. */
 static bool
 account_has_limit (const struct ctl *c, struct str account)
 {
