--- a/control/admin-drain.c
+++ b/control/admin-drain.c
@@ -63,8 +63,7 @@
       = adm_pending_new (r->a, r->http, DRAIN_TIMEOUT_MS, on_drain_timeout);
   if (!p)
     {
-      adm_error (r->http, 503, "busy",
-                 "too many requests are waiting for other nodes");
+      adm_error (r->http, 503, "busy", "too many open requests");
       return;
     }
   p->operator_name = str_dup (r->operator->name);
--- a/control/admin-trace.c
+++ b/control/admin-trace.c
@@ -117,8 +117,7 @@
       = adm_pending_new (r->a, r->http, PEERS_TIMEOUT_MS, on_trace_timeout);
   if (!p)
     {
-      adm_error (r->http, 503, "busy",
-                 "too many requests are waiting for other nodes");
+      adm_error (r->http, 503, "busy", "too many open requests");
       return;
     }
   collect_local_spans (p, trace);
