--- a/control/admin-drain.c
+++ b/control/admin-drain.c
@@ -8,21 +8,22 @@
 #define DRAIN_TIMEOUT_MS (2 * CLK_SECOND)
 
 static void
-log_change (const struct ctl *c, struct str who, const char *what,
+log_change (const struct ctl *c, struct str operator_name, const char *what,
             struct str name, bool on)
 {
-  LOG (admin_change, LOG_S ("operator", who), LOG_C ("what", what),
+  LOG (admin_change, LOG_S ("operator", operator_name), LOG_C ("what", what),
        LOG_S ("name", name), LOG_C ("drain", on ? "on" : "off"),
        LOG_I ("revision", c->cfg ? c->cfg->revision : 0));
 }
 
 /* Drains a replica of a domain that this node owns. */
 static bool
-drain_local (struct ctl *c, struct str replica, bool on, struct str who)
+drain_local (struct ctl *c, struct str replica, bool on,
+             struct str operator_name)
 {
   if (!ctl_domains_drain (c->domains, replica, on))
     return false;
-  log_change (c, who, "replica", replica, on);
+  log_change (c, operator_name, "replica", replica, on);
   return true;
 }
 
@@ -44,20 +45,18 @@
 {
   struct adm_pending *p = t->data;
   if (p->http)
-    adm_error (
-        p->http, 504, "no-answer",
-        "the responsible node did not respond in time; the drain may have "
-        "been executed");
+    adm_error (p->http, 504, "no-answer",
+               "the responsible node did not respond; the drain may have run");
   adm_pending_end (p);
 }
 
 /* Forwards a drain to the node that can run it. */
 static void
 forward_drain (const struct adm_request *r, struct str node,
-               const Lapis__DrainAsk *asked)
+               const Lapis__DrainAsk *request)
 {
   struct ctl *c = r->a->c;
-  Lapis__DrainAsk ask = *asked;
+  Lapis__DrainAsk ask = *request;
   Lapis__Frame f = LAPIS__FRAME__INIT;
   struct adm_pending *p
       = adm_pending_new (r->a, r->http, DRAIN_TIMEOUT_MS, on_drain_timeout);
@@ -126,7 +125,7 @@
         adm_error (r->http, 404, "no-replica", "no replica of that name");
       else
         adm_error (r->http, 503, "no-owner",
-                   "the replica's fabric domain has no owner at present");
+                   "the replica's fabric domain has no owner now");
       return;
     }
   if (!str_is (found->owner, c->set.node))
@@ -185,17 +184,18 @@
                   const Lapis__DrainAsk *ask)
 {
   struct ctl *c = a->c;
-  struct str who = str_from (ask->who);
+  struct str operator_name = str_from (ask->who);
   Lapis__DrainAnswer answer = LAPIS__DRAIN_ANSWER__INIT;
   Lapis__Frame f = LAPIS__FRAME__INIT;
   bool node = strcmp (ask->node, c->set.node) == 0;
   const struct ctl_replica *r = adm_find_replica (c, str_from (ask->replica));
   answer.id = ask->id;
   if (node)
-    log_change (c, who, "node", str_from (ask->node), true);
+    log_change (c, operator_name, "node", str_from (ask->node), true);
   answer.done = node
                 || (r && str_is (r->owner, c->set.node)
-                    && drain_local (c, str_from (ask->replica), ask->on, who));
+                    && drain_local (c, str_from (ask->replica), ask->on,
+                                    operator_name));
   answer.reason = answer.done ? "" : "that node does not own the domain now";
   f.body_case = LAPIS__FRAME__BODY_DRAIN_ANSWER;
   f.drain_answer = &answer;
--- a/control/domains.h
+++ b/control/domains.h
@@ -137,7 +137,6 @@
 void dom_call_free (struct dom_call *call);
 void dom_platform_tick (struct ctl_domains *domains, clk_ms now);
 void dom_platform_stop (struct ctl_domains *domains);
-/** Whether a list of names holds @p name. */
 bool dom_list_contains (const GPtrArray *names, const char *name);
 
 /* dom-store.c */
