--- a/builtin/assign-world.c
+++ b/builtin/assign-world.c
@@ -89,14 +89,14 @@
 }
 
 struct awd *
-awd_new (struct cfg *cfg, const struct awd_shape *shape, enum rep_rule rule,
-         bool no_budget, uint64_t seed)
+awd_new (struct cfg *cfg, const struct awd_shape *shape,
+         enum rep_repair_policy rule, bool no_budget, uint64_t seed)
 {
   struct awd *w = xcalloc (1, sizeof *w);
   struct rep_options opt = { .domain = STR ("d"),
                              .key = STR ("assignment"),
                              .owner_key = STR ("owner"),
-                             .rule = rule,
+                             .repair_policy = rule,
                              .no_budget = no_budget };
   struct rep_event config = { .kind = REP_CONFIG };
   struct rep_event owner = { .kind = REP_OWNER, .on = true, .fence = 1 };
@@ -179,7 +179,7 @@
 take_order (struct awd *w, const struct rep_action *a)
 {
   struct vm_state *m = &w->vms[a->vm - w->cfg->vms];
-  struct rep_event ev = { .kind = REP_ORDER_DONE,
+  struct rep_event ev = { .kind = REP_ORDER_RESPONSE,
                           .vm = a->vm->name,
                           .token = a->token,
                           .on = !m->away_until };
@@ -198,7 +198,7 @@
   struct store_kv kv = { 0 };
   struct store_result res = { .status = STORE_OK };
   struct rep_event ev
-      = { .kind = REP_STORE_ANSWER, .token = a->token, .result = &res };
+      = { .kind = REP_STORE_RESPONSE, .token = a->token, .result = &res };
 
   if (a->kind == REP_STORE_TXN)
     {
@@ -286,7 +286,7 @@
 
   w->whole = 0;
   for (size_t i = 0; i < n; i++)
-    if (v[i].whole)
+    if (v[i].complete)
       w->whole_at[w->whole++] = w->now;
 }
 
@@ -409,7 +409,7 @@
 void
 awd_measures (const struct awd *w, double *downtime, double *stranded)
 {
-  rep_measures (w->rep, downtime, stranded);
+  rep_downtime_stats (w->rep, downtime, stranded);
   *downtime /= 1000;
   *stranded /= 1000;
 }
--- a/builtin/assign-world.h
+++ b/builtin/assign-world.h
@@ -34,7 +34,8 @@
 
 /** @param cfg  of awd_config(), referenced */
 struct awd *awd_new (struct cfg *cfg, const struct awd_shape *shape,
-                     enum rep_rule rule, bool no_budget, uint64_t seed);
+                     enum rep_repair_policy rule, bool no_budget,
+                     uint64_t seed);
 void awd_free (struct awd *w);
 
 /** A configuration with one domain "d" of that shape. */
--- a/builtin/bench-assign.c
+++ b/builtin/bench-assign.c
@@ -128,8 +128,9 @@
 };
 
 static void
-run_domain (const struct deployment *d, struct cfg *cfg, enum rep_rule rule,
-            uint64_t seed, unsigned days, struct outcome *sum)
+run_domain (const struct deployment *d, struct cfg *cfg,
+            enum rep_repair_policy rule, uint64_t seed, unsigned days,
+            struct outcome *sum)
 {
   struct awd *w = awd_new (cfg, &d->shape, rule, false, seed);
   struct rng rng;
@@ -152,8 +153,8 @@
 }
 
 static struct outcome
-run_deployment (const struct deployment *d, enum rep_rule rule, uint64_t seed,
-                unsigned days)
+run_deployment (const struct deployment *d, enum rep_repair_policy rule,
+                uint64_t seed, unsigned days)
 {
   struct cfg *cfg = awd_config (&d->shape);
   struct outcome sum = { 0 };
@@ -175,7 +176,7 @@
 }
 
 static void
-print_rule (const struct deployment *d, enum rep_rule rule,
+print_rule (const struct deployment *d, enum rep_repair_policy rule,
             const struct outcome *o, unsigned n)
 {
   double down[MAX_SEEDS], stranded[MAX_SEEDS], weighted[MAX_SEEDS];
@@ -203,8 +204,9 @@
   for (int rule = 0; rule < NRULES; rule++)
     {
       for (unsigned i = 0; i < seeds; i++)
-        o[i] = run_deployment (d, (enum rep_rule)rule, seed + i, days);
-      print_rule (d, (enum rep_rule)rule, o, seeds);
+        o[i]
+            = run_deployment (d, (enum rep_repair_policy)rule, seed + i, days);
+      print_rule (d, (enum rep_repair_policy)rule, o, seeds);
     }
 }
 
@@ -213,7 +215,8 @@
 run_dark (const struct deployment *d, bool no_budget, uint64_t seed)
 {
   struct cfg *cfg = awd_config (&d->shape);
-  struct awd *w = awd_new (cfg, &d->shape, REP_BY_COST, no_budget, seed);
+  struct awd *w
+      = awd_new (cfg, &d->shape, REP_REPAIR_BY_COST, no_budget, seed);
   unsigned vms = d->shape.replicas * d->shape.vms + d->shape.spares;
   struct awd_fault f = { .n = vms, .away = 30 * CLK_MINUTE };
   const clk_ms *at = awd_whole_at (w);
@@ -249,7 +252,7 @@
 measure_core (const struct deployment *d, uint64_t seed)
 {
   struct cfg *cfg = awd_config (&d->shape);
-  struct awd *w = awd_new (cfg, &d->shape, REP_BY_COST, false, seed);
+  struct awd *w = awd_new (cfg, &d->shape, REP_REPAIR_BY_COST, false, seed);
   double start, per_second;
 
   awd_settle (w, DAY_MS);
--- a/builtin/bench-claims.c
+++ b/builtin/bench-claims.c
@@ -94,12 +94,12 @@
       b->open[i] = b->open[--b->nopen];
       if (a.kind == CLM_ACT_TXN)
         r.revision = ++b->revision;
-      if (a.kind == CLM_ACT_GRANT)
+      if (a.kind == CLM_ACT_LEASE_GRANT)
         {
           r.lease = 1;
           r.ttl = 20 * CLK_MINUTE;
         }
-      clm_store_answer (b->core, b->now, a.token, &r);
+      clm_on_store_response (b->core, b->now, a.token, &r);
       drain (b);
     }
 }
@@ -107,13 +107,13 @@
 static void
 ask (struct bench *b)
 {
-  struct clm_ask a = { .id = b->ids };
+  struct clm_request a = { .id = b->ids };
   uint64_t key[2] = { rng_next (&b->rng), b->ids };
 
   memcpy (a.key, key, sizeof a.key);
   memcpy (a.attempt, key, sizeof a.attempt);
   b->asked[b->ids++] = b->now;
-  clm_ask (b->core, b->now, &a);
+  clm_request (b->core, b->now, &a);
   drain (b);
 }
 
@@ -157,8 +157,8 @@
                              .boot = seed,
                              .gap_ms = gap };
   clk_ms end = WARM_UP_MS + length;
-  struct clm_counts before = { 0 };
-  const struct clm_counts *after;
+  struct clm_stats before = { 0 };
+  const struct clm_stats *after;
   struct figures f = { 0 };
   double memory, cpu;
 
@@ -172,14 +172,14 @@
   for (b->now = 0; b->now < end; b->now++)
     {
       if (b->now == WARM_UP_MS)
-        before = *clm_counts (b->core);
+        before = *clm_stats (b->core);
       answer_store (b);
       for (uint64_t n = poisson (&b->rng, rate / 1000); n > 0; n--)
         ask (b);
       clm_tick (b->core, b->now);
       drain (b);
     }
-  after = clm_counts (b->core);
+  after = clm_stats (b->core);
   cpu = cpu_us () - cpu;
   memory = (double)mallinfo2 ().uordblks - memory;
   double txns = (double)(after->txns - before.txns);
@@ -190,7 +190,7 @@
   f.p50 = (double)percentile (b, 0.5);
   f.p99 = (double)percentile (b, 0.99);
   f.cpu_us = cpu / (double)b->ids;
-  f.memory = memory / (double)clm_held (b->core);
+  f.memory = memory / (double)clm_claim_count (b->core);
   clm_free (b->core);
   free (b->asked);
   free (b);
--- a/builtin/bench-limits.c
+++ b/builtin/bench-limits.c
@@ -91,7 +91,7 @@
 set_home (struct run *r, int node, bool home)
 {
   static const struct shr_amount limit = { LIMIT, 0 };
-  shr_account (r->nodes[node].shr, r->now, STR ("a"), &limit, home);
+  shr_set_account (r->nodes[node].shr, r->now, STR ("a"), &limit, home);
 }
 
 static void
@@ -113,7 +113,7 @@
     }
   for (int i = 0; i < NODES; i++)
     {
-      shr_nodes (r->nodes[i].shr, names, NODES, NODES);
+      shr_set_nodes (r->nodes[i].shr, names, NODES, NODES);
       set_home (r, i, i == 0);
     }
   cfg_unref (cfg);
@@ -193,9 +193,10 @@
   int home = home_of (r, node);
   const struct rt_demand *d = rt_demands (r->nodes[node].rt, r->now, &n);
   if (n && !is_cut (r, node, home))
-    shr_demand (r->nodes[home].shr, r->now, d[0].account,
-                str_from (r->nodes[node].name),
-                &(struct shr_amount){ d[0].tokens_per_s, d[0].concurrency });
+    shr_report_demand (
+        r->nodes[home].shr, r->now, d[0].account,
+        str_from (r->nodes[node].name),
+        &(struct shr_amount){ d[0].tokens_per_s, d[0].concurrency });
 }
 
 static void
--- a/builtin/bench-shares.c
+++ b/builtin/bench-shares.c
@@ -52,11 +52,11 @@
 
   for (int i = 0; i < nodes; i++)
     names[i] = str_from (str_dup (name_of ("node", i)));
-  shr_nodes (s, names, (size_t)nodes, (size_t)nodes);
+  shr_set_nodes (s, names, (size_t)nodes, (size_t)nodes);
   for (int i = 0; i < nodes; i++)
     free ((char *)names[i].ptr);
   for (int i = 0; i < accounts; i++)
-    shr_account (s, 0, name_of ("account", i), &limit, true);
+    shr_set_account (s, 0, name_of ("account", i), &limit, true);
   return s;
 }
 
@@ -73,7 +73,7 @@
       {
         struct shr_amount d
             = { (double)(100 + (i * 37 + now / 1000) % 900), (double)(i % 7) };
-        shr_demand (s, now, account[a], node[i], &d);
+        shr_report_demand (s, now, account[a], node[i], &d);
       }
   shr_tick (s, now);
   while (shr_next (s, &g))
--- a/builtin/replay.c
+++ b/builtin/replay.c
@@ -33,7 +33,7 @@
            struct fnd_list *findings)
 {
   struct rec_reader reader = { .file = file };
-  struct rec_head head;
+  struct rec_header head;
   struct rt_event ev;
   struct rt *core = NULL;
   struct str line;
@@ -41,7 +41,7 @@
 
   if (!next_line (&text, &line))
     fnd_addf (findings, FND_ERROR, file, 0, NULL, "the trace is empty");
-  else if (rec_read_head (&reader, line, &head, findings))
+  else if (rec_read_header (&reader, line, &head, findings))
     core = rt_new (&head.options, head.seed);
   while (core != NULL && next_line (&text, &line))
     if (rec_read_event (&reader, line, &now, &ev, findings))
--- a/builtin/world-homes.c
+++ b/builtin/world-homes.c
@@ -94,7 +94,7 @@
                                             w->names[w->trips[i].granted - 1]),
                                         .cost = w->requests[i].cost };
       struct slt_event ev
-          = { .kind = SLT_EV_OPEN, .gateway = g, .open = list, .n = n };
+          = { .kind = SLT_EV_HELD, .gateway = g, .held_slots = list, .n = n };
       tell_home (w, &ev);
     }
   free (list);
--- a/claim/batch.h
+++ b/claim/batch.h
@@ -23,7 +23,7 @@
 /** A change of one claim. */
 struct bat_record
 {
-  enum clm_kind kind; /**< CLM_TAKE or CLM_RELEASE */
+  enum clm_kind kind; /**< CLM_ACQUIRE or CLM_RELEASE */
   uint8_t key[16];
   uint8_t attempt[16];
   uint8_t fingerprint[16];
--- a/claim/calls.c
+++ b/claim/calls.c
@@ -83,7 +83,7 @@
     return true;
   if (c->lease.token || now < c->lease.next)
     return false;
-  a = core_act (c, CLM_ACT_GRANT);
+  a = core_act (c, CLM_ACT_LEASE_GRANT);
   a->ttl = 2 * c->opt.window;
   c->lease.probe = core_down (c);
   a->token = c->lease.token = ++c->last_token;
--- a/claim/claim.c
+++ b/claim/claim.c
@@ -47,7 +47,7 @@
     c->opt.max_claims = CLM_MAX_CLAIMS;
   chart_init (&c->chart);
   rng_seed (&c->rng, seed);
-  tbl_init (&c->table, opt->kept_bytes);
+  tbl_init (&c->table, opt->max_response_bytes);
   c->demand = -1;
   c->next_deadline = CLK_NEVER;
   for (unsigned i = 0; i < CLM_SHARDS; i++)
@@ -163,18 +163,18 @@
 
   r->id = w->ask.id;
   r->verdict = verdict;
-  r->retry_ms = retry_of (c, verdict);
-  if (verdict == CLM_ANSWERED)
+  r->retry_after_ms = retry_of (c, verdict);
+  if (verdict == CLM_COMPLETED)
     {
       char *copy = str_dup (str_make (holder->answer, holder->answer_len));
       c->actions[c->nactions - 1].answer = copy;
-      r->answer = str_make (copy, holder->answer_len);
-      r->answer_status = holder->status;
+      r->response = str_make (copy, holder->answer_len);
+      r->response_status = holder->status;
     }
   w->told = true;
   c->counts.granted += verdict == CLM_GRANTED;
   c->counts.unavailable += verdict == CLM_UNAVAILABLE;
-  c->counts.refused += verdict != CLM_GRANTED && verdict != CLM_DONE
+  c->counts.refused += verdict != CLM_GRANTED && verdict != CLM_ACKNOWLEDGED
                        && verdict != CLM_UNAVAILABLE;
 }
 
@@ -185,7 +185,7 @@
   struct waiter *release;
 
   core_reply (c, w, CLM_UNAVAILABLE, NULL);
-  if (w->ask.kind != CLM_TAKE || !w->ask.final || !rec
+  if (w->ask.kind != CLM_ACQUIRE || !w->ask.final || !rec
       || rec->state == TBL_RELEASED || s->waiting.n >= CORE_MAX_WAIT)
     return;
   /* The record is in the store or may land in it, though its asker has been
@@ -210,12 +210,13 @@
   memset (&s->waiting, 0, sizeof s->waiting);
   for (struct waiter *w; (w = waiter_pop (&old));)
     {
-      bool due = !w->told
-                 && (now >= w->deadline || (all && w->ask.kind == CLM_TAKE));
+      bool due
+          = !w->told
+            && (now >= w->deadline || (all && w->ask.kind == CLM_ACQUIRE));
       if (due)
         core_unavailable (c, s, w);
       /* A release goes on: its asker has given up, not taken it back. */
-      if (due && w->ask.kind == CLM_TAKE)
+      if (due && w->ask.kind == CLM_ACQUIRE)
         {
           c->demand = (int)s->no;
           free (w);
@@ -269,29 +270,29 @@
 /* Events. */
 
 static void
-finish (struct clm *c, const struct clm_ask *ask)
+finish (struct clm *c, const struct clm_request *ask)
 {
   struct tbl_rec *r = tbl_find (&c->table, ask->key, ask->attempt);
   struct waiter w = { .ask = *ask };
 
   if (r && r->state == TBL_TAKEN)
-    tbl_keep (&c->table, r, ask->answer_status, ask->answer);
-  core_reply (c, &w, CLM_DONE, NULL);
+    tbl_keep (&c->table, r, ask->response_status, ask->response);
+  core_reply (c, &w, CLM_ACKNOWLEDGED, NULL);
 }
 
 static struct waiter *
-new_waiter (const struct clm_ask *ask, clk_ms now)
+new_waiter (const struct clm_request *ask, clk_ms now)
 {
   struct waiter *w = xcalloc (1, sizeof *w);
 
   w->ask = *ask;
-  w->ask.answer = STR_EMPTY;
+  w->ask.response = STR_EMPTY;
   w->deadline = now + (ask->wait_ms ? ask->wait_ms : CLM_WAIT_MS);
   return w;
 }
 
 void
-clm_ask (struct clm *c, clk_ms now, const struct clm_ask *ask)
+clm_request (struct clm *c, clk_ms now, const struct clm_request *ask)
 {
   struct shard *s = &c->shards[clm_shard (ask->key)];
   struct waiter *w;
@@ -309,7 +310,7 @@
   if (d.what == DECIDE_REPLY)
     core_reply (c, w, d.verdict, d.holder);
   else if (s->waiting.n >= CORE_MAX_WAIT
-           || (ask->kind == CLM_TAKE && core_down (c)))
+           || (ask->kind == CLM_ACQUIRE && core_down (c)))
     {
       core_unavailable (c, s, w);
       c->demand = (int)s->no;
@@ -328,8 +329,8 @@
 }
 
 void
-clm_store_answer (struct clm *c, clk_ms now, uint64_t token,
-                  const struct store_result *r)
+clm_on_store_response (struct clm *c, clk_ms now, uint64_t token,
+                       const struct store_result *r)
 {
   begin_event (c);
   if (token == c->lease.token && token != 0)
@@ -360,7 +361,7 @@
 }
 
 clk_ms
-clm_wake (const struct clm *c)
+clm_next_wakeup (const struct clm *c)
 {
   clk_ms wake = any_waiter (c) ? c->next_deadline : CLK_NEVER;
   clk_ms call = c->fails ? c->probe_at : 0;
@@ -391,7 +392,7 @@
 bool
 clm_grant_valid (clk_ms granted, clk_ms now)
 {
-  return now >= granted && now - granted < CLM_GRANT_MS;
+  return now >= granted && now - granted < CLM_GRANT_VALID_MS;
 }
 
 unsigned
@@ -401,13 +402,13 @@
 }
 
 size_t
-clm_held (const struct clm *c)
+clm_claim_count (const struct clm *c)
 {
   return c->table.n;
 }
 
-const struct clm_counts *
-clm_counts (const struct clm *c)
+const struct clm_stats *
+clm_stats (const struct clm *c)
 {
   return &c->counts;
 }
--- a/claim/claim.h
+++ b/claim/claim.h
@@ -35,13 +35,13 @@
  * next transaction conflicts, or nobody wrote meanwhile and it knows all.  An
  * asker that was stopped between the grant and its send could wake after the
  * window, when another attempt has the key; so a grant counts only for
- * CLM_GRANT_MS, by a clock that goes on through pauses, and the asker looks
- * at it right before it sends (clm_grant_valid()).  From the ask to the send
- * pass at most CLM_ASK_MS + CLM_GRANT_MS; a record is made after the ask or
- * at most CLM_AGAIN_MS before it, and holds for window + CLM_SLACK_MS, the
- * sum of the three.  So whoever takes the key next sends at least one window
- * after the first send.  What is left is a stop between that last look and
- * the system call that sends, for longer than the window.
+ * CLM_GRANT_VALID_MS, by a clock that goes on through pauses, and the asker
+ * looks at it right before it sends (clm_grant_valid()).  From the ask to the
+ * send pass at most CLM_MAX_WAIT_MS + CLM_GRANT_VALID_MS; a record is made
+ * after the ask or at most CLM_AGAIN_MS before it, and holds for window +
+ * CLM_SLACK_MS, the sum of the three.  So whoever takes the key next sends at
+ * least one window after the first send.  What is left is a stop between that
+ * last look and the system call that sends, for longer than the window.
  */
 #ifndef LAPISLINE_CLAIM_CLAIM_H
 #define LAPISLINE_CLAIM_CLAIM_H
@@ -59,17 +59,17 @@
 #define CLM_SHARDS 8
 
 /** How long after its grant came an asker may still send. */
-#define CLM_GRANT_MS (5 * CLK_SECOND)
+#define CLM_GRANT_VALID_MS (5 * CLK_SECOND)
 
 /** Longest wait of an asker for a grant. */
-#define CLM_ASK_MS (3 * CLK_SECOND)
+#define CLM_MAX_WAIT_MS (3 * CLK_SECOND)
 
 /** For so long a record serves the same attempt again; later it is made
     anew, as other homes may be about to forget it. */
 #define CLM_AGAIN_MS (2 * CLK_SECOND)
 
 /** How much longer than the window a claim is held. */
-#define CLM_SLACK_MS (CLM_GRANT_MS + CLM_ASK_MS + CLM_AGAIN_MS)
+#define CLM_SLACK_MS (CLM_GRANT_VALID_MS + CLM_MAX_WAIT_MS + CLM_AGAIN_MS)
 
 /** Wait of an ask that names none. */
 #define CLM_WAIT_MS (2 * CLK_SECOND)
@@ -85,7 +85,7 @@
 
 enum clm_kind
 {
-  CLM_TAKE,    /**< before sending */
+  CLM_ACQUIRE, /**< before sending */
   CLM_RELEASE, /**< surely not run: a repeat may run */
   CLM_FINISH   /**< ran to its end: keep the answer for repeats */
 };
@@ -94,24 +94,24 @@
 {
   CLM_GRANTED,     /**< recorded; this attempt may send */
   CLM_RUNNING,     /**< another attempt holds it and has not ended */
-  CLM_ANSWERED,    /**< done; the kept answer is attached */
+  CLM_COMPLETED,   /**< done; the kept answer is attached */
   CLM_UNKNOWN,     /**< taken in the past, its end is not known */
   CLM_MISMATCH,    /**< same key, another request (fingerprint differs) */
   CLM_UNAVAILABLE, /**< surely not recorded and never will be for this
                         attempt, or so the asker must not send; retry later */
-  CLM_DONE         /**< of release and finish */
+  CLM_ACKNOWLEDGED /**< of release and finish */
 };
 
-struct clm_ask
+struct clm_request
 {
   uint64_t id;     /**< the shell's, to match the reply */
   uint8_t key[16]; /**< digest of account, route and key */
   uint8_t attempt[16];
   uint8_t fingerprint[16]; /**< digest of method, path and body */
   enum clm_kind kind;
-  int answer_status;
-  struct str answer; /**< of CLM_FINISH; kept in memory only */
-  clk_ms wait_ms;    /**< 0: CLM_WAIT_MS */
+  int response_status;
+  struct str response; /**< of CLM_FINISH; kept in memory only */
+  clk_ms wait_ms;      /**< 0: CLM_WAIT_MS */
   /**
    * The asker asks nobody else for this attempt, so CLM_UNAVAILABLE is its
    * last word: if the record may still land, the core releases it.  A home
@@ -125,17 +125,17 @@
 {
   uint64_t id;
   enum clm_verdict verdict;
-  int answer_status;
-  struct str answer; /**< owned by the core, valid until the next event */
-  clk_ms retry_ms;
+  int response_status;
+  struct str response; /**< owned by the core, valid until the next event */
+  clk_ms retry_after_ms;
 };
 
 enum clm_action_kind
 {
   CLM_ACT_REPLY,
-  CLM_ACT_TXN,   /**< answer by clm_store_answer() with the same token */
+  CLM_ACT_TXN,   /**< answer by clm_on_store_response() with the same token */
   CLM_ACT_RANGE, /**< likewise */
-  CLM_ACT_GRANT  /**< a store lease of ttl, likewise */
+  CLM_ACT_LEASE_GRANT /**< a store lease of ttl, likewise */
 };
 
 struct clm_action
@@ -150,16 +150,16 @@
 
 struct clm_options
 {
-  struct str prefix; /**< of all store keys */
-  clk_ms window;     /**< how long a key is remembered */
-  size_t kept_bytes; /**< memory for kept answers, oldest out first */
-  uint64_t boot;     /**< random: no two processes may ever share it */
+  struct str prefix;         /**< of all store keys */
+  clk_ms window;             /**< how long a key is remembered */
+  size_t max_response_bytes; /**< memory for kept answers, oldest out first */
+  uint64_t boot;             /**< random: no two processes may ever share it */
   clk_ms gap_ms;     /**< between transactions of a shard; 0: CLM_GAP_MS */
   size_t max_claims; /**< 0: CLM_MAX_CLAIMS */
 };
 
 /** Since the start, for metrics and benches. */
-struct clm_counts
+struct clm_stats
 {
   uint64_t txns, conflicts, uncertain, reads, whole_reads;
   uint64_t settled_found;  /**< lost writes that turned out applied */
@@ -175,9 +175,9 @@
 
 /** Change the window for claims that come from now on. */
 void clm_set_window (struct clm *c, clk_ms window);
-void clm_ask (struct clm *c, clk_ms now, const struct clm_ask *ask);
-void clm_store_answer (struct clm *c, clk_ms now, uint64_t token,
-                       const struct store_result *r);
+void clm_request (struct clm *c, clk_ms now, const struct clm_request *ask);
+void clm_on_store_response (struct clm *c, clk_ms now, uint64_t token,
+                            const struct store_result *r);
 void clm_tick (struct clm *c, clk_ms now);
 bool clm_next (struct clm *c, struct clm_action *out);
 
@@ -185,14 +185,14 @@
 unsigned clm_shard (const uint8_t key[16]);
 
 /** Earliest time at which a tick may change something. */
-clk_ms clm_wake (const struct clm *c);
+clk_ms clm_next_wakeup (const struct clm *c);
 
 /** Whether a grant that came at time @p granted still allows sending. */
 bool clm_grant_valid (clk_ms granted, clk_ms now);
 
-const struct clm_counts *clm_counts (const struct clm *c);
+const struct clm_stats *clm_stats (const struct clm *c);
 
 /** Claims held in memory, for the capacity figures. */
-size_t clm_held (const struct clm *c);
+size_t clm_claim_count (const struct clm *c);
 
 #endif
--- a/claim/core.h
+++ b/claim/core.h
@@ -26,7 +26,7 @@
 /** An ask that is not decided yet, or a release without an asker. */
 struct waiter
 {
-  struct clm_ask ask;
+  struct clm_request ask;
   clk_ms deadline;
   bool told;           /**< its asker has got its answer */
   struct tbl_rec *rec; /**< while in a batch */
@@ -114,7 +114,7 @@
   clk_ms next_deadline;
   struct core_action *actions;
   size_t nactions, actions_cap, actions_read;
-  struct clm_counts counts;
+  struct clm_stats counts;
 };
 
 /* claim.c */
--- a/claim/decide.c
+++ b/claim/decide.c
@@ -18,7 +18,7 @@
 decide_release (const struct tbl_rec *own)
 {
   if (own && own->state == TBL_RELEASED)
-    return reply_with (CLM_DONE, NULL);
+    return reply_with (CLM_ACKNOWLEDGED, NULL);
   if (own && own->pending != TBL_PEND_NONE)
     return just (DECIDE_WAIT);
   /* Also when no record is known: one may be on its way from another home,
@@ -40,7 +40,7 @@
   if (memcmp (holder->fingerprint, w->ask.fingerprint, 16) != 0)
     return reply_with (CLM_MISMATCH, holder);
   if (holder->answer)
-    return reply_with (CLM_ANSWERED, holder);
+    return reply_with (CLM_COMPLETED, holder);
   if (!holder->ended && now - holder->since < CLM_RUNNING_MS)
     return reply_with (CLM_RUNNING, holder);
   return reply_with (CLM_UNKNOWN, holder);
--- a/claim/shard.c
+++ b/claim/shard.c
@@ -140,7 +140,7 @@
   if (!rec)
     rec = tbl_add (&c->table, w->ask.key, w->ask.attempt, w->ask.fingerprint,
                    now, core_expiry (c, now));
-  rec->pending = w->ask.kind == CLM_TAKE ? TBL_PEND_TAKE : TBL_PEND_RELEASE;
+  rec->pending = w->ask.kind == CLM_ACQUIRE ? TBL_PEND_TAKE : TBL_PEND_RELEASE;
   w->rec = rec;
   waiter_append (&s->batch, w);
 }
@@ -254,14 +254,14 @@
     {
       w->rec->pending = TBL_PEND_NONE;
       tbl_touch (&c->table, w->rec, now, core_expiry (c, now));
-      if (w->ask.kind == CLM_TAKE)
+      if (w->ask.kind == CLM_ACQUIRE)
         {
           settle_take (c, s, w, now);
           continue;
         }
       w->rec->state = TBL_RELEASED;
       if (!w->told)
-        core_reply (c, w, CLM_DONE, NULL);
+        core_reply (c, w, CLM_ACKNOWLEDGED, NULL);
     }
 }
 
@@ -278,7 +278,7 @@
       if (w->rec->state == TBL_NONE)
         tbl_remove (&c->table, w->rec);
       w->rec = NULL;
-      if (w->told && w->ask.kind == CLM_TAKE)
+      if (w->told && w->ask.kind == CLM_ACQUIRE)
         free (w);
       else
         waiter_append (&s->waiting, w);
--- a/control/control.c
+++ b/control/control.c
@@ -61,7 +61,7 @@
   if (c->spread)
     ctl_spread_on_members_changed (c->spread);
   if (c->domains)
-    ctl_domains_members (c->domains);
+    ctl_domains_on_members_changed (c->domains);
   if (c->views)
     ctl_views_schedule (c->views);
 }
@@ -137,7 +137,7 @@
   p->leave_started_at = clk_now ();
   LOG (process_stopping, LOG_I ("boot", c->boot));
   ctl_swim_leave (c->swim);
-  ctl_domains_members (c->domains);
+  ctl_domains_on_members_changed (c->domains);
   ctl_views_schedule (c->views);
   uv_timer_start (&p->leave_check, on_leave_check, LEAVE_CHECK_INTERVAL_MS,
                   LEAVE_CHECK_INTERVAL_MS);
--- a/control/control.h
+++ b/control/control.h
@@ -136,14 +136,14 @@
 struct ctl_domains *ctl_domains_start (struct ctl *c, struct buf *err);
 void ctl_domains_stop (struct ctl_domains *d);
 void ctl_domains_on_config (struct ctl_domains *d);
-void ctl_domains_members (struct ctl_domains *d);
+void ctl_domains_on_members_changed (struct ctl_domains *d);
 /** Returns the backend servers of plain services that leave, as read from the
     platform's list here or by other homes; valid until the next event. */
 char *const *ctl_domains_leaving (struct ctl_domains *d, size_t *n);
 /** A control process has linked; the next evidence is sent to it in full. */
-void ctl_domains_peer (struct ctl_domains *d);
+void ctl_domains_on_peer_linked (struct ctl_domains *d);
 /** Handles evidence received from another node. */
-void ctl_domains_evidence (struct ctl_domains *d, const Lapis__Evidence *e);
+void ctl_domains_on_evidence (struct ctl_domains *d, const Lapis__Evidence *e);
 /** Last state of a replica, from own probes or received evidence. */
 struct ctl_replica
 {
--- a/control/dom-calls.c
+++ b/control/dom-calls.c
@@ -111,7 +111,7 @@
 finish_order (struct dom_call *call, bool answered)
 {
   struct dom *d = call->dom;
-  struct rep_event ev = { .kind = REP_ORDER_DONE, .token = call->token };
+  struct rep_event ev = { .kind = REP_ORDER_RESPONSE, .token = call->token };
 
   ev.vm = buf_str (&call->vm);
   ev.on = answered && call->status == 200;
@@ -247,7 +247,7 @@
 static void
 set_vm_listed (struct ctl_domains *domains, struct str vm, bool live)
 {
-  struct rep_event ev = { .kind = REP_PLATFORM, .vm = vm, .on = live };
+  struct rep_event ev = { .kind = REP_VM_LISTED, .vm = vm, .on = live };
 
   for (size_t i = 0; i < domains->n; i++)
     if (domains->list[i]->rep)
--- a/control/dom-store.c
+++ b/control/dom-store.c
@@ -8,7 +8,7 @@
   struct dom_call *call = ctx;
   struct dom *d = call->dom;
 
-  own_store_answer (d->own, clk_now (), call->token, r);
+  own_on_store_response (d->own, clk_now (), call->token, r);
   dom_call_free (call);
   dom_run_actions (d);
 }
@@ -19,7 +19,7 @@
   struct dom_call *call = ctx;
   struct dom *d = call->dom;
   struct rep_event ev
-      = { .kind = REP_STORE_ANSWER, .token = call->token, .result = r };
+      = { .kind = REP_STORE_RESPONSE, .token = call->token, .result = r };
 
   rep_event (d->rep, clk_now (), &ev);
   dom_call_free (call);
--- a/control/dom-turn.c
+++ b/control/dom-turn.c
@@ -90,7 +90,7 @@
 update_may_load (struct dom *d, const struct load_priority *priorities,
                  size_t n, size_t self, clk_ms now)
 {
-  struct rep_event may_load = { .kind = REP_TURN };
+  struct rep_event may_load = { .kind = REP_MAY_LOAD };
   size_t before = 0;
 
   for (size_t i = 0; i < n; i++)
@@ -111,7 +111,7 @@
 {
   for (size_t i = 0; i < d->domains->cfg->nmodels; i++)
     {
-      struct rep_event ev = { .kind = REP_LIVE };
+      struct rep_event ev = { .kind = REP_LIVE_COUNT };
 
       ev.model = d->domains->cfg->models[i].name;
       ev.live = live[i];
--- a/control/dom-view.c
+++ b/control/dom-view.c
@@ -34,7 +34,7 @@
     return true;
   views = rep_views (d->rep, now, &n);
   for (size_t i = 0; i < n; i++)
-    complete += views[i].whole;
+    complete += views[i].complete;
   if ((n && complete == n) || now >= d->publish_after)
     d->publish_after = 0;
   return !d->publish_after;
@@ -55,15 +55,15 @@
                    clk_ms now)
 {
   struct buf leader = BUF_INIT;
-  clk_ms left = v->evidence_at + REP_EVIDENCE_MS - now;
+  clk_ms left = v->probed_at + REP_PROBE_VALID_MS - now;
 
   lapis__replica_view__init (out);
   out->replica = str_dup (v->replica);
   out->generation = (uint64_t)v->generation;
-  out->whole = v->whole;
+  out->whole = v->complete;
   out->draining = v->draining;
-  out->age_ms = ms_since (now, v->evidence_at);
-  out->valid_ms = v->whole && left > 0 ? (uint32_t)left : 0;
+  out->age_ms = ms_since (now, v->probed_at);
+  out->valid_ms = v->complete && left > 0 ? (uint32_t)left : 0;
   out->load = v->load;
   out->load_age_ms = out->age_ms;
   if (v->leader)
@@ -134,8 +134,8 @@
   for (size_t i = 0; i < n; i++)
     {
       e.loads[i] = views[i].load;
-      if (views[i].whole && ms_since (now, views[i].evidence_at) > e.age_ms)
-        e.age_ms = ms_since (now, views[i].evidence_at);
+      if (views[i].complete && ms_since (now, views[i].probed_at) > e.age_ms)
+        e.age_ms = ms_since (now, views[i].probed_at);
     }
   send_evidence (d, &e);
   free (e.loads);
@@ -167,7 +167,7 @@
 }
 
 void
-ctl_domains_peer (struct ctl_domains *domains)
+ctl_domains_on_peer_linked (struct ctl_domains *domains)
 {
   for (size_t i = 0; i < domains->n; i++)
     domains->list[i]->full_remaining = DOM_FULL_AFTER_LINK;
@@ -220,15 +220,15 @@
       v->load = e->loads[i];
       v->load_age_ms = e->age_ms;
       if (v->whole)
-        v->valid_ms = e->age_ms < REP_EVIDENCE_MS
-                          ? (uint32_t)REP_EVIDENCE_MS - e->age_ms
+        v->valid_ms = e->age_ms < REP_PROBE_VALID_MS
+                          ? (uint32_t)REP_PROBE_VALID_MS - e->age_ms
                           : 0;
     }
   return true;
 }
 
 void
-ctl_domains_evidence (struct ctl_domains *domains, const Lapis__Evidence *e)
+ctl_domains_on_evidence (struct ctl_domains *domains, const Lapis__Evidence *e)
 {
   struct dom *d = dom_find (domains, str_from (e->domain));
   clk_ms now = clk_now ();
@@ -269,11 +269,11 @@
   out->generation = v->generation;
   out->fence = is_owner (d) ? own_fence (d->own) : 0;
   out->state = chart_state_name (chart, v->state);
-  out->complete = v->whole;
+  out->complete = v->complete;
   out->draining = v->draining;
-  out->valid_until = v->evidence_at + REP_EVIDENCE_MS;
+  out->valid_until = v->probed_at + REP_PROBE_VALID_MS;
   out->load = v->load;
-  out->load_at = v->evidence_at;
+  out->load_at = v->probed_at;
   if (v->leader)
     out->leader = v->leader->addr;
 }
@@ -285,8 +285,8 @@
   clk_ms valid = v->valid_ms;
 
   /* Limits the validity that another node claims. */
-  if (valid > REP_EVIDENCE_MS)
-    valid = REP_EVIDENCE_MS;
+  if (valid > REP_PROBE_VALID_MS)
+    valid = REP_PROBE_VALID_MS;
   out->generation = (int64_t)v->generation;
   out->fence = (int64_t)r->evidence->fence;
   out->complete = v->whole;
--- a/control/domains.c
+++ b/control/domains.c
@@ -53,7 +53,7 @@
 {
   if (!d->rep)
     return;
-  own_want (d->own, now, false);
+  own_set_wanted (d->own, now, false);
   dom_run_actions (d);
   dom_calls_cancel (d);
   own_free (d->own);
@@ -91,7 +91,7 @@
 {
   switch (a->kind)
     {
-    case OWN_GAINED:
+    case OWN_ACQUIRED:
       set_owner (d, true, a->fence);
       break;
     case OWN_LOST:
@@ -117,7 +117,7 @@
     case REP_STORE_READ:
       dom_rep_store (d, a);
       break;
-    case REP_EVIDENCE:
+    case REP_VIEWS_CHANGED:
       d->changed = true;
       break;
     }
@@ -211,13 +211,13 @@
   d->home = home;
   if (d->rep)
     {
-      own_want (d->own, now, d->managed);
+      own_set_wanted (d->own, now, d->managed);
       dom_run_actions (d);
     }
 }
 
 void
-ctl_domains_members (struct ctl_domains *domains)
+ctl_domains_on_members_changed (struct ctl_domains *domains)
 {
   clk_ms now = clk_now ();
 
@@ -312,7 +312,7 @@
       dom_free (old[i]);
   free (old);
   index_replicas (domains);
-  ctl_domains_members (domains);
+  ctl_domains_on_members_changed (domains);
   if (old_cfg)
     cfg_unref (old_cfg);
 }
--- a/control/domains.h
+++ b/control/domains.h
@@ -36,7 +36,7 @@
 #define DOM_MAX_LOAD_WAIT_MS (10 * CLK_MINUTE)
 #define DOM_LOAD_ORDER_INTERVAL_MS ((clk_ms)1000)
 /** Evidence from a home without the lease is accepted once no owner has sent
-    any for this long.  Shorter than REP_EVIDENCE_MS, so that replica states
+    any for this long.  Shorter than REP_PROBE_VALID_MS, so that replica states
     don't expire in between. */
 #define DOM_OWNER_TIMEOUT_MS ((clk_ms)1500)
 /** A new home sends no evidence for this long, unless it finds every replica
--- a/control/peers.c
+++ b/control/peers.c
@@ -191,7 +191,7 @@
   if (net_addr_parse (str_from (hello->swim_addr), false, &swim))
     ctl_swim_add_seed (p->c->swim, &swim);
   ctl_spread_on_peer (p->c->spread, peer->id, true);
-  ctl_domains_peer (p->c->domains);
+  ctl_domains_on_peer_linked (p->c->domains);
 }
 
 static void
@@ -236,7 +236,7 @@
       ctl_spread_on_frame (c->spread, peer->id, f);
       break;
     case LAPIS__FRAME__BODY_EVIDENCE:
-      ctl_domains_evidence (c->domains, f->evidence);
+      ctl_domains_on_evidence (c->domains, f->evidence);
       break;
     case LAPIS__FRAME__BODY_SHARE_DEMAND:
       ctl_shares_on_demand (c->shares, str_from (peer->node), f->share_demand);
--- a/control/shares.c
+++ b/control/shares.c
@@ -52,8 +52,8 @@
       struct shr_amount limit = { a->tokens_per_s, a->concurrency };
       struct str home = home_of (s->c, a->name, live, n);
 
-      shr_account (s->core, now, a->name, &limit,
-                   str_is (home, s->c->set.node));
+      shr_set_account (s->core, now, a->name, &limit,
+                       str_is (home, s->c->set.node));
     }
   shr_drop_unset (s->core);
 }
@@ -90,7 +90,7 @@
   ctl_swim_nodes (s->c->swim, &all);
   names = xcalloc (all + 1, sizeof *names);
   n = list_region_nodes (s->c, false, names);
-  shr_nodes (s->core, names, n, all);
+  shr_set_nodes (s->core, names, n, all);
   n = list_region_nodes (s->c, true, names);
   update_accounts (s, now, names, n);
   shr_tick (s->core, now);
@@ -161,7 +161,7 @@
   /* A peer sends demand only to the node that it picked as home. */
   if (!str_is (node, s->c->set.node))
     {
-      shr_demand (s->core, clk_now (), account, node, &demand);
+      shr_report_demand (s->core, clk_now (), account, node, &demand);
       return;
     }
   if (!account_has_limit (s->c, account))
@@ -171,7 +171,7 @@
   n = list_region_nodes (s->c, true, live);
   home = home_of (s->c, account, live, n);
   if (str_is (home, s->c->set.node))
-    shr_demand (s->core, clk_now (), account, node, &demand);
+    shr_report_demand (s->core, clk_now (), account, node, &demand);
   else
     forward_demand (s, home, d);
   free (live);
--- a/control/view-build.c
+++ b/control/view-build.c
@@ -69,7 +69,7 @@
   v->whole = r->complete;
   v->draining = r->draining;
   v->valid_ms = duration_ms (now, r->valid_until);
-  v->age_ms = duration_ms (r->valid_until - REP_EVIDENCE_MS, now);
+  v->age_ms = duration_ms (r->valid_until - REP_PROBE_VALID_MS, now);
   v->load = r->load;
   v->load_age_ms = duration_ms (r->load_at, now);
   v->leader_addr = add_addr (b, &r->leader);
--- a/front/callers.c
+++ b/front/callers.c
@@ -187,7 +187,7 @@
 waiting (struct gw_callers *c)
 {
   size_t n, open = rt_open_requests (c->rt), busy = 0;
-  const struct rt_target_view *t = rt_targets (c->rt, &n);
+  const struct rt_server_stats *t = rt_get_server_stats (c->rt, &n);
 
   for (size_t i = 0; i < n; i++)
     busy += t[i].in_flight;
@@ -330,7 +330,7 @@
 start_recorder (struct gw_callers *c, const struct rt_options *opt,
                 uint64_t seed, struct buf *err)
 {
-  struct rec_head head = { .options = *opt, .seed = seed };
+  struct rec_header head = { .options = *opt, .seed = seed };
 
   c->recorder = gw_recorder_start (c->g->loop, &head);
   if (c->recorder == NULL)
--- a/front/claims-core.c
+++ b/front/claims-core.c
@@ -33,7 +33,7 @@
   uint64_t token = call->token;
 
   call_free (call);
-  clm_store_answer (c->core, clk_now (), token, r);
+  clm_on_store_response (c->core, clk_now (), token, r);
   claims_settle (c);
 }
 
@@ -69,7 +69,7 @@
       store_range (s, STORE_CLAIMS, a->key, a->end, on_store,
                    call_new (c, a->token));
       break;
-    case CLM_ACT_GRANT:
+    case CLM_ACT_LEASE_GRANT:
       store_lease_grant (s, a->ttl, on_store, call_new (c, a->token));
       break;
     }
@@ -103,13 +103,13 @@
 {
   const char *name;
   const char *help;
-  size_t offset; /**< in struct clm_counts */
+  size_t offset; /**< in struct clm_stats */
 };
 
 #define COUNT(name, help, field)                                              \
   {                                                                           \
     "lapisline_claim_" name "_total", help,                                   \
-        offsetof (struct clm_counts, field)                                   \
+        offsetof (struct clm_stats, field)                                    \
   }
 
 static const struct metric metrics[] = {
@@ -132,7 +132,7 @@
      own and grant what it lost. */
   struct clm_options opt = { .prefix = str_from (c->g->set.store_prefix),
                              .window = DEFAULT_WINDOW_MS,
-                             .kept_bytes = KEPT_BYTES,
+                             .max_response_bytes = KEPT_BYTES,
                              .boot = rng_entropy () };
 
   c->core = clm_new (&opt, rng_next (&c->g->rng));
@@ -143,7 +143,7 @@
 }
 
 static uint64_t
-count_at (const struct clm_counts *n, size_t offset)
+count_at (const struct clm_stats *n, size_t offset)
 {
   return *(const uint64_t *)((const char *)n + offset);
 }
@@ -151,7 +151,7 @@
 void
 claims_core_metrics (struct gw_claims *c)
 {
-  const struct clm_counts *now = clm_counts (c->core);
+  const struct clm_stats *now = clm_stats (c->core);
 
   for (size_t i = 0; i < sizeof metrics / sizeof metrics[0]; i++)
     {
@@ -165,5 +165,5 @@
   c->seen = *now;
   met_set (
       met_gauge (c->g->met, "lapisline_claims_held", "Claims in memory", NULL),
-      (double)clm_held (c->core));
+      (double)clm_claim_count (c->core));
 }
--- a/front/claims-peers.c
+++ b/front/claims-peers.c
@@ -62,10 +62,10 @@
 
   answer.id = id;
   answer.verdict = reply->verdict;
-  answer.answer.data = (uint8_t *)reply->answer.ptr;
-  answer.answer.len = reply->answer.len;
-  answer.answer_status = (uint32_t)reply->answer_status;
-  answer.retry_ms = (uint32_t)reply->retry_ms;
+  answer.answer.data = (uint8_t *)reply->response.ptr;
+  answer.answer.len = reply->response.len;
+  answer.answer_status = (uint32_t)reply->response_status;
+  answer.retry_ms = (uint32_t)reply->retry_after_ms;
   frame.body_case = LAPIS__FRAME__BODY_CLAIM_ANSWER;
   frame.claim_answer = &answer;
   link_send (l, &frame);
@@ -104,13 +104,13 @@
   if (frame->body_case == LAPIS__FRAME__BODY_SLOT_ANSWER)
     gw_slots_answered (p->c->g->slots, frame->slot_answer);
   if (frame->body_case != LAPIS__FRAME__BODY_CLAIM_ANSWER
-      || a->verdict > CLM_DONE)
+      || a->verdict > CLM_ACKNOWLEDGED)
     return;
   reply.id = a->id;
   reply.verdict = (enum clm_verdict)a->verdict;
-  reply.answer_status = (int)a->answer_status;
-  reply.answer = str_make (a->answer.data, a->answer.len);
-  reply.retry_ms = a->retry_ms;
+  reply.response_status = (int)a->answer_status;
+  reply.response = str_make (a->answer.data, a->answer.len);
+  reply.retry_after_ms = a->retry_ms;
   claims_answered (p->c, a->id, &reply);
   claims_settle (p->c);
 }
@@ -167,7 +167,7 @@
   m.kind = a->ask.kind;
   m.answer.data = (uint8_t *)a->answer.ptr;
   m.answer.len = a->answer.len;
-  m.answer_status = (uint32_t)a->ask.answer_status;
+  m.answer_status = (uint32_t)a->ask.response_status;
   if (a->traced)
     {
       m.trace.data = (uint8_t *)a->trace.trace;
--- a/front/claims.c
+++ b/front/claims.c
@@ -19,7 +19,7 @@
 }
 
 static struct claims_ask *
-ask_new (struct gw_claims *c, const struct clm_ask *ask)
+ask_new (struct gw_claims *c, const struct clm_request *ask)
 {
   struct claims_ask *a = xcalloc (1, sizeof *a);
   struct claims_ask **bucket;
@@ -27,8 +27,8 @@
   a->id = ++c->last_id;
   a->ask = *ask;
   a->ask.id = a->id;
-  buf_add (&a->answer, ask->answer);
-  a->ask.answer = buf_str (&a->answer);
+  buf_add (&a->answer, ask->response);
+  a->ask.response = buf_str (&a->answer);
   bucket = bucket_of (c, a->id);
   a->chain = *bucket;
   *bucket = a;
@@ -60,7 +60,7 @@
 static void
 ask_free (struct claims_ask *a)
 {
-  for (size_t i = 0; i < CLM_TARGETS; i++)
+  for (size_t i = 0; i < CLM_MAX_TARGETS; i++)
     free (a->targets[i]);
   buf_free (&a->answer);
   buf_free (&a->result_answer);
@@ -87,7 +87,7 @@
   const struct gw_node *nodes
       = c->g->view ? gw_view_nodes (c->g->view, &n) : NULL;
   struct str *names = xcalloc (n + 1, sizeof *names);
-  size_t order[CLM_TARGETS - 1];
+  size_t order[CLM_MAX_TARGETS - 1];
   char role[32];
   unsigned ntargets = 0;
 
@@ -96,8 +96,8 @@
     if (is_home_candidate (c, &nodes[i]))
       names[names_n++] = nodes[i].name;
   snprintf (role, sizeof role, "claim/%02x", clm_shard (a->ask.key));
-  picked
-      = hash_pick_k (str_from (role), names, names_n, order, CLM_TARGETS - 1);
+  picked = hash_pick_k (str_from (role), names, names_n, order,
+                        CLM_MAX_TARGETS - 1);
   for (size_t i = 0; i < picked && order[i] != 0; i++)
     a->targets[ntargets++] = str_dup (names[order[i]]);
   free (names);
@@ -115,14 +115,14 @@
 static void
 release (struct gw_claims *c, const struct claims_ask *a)
 {
-  struct clm_ask ask = a->ask;
+  struct clm_request ask = a->ask;
 
-  if (ask.kind != CLM_TAKE)
+  if (ask.kind != CLM_ACQUIRE)
     return;
   ask.kind = CLM_RELEASE;
-  ask.answer = STR_EMPTY;
-  gw_claims_ask (c, &ask, a->traced ? &a->trace : NULL, CLM_ASK_MS, ignore,
-                 NULL);
+  ask.response = STR_EMPTY;
+  gw_claims_ask (c, &ask, a->traced ? &a->trace : NULL, CLM_MAX_WAIT_MS,
+                 ignore, NULL);
 }
 
 static void
@@ -152,8 +152,8 @@
 {
   ask_unlink (c, a);
   a->result = *reply;
-  buf_add (&a->result_answer, reply->answer);
-  a->result.answer = buf_str (&a->result_answer);
+  buf_add (&a->result_answer, reply->response);
+  a->result.response = buf_str (&a->result_answer);
   if (c->done)
     c->done_last->next_done = a;
   else
@@ -165,7 +165,8 @@
 /* Own asks. */
 
 static void do_asker (struct gw_claims *c, struct claims_ask *a,
-                      enum clm_asker_do what, const struct clm_reply *reply);
+                      enum clm_requester_action what,
+                      const struct clm_reply *reply);
 
 static void
 ask_own_core (struct gw_claims *c, struct claims_ask *a)
@@ -175,7 +176,7 @@
   a->ask.wait_ms = a->asker.deadline > now ? a->asker.deadline - now : 1;
   a->ask.final = a->asker.ntargets == 1;
   a->handed = true;
-  clm_ask (c->core, now, &a->ask);
+  clm_request (c->core, now, &a->ask);
 }
 
 /**
@@ -187,14 +188,14 @@
 static void
 keep_release (struct gw_claims *c, struct claims_ask *a)
 {
-  if (a->ask.kind == CLM_RELEASE && a->asker.asked < a->asker.ntargets)
+  if (a->ask.kind == CLM_RELEASE && a->asker.ntried < a->asker.ntargets)
     ask_own_core (c, a);
 }
 
 static void
 ask_target (struct gw_claims *c, struct claims_ask *a)
 {
-  const char *name = a->targets[a->asker.asked - 1];
+  const char *name = a->targets[a->asker.ntried - 1];
 
   a->handed = false;
   if (!name)
@@ -210,49 +211,50 @@
     case CLAIMS_LATER:
       break;
     case CLAIMS_UNREACHABLE:
-      do_asker (c, a, clm_asker_unreachable (&a->asker, clk_now ()), NULL);
+      do_asker (c, a, clm_requester_unreachable (&a->asker, clk_now ()), NULL);
     }
 }
 
 static void
-do_asker (struct gw_claims *c, struct claims_ask *a, enum clm_asker_do what,
-          const struct clm_reply *reply)
+do_asker (struct gw_claims *c, struct claims_ask *a,
+          enum clm_requester_action what, const struct clm_reply *reply)
 {
-  struct clm_reply none = { .verdict = CLM_UNAVAILABLE,
-                            .retry_ms = reply ? reply->retry_ms : 0 };
+  struct clm_reply none
+      = { .verdict = CLM_UNAVAILABLE,
+          .retry_after_ms = reply ? reply->retry_after_ms : 0 };
 
   switch (what)
     {
-    case CLM_ASKER_NOTHING:
+    case CLM_REQUESTER_NONE:
       break;
-    case CLM_ASKER_ASK:
+    case CLM_REQUESTER_SEND:
       ask_target (c, a);
       break;
-    case CLM_ASKER_REPLY:
+    case CLM_REQUESTER_REPLY:
       finish (c, a, reply ? reply : &none);
       break;
-    case CLM_ASKER_REPLY_LATE:
+    case CLM_REQUESTER_REPLY_AND_RELEASE:
       /* In this order: the release may ask the own core, which then frees
          the answer that the reply points to. */
       finish (c, a, reply ? reply : &none);
       release (c, a);
       break;
-    case CLM_ASKER_RELEASE:
+    case CLM_REQUESTER_RELEASE:
       release (c, a);
       break;
-    case CLM_ASKER_GIVE_UP_LATE:
+    case CLM_REQUESTER_GIVE_UP_AND_RELEASE:
       release (c, a);
       keep_release (c, a);
       finish (c, a, &none);
       break;
-    case CLM_ASKER_GIVE_UP:
+    case CLM_REQUESTER_GIVE_UP:
       keep_release (c, a);
       finish (c, a, &none);
     }
 }
 
 void
-gw_claims_ask (struct gw_claims *c, const struct clm_ask *ask,
+gw_claims_ask (struct gw_claims *c, const struct clm_request *ask,
                const struct trc_id *trace, clk_ms wait_ms, gw_claim_cb cb,
                void *ctx)
 {
@@ -264,7 +266,8 @@
   a->traced = trace != NULL;
   if (trace != NULL)
     a->trace = *trace;
-  do_asker (c, a, clm_asker_start (&a->asker, clk_now (), wait_ms, ntargets),
+  do_asker (c, a,
+            clm_requester_start (&a->asker, clk_now (), wait_ms, ntargets),
             NULL);
   claims_settle (c);
 }
@@ -303,8 +306,10 @@
     return;
   if (!a->remote)
     {
-      do_asker (c, a, clm_asker_answer (&a->asker, clk_now (), reply->verdict),
-                reply);
+      do_asker (
+          c, a,
+          clm_requester_on_verdict (&a->asker, clk_now (), reply->verdict),
+          reply);
       return;
     }
   if (a->traced)
@@ -318,9 +323,10 @@
 void
 claims_asked (struct gw_claims *c, struct link *l, const Lapis__ClaimAsk *m)
 {
-  struct clm_ask ask = { .kind = (enum clm_kind)m->kind,
-                         .answer_status = (int)m->answer_status,
-                         .answer = str_make (m->answer.data, m->answer.len) };
+  struct clm_request ask
+      = { .kind = (enum clm_kind)m->kind,
+          .response_status = (int)m->answer_status,
+          .response = str_make (m->answer.data, m->answer.len) };
   struct claims_ask *a;
 
   if (m->key.len != 16 || m->attempt.len != 16 || m->fingerprint.len != 16
@@ -335,7 +341,7 @@
   a->link = l;
   a->began_at = clk_now ();
   take_trace (a, m);
-  clm_ask (c->core, clk_now (), &a->ask);
+  clm_request (c->core, clk_now (), &a->ask);
   claims_settle (c);
 }
 
@@ -370,9 +376,9 @@
 {
   const char *target;
 
-  if (a->remote || a->asker.over)
+  if (a->remote || a->asker.done)
     return false;
-  target = a->targets[a->asker.asked - 1];
+  target = a->targets[a->asker.ntried - 1];
   return target && strcmp (target, name) == 0;
 }
 
@@ -391,8 +397,8 @@
   if (!waits_for (a, arg))
     return;
   do_asker (c, a,
-            a->handed ? clm_asker_silent (&a->asker, now)
-                      : clm_asker_unreachable (&a->asker, now),
+            a->handed ? clm_requester_target_lost (&a->asker, now)
+                      : clm_requester_unreachable (&a->asker, now),
             NULL);
 }
 
@@ -416,7 +422,7 @@
 tick_ask (struct gw_claims *c, struct claims_ask *a, void *arg)
 {
   if (!a->remote)
-    do_asker (c, a, clm_asker_tick (&a->asker, clk_now ()), NULL);
+    do_asker (c, a, clm_requester_tick (&a->asker, clk_now ()), NULL);
 }
 
 static void
@@ -439,7 +445,7 @@
   bool busy;
 
   claims_core_run (c);
-  busy = c->open > 0 || clm_wake (c->core) != CLK_NEVER;
+  busy = c->open > 0 || clm_next_wakeup (c->core) != CLK_NEVER;
   if (busy && !uv_is_active ((uv_handle_t *)&c->timer))
     uv_timer_start (&c->timer, on_timer, TICK_MS, TICK_MS);
   else if (!busy && uv_is_active ((uv_handle_t *)&c->timer))
--- a/front/claims.h
+++ b/front/claims.h
@@ -19,7 +19,7 @@
 {
   uint64_t id; /**< here; ids of peers are their own */
   struct claims_ask *chain;
-  struct clm_ask ask;
+  struct clm_request ask;
   struct buf answer; /**< of a finish */
   bool traced;
   struct trc_id trace; /**< the asking span */
@@ -31,9 +31,9 @@
   uint64_t remote_id;
 
   /* Own. */
-  struct clm_asker asker;
-  char *targets[CLM_TARGETS]; /**< names; NULL: this node's core */
-  bool handed;                /**< the last target was given the ask */
+  struct clm_requester asker;
+  char *targets[CLM_MAX_TARGETS]; /**< names; NULL: this node's core */
+  bool handed;                    /**< the last target was given the ask */
   struct clm_reply result;
   struct buf result_answer;
   gw_claim_cb cb;
@@ -59,7 +59,7 @@
   struct claims_ask *done_last;
   struct claims_peer *peers;
   struct claims_call *calls;
-  struct clm_counts seen; /**< already in the metrics */
+  struct clm_stats seen; /**< already in the metrics */
 };
 
 /* claims.c */
--- a/front/exchange.c
+++ b/front/exchange.c
@@ -251,13 +251,13 @@
   struct rt_event ev = { .kind = RT_EV_CLAIM,
                          .id = w->id,
                          .verdict = reply->verdict,
-                         .retry_ms = reply->retry_ms };
+                         .retry_ms = reply->retry_after_ms };
 
-  if (ex != NULL && reply->verdict == CLM_ANSWERED)
+  if (ex != NULL && reply->verdict == CLM_COMPLETED)
     {
-      ex->kept_status = reply->answer_status;
+      ex->kept_status = reply->response_status;
       buf_clear (&ex->kept);
-      buf_add (&ex->kept, reply->answer);
+      buf_add (&ex->kept, reply->response);
     }
   if (ex != NULL)
     gw_span (ex->c->g, &ex->claim_span, ex->span.span, "gateway.claim",
@@ -273,11 +273,11 @@
   (void)reply;
 }
 
-static struct clm_ask
+static struct clm_request
 make_ask (const struct gw_exchange *ex, enum clm_kind kind)
 {
   const struct rt_request *r = &ex->call.req;
-  struct clm_ask ask = { .id = ex->id, .kind = kind };
+  struct clm_request ask = { .id = ex->id, .kind = kind };
 
   memcpy (ask.key, r->claim_key, sizeof ask.key);
   memcpy (ask.attempt, r->attempt_id, sizeof ask.attempt);
@@ -288,7 +288,7 @@
 static void
 claim_take (struct gw_exchange *ex)
 {
-  struct clm_ask ask = make_ask (ex, CLM_TAKE);
+  struct clm_request ask = make_ask (ex, CLM_ACQUIRE);
   struct claim_wait *w = xcalloc (1, sizeof *w);
 
   w->c = ex->c;
@@ -302,7 +302,7 @@
 static void
 claim_release (struct gw_exchange *ex)
 {
-  struct clm_ask ask = make_ask (ex, CLM_RELEASE);
+  struct clm_request ask = make_ask (ex, CLM_RELEASE);
   gw_claims_ask (ex->c->g->claims, &ask, &ex->span, CLAIM_WAIT_MS, on_told,
                  NULL);
 }
@@ -315,16 +315,16 @@
 static void
 claim_finish (struct gw_exchange *ex, bool whole)
 {
-  struct clm_ask ask = make_ask (ex, CLM_FINISH);
+  struct clm_request ask = make_ask (ex, CLM_FINISH);
   struct buf answer = BUF_INIT;
 
   if (whole && ex->keep && ex->body.len <= ex->call.cfg->limits.kept_answer)
     {
-      ask.answer_status = ex->head.status;
+      ask.response_status = ex->head.status;
       buf_add (&answer, back_find (ex->head.list, ex->head.n, "content-type"));
       buf_add_char (&answer, '\n');
       buf_add (&answer, buf_str (&ex->body));
-      ask.answer = buf_str (&answer);
+      ask.response = buf_str (&answer);
     }
   gw_claims_ask (ex->c->g->claims, &ask, &ex->span, CLAIM_WAIT_MS, on_told,
                  NULL);
--- a/front/gateway.h
+++ b/front/gateway.h
@@ -73,7 +73,7 @@
  * @p wait_ms at the latest.
  * @param trace  the asking span, parent of the home's; NULL: not traced
  */
-void gw_claims_ask (struct gw_claims *c, const struct clm_ask *ask,
+void gw_claims_ask (struct gw_claims *c, const struct clm_request *ask,
                     const struct trc_id *trace, clk_ms wait_ms, gw_claim_cb cb,
                     void *ctx);
 /** The view's nodes changed. */
--- a/front/probe.c
+++ b/front/probe.c
@@ -134,7 +134,7 @@
       out->generation = r->members[leader].generation;
     }
   out->whole = at != 0;
-  out->valid_until = at + REP_EVIDENCE_MS;
+  out->valid_until = at + REP_PROBE_VALID_MS;
   out->load = r->members[0].load;
   out->load_at = r->members[0].asked_at;
   return true;
@@ -404,7 +404,7 @@
   size_t leader;
 
   if (seen == NULL || !seen->whole
-      || seen->valid_until - now >= REP_EVIDENCE_MS - LATE_MS)
+      || seen->valid_until - now >= REP_PROBE_VALID_MS - LATE_MS)
     return false;
   r = probed (p, seen->name);
   return now - seen->valid_until < GIVE_UP_MS
--- a/front/recorder.c
+++ b/front/recorder.c
@@ -67,7 +67,7 @@
 }
 
 struct gw_recorder *
-gw_recorder_start (uv_loop_t *loop, const struct rec_head *head)
+gw_recorder_start (uv_loop_t *loop, const struct rec_header *head)
 {
   struct gw_recorder *r = xcalloc (1, sizeof *r);
   struct buf text = BUF_INIT;
@@ -77,7 +77,7 @@
       free (r);
       return NULL;
     }
-  rec_write_head (head, &text);
+  rec_write_header (head, &text);
   send_text (r, &text);
   return r;
 }
--- a/front/recorder.h
+++ b/front/recorder.h
@@ -17,7 +17,7 @@
  * @return NULL unless standard output is a pipe or a terminal
  */
 struct gw_recorder *gw_recorder_start (uv_loop_t *loop,
-                                       const struct rec_head *head);
+                                       const struct rec_header *head);
 
 /** Note one event before the core consumes it; NULL @p r is allowed. */
 void gw_recorder_event (struct gw_recorder *r, clk_ms now,
--- a/front/slots-home.c
+++ b/front/slots-home.c
@@ -143,7 +143,7 @@
   met_set (met_gauge (s->g->met, "lapisline_slots_taken",
                       "Slots of a model's replicas that its home counts.",
                       label),
-           (double)slt_taken (m->core));
+           (double)slt_occupied_slots (m->core));
 }
 
 /* ---- asks of other gateways ---- */
@@ -179,14 +179,14 @@
 {
   struct slots_model *m = slots_model (s, str_from (o->model));
   struct rt_slot *held;
-  struct slt_event ev = { .kind = SLT_EV_OPEN, .n = o->n_held };
+  struct slt_event ev = { .kind = SLT_EV_HELD, .n = o->n_held };
 
   if (m == NULL)
     return;
   slots_home_begin (s, m);
   m->asked_at = clk_now ();
   ev.gateway = number_of_node (s, o->node, l);
-  ev.open = held = xcalloc (o->n_held + 1, sizeof *held);
+  ev.held_slots = held = xcalloc (o->n_held + 1, sizeof *held);
   for (size_t i = 0; i < o->n_held; i++)
     held[i] = (struct rt_slot){ o->held[i]->id, str_from (o->held[i]->replica),
                                 o->held[i]->cost };
--- a/front/slots.c
+++ b/front/slots.c
@@ -120,12 +120,12 @@
 static void
 tell_held (struct gw_slots *s, struct slots_model *m, struct link *l)
 {
-  struct slt_event ev = { .kind = SLT_EV_OPEN, .gateway = SLOTS_SELF };
+  struct slt_event ev = { .kind = SLT_EV_HELD, .gateway = SLOTS_SELF };
 
-  ev.open = rt_held_slots (gw_callers_core (s->g->callers), str_from (m->name),
-                           &ev.n);
+  ev.held_slots = rt_held_slots (gw_callers_core (s->g->callers),
+                                 str_from (m->name), &ev.n);
   if (l != NULL)
-    send_held (s, m, l, ev.open, ev.n);
+    send_held (s, m, l, ev.held_slots, ev.n);
   else
     slots_home_event (s, m, &ev);
 }
--- a/front/view.c
+++ b/front/view.c
@@ -184,8 +184,8 @@
 fill_observed (struct gw_view *v, Lapis__Report *r)
 {
   size_t n;
-  const struct rt_target_view *t
-      = rt_targets (gw_callers_core (v->g->callers), &n);
+  const struct rt_server_stats *t
+      = rt_get_server_stats (gw_callers_core (v->g->callers), &n);
 
   r->observed = xcalloc (n + 1, sizeof *r->observed);
   for (size_t i = 0; i < n; i++)
--- a/replica/budget.c
+++ b/replica/budget.c
@@ -38,7 +38,7 @@
   for (size_t i = 0; i < r->nreplicas; i++)
     if (r->replicas[i].model == m)
       {
-        whole += r->replicas[i].whole;
+        whole += r->replicas[i].complete;
         loading += r->replicas[i].has_slot;
       }
   for (size_t i = 0; i < r->nlives; i++)
@@ -65,7 +65,7 @@
 static bool
 can_load (const struct rep *r, clk_ms now, const struct rep_replica *p)
 {
-  return p->managed && p->model && p->nvms && !p->whole
+  return p->managed && p->model && p->nvms && !p->complete
          && (p->state == RST_LOADING || p->state == RST_DEGRADED
              || p->state == RST_DRAINING)
          && !evd_member_missing (r, p, now);
--- a/replica/core.h
+++ b/replica/core.h
@@ -80,11 +80,11 @@
   size_t vms[ASN_MAX_VMS]; /* into rep.vms */
   size_t nvms;
   bool declared_all; /* every member is a VM of the domain */
-  bool whole;
+  bool complete;
   bool draining; /* takes no new work, for whatever reason */
   clk_ms drain_since;
   clk_ms down_since;
-  clk_ms evidence_at;
+  clk_ms probed_at;
   uint32_t load;
   bool has_slot; /* of the weight-load budget */
   clk_ms slot_since;
@@ -190,7 +190,8 @@
 /** VMs that report this replica under its highest generation. */
 size_t evd_reporting (const struct rep *r, clk_ms now, struct str replica,
                       size_t *vms, int64_t *generation);
-/** Bring one replica, or all, up to date; pushes REP_EVIDENCE on change. */
+/** Bring one replica, or all, up to date; pushes REP_VIEWS_CHANGED on change.
+ */
 void evd_update (struct rep *r, clk_ms now, struct rep_replica *p);
 void evd_update_all (struct rep *r, clk_ms now);
 void evd_step (struct rep *r, struct rep_replica *p, const char *event);
--- a/replica/drain.c
+++ b/replica/drain.c
@@ -70,7 +70,7 @@
     return;
   p->draining = draining;
   p->drain_since = now;
-  rep_push (r, REP_EVIDENCE);
+  rep_push (r, REP_VIEWS_CHANGED);
 }
 
 /* No request is under way: every gateway had time to hear that the replica
@@ -82,7 +82,7 @@
 {
   clk_ms heard = p->drain_since + REP_HEARD_MS;
 
-  if (!p->whole)
+  if (!p->complete)
     return now >= heard || evd_member_missing (r, p, now);
   for (size_t i = 0; i < p->nvms; i++)
     {
--- a/replica/evidence.c
+++ b/replica/evidence.c
@@ -5,7 +5,7 @@
 
 /*
  * Detection bound: a VM that dies right after an answer is missing when that
- * answer is REP_EVIDENCE_MS old, or after REP_FAILURES failed probes, which
+ * answer is REP_PROBE_VALID_MS old, or after REP_FAILURES failed probes, which
  * is earlier when connections are refused.  Every view carries the age of its
  * evidence, so that a gateway stops by the same bound even if it hears
  * nothing more from here.
@@ -14,7 +14,7 @@
 evd_present (const struct rep_vm *vm, clk_ms now)
 {
   return vm->answered && vm->failures < REP_FAILURES
-         && now - vm->answered_at < REP_EVIDENCE_MS;
+         && now - vm->answered_at < REP_PROBE_VALID_MS;
 }
 
 bool
@@ -74,7 +74,7 @@
   if (next == CHART_REFUSED || next == p->state)
     return;
   p->state = next;
-  rep_push (r, REP_EVIDENCE);
+  rep_push (r, REP_VIEWS_CHANGED);
 }
 
 /* A replica that gets no orders keeps what its scripts gave it: members that
@@ -117,14 +117,14 @@
 static void
 gather (const struct rep *r, struct rep_replica *p)
 {
-  p->evidence_at = p->nvms ? INT64_MAX : 0;
+  p->probed_at = p->nvms ? INT64_MAX : 0;
   p->load = 0;
   for (size_t i = 0; i < p->nvms; i++)
     {
       const struct rep_vm *vm = &r->vms[p->vms[i]];
 
-      if (vm->answered_at < p->evidence_at)
-        p->evidence_at = vm->answered_at;
+      if (vm->answered_at < p->probed_at)
+        p->probed_at = vm->answered_at;
       if (vm->said.load > p->load)
         p->load = vm->said.load;
     }
@@ -166,14 +166,14 @@
 static void
 set_whole (struct rep *r, clk_ms now, struct rep_replica *p, bool whole)
 {
-  if (whole == p->whole)
+  if (whole == p->complete)
     return;
-  p->whole = whole;
+  p->complete = whole;
   if (whole)
     p->has_slot = false;
   else
     p->down_since = now;
-  rep_push (r, REP_EVIDENCE);
+  rep_push (r, REP_VIEWS_CHANGED);
 }
 
 void
@@ -194,7 +194,7 @@
   set_whole (r, now, p, all_match (r, p, now));
   drn_update (r, now, p);
   evd_step (r, p, p->draining ? "drain" : "undrain");
-  if (p->whole)
+  if (p->complete)
     evd_step (r, p, "whole");
   else if (p->state == RST_WHOLE || evd_member_missing (r, p, now))
     evd_step (r, p, "lost");
--- a/replica/owner.c
+++ b/replica/owner.c
@@ -170,7 +170,7 @@
 static void
 send_keep (struct own *o, clk_ms now)
 {
-  call (o, now, CALL_KEEP, OWN_KEEP)->lease = o->lease;
+  call (o, now, CALL_KEEP, OWN_KEEPALIVE)->lease = o->lease;
 }
 
 static void
@@ -225,7 +225,7 @@
       return;
     }
   step (o, "taken");
-  push (o, OWN_GAINED)->fence = fence;
+  push (o, OWN_ACQUIRED)->fence = fence;
 }
 
 static bool
@@ -333,8 +333,8 @@
 }
 
 void
-own_store_answer (struct own *o, clk_ms now, uint64_t token,
-                  const struct store_result *r)
+own_on_store_response (struct own *o, clk_ms now, uint64_t token,
+                       const struct store_result *r)
 {
   enum call what = o->call;
 
@@ -367,7 +367,7 @@
 }
 
 void
-own_want (struct own *o, clk_ms now, bool want)
+own_set_wanted (struct own *o, clk_ms now, bool want)
 {
   o->want = want;
   if (!want && o->state != OWN_IDLE)
@@ -440,7 +440,7 @@
   if (o->state == OWN_WAITING && now >= o->wait_until)
     {
       step (o, "waited");
-      push (o, OWN_GAINED)->fence = o->fence;
+      push (o, OWN_ACQUIRED)->fence = o->fence;
     }
   if (o->call == CALL_NONE && now >= o->next_call)
     call_next (o, now);
--- a/replica/owner.h
+++ b/replica/owner.h
@@ -9,8 +9,8 @@
  * that goes on through pauses; before each order it asks own_may_order().
  *
  * The caller is control/domains.c, one core for each domain that its node is
- * home of: it calls own_want() and own_tick(), carries out what own_next()
- * gives and brings the store's answers.
+ * home of: it calls own_set_wanted() and own_tick(), carries out what
+ * own_next() gives and brings the store's answers.
  */
 #ifndef LAPISLINE_REPLICA_OWNER_H
 #define LAPISLINE_REPLICA_OWNER_H
@@ -35,17 +35,17 @@
 {
   OWN_GRANT, /**< a lease of ttl */
   OWN_TXN,
-  OWN_RANGE,  /**< key */
-  OWN_KEEP,   /**< lease */
-  OWN_REVOKE, /**< lease */
-  OWN_GAINED, /**< fence: read everything, then act */
-  OWN_LOST    /**< forget pending orders */
+  OWN_RANGE,     /**< key */
+  OWN_KEEPALIVE, /**< lease */
+  OWN_REVOKE,    /**< lease */
+  OWN_ACQUIRED,  /**< fence: read everything, then act */
+  OWN_LOST       /**< forget pending orders */
 };
 
 struct own_action
 {
   enum own_action_kind kind;
-  uint64_t token; /**< answer with own_store_answer() */
+  uint64_t token; /**< answer with own_on_store_response() */
   struct str key;
   struct store_txn txn;
   int64_t lease;
@@ -70,7 +70,7 @@
 
 /** Whether this node should own the domain, as the view suggests; a lease that
     is not wanted any more is given back. */
-void own_want (struct own *o, clk_ms now, bool want);
+void own_set_wanted (struct own *o, clk_ms now, bool want);
 
 /** Time passes.  A gap of more than ttl / 3 between two calls counts as a
     pause: the lease is read anew before the next order. */
@@ -78,8 +78,8 @@
 
 /** What the store said to the action of that token, STORE_UNCERTAIN too; of an
     older action only a lease granted late is taken, to be given back. */
-void own_store_answer (struct own *o, clk_ms now, uint64_t token,
-                       const struct store_result *r);
+void own_on_store_response (struct own *o, clk_ms now, uint64_t token,
+                            const struct store_result *r);
 
 /** The next action, or false; call it until then after each event. */
 bool own_next (struct own *o, struct own_action *out);
--- a/replica/place.c
+++ b/replica/place.c
@@ -129,11 +129,11 @@
 static enum choice
 choose_by_rule (const struct rep *r, const struct loss *l)
 {
-  switch (r->opt.rule)
+  switch (r->opt.repair_policy)
     {
-    case REP_ALWAYS_DISSOLVE:
+    case REP_REPAIR_DISSOLVE:
       return CHOOSE_DISSOLVE;
-    case REP_ALWAYS_WAIT:
+    case REP_REPAIR_WAIT:
       return CHOOSE_WAIT;
     default:
       return choose (r, l);
@@ -396,7 +396,7 @@
   unsigned n = 0;
 
   for (size_t i = 0; i < r->nreplicas; i++)
-    n += r->replicas[i].model == p->model && r->replicas[i].whole;
+    n += r->replicas[i].model == p->model && r->replicas[i].complete;
   return n;
 }
 
--- a/replica/replica.c
+++ b/replica/replica.c
@@ -300,7 +300,7 @@
      asked yet looks like a lost one: read and probe before any decision. */
   r->doc_fresh = false;
   r->owner_since = now;
-  r->settle_until = now + REP_EVIDENCE_MS;
+  r->settle_until = now + REP_PROBE_VALID_MS;
   chg_read (r, now);
 }
 
@@ -314,7 +314,7 @@
     {
       const struct rep_replica *p = &r->replicas[i];
 
-      if (p->whole || (p->draining && p->state == RST_ABSENT))
+      if (p->complete || (p->draining && p->state == RST_ABSENT))
         continue;
       if (p->cfg)
         r->downtime += span;
@@ -376,15 +376,15 @@
       if (vm)
         on_probe_failed (r, now, vm);
       break;
-    case REP_PLATFORM:
+    case REP_VM_LISTED:
       if (vm)
         on_platform (r, now, vm, ev->on);
       break;
-    case REP_ORDER_DONE:
+    case REP_ORDER_RESPONSE:
       if (vm)
         ord_done (r, now, vm, ev->token, ev->on);
       break;
-    case REP_STORE_ANSWER:
+    case REP_STORE_RESPONSE:
       chg_answer (r, now, ev->token, ev->result);
       break;
     case REP_OWNER:
@@ -393,10 +393,10 @@
     case REP_DRAIN:
       drn_ask (r, ev->replica, ev->on);
       break;
-    case REP_TURN:
+    case REP_MAY_LOAD:
       r->turn = ev->on;
       break;
-    case REP_LIVE:
+    case REP_LIVE_COUNT:
       bud_live (r, ev->model, ev->live);
       break;
     }
@@ -409,16 +409,16 @@
   for (size_t i = 0; i < r->nreplicas; i++)
     {
       const struct rep_replica *p = &r->replicas[i];
-      bool fresh = now - p->evidence_at < REP_EVIDENCE_MS;
+      bool fresh = now - p->probed_at < REP_PROBE_VALID_MS;
 
       r->views[i] = (struct rep_view){
         .replica = str_from (p->name),
         .model = p->cfg ? p->cfg->model : STR_EMPTY,
         .generation = p->generation,
         .state = p->state,
-        .whole = p->whole && fresh,
+        .complete = p->complete && fresh,
         .draining = p->draining,
-        .evidence_at = p->evidence_at,
+        .probed_at = p->probed_at,
         .load = p->load,
         .leader = p->nvms ? r->vms[p->vms[0]].cfg : NULL,
         .members = p->nvms,
@@ -429,7 +429,7 @@
 }
 
 void
-rep_measures (const struct rep *r, double *downtime, double *stranded)
+rep_downtime_stats (const struct rep *r, double *downtime, double *stranded)
 {
   *downtime = r->downtime;
   *stranded = r->stranded;
--- a/replica/replica.h
+++ b/replica/replica.h
@@ -24,7 +24,7 @@
 #include "store/store.h"
 
 /** How long an answered probe counts; docs/DESIGN.md weighs it. */
-#define REP_EVIDENCE_MS ((clk_ms)3000)
+#define REP_PROBE_VALID_MS ((clk_ms)3000)
 /** Period of probes. */
 #define REP_PROBE_MS ((clk_ms)1000)
 
@@ -42,17 +42,17 @@
 enum rep_event_kind
 {
   REP_TICK,
-  REP_CONFIG,       /**< cfg */
-  REP_ASSIGNMENT,   /**< value and mod_rev as read (mod_rev 0: none yet) */
-  REP_PROBED,       /**< vm, member: answered */
-  REP_PROBE_FAILED, /**< vm */
-  REP_PLATFORM,     /**< vm, on: listed as live; off: leaving */
-  REP_ORDER_DONE,   /**< vm, token; on: it was obeyed */
-  REP_STORE_ANSWER, /**< token, result */
-  REP_OWNER,        /**< on, fence: this node owns the domain or not */
-  REP_DRAIN,        /**< replica, on: operator wants it drained */
-  REP_TURN,         /**< on: this domain may load weights now */
-  REP_LIVE          /**< model, live: whole replicas of it anywhere */
+  REP_CONFIG,         /**< cfg */
+  REP_ASSIGNMENT,     /**< value and mod_rev as read (mod_rev 0: none yet) */
+  REP_PROBED,         /**< vm, member: answered */
+  REP_PROBE_FAILED,   /**< vm */
+  REP_VM_LISTED,      /**< vm, on: listed as live; off: leaving */
+  REP_ORDER_RESPONSE, /**< vm, token; on: it was obeyed */
+  REP_STORE_RESPONSE, /**< token, result */
+  REP_OWNER,          /**< on, fence: this node owns the domain or not */
+  REP_DRAIN,          /**< replica, on: operator wants it drained */
+  REP_MAY_LOAD,       /**< on: this domain may load weights now */
+  REP_LIVE_COUNT      /**< model, live: whole replicas of it anywhere */
 };
 
 struct rep_event
@@ -80,11 +80,11 @@
 
 enum rep_action_kind
 {
-  REP_PROBE,      /**< vm */
-  REP_SEND_ORDER, /**< vm, order, ...; only if own_may_order() says so */
-  REP_STORE_TXN,  /**< token, txn */
-  REP_STORE_READ, /**< token, key */
-  REP_EVIDENCE    /**< something changed: see rep_views() */
+  REP_PROBE,        /**< vm */
+  REP_SEND_ORDER,   /**< vm, order, ...; only if own_may_order() says so */
+  REP_STORE_TXN,    /**< token, txn */
+  REP_STORE_READ,   /**< token, key */
+  REP_VIEWS_CHANGED /**< something changed: see rep_views() */
 };
 
 /** Strings are valid until the next event, those of a txn until its answer. */
@@ -111,20 +111,20 @@
   struct str model;
   int64_t generation;
   int state; /**< of chart "replica" */
-  bool whole;
+  bool complete;
   bool draining;
-  clk_ms evidence_at; /**< oldest answer among its members */
+  clk_ms probed_at; /**< oldest answer among its members */
   uint32_t load;
   const struct cfg_vm *leader;
   size_t members;
 };
 
 /** What to do about a replica that lost a VM. */
-enum rep_rule
+enum rep_repair_policy
 {
-  REP_BY_COST,         /**< the cheapest by the configuration's weights */
-  REP_ALWAYS_DISSOLVE, /**< for comparison: give its VMs back at once */
-  REP_ALWAYS_WAIT      /**< for comparison: until the VM returns */
+  REP_REPAIR_BY_COST,  /**< the cheapest by the configuration's weights */
+  REP_REPAIR_DISSOLVE, /**< for comparison: give its VMs back at once */
+  REP_REPAIR_WAIT      /**< for comparison: until the VM returns */
 };
 
 struct rep_options
@@ -133,7 +133,7 @@
   struct str key;       /**< assignment key in the store */
   struct str owner_key; /**< of the domain; each change compares its revision
                              with the fencing number */
-  enum rep_rule rule;
+  enum rep_repair_policy repair_policy;
   bool no_budget; /**< for comparison: load everything at once */
 };
 
@@ -153,6 +153,7 @@
 const struct rep_view *rep_views (struct rep *r, clk_ms now, size_t *n);
 
 /** Milliseconds of group downtime and of stranded accelerators so far. */
-void rep_measures (const struct rep *r, double *downtime, double *stranded);
+void rep_downtime_stats (const struct rep *r, double *downtime,
+                         double *stranded);
 
 #endif
--- a/route/core.h
+++ b/route/core.h
@@ -315,7 +315,7 @@
   struct rt_action *actions;
   size_t act_head, act_n, act_cap;
   struct rt_demand *demands;
-  struct rt_target_view *views;
+  struct rt_server_stats *views;
   struct rt_slot *slots;
 };
 
--- a/route/record-names.h
+++ b/route/record-names.h
@@ -9,7 +9,7 @@
 
 #define REC_EVENTS (RT_EV_SLOT_HOME + 1)
 #define REC_ACTIONS (RT_ACT_SLOT_DONE + 1)
-#define REC_VERDICTS (CLM_DONE + 1)
+#define REC_VERDICTS (CLM_ACKNOWLEDGED + 1)
 
 extern const char *const rec_event_names[REC_EVENTS];
 extern const char *const rec_action_names[REC_ACTIONS];
--- a/route/record-read.c
+++ b/route/record-read.c
@@ -37,10 +37,10 @@
 };
 
 const char *const rec_verdict_names[REC_VERDICTS] = {
-  [CLM_GRANTED] = "granted",   [CLM_RUNNING] = "running",
-  [CLM_ANSWERED] = "answered", [CLM_UNKNOWN] = "unknown",
-  [CLM_MISMATCH] = "mismatch", [CLM_UNAVAILABLE] = "unavailable",
-  [CLM_DONE] = "done",
+  [CLM_GRANTED] = "granted",    [CLM_RUNNING] = "running",
+  [CLM_COMPLETED] = "answered", [CLM_UNKNOWN] = "unknown",
+  [CLM_MISMATCH] = "mismatch",  [CLM_UNAVAILABLE] = "unavailable",
+  [CLM_ACKNOWLEDGED] = "done",
 };
 
 const char *const rec_slot_names[RT_SLOT_REPLIES] = {
@@ -176,8 +176,8 @@
 }
 
 bool
-rec_read_head (struct rec_reader *r, struct str line, struct rec_head *head,
-               struct fnd_list *findings)
+rec_read_header (struct rec_reader *r, struct str line,
+                 struct rec_header *head, struct fnd_list *findings)
 {
   struct scratch *s = reader_scratch (r);
 
--- a/route/record.c
+++ b/route/record.c
@@ -152,7 +152,7 @@
 }
 
 void
-rec_write_head (const struct rec_head *head, struct buf *out)
+rec_write_header (const struct rec_header *head, struct buf *out)
 {
   struct json_object *o = json_object_new_object ();
   put_str (o, "core", STR ("route"));
--- a/route/record.h
+++ b/route/record.h
@@ -15,13 +15,13 @@
 #include "route/route.h"
 
 /** First line of a trace: parameters of rt_new(). */
-struct rec_head
+struct rec_header
 {
   struct rt_options options;
   uint64_t seed;
 };
 
-void rec_write_head (const struct rec_head *head, struct buf *out);
+void rec_write_header (const struct rec_header *head, struct buf *out);
 
 void rec_write_event (clk_ms now, const struct rt_event *ev, struct buf *out);
 
@@ -37,8 +37,8 @@
 };
 
 /** Read the first line. On errors, adds a finding and returns false. */
-bool rec_read_head (struct rec_reader *r, struct str line,
-                    struct rec_head *head, struct fnd_list *findings);
+bool rec_read_header (struct rec_reader *r, struct str line,
+                      struct rec_header *head, struct fnd_list *findings);
 
 /**
  * Read the line of one event. Empty lines, // comments and the "ready" line of
--- a/route/request.c
+++ b/route/request.c
@@ -245,7 +245,7 @@
 bool
 rt_grant_is_valid (const struct rt *r, const struct rt_req *q)
 {
-  return q->granted_at != 0 && r->now - q->granted_at < CLM_GRANT_MS;
+  return q->granted_at != 0 && r->now - q->granted_at < CLM_GRANT_VALID_MS;
 }
 
 void
@@ -292,7 +292,7 @@
       rt_step (q, RT_X_GRANTED);
       start_connect (r, q);
       return;
-    case CLM_ANSWERED:
+    case CLM_COMPLETED:
       q->claimed = false;
       rt_cancel_work (r, q);
       rt_step (q, RT_X_REPLAY);
--- a/route/route.c
+++ b/route/route.c
@@ -519,8 +519,8 @@
   return r->demands;
 }
 
-const struct rt_target_view *
-rt_targets (struct rt *r, size_t *n)
+const struct rt_server_stats *
+rt_get_server_stats (struct rt *r, size_t *n)
 {
   size_t count = 0;
   for (size_t i = 0; i < r->ntargets; i++)
@@ -531,7 +531,7 @@
     for (size_t k = 0; k < r->targets[i]->nservers; k++)
       {
         const struct rt_server *s = r->targets[i]->servers[k];
-        r->views[(*n)++] = (struct rt_target_view){
+        r->views[(*n)++] = (struct rt_server_stats){
           .name = str_from (s->name),
           .in_flight = s->in_flight,
           .done = s->done,
--- a/route/route.h
+++ b/route/route.h
@@ -247,13 +247,13 @@
 enum rt_outcome rt_status_outcome (int http_status);
 
 /** Local statistics of a replica or backend server. */
-struct rt_target_view
+struct rt_server_stats
 {
   struct str name;
   uint32_t in_flight;
   uint64_t done, failed;
   bool ejected;
 };
-const struct rt_target_view *rt_targets (struct rt *r, size_t *n);
+const struct rt_server_stats *rt_get_server_stats (struct rt *r, size_t *n);
 
 #endif
--- a/route/share.c
+++ b/route/share.c
@@ -38,7 +38,7 @@
 struct member
 {
   char *node;
-  bool listed; /**< listed by shr_nodes() */
+  bool listed; /**< listed by shr_set_nodes() */
   clk_ms demand_at;
   struct node_limit limits[LIMIT_KINDS];
 };
@@ -150,8 +150,8 @@
 }
 
 void
-shr_account (struct shr *s, clk_ms now, struct str account,
-             const struct shr_amount *limit, bool home)
+shr_set_account (struct shr *s, clk_ms now, struct str account,
+                 const struct shr_amount *limit, bool home)
 {
   struct account *a = find_account (s, account);
   if (a == NULL)
@@ -182,7 +182,7 @@
 }
 
 void
-shr_nodes (struct shr *s, const struct str *names, size_t n, size_t all)
+shr_set_nodes (struct shr *s, const struct str *names, size_t n, size_t all)
 {
   free_nodes (s);
   s->nodes = xcalloc (n + 1, sizeof (char *));
@@ -195,8 +195,8 @@
 }
 
 void
-shr_demand (struct shr *s, clk_ms now, struct str account, struct str node,
-            const struct shr_amount *demand)
+shr_report_demand (struct shr *s, clk_ms now, struct str account,
+                   struct str node, const struct shr_amount *demand)
 {
   struct account *a = find_account (s, account);
   struct member *m;
--- a/route/share.h
+++ b/route/share.h
@@ -57,8 +57,8 @@
  * nothing until the grants of its predecessor, which it has no record of, have
  * expired and decayed.
  */
-void shr_account (struct shr *s, clk_ms now, struct str account,
-                  const struct shr_amount *limit, bool home);
+void shr_set_account (struct shr *s, clk_ms now, struct str account,
+                      const struct shr_amount *limit, bool home);
 
 /** Drop the accounts that were not set since the last call. */
 void shr_drop_unset (struct shr *s);
@@ -68,10 +68,11 @@
  * they are remembered: an unreachable node may still serve requests.
  * @param all  nodes of all regions; the region divides its part of the limit
  */
-void shr_nodes (struct shr *s, const struct str *names, size_t n, size_t all);
+void shr_set_nodes (struct shr *s, const struct str *names, size_t n,
+                    size_t all);
 
-void shr_demand (struct shr *s, clk_ms now, struct str account,
-                 struct str node, const struct shr_amount *demand);
+void shr_report_demand (struct shr *s, clk_ms now, struct str account,
+                        struct str node, const struct shr_amount *demand);
 
 /** Compute the grants, to be read with shr_next(). Call once a second. */
 void shr_tick (struct shr *s, clk_ms now);
--- a/route/slots.c
+++ b/route/slots.c
@@ -353,7 +353,7 @@
 on_slot_list (struct slt *s, const struct slt_event *ev)
 {
   for (size_t i = 0; i < ev->n; i++)
-    on_slot_report (s, ev, &ev->open[i]);
+    on_slot_report (s, ev, &ev->held_slots[i]);
 }
 
 static void
@@ -469,7 +469,7 @@
     case SLT_EV_DONE:
       on_done (s, ev);
       break;
-    case SLT_EV_OPEN:
+    case SLT_EV_HELD:
       on_slot_list (s, ev);
       break;
     case SLT_EV_GATEWAY_LOST:
@@ -502,7 +502,7 @@
 }
 
 size_t
-slt_taken (const struct slt *s)
+slt_occupied_slots (const struct slt *s)
 {
   return s->target->in_flight;
 }
--- a/route/slots.h
+++ b/route/slots.h
@@ -35,7 +35,7 @@
   SLT_EV_ASK,   /**< gateway, id, account, priority, cost, deadline, prefix */
   SLT_EV_TAKEN, /**< gateway, id, replica, cost: assigned without a grant */
   SLT_EV_DONE,  /**< gateway, id, first_ms, failed: ended or canceled */
-  SLT_EV_OPEN,  /**< gateway, open, n: all slots that it holds */
+  SLT_EV_HELD,  /**< gateway, open, n: all slots that it holds */
   SLT_EV_GATEWAY_LOST, /**< gateway: its link was lost; its queued requests are
                   dropped, its slots stay until SLT_SLOT_TIMEOUT_MS */
   SLT_EV_NODES         /**< n: gateways, each with max_queue requests */
@@ -57,7 +57,7 @@
   bool failed;     /**< the replica failed to connect, broke or timed out */
   struct cfg *cfg;
   const struct rt_replica *replicas;
-  const struct rt_slot *open;
+  const struct rt_slot *held_slots;
   size_t n;
 };
 
@@ -80,6 +80,6 @@
 /** Time of the next SLT_EV_TICK that is needed. */
 clk_ms slt_wake (const struct slt *s);
 /** Number of occupied slots. */
-size_t slt_taken (const struct slt *s);
+size_t slt_occupied_slots (const struct slt *s);
 
 #endif
--- a/serve/dispatch-limit.c
+++ b/serve/dispatch-limit.c
@@ -49,7 +49,7 @@
 {
   /* Count each request once, however often it is considered. */
   if (q->queued_at == d->now)
-    lim_request_permit (d->opt.limits, d->now, s->process_hash);
+    lim_record_demand (d->opt.limits, d->now, s->process_hash);
 }
 
 void
--- a/serve/dispatch.c
+++ b/serve/dispatch.c
@@ -117,7 +117,7 @@
 }
 
 bool
-dsp_next (struct dsp *d, struct dsp_action *out)
+dsp_next_action (struct dsp *d, struct dsp_action *out)
 {
   if (d->act_n == 0)
     return false;
--- a/serve/dispatch.h
+++ b/serve/dispatch.h
@@ -5,7 +5,7 @@
  * on retries, and determines the outcome.
  *
  * The caller passes events and the current time to the functions below and
- * takes the resulting actions from dsp_next(); serve/ingress.c and
+ * takes the resulting actions from dsp_next_action(); serve/ingress.c and
  * serve/attempt.c do the I/O. An attempt is identified by (request id, attempt
  * number). Events of an attempt that has ended are ignored, so a late response
  * never reaches the client.
@@ -54,7 +54,7 @@
   clk_ms waited_ms;     /**< time the client spent waiting for earlier tries
                              of this request */
   double prompt_tokens; /**< prompt length in tokens; 0: unknown */
-  double max_answer_tokens; /**< limit on generated tokens; 0: unknown */
+  double max_output_tokens; /**< limit on generated tokens; 0: unknown */
   uint64_t digest; /**< equal for identical requests of the same client */
 };
 
@@ -263,7 +263,7 @@
 void dsp_request_blocked (struct dsp *d, clk_ms now, uint64_t digest);
 
 /** Takes the next action; call it after each event until it returns false. */
-bool dsp_next (struct dsp *d, struct dsp_action *out);
+bool dsp_next_action (struct dsp *d, struct dsp_action *out);
 
 /** Number of requests that have not ended. */
 size_t dsp_count_open (const struct dsp *d);
--- a/serve/duty.c
+++ b/serve/duty.c
@@ -227,7 +227,7 @@
   uint64_t token = c->token;
 
   free (c);
-  own_store_answer (lead->own, clk_now (), token, r);
+  own_on_store_response (lead->own, clk_now (), token, r);
   run_lease_actions (lead);
 }
 
@@ -267,13 +267,13 @@
     case OWN_RANGE:
       store_range (st, STORE_OWNERSHIP, a->key, STR_EMPTY, on_lease_result, c);
       return;
-    case OWN_KEEP:
+    case OWN_KEEPALIVE:
       store_lease_keep (st, a->lease, on_lease_result, c);
       return;
     case OWN_REVOKE:
       store_lease_revoke (st, a->lease, on_lease_result, c);
       return;
-    case OWN_GAINED:
+    case OWN_ACQUIRED:
       become_leader (lead, a->fence);
       break;
     case OWN_LOST:
@@ -400,7 +400,7 @@
 {
   struct srv_leader *lead = s->leader;
 
-  own_want (lead->own, now, should_lead (lead, now));
+  own_set_wanted (lead->own, now, should_lead (lead, now));
   own_tick (lead->own, now);
   run_lease_actions (lead);
   if (s->had_traffic)
--- a/serve/ingress.c
+++ b/serve/ingress.c
@@ -44,7 +44,7 @@
   if (s->running_actions)
     return;
   s->running_actions = true;
-  while (dsp_next (s->dispatch, &a))
+  while (dsp_next_action (s->dispatch, &a))
     {
       struct srv_exchange *ex = srv_find_exchange (s, a.id);
       if (a.kind == DSP_ACT_STALLED)
@@ -159,7 +159,7 @@
           .deadline = deadline_of (ex),
           .waited_ms = earlier_wait (ex),
           .prompt_tokens = ex->request.prompt_tokens,
-          .max_answer_tokens = ex->request.max_output_tokens,
+          .max_output_tokens = ex->request.max_output_tokens,
           .digest = ex->digest };
 
   if (q.service->nmodels)
--- a/serve/limit-grant.c
+++ b/serve/limit-grant.c
@@ -72,7 +72,7 @@
 
   if (r && r->limited && r->rate == wanted->rate)
     return;
-  if (!lim_apply (l, now, &update))
+  if (!lim_apply_update (l, now, &update))
     g_array_append_val (l->changed, wanted->server);
 }
 
--- a/serve/limit.c
+++ b/serve/limit.c
@@ -169,7 +169,7 @@
 
   if (!r)
     return LIM_UNCHANGED;
-  if (report->kind == LIM_REPORT_UNREADABLE)
+  if (report->kind == LIM_REPORT_MALFORMED)
     {
       reported = r->unreadable;
       r->unreadable = true;
@@ -192,7 +192,7 @@
 }
 
 bool
-lim_apply (struct lim *l, clk_ms now, const struct lim_update *update)
+lim_apply_update (struct lim *l, clk_ms now, const struct lim_update *update)
 {
   struct lim_row *r = lim_find (l, update->server);
   clk_ms at = now - update->age_ms;
@@ -301,7 +301,7 @@
 }
 
 void
-lim_request_permit (struct lim *l, clk_ms now, uint64_t server)
+lim_record_demand (struct lim *l, clk_ms now, uint64_t server)
 {
   struct lim_row *r = lim_find (l, server);
 
--- a/serve/limit.h
+++ b/serve/limit.h
@@ -48,7 +48,7 @@
 {
   LIM_REPORT_NONE, /**< none: the server accepts any rate */
   LIM_REPORT_RATE,
-  LIM_REPORT_UNREADABLE /**< malformed: ignored, and logged once per server */
+  LIM_REPORT_MALFORMED /**< malformed: ignored, and logged once per server */
 };
 
 /** Effect of a response on the limit of its server. */
@@ -101,7 +101,8 @@
 
 /** Apply an update from another node.
     @return  whether it changed the limit recorded here */
-bool lim_apply (struct lim *l, clk_ms now, const struct lim_update *update);
+bool lim_apply_update (struct lim *l, clk_ms now,
+                       const struct lim_update *update);
 
 /** Changes since the last call, to be sent to the other nodes.  The list is
     valid until the next call that modifies @p l. */
@@ -124,7 +125,7 @@
 
 /** Record demand: a new request would be sent to the server if this node had a
     permit. */
-void lim_request_permit (struct lim *l, clk_ms now, uint64_t server);
+void lim_record_demand (struct lim *l, clk_ms now, uint64_t server);
 
 /** Use up one permit: a request is being sent to the server. */
 void lim_use_permit (struct lim *l, clk_ms now, uint64_t server);
--- a/serve/peers-limit.c
+++ b/serve/peers-limit.c
@@ -83,7 +83,7 @@
                                    .rate = row->per_s,
                                    .age_ms = row->age_ms };
       if (row->per_s >= 0)
-        changed += lim_apply (s->limits, now, &update);
+        changed += lim_apply_update (s->limits, now, &update);
     }
   if (changed == 0)
     return;
--- a/t/lib-claim-script.c
+++ b/t/lib-claim-script.c
@@ -17,8 +17,9 @@
 
   buf_addf (&run->log, "  h%d %c/%c %s", home + 1, (char)(r->id >> 8),
             (char)r->id, verdicts[r->verdict]);
-  if (r->verdict == CLM_ANSWERED)
-    buf_addf (&run->log, " %d %.*s", r->answer_status, STR_ARG (r->answer));
+  if (r->verdict == CLM_COMPLETED)
+    buf_addf (&run->log, " %d %.*s", r->response_status,
+              STR_ARG (r->response));
   buf_add_char (&run->log, '\n');
 }
 
@@ -26,7 +27,7 @@
 csc_ask (struct csc *run, int home, const char *kind, char key, char attempt,
          const char *rest)
 {
-  struct clm_ask a = { .id = (uint64_t)key << 8 | (uint64_t)attempt };
+  struct clm_request a = { .id = (uint64_t)key << 8 | (uint64_t)attempt };
 
   a.key[0] = (uint8_t)key;
   a.attempt[0] = (uint8_t)attempt;
@@ -36,12 +37,12 @@
   else if (strcmp (kind, "finish") == 0)
     {
       a.kind = CLM_FINISH;
-      a.answer_status = 200;
-      a.answer = str_from (rest);
+      a.response_status = 200;
+      a.response = str_from (rest);
     }
   else
     a.fingerprint[0] = (uint8_t)rest[0];
-  clm_ask (run->w.homes[home], run->w.now, &a);
+  clm_request (run->w.homes[home], run->w.now, &a);
   cw_drain (&run->w, home);
 }
 
@@ -119,7 +120,7 @@
 {
   return (struct clm_options){ .prefix = STR ("/t/"),
                                .window = 60 * CLK_SECOND,
-                               .kept_bytes = 64,
+                               .max_response_bytes = 64,
                                .boot = 1 };
 }
 
--- a/t/lib-claim-walk.c
+++ b/t/lib-claim-walk.c
@@ -22,10 +22,10 @@
     }
 }
 
-static struct clm_ask
+static struct clm_request
 ask_of (const struct cwk_req *q, enum clm_kind kind)
 {
-  struct clm_ask a = { .id = q->ask, .kind = kind };
+  struct clm_request a = { .id = q->ask, .kind = kind };
 
   key_bytes (q->key, a.key);
   memcpy (a.attempt, &q->no, sizeof q->no);
@@ -55,9 +55,9 @@
 }
 
 static void
-core_ask (struct cwk_walk *k, int home, struct clm_ask a)
+core_ask (struct cwk_walk *k, int home, struct clm_request a)
 {
-  clm_ask (k->w.homes[home], k->w.now, &a);
+  clm_request (k->w.homes[home], k->w.now, &a);
   cw_drain (&k->w, home);
 }
 
@@ -65,26 +65,26 @@
 static void
 release (struct cwk_walk *k, const struct cwk_req *q)
 {
-  struct clm_ask a = ask_of (q, CLM_RELEASE);
+  struct clm_request a = ask_of (q, CLM_RELEASE);
 
   a.id = 0;
   core_ask (k, q->gateway, a);
 }
 
 static void
-do_asker (struct cwk_walk *k, struct cwk_req *q, enum clm_asker_do what,
-          enum clm_verdict verdict)
+do_asker (struct cwk_walk *k, struct cwk_req *q,
+          enum clm_requester_action what, enum clm_verdict verdict)
 {
-  struct clm_ask a;
+  struct clm_request a;
   int target;
 
   switch (what)
     {
-    case CLM_ASKER_NOTHING:
+    case CLM_REQUESTER_NONE:
       return;
-    case CLM_ASKER_ASK:
-      a = ask_of (q, CLM_TAKE);
-      target = q->targets[q->asker.asked - 1];
+    case CLM_REQUESTER_SEND:
+      a = ask_of (q, CLM_ACQUIRE);
+      target = q->targets[q->asker.ntried - 1];
       a.wait_ms = q->asker.deadline - k->w.now;
       a.final
           = q->asker.ntargets == 1 || k->fault == CWK_FAULT_HOME_RELEASES
@@ -95,26 +95,26 @@
         post (k, &(struct cwk_message){
                      .from = q->gateway, .to = target, .ask = a });
       return;
-    case CLM_ASKER_REPLY:
+    case CLM_REQUESTER_REPLY:
       q->state = verdict == CLM_GRANTED ? REQ_GRANTED : REQ_OVER;
       q->granted = k->w.now;
       k->refused += verdict != CLM_GRANTED;
       return;
-    case CLM_ASKER_REPLY_LATE:
+    case CLM_REQUESTER_REPLY_AND_RELEASE:
       q->state = REQ_OVER;
       k->refused++;
       release (k, q);
       return;
-    case CLM_ASKER_GIVE_UP_LATE:
+    case CLM_REQUESTER_GIVE_UP_AND_RELEASE:
       q->state = REQ_OVER;
       k->given_up++;
       release (k, q);
       return;
-    case CLM_ASKER_GIVE_UP:
+    case CLM_REQUESTER_GIVE_UP:
       q->state = REQ_OVER;
       k->given_up++;
       return;
-    case CLM_ASKER_RELEASE:
+    case CLM_REQUESTER_RELEASE:
       release (k, q);
     }
 }
@@ -127,7 +127,8 @@
   if (q && k->fault == CWK_FAULT_FORGETS_GRANT)
     q->asker.granted = false;
   if (q)
-    do_asker (k, q, clm_asker_answer (&q->asker, k->w.now, verdict), verdict);
+    do_asker (k, q, clm_requester_on_verdict (&q->asker, k->w.now, verdict),
+              verdict);
 }
 
 /* A core's reply goes to the gateway whose request it was. */
@@ -137,7 +138,7 @@
   struct cwk_walk *k = ctx;
   struct cwk_req *q = req_of (k, r->id);
 
-  if (!q || r->verdict == CLM_DONE)
+  if (!q || r->verdict == CLM_ACKNOWLEDGED)
     return;
   post (k, &(struct cwk_message){ .is_answer = true,
                                   .from = home,
@@ -166,15 +167,15 @@
   q->key = (int)below (k, CWK_KEYS);
   q->ask = ++k->last_ask;
   /* Views differ: any order of homes, ending with the own one. */
-  for (int h = (int)below (k, CW_HOMES); n < CLM_TARGETS; h++)
+  for (int h = (int)below (k, CW_HOMES); n < CLM_MAX_TARGETS; h++)
     {
       q->targets[n++] = h % CW_HOMES;
       if (h % CW_HOMES == q->gateway)
         break;
     }
   do_asker (k, q,
-            clm_asker_start (&q->asker, k->w.now, 500 + below (k, 3000),
-                             (unsigned)n),
+            clm_requester_start (&q->asker, k->w.now, 500 + below (k, 3000),
+                                 (unsigned)n),
             CLM_UNAVAILABLE);
   return true;
 }
@@ -187,7 +188,8 @@
 
   q->state = REQ_ASKING;
   q->ask = ++k->last_ask;
-  do_asker (k, q, clm_asker_start (&q->asker, k->w.now, CLM_ASK_MS, n),
+  do_asker (k, q,
+            clm_requester_start (&q->asker, k->w.now, CLM_MAX_WAIT_MS, n),
             CLM_UNAVAILABLE);
 }
 
@@ -267,7 +269,7 @@
       int home = c->home;
       struct store_result ok = { .revision = k->w.kv.revision };
       c->answered = true;
-      clm_store_answer (k->w.homes[home], k->w.now, c->token, &ok);
+      clm_on_store_response (k->w.homes[home], k->w.now, c->token, &ok);
       cw_drain (&k->w, home);
       return;
     }
@@ -353,7 +355,8 @@
     {
       struct cwk_req *q = &k->reqs[i];
       if (q->state == REQ_ASKING && !k->frozen[q->gateway])
-        do_asker (k, q, clm_asker_tick (&q->asker, k->w.now), CLM_UNAVAILABLE);
+        do_asker (k, q, clm_requester_tick (&q->asker, k->w.now),
+                  CLM_UNAVAILABLE);
     }
 }
 
@@ -430,7 +433,7 @@
   k->boots = 1;
   k->opt = (struct clm_options){ .prefix = STR ("/w/"),
                                  .window = CWK_WINDOW,
-                                 .kept_bytes = 1000,
+                                 .max_response_bytes = 1000,
                                  .boot = 1,
                                  .gap_ms = 10 };
   for (int i = 0; i < CWK_KEYS; i++)
@@ -489,7 +492,7 @@
                              .key = key,
                              .gateway = key % CW_HOMES };
       q->targets[0] = q->gateway;
-      do_asker (k, q, clm_asker_start (&q->asker, k->w.now, 2000, 1),
+      do_asker (k, q, clm_requester_start (&q->asker, k->w.now, 2000, 1),
                 CLM_UNAVAILABLE);
       calm (k, 1000);
       usable += q->state == REQ_GRANTED;
--- a/t/lib-claim-walk.h
+++ b/t/lib-claim-walk.h
@@ -48,8 +48,8 @@
   int gateway;
   int key;
   clk_ms granted;
-  struct clm_asker asker;
-  int targets[CLM_TARGETS];
+  struct clm_requester asker;
+  int targets[CLM_MAX_TARGETS];
 };
 
 struct cwk_message
@@ -57,7 +57,7 @@
   bool used;
   bool is_answer;
   int from, to;
-  struct clm_ask ask;
+  struct clm_request ask;
   enum clm_verdict verdict;
 };
 
--- a/t/lib-claim.c
+++ b/t/lib-claim.c
@@ -197,7 +197,7 @@
   if (!w->log)
     return;
   buf_addf (w->log, "  h%d #%u ", c->home + 1, c->no);
-  if (c->kind == CLM_ACT_GRANT)
+  if (c->kind == CLM_ACT_LEASE_GRANT)
     buf_addf (w->log, "grant %lld\n", (long long)c->ttl);
   else if (c->kind == CLM_ACT_RANGE)
     buf_addf (w->log, "read from %lld\n",
@@ -212,7 +212,7 @@
           bat_get (c->puts[1].value, i, &r);
           if (i < 4)
             buf_addf (w->log, " %s:%c/%c",
-                      r.kind == CLM_TAKE ? "take" : "release", r.key[0],
+                      r.kind == CLM_ACQUIRE ? "take" : "release", r.key[0],
                       r.attempt[0]);
           else if (i == 4)
             buf_addf (w->log, " +%zu", n - 4);
@@ -303,7 +303,7 @@
   memset (&c->result, 0, sizeof c->result);
   if (c->kind == CLM_ACT_RANGE)
     apply_range (w, c);
-  else if (c->kind == CLM_ACT_GRANT)
+  else if (c->kind == CLM_ACT_LEASE_GRANT)
     {
       c->result.lease = kv_grant (&w->kv, w->now, c->ttl);
       c->result.ttl = c->ttl;
@@ -324,7 +324,7 @@
   uint64_t token = c->token;
 
   c->answered = true;
-  clm_store_answer (w->homes[home], w->now, token, r);
+  clm_on_store_response (w->homes[home], w->now, token, r);
   /* A write of which only the answer was lost may still be applied. */
   if (c->applied || lost != STORE_UNCERTAIN)
     cw_forget (c);
--- a/t/lib-cluster.c
+++ b/t/lib-cluster.c
@@ -389,5 +389,5 @@
 void
 cluster_forget_connections (struct cluster *c)
 {
-  relay_forget (c->relay);
+  relay_blackhole (c->relay);
 }
--- a/t/lib-dispatch.c
+++ b/t/lib-dispatch.c
@@ -92,7 +92,7 @@
 {
   struct dsp_action a;
 
-  while (dsp_next (b->d, &a))
+  while (dsp_next_action (b->d, &a))
     switch (a.kind)
       {
       case DSP_ACT_SEND:
@@ -214,7 +214,7 @@
 
   update.server = dsp_endpoint_hash (str_from (server), 0, 0);
   update.rate = atof (rate);
-  lim_apply (b->limits, b->now, &update);
+  lim_apply_update (b->limits, b->now, &update);
   dsp_permits_granted (b->d, b->now);
 }
 
--- a/t/lib-domain.c
+++ b/t/lib-domain.c
@@ -170,7 +170,7 @@
 {
   struct fake_vm *vm = find_vm (d, a->vm->name);
   struct rep_event ev
-      = { .kind = REP_ORDER_DONE, .vm = a->vm->name, .token = a->token };
+      = { .kind = REP_ORDER_RESPONSE, .vm = a->vm->name, .token = a->token };
 
   ev.on = execute_order (d, vm, a->order, a->replica, a->generation, a->fence);
   d->orders++;
@@ -216,7 +216,7 @@
 {
   struct store_result res = { .status = STORE_OK };
   struct rep_event ev
-      = { .kind = REP_STORE_ANSWER, .token = a->token, .result = &res };
+      = { .kind = REP_STORE_RESPONSE, .token = a->token, .result = &res };
   bool one_shot
       = strcmp (d->store_mode, "up") && strcmp (d->store_mode, "down");
 
@@ -255,7 +255,7 @@
                               .kvs = &kv,
                               .nkvs = d->mod_rev != 0 && d->value.len };
   struct rep_event ev
-      = { .kind = REP_STORE_ANSWER, .token = a->token, .result = &res };
+      = { .kind = REP_STORE_RESPONSE, .token = a->token, .result = &res };
 
   if (strcmp (d->store_mode, "down") == 0)
     res.status = STORE_UNAVAILABLE;
@@ -277,7 +277,7 @@
       snprintf (line, sizeof line, "%.*s/%lld %s%s%s",
                 STR_ARG (views[i].replica), (long long)views[i].generation,
                 chart_state_name (chart, views[i].state),
-                views[i].whole ? " serves" : "",
+                views[i].complete ? " serves" : "",
                 views[i].draining ? " no new work" : "");
       if (strcmp (line, d->last_views[i]) == 0)
         continue;
@@ -380,7 +380,7 @@
   else if (strcmp (verb, "unowner") == 0)
     *ev = (struct rep_event){ .kind = REP_OWNER };
   else if (strcmp (verb, "leaving") == 0 || strcmp (verb, "listed") == 0)
-    *ev = (struct rep_event){ .kind = REP_PLATFORM,
+    *ev = (struct rep_event){ .kind = REP_VM_LISTED,
                               .vm = str_from (args[0]),
                               .on = *verb == 'l' && verb[1] == 'i' };
   else if (strcmp (verb, "drain") == 0 || strcmp (verb, "undrain") == 0)
@@ -464,7 +464,7 @@
             && strcmp (vm->replica, p->name) == 0
             && vm->generation == p->generation && d->now >= vm->ready_at;
 
-  return is || d->now - vm->changed_at <= REP_EVIDENCE_MS + TICK_MS;
+  return is || d->now - vm->changed_at <= REP_PROBE_VALID_MS + TICK_MS;
 }
 
 unsigned
@@ -478,7 +478,7 @@
         const struct rep *r = d->reps[c];
         const struct rep_replica *p = &r->replicas[i];
 
-        if (!p->whole || d->now - p->evidence_at >= REP_EVIDENCE_MS)
+        if (!p->complete || d->now - p->probed_at >= REP_PROBE_VALID_MS)
           continue;
         for (size_t v = 0; v < p->nvms; v++)
           n += !was_member (d, find_vm (d, r->vms[p->vms[v]].cfg->name), p);
--- a/t/lib-latekv.c
+++ b/t/lib-latekv.c
@@ -28,7 +28,7 @@
 }
 
 void
-latekv_end (struct latekv *k)
+latekv_destroy (struct latekv *k)
 {
   memkv_free (k->kv);
 }
@@ -77,7 +77,7 @@
     .client = c, .next = c->answers, .cb = cb, .ctx = ctx
   };
   c->answers = a;
-  a->res.status = c->at->down ? STORE_UNAVAILABLE : STORE_OK;
+  a->res.status = c->at->unavailable ? STORE_UNAVAILABLE : STORE_OK;
   uv_timer_init (c->at->loop, &a->timer);
   a->timer.data = a;
   uv_timer_start (&a->timer, on_answer, 1, 0);
@@ -99,14 +99,14 @@
   struct answer *a = answer_later (self, cb, ctx);
   struct latekv *at = a->client->at;
 
-  if (at->down)
+  if (at->unavailable)
     return;
   a->res.status = STORE_CONFLICT;
-  if (!at->taken)
+  if (!at->lease_lost)
     a->res = memkv_txn (at->kv, txn);
-  if (at->loses_answer)
+  if (at->loses_response)
     a->res.status = STORE_UNCERTAIN;
-  at->loses_answer = false;
+  at->loses_response = false;
 }
 
 static void
@@ -115,7 +115,7 @@
   struct answer *a = answer_later (self, cb, ctx);
 
   if (a->res.status == STORE_OK)
-    a->res.lease = ++a->client->at->lease;
+    a->res.lease = ++a->client->at->last_lease;
 }
 
 static void
@@ -124,10 +124,10 @@
   struct answer *a = answer_later (self, cb, ctx);
   struct latekv *at = a->client->at;
 
-  if (a->res.status == STORE_OK && at->taken)
+  if (a->res.status == STORE_OK && at->lease_lost)
     a->res.status = STORE_GONE;
   if (a->res.status == STORE_OK)
-    at->kept_at = clk_now ();
+    at->renewed_at = clk_now ();
 }
 
 static void
--- a/t/lib-latekv.h
+++ b/t/lib-latekv.h
@@ -14,15 +14,16 @@
 {
   uv_loop_t *loop;
   struct memkv *kv;
-  bool down;         /**< calls have no effect and end as unavailable */
-  bool loses_answer; /**< the next txn has its effect, its end is uncertain */
-  bool taken;        /**< each txn conflicts, each lease is gone */
-  clk_ms kept_at;    /**< last renewal that succeeded, of any lease */
-  int64_t lease;     /**< last one granted */
+  bool unavailable; /**< calls have no effect and end as unavailable */
+  bool
+      loses_response; /**< the next txn has its effect, its end is uncertain */
+  bool lease_lost;    /**< each txn conflicts, each lease is gone */
+  clk_ms renewed_at;  /**< last renewal that succeeded, of any lease */
+  int64_t last_lease; /**< last one granted */
 };
 
 void latekv_init (struct latekv *k, uv_loop_t *loop);
-void latekv_end (struct latekv *k);
+void latekv_destroy (struct latekv *k);
 
 /** One process's client; released by store_free(). */
 struct store *latekv_store (struct latekv *k);
--- a/t/lib-limit.c
+++ b/t/lib-limit.c
@@ -187,7 +187,7 @@
   if (in->from < LIMIT_RELAYS)
     f->node[node].last_seen[in->from] = f->now;
   for (size_t i = 0; i < in->nupdates; i++)
-    lim_apply (l, f->now, &in->updates[i]);
+    lim_apply_update (l, f->now, &in->updates[i]);
   for (size_t i = 0; in->grants && i < in->npermits; i++)
     if (granting_node (f, node) == in->from)
       lim_add_permits (l, f->now, in->permits[i].server, in->permits[i].n);
@@ -259,7 +259,7 @@
       send_request (f, node, s);
       return;
     }
-  lim_request_permit (x->l, f->now, (uint64_t)s->name);
+  lim_record_demand (x->l, f->now, (uint64_t)s->name);
   request_permits (f, node);
   if (!lim_is_exhausted (x->l, f->now, (uint64_t)s->name))
     x->waiting[s - f->server] = f->now + WAIT_MS;
@@ -485,7 +485,7 @@
 
   update.limited = strcmp (rate, "none") != 0;
   update.rate = atof (rate);
-  lim_apply (f->node[node].l, f->now, &update);
+  lim_apply_update (f->node[node].l, f->now, &update);
   lim_updates (f->node[node].l, f->now, &n);
 }
 
--- a/t/lib-rack.c
+++ b/t/lib-rack.c
@@ -142,7 +142,7 @@
 }
 
 void
-rack_serve (struct rack *r, int engines)
+rack_start_all (struct rack *r, int engines)
 {
   char leads[64];
 
--- a/t/lib-rack.h
+++ b/t/lib-rack.h
@@ -55,7 +55,7 @@
                      const char *more);
 
 /** Platform, configuration and both nodes; waits until a stream is served. */
-void rack_serve (struct rack *r, int engines);
+void rack_start_all (struct rack *r, int engines);
 
 /** Headers of a request: id, key "k1", model. */
 const char *rack_headers (const char *id);
--- a/t/lib-relay.c
+++ b/t/lib-relay.c
@@ -171,7 +171,7 @@
 }
 
 void
-relay_forget (struct relay *r)
+relay_blackhole (struct relay *r)
 {
   atomic_store (&r->forgot, false);
   atomic_store (&r->forget, true);
--- a/t/lib-relay.h
+++ b/t/lib-relay.h
@@ -13,7 +13,7 @@
 
 /** From now on swallow what comes over the connections that are open;
     neither end is told.  New ones work. */
-void relay_forget (struct relay *r);
+void relay_blackhole (struct relay *r);
 
 /** From now on close every connection, old and new. */
 void relay_refuse (struct relay *r);
--- a/t/lib-site.c
+++ b/t/lib-site.c
@@ -249,7 +249,7 @@
 }
 
 long
-site_vm_says (const struct site *s, int vm, const char *key)
+site_vm_number (const struct site *s, int vm, const char *key)
 {
   return number_at (proc_addr (s->vm[vm], "http"), "/lapis/v1/state", key);
 }
--- a/t/lib-site.h
+++ b/t/lib-site.h
@@ -15,7 +15,7 @@
 #define SITE_ADMIN "Authorization: Bearer site-token\r\n"
 
 /** Evidence is valid for 3 s and may take another to reach a busy gateway. */
-#define SITE_BOUND_MS 4000
+#define SITE_EVIDENCE_MS 4000
 
 enum site_servers
 {
@@ -68,6 +68,6 @@
 void site_store_fault (const struct site *s, const char *json);
 
 /** Returns the number after a key of a VM's state, e.g. "\"orders\"". */
-long site_vm_says (const struct site *s, int vm, const char *key);
+long site_vm_number (const struct site *s, int vm, const char *key);
 
 #endif
--- a/t/t4002-asker.c
+++ b/t/t4002-asker.c
@@ -19,48 +19,49 @@
                                        "give-up", "give-up-and-release",
                                        "release" };
 
-static enum clm_asker_do
-step (struct clm_asker *a, clk_ms *now, const char *word)
+static enum clm_requester_action
+step (struct clm_requester *a, clk_ms *now, const char *word)
 {
   if (word[0] == '+')
     {
       *now += atoi (word + 1);
-      return clm_asker_tick (a, *now);
+      return clm_requester_tick (a, *now);
     }
   if (strncmp (word, "stopped:", 8) == 0)
     {
       *now += atoi (word + 8);
-      return CLM_ASKER_NOTHING;
+      return CLM_REQUESTER_NONE;
     }
   if (strcmp (word, "unreachable") == 0)
-    return clm_asker_unreachable (a, *now);
+    return clm_requester_unreachable (a, *now);
   if (strcmp (word, "silent") == 0)
-    return clm_asker_silent (a, *now);
+    return clm_requester_target_lost (a, *now);
   if (strcmp (word, "granted") == 0)
-    return clm_asker_answer (a, *now, CLM_GRANTED);
+    return clm_requester_on_verdict (a, *now, CLM_GRANTED);
   if (strcmp (word, "running") == 0)
-    return clm_asker_answer (a, *now, CLM_RUNNING);
+    return clm_requester_on_verdict (a, *now, CLM_RUNNING);
   cr_assert_str_eq (word, "unavailable");
-  return clm_asker_answer (a, *now, CLM_UNAVAILABLE);
+  return clm_requester_on_verdict (a, *now, CLM_UNAVAILABLE);
 }
 
 /** @p expected holds steps and actions; the actions are compared. */
 static void
 expect (unsigned targets, clk_ms wait_ms, const char *expected)
 {
-  struct clm_asker a;
+  struct clm_requester a;
   struct buf log = BUF_INIT;
   char *text = xstrdup (expected);
   char *save = NULL;
   clk_ms now = 1000;
 
-  cr_expect_eq (clm_asker_start (&a, now, wait_ms, targets), CLM_ASKER_ASK);
+  cr_expect_eq (clm_requester_start (&a, now, wait_ms, targets),
+                CLM_REQUESTER_SEND);
   for (char *word = strtok_r (text, " ", &save); word;
        word = strtok_r (NULL, " ", &save))
     {
       if (word[0] == '>')
         continue;
-      enum clm_asker_do what = step (&a, &now, word);
+      enum clm_requester_action what = step (&a, &now, word);
       buf_addf (&log, "%s%s%s%s", log.len ? " " : "", word, what ? " >" : "",
                 actions[what]);
     }
@@ -126,6 +127,6 @@
   expect (2, 500, "stopped:9000 granted >give-up-and-release +1");
 }
 
-/* A caller's patience longer than CLM_ASK_MS would let a grant outlive what
-   the record promises. */
+/* A caller's patience longer than CLM_MAX_WAIT_MS would let a grant outlive
+   what the record promises. */
 Test (asker, wait_is_bounded) { expect (1, 60000, "+2999 +1 >give-up"); }
--- a/t/t4003-bounds.c
+++ b/t/t4003-bounds.c
@@ -16,17 +16,17 @@
   csc_up (&run, 1, &opt);
   for (int i = 0; i < 1000; i++)
     {
-      struct clm_ask a = { .id = 'k' << 8 | 'A' };
+      struct clm_request a = { .id = 'k' << 8 | 'A' };
       memcpy (a.key, &i, sizeof i);
-      clm_ask (run.w.homes[0], run.w.now, &a);
+      clm_request (run.w.homes[0], run.w.now, &a);
       cw_drain (&run.w, 0);
     }
   csc_all (&run);
   csc_pass (&run, 50);
   csc_all (&run);
-  cr_expect_eq (clm_counts (run.w.homes[0])->granted, 1000);
-  cr_expect_leq (clm_counts (run.w.homes[0])->txns, 2 * CLM_SHARDS);
-  cr_expect_eq (clm_held (run.w.homes[0]), 1000);
+  cr_expect_eq (clm_stats (run.w.homes[0])->granted, 1000);
+  cr_expect_leq (clm_stats (run.w.homes[0])->txns, 2 * CLM_SHARDS);
+  cr_expect_eq (clm_claim_count (run.w.homes[0]), 1000);
   csc_down (&run);
 }
 
@@ -182,7 +182,7 @@
   {
     uint8_t kind;
     bool readable;
-  } rows[] = { { CLM_TAKE, true },
+  } rows[] = { { CLM_ACQUIRE, true },
                { CLM_RELEASE, true },
                { CLM_FINISH, false },
                { 0x80, false },
--- a/t/t4900-walk.c
+++ b/t/t4900-walk.c
@@ -24,7 +24,7 @@
       stale += k.stale;
       for (int h = 0; h < CW_HOMES; h++)
         {
-          const struct clm_counts *n = clm_counts (k.w.homes[h]);
+          const struct clm_stats *n = clm_stats (k.w.homes[h]);
           found += n->settled_found;
           absent += n->settled_absent;
           late += n->late_releases;
--- a/t/t5004-faults.c
+++ b/t/t5004-faults.c
@@ -14,7 +14,7 @@
 log_ejected (struct script *s)
 {
   size_t n;
-  const struct rt_target_view *v = rt_targets (s->rt, &n);
+  const struct rt_server_stats *v = rt_get_server_stats (s->rt, &n);
   for (size_t i = 0; i < n; i++)
     if (v[i].ejected)
       buf_addf (&s->log, "%.*s ", STR_ARG (v[i].name));
@@ -68,11 +68,12 @@
   script_run (&s, "1 replicas r1 r2 r3 r4 r5 r6\n2 pace r6 600\n");
   run_rounds (&s, 12);
   cr_expect_str_eq (buf_c (&s.log), "r6 ");
-  uint64_t before = rt_targets (s.rt, &(size_t){ 0 })[5].done;
+  uint64_t before = rt_get_server_stats (s.rt, &(size_t){ 0 })[5].done;
   s.now += 5000;
   run_rounds (&s, 4);
   cr_expect_str_eq (buf_c (&s.log), "r6 ");
-  cr_expect_eq (rt_targets (s.rt, &(size_t){ 0 })[5].done, before + 1);
+  cr_expect_eq (rt_get_server_stats (s.rt, &(size_t){ 0 })[5].done,
+                before + 1);
   s.now += 10000;
   s.slow_ms = 20;
   run_rounds (&s, 4);
--- a/t/t5500-share.c
+++ b/t/t5500-share.c
@@ -31,8 +31,8 @@
 {
   struct home_sim s = { .core = shr_new () };
   struct shr_amount limit = { LIMIT, 0 };
-  shr_nodes (s.core, names, NODES, NODES);
-  shr_account (s.core, now, STR ("acme"), &limit, home);
+  shr_set_nodes (s.core, names, NODES, NODES);
+  shr_set_account (s.core, now, STR ("acme"), &limit, home);
   for (int i = 0; i < NODES; i++)
     s.linked[i] = true;
   return s;
@@ -46,7 +46,7 @@
     {
       struct shr_amount d = { s->demand[i], 0 };
       if (s->linked[i])
-        shr_demand (s->core, now, STR ("acme"), names[i], &d);
+        shr_report_demand (s->core, now, STR ("acme"), names[i], &d);
     }
   shr_tick (s->core, now);
   while (shr_next (s->core, &g))
@@ -150,7 +150,7 @@
   for (clk_ms t = 6000; t <= 30000; t += 500)
     {
       if (t == 7000)
-        shr_account (b.core, t, STR ("acme"), &limit, true);
+        shr_set_account (b.core, t, STR ("acme"), &limit, true);
       if (t % 1000 == 0)
         run_round (&a, t, shares);
       if (t % 1000 == 500)
@@ -179,7 +179,7 @@
   expect_shares (shares, "25 25 25 925");
   b.demand[0] = b.demand[1] = b.demand[2] = 2000;
   b.linked[3] = false;
-  shr_account (b.core, 6500, STR ("acme"), &limit, true);
+  shr_set_account (b.core, 6500, STR ("acme"), &limit, true);
   for (clk_ms t = 6500; t <= 30000; t += 500)
     {
       run_round (&b, t, shares);
--- a/t/t5600-slots.c
+++ b/t/t5600-slots.c
@@ -79,8 +79,9 @@
   for (size_t i = 0; i < n; i++)
     list[i] = (struct rt_slot){ (uint64_t)atoll (w[i]),
                                 str_from (strchr (w[i], '=') + 1), 100 };
-  struct slt_event ev
-      = { .kind = SLT_EV_OPEN, .gateway = gateway, .open = list, .n = n };
+  struct slt_event ev = {
+    .kind = SLT_EV_HELD, .gateway = gateway, .held_slots = list, .n = n
+  };
   slt_event (h->core, h->now, &ev);
 }
 
@@ -140,7 +141,7 @@
   else
     one_request (h, w + 1, n - 1);
   log_actions (h);
-  buf_addf (&h->log, " [%zu]\n", slt_taken (h->core));
+  buf_addf (&h->log, " [%zu]\n", slt_occupied_slots (h->core));
 }
 
 /** The number in brackets is the number of occupied slots after the line. */
--- a/t/t6001-owner.c
+++ b/t/t6001-owner.c
@@ -30,7 +30,7 @@
   while (own_next (r->o, &a))
     {
       buf_addf (&r->log, " %s", action_names[a.kind]);
-      if (a.kind == OWN_GAINED)
+      if (a.kind == OWN_ACQUIRED)
         buf_addf (&r->log, "(%lld)", (long long)a.fence);
       if (a.token)
         r->token = a.token;
@@ -65,7 +65,7 @@
   kv.lease = strcmp (verb, "ours") == 0 ? r->lease : 999;
   kv.value = strcmp (verb, "ours") == 0 ? STR ("{\"node\":\"n1\",\"boot\":7}")
                                         : STR ("{\"node\":\"n2\",\"boot\":8}");
-  own_store_answer (r->o, now, r->token, &res);
+  own_on_store_response (r->o, now, r->token, &res);
 }
 
 static void
@@ -77,7 +77,7 @@
 
   cr_assert_geq (sscanf (line, "%lld %31[a-z] %ld", &now, verb, &arg), 2);
   if (strcmp (verb, "want") == 0)
-    own_want (r->o, now, arg);
+    own_set_wanted (r->o, now, arg);
   else if (strcmp (verb, "tick") == 0)
     own_tick (r->o, now);
   else if (strcmp (verb, "ask") != 0)
--- a/t/t6004-domains.c
+++ b/t/t6004-domains.c
@@ -79,10 +79,10 @@
   memcpy (world->last_evidence, line, sizeof line);
   if (world->freeze && !whole)
     {
-      clk_ms left = world->store.kept_at + RIGHT_MS - clk_now ();
+      clk_ms left = world->store.renewed_at + RIGHT_MS - clk_now ();
 
       world->freeze = false;
-      world->store.taken = true;
+      world->store.lease_lost = true;
       usleep ((useconds_t)(left > 0 ? 1000 * left : 0));
     }
 }
@@ -196,7 +196,7 @@
     world->self.zone = STR ("y");
   else
     world->other.zone = STR ("y");
-  ctl_domains_members (world->ctl.domains);
+  ctl_domains_on_members_changed (world->ctl.domains);
 }
 
 static void
@@ -246,7 +246,7 @@
   cfg_unref (world->ctl.cfg);
   run_end (&world->run, expected);
   met_free (world->ctl.met);
-  latekv_end (&world->store);
+  latekv_destroy (&world->store);
 }
 
 static void
@@ -269,7 +269,7 @@
   e.seq = 1;
   e.n_replicas = 1;
   e.replicas = views;
-  ctl_domains_evidence (world->ctl.domains, &e);
+  ctl_domains_on_evidence (world->ctl.domains, &e);
 }
 
 /* The short form, for the full one of a number; theirs is 1. */
@@ -287,7 +287,7 @@
   e.age_ms = (uint32_t)age;
   e.n_loads = (size_t)n;
   e.loads = loads;
-  ctl_domains_evidence (world->ctl.domains, &e);
+  ctl_domains_on_evidence (world->ctl.domains, &e);
 }
 
 static void
@@ -299,20 +299,20 @@
 
   run_log (&world->run, "%s of %.*s fence %d load %u%s%s", r->state,
            STR_ARG (r->owner), (int)r->fence, r->load,
-           left > REP_EVIDENCE_MS ? " for too long" : "",
-           left < REP_EVIDENCE_MS / 2 ? " soon over" : "");
+           left > REP_PROBE_VALID_MS ? " for too long" : "",
+           left < REP_PROBE_VALID_MS / 2 ? " soon over" : "");
 }
 
 /* Turn the loop until a renewal is LATE_MS old, with the store down since. */
 static void
 let_renewals_fail (void)
 {
-  clk_ms before = world->store.kept_at;
+  clk_ms before = world->store.renewed_at;
 
-  while (world->store.kept_at == before)
+  while (world->store.renewed_at == before)
     uv_run (&world->run.loop, UV_RUN_ONCE);
-  world->store.down = true;
-  while (clk_now () < world->store.kept_at + LATE_MS)
+  world->store.unavailable = true;
+  while (clk_now () < world->store.renewed_at + LATE_MS)
     uv_run (&world->run.loop, UV_RUN_ONCE);
 }
 
@@ -331,7 +331,7 @@
   if (str_is (word, "phase"))
     snprintf (world->phase, sizeof world->phase, "%.*s", STR_ARG (rest));
   else if (str_is (word, "store"))
-    world->store.down = str_is (rest, "down");
+    world->store.unavailable = str_is (rest, "down");
   else if (str_is (word, "blank"))
     {
       world->unloaded = true;
@@ -346,8 +346,8 @@
     world->freeze = true;
   else if (str_is (word, "release"))
     {
-      world->store.taken = false;
-      memkv_revoke (world->store.kv, world->store.lease);
+      world->store.lease_lost = false;
+      memkv_revoke (world->store.kv, world->store.last_lease);
     }
   else if (str_is (word, "remote"))
     remote_evidence ("d", "r1", rest);
@@ -356,7 +356,7 @@
   else if (str_is (word, "peer"))
     {
       world->told_forms = true;
-      ctl_domains_peer (world->ctl.domains);
+      ctl_domains_on_peer_linked (world->ctl.domains);
     }
   else if (str_is (word, "elsewhere"))
     for (unsigned i = 0; i < 5; i++)
--- a/t/t6900-owner-walk.c
+++ b/t/t6900-owner-walk.c
@@ -103,7 +103,7 @@
   struct own_action a;
 
   while (own_next (k->nodes[node], &a))
-    if (a.kind == OWN_GAINED)
+    if (a.kind == OWN_ACQUIRED)
       k->owners++;
     else if (a.kind != OWN_LOST)
       hold (k, node, &a);
@@ -143,7 +143,7 @@
     c->result.status = kv_txn (&k->kv, &a->txn);
   else if (a->kind == OWN_RANGE)
     apply_range (k, c);
-  else if (a->kind == OWN_KEEP)
+  else if (a->kind == OWN_KEEPALIVE)
     c->result.status = kv_keep (&k->kv, k->now, a->lease, TTL);
   else
     kv_revoke (&k->kv, a->lease);
@@ -158,8 +158,8 @@
   struct store_result none = { .status = lost };
 
   c->answered = true;
-  own_store_answer (k->nodes[c->node], k->now, c->action.token,
-                    lost == STORE_OK ? &c->result : &none);
+  own_on_store_response (k->nodes[c->node], k->now, c->action.token,
+                         lost == STORE_OK ? &c->result : &none);
   c->used = lost == STORE_UNCERTAIN && !c->applied;
   drain (k, c->node);
 }
@@ -290,7 +290,7 @@
   for (size_t i = 0; i < CALLS; i++)
     if (k->calls[i].node == n)
       k->calls[i].answered = true;
-  own_want (k->nodes[n], k->now, true);
+  own_set_wanted (k->nodes[n], k->now, true);
   drain (k, n);
 }
 
@@ -308,12 +308,12 @@
     k->frozen[node] = true;
   else if (what < 20)
     {
-      own_want (k->nodes[node], k->now, what < 18);
+      own_set_wanted (k->nodes[node], k->now, what < 18);
       drain (k, node);
     }
   else if (what < 30)
     {
-      own_want (k->nodes[node], k->now, true);
+      own_set_wanted (k->nodes[node], k->now, true);
       drain (k, node);
     }
 }
--- a/t/t8101-peers.c
+++ b/t/t8101-peers.c
@@ -73,13 +73,13 @@
 
 /* The module pointers of a node point to the node itself. */
 void
-ctl_domains_evidence (struct ctl_domains *d, const Lapis__Evidence *e)
+ctl_domains_on_evidence (struct ctl_domains *d, const Lapis__Evidence *e)
 {
   ((struct node *)d)->evidence++;
 }
 
 void
-ctl_domains_peer (struct ctl_domains *d)
+ctl_domains_on_peer_linked (struct ctl_domains *d)
 {
 }
 
@@ -324,8 +324,8 @@
   *args++ = '\0';
   if (strcmp (line, "store") == 0)
     {
-      fx.store.down = strcmp (args, "down") == 0;
-      fx.store.loses_answer = strcmp (args, "loses-answer") == 0;
+      fx.store.unavailable = strcmp (args, "down") == 0;
+      fx.store.loses_response = strcmp (args, "loses-answer") == 0;
     }
   else if (strcmp (line, "start") == 0)
     start (args);
@@ -378,7 +378,7 @@
   for (int i = 0; i < 100 && uv_loop_alive (&fx.loop); i++)
     uv_run (&fx.loop, UV_RUN_NOWAIT);
   cr_expect_eq (uv_loop_close (&fx.loop), 0, "handles remain open");
-  latekv_end (&fx.store);
+  latekv_destroy (&fx.store);
 }
 
 static void
--- a/t/t9102-whole.c
+++ b/t/t9102-whole.c
@@ -30,7 +30,7 @@
 static void
 expect_not_served (const struct site *s)
 {
-  usleep (SITE_BOUND_MS * 1000);
+  usleep (SITE_EVIDENCE_MS * 1000);
   int runs = front_count (s->vm[LEADER], "runs");
   for (int i = 0; i < 40; i++)
     cr_expect_str_eq (site_call (s, i % SITE_NODES), "503 not-run no-replica");
@@ -58,7 +58,7 @@
   expect_not_served (&s);
   no_repair (&s, false);
   expect_served_again (&s);
-  cr_expect_gt (site_vm_says (&s, SPARE, "\"generation\""), 1);
+  cr_expect_gt (site_vm_number (&s, SPARE, "\"generation\""), 1);
 }
 
 /* A member is frozen: its connections stay open and say nothing.  It counts
@@ -159,10 +159,10 @@
 
   site_up (&s, SITE_CHECK_FENCE);
   for (int i = 0; i < SITE_VMS; i++)
-    orders += site_vm_says (&s, i, "\"orders\"");
+    orders += site_vm_number (&s, i, "\"orders\"");
   for (int i = 0; i < SITE_VMS; i++)
     proc_signal (s.vm[i], SIGSTOP);
-  usleep (SITE_BOUND_MS * 1000);
+  usleep (SITE_EVIDENCE_MS * 1000);
   for (int i = 0; i < 40; i++)
     cr_expect_str_eq (site_call (&s, i % SITE_NODES),
                       "503 not-run no-replica");
@@ -170,7 +170,7 @@
     proc_signal (s.vm[i], SIGCONT);
   expect_served_again (&s);
   for (int i = 0; i < SITE_VMS; i++)
-    orders -= site_vm_says (&s, i, "\"orders\"");
+    orders -= site_vm_number (&s, i, "\"orders\"");
   cr_expect_eq (orders, 0, "a VM got an order");
 }
 
@@ -201,7 +201,7 @@
   struct site s;
 
   site_up (&s, SITE_CHECK_FENCE);
-  long fence = site_vm_says (&s, MEMBER, "\"fence\"");
+  long fence = site_vm_number (&s, MEMBER, "\"fence\"");
   int old = freeze_owner (&s);
   front_fault (s.vm[MEMBER], "{\"unloaded\": true, \"generation\": 0}");
   proc_signal (s.control[old], SIGCONT);
@@ -209,9 +209,9 @@
                         NULL, "\"unloaded\": false", 60000));
   site_until_both (&s, "\"whole\":true");
   expect_served_again (&s);
-  cr_expect_eq (site_vm_says (&s, MEMBER, "\"generation\""), 1);
-  cr_expect_eq (site_vm_says (&s, MEMBER, "\"old_orders\""), 0);
-  cr_expect_gt (site_vm_says (&s, MEMBER, "\"fence\""), fence);
+  cr_expect_eq (site_vm_number (&s, MEMBER, "\"generation\""), 1);
+  cr_expect_eq (site_vm_number (&s, MEMBER, "\"old_orders\""), 0);
+  cr_expect_gt (site_vm_number (&s, MEMBER, "\"fence\""), fence);
 }
 
 /* The backend servers take any order.  While the owner is frozen the other
@@ -238,7 +238,7 @@
       cr_expect_str_eq (site_call (&s, !old), "200 done -");
     }
   expect_served_again (&s);
-  cr_expect_eq (site_vm_says (&s, MEMBER, "\"orders\""), 0);
-  cr_expect_eq (site_vm_says (&s, LEADER, "\"generation\""), 2);
-  cr_expect_eq (site_vm_says (&s, SPARE, "\"generation\""), 2);
+  cr_expect_eq (site_vm_number (&s, MEMBER, "\"orders\""), 0);
+  cr_expect_eq (site_vm_number (&s, LEADER, "\"generation\""), 2);
+  cr_expect_eq (site_vm_number (&s, SPARE, "\"generation\""), 2);
 }
--- a/t/t9204-prompts.c
+++ b/t/t9204-prompts.c
@@ -121,7 +121,7 @@
 {
   struct dsp_action a;
 
-  while (dsp_next (f->nodes[node], &a))
+  while (dsp_next_action (f->nodes[node], &a))
     if (a.kind == DSP_ACT_SEND)
       {
         struct stream *s = &f->streams[a.id];
--- a/t/t9205-entries.c
+++ b/t/t9205-entries.c
@@ -288,7 +288,7 @@
   struct rack r;
   struct buf text = BUF_INIT;
 
-  rack_serve (&r, 4);
+  rack_start_all (&r, 4);
   rack_set (&r, "{\"entry\": {\"id\": \"x1\", \"value\": \"{nonsense\"}}");
   rack_set (&r, "{\"entry\": {\"id\": \"x2\", \"value\": "
                 "\"{\\\"service\\\":\\\"app\\\",\\\"address\\\":"
@@ -311,7 +311,7 @@
 {
   struct rack r;
 
-  rack_serve (&r, 4);
+  rack_start_all (&r, 4);
   rack_set (&r, "{\"server\": \"e2\", \"reborn\": true}");
   for (int i = 0; i < 50; i++)
     {
--- a/t/t9208-limit.c
+++ b/t/t9208-limit.c
@@ -23,7 +23,7 @@
   if (second)
     h[1] = (struct http_header){ STR (PLT_H_RATE), str_from (second) };
   plt_parse_response (STR ("id"), 200, h, second ? 2 : 1, &a);
-  if (a.limit == LIM_REPORT_UNREADABLE)
+  if (a.limit == LIM_REPORT_MALFORMED)
     return "unreadable";
   snprintf (text, sizeof text, "%g", a.rate);
   return a.limit == LIM_REPORT_RATE ? text : "nothing";
@@ -308,10 +308,10 @@
   struct lim_update ended = { .server = 7, .age_ms = 300 };
 
   respond (l, 1000, 4, 900);
-  cr_expect_not (lim_apply (l, 1100, &ended));
+  cr_expect_not (lim_apply_update (l, 1100, &ended));
   ended.age_ms = 50;
-  cr_expect (lim_apply (l, 1100, &ended));
-  cr_expect_not (lim_apply (l, 1100, &ended));
+  cr_expect (lim_apply_update (l, 1100, &ended));
+  cr_expect_not (lim_apply_update (l, 1100, &ended));
   cr_expect_not (lim_any_limited (l));
   lim_free (l);
 }
@@ -320,7 +320,7 @@
 Test (limit, malformed_limit_is_reported_once)
 {
   struct lim *l = lim_new (1);
-  struct lim_report report = { .server = 7, .kind = LIM_REPORT_UNREADABLE };
+  struct lim_report report = { .server = 7, .kind = LIM_REPORT_MALFORMED };
   double rate;
 
   respond (l, 1000, 4, 900);
--- a/t/t9301-serve.c
+++ b/t/t9301-serve.c
@@ -64,7 +64,7 @@
   const char *with_k2 = "Host: h\r\nX-Lapisline-Request-Id: n\r\n"
                         "X-Api-Key: k2\r\n";
 
-  rack_serve (&r, 4);
+  rack_start_all (&r, 4);
   rack_configure (&r, 5, "k2",
                   ",{\"name\": \"n\", \"host\": \"h\", \"prefix\": \"/new/\","
                   " \"kind\": \"idempotent\", \"timeout_ms\": 3000,"
@@ -93,7 +93,7 @@
   struct web_stream *w;
   const char *member;
 
-  rack_serve (&r, 8);
+  rack_start_all (&r, 8);
   rack_set (&r, "{\"events\": 60, \"event_ms\": 40}");
   w = web_open (r.front[0], "POST", "/stream/x", rack_headers ("long"), "x");
   cr_assert (web_read_until (w, &body, "w5\n", PROC_WAIT_MS));
@@ -119,7 +119,7 @@
   struct rack r;
   struct buf body = BUF_INIT;
 
-  rack_serve (&r, 8);
+  rack_start_all (&r, 8);
   for (int i = 0; i < 4; i++)
     {
       rack_set (&r, "{\"server\": \"%s\", \"cut_after\": 4}",
@@ -140,7 +140,7 @@
   struct rack r;
   struct buf body = BUF_INIT;
 
-  rack_serve (&r, 8);
+  rack_start_all (&r, 8);
   for (int i = 0; i < 4; i++)
     {
       rack_set (&r, "{\"server\": \"%s\", \"end_after\": 4}",
@@ -161,7 +161,7 @@
   struct rack r;
   int runs;
 
-  rack_serve (&r, 4);
+  rack_start_all (&r, 4);
   rack_set (&r, "{\"server\": \"p1\", \"draining\": true}");
   usleep (1800000);
   runs = rack_count (&r, "p1", "runs");
@@ -180,7 +180,7 @@
   struct rack r;
   int status;
 
-  rack_serve (&r, 4);
+  rack_start_all (&r, 4);
   rack_set (&r, "{\"server\": \"p1\", \"dark\": true}");
   rack_set (&r, "{\"server\": \"p2\", \"dark\": true}");
   status = rack_call (&r, 0, "/once/x", "once", NULL, NULL);
@@ -197,7 +197,7 @@
 {
   struct rack r;
 
-  rack_serve (&r, 4);
+  rack_start_all (&r, 4);
   rack_set (&r, "{\"server\": \"p1\", \"fail\": 500}");
   for (int i = 0; i < 4; i++)
     cr_expect_eq (rack_call (&r, 0, "/safe/x", "f", NULL, NULL), 200);
@@ -215,7 +215,7 @@
 {
   struct rack r;
 
-  rack_serve (&r, 4);
+  rack_start_all (&r, 4);
   rack_set (&r, "{\"store\": {\"silent\": true}}");
   for (int i = 0; i < 30; i++, usleep (100000))
     cr_expect_eq (rack_call (&r, i % 2, "/safe/x", "a", NULL, NULL), 200);
@@ -245,7 +245,7 @@
   struct web_answer a = { 0 };
   struct web_stream *w;
 
-  rack_serve (&r, 4);
+  rack_start_all (&r, 4);
   proc_signal (r.node[0], SIGHUP);
   rack_set (&r, "{\"events\": 50, \"event_ms\": 50}");
   w = web_open (r.front[0], "POST", "/stream/x", rack_headers ("long"), "x");
@@ -276,7 +276,7 @@
   struct buf body = BUF_INIT;
   int leads;
 
-  rack_serve (&r, 4);
+  rack_start_all (&r, 4);
   leads = rack_count (&r, "e1", "leads");
   for (int i = 0; i < RACK_NODES; i++)
     {
@@ -304,7 +304,7 @@
   struct rack r;
   const char *const lost[RACK_NODES] = { "e7", "e8" };
 
-  rack_serve (&r, 8);
+  rack_start_all (&r, 8);
   for (int i = 0; i < RACK_NODES; i++)
     {
       proc_signal (r.node[i], SIGSTOP);
@@ -330,7 +330,7 @@
   struct buf body = BUF_INIT;
   struct web_stream *w;
 
-  rack_serve (&r, 4);
+  rack_start_all (&r, 4);
   rack_set (&r, "{\"events\": 200, \"event_ms\": 50}");
   w = web_open (r.front[0], "POST", "/stream/x", rack_headers ("go"), "x");
   cr_assert (web_read_until (w, &body, "w2\n", PROC_WAIT_MS));
@@ -353,7 +353,7 @@
   struct web_answer a = { 0 };
   char *large = xcalloc (1, 10002);
 
-  rack_serve (&r, 4);
+  rack_start_all (&r, 4);
   memset (large, 'x', 10001);
   web_call (r.front[0], "POST", "/once/x", rack_headers ("a"), large, &a);
   cr_expect_eq (a.status, 413);
@@ -408,7 +408,7 @@
 {
   struct rack r;
 
-  rack_serve (&r, 4);
+  rack_start_all (&r, 4);
   usleep (4000000);
   for (int i = 0; i < RACK_NODES; i++)
     {
--- a/t/t9302-walk.c
+++ b/t/t9302-walk.c
@@ -66,7 +66,7 @@
 {
   struct rack r;
 
-  rack_serve (&r, 4);
+  rack_start_all (&r, 4);
   rack_set (&r, "{\"server\": \"e4\", \"dead\": true}");
   rack_set (&r, "{\"server\": \"e3\", \"dead\": true}");
   cr_assert (rack_until (&r, 0, "/stream/x", rack_headers ("walk-1"), 503));
@@ -87,7 +87,7 @@
   struct rack r;
   struct buf body = BUF_INIT;
 
-  rack_serve (&r, 4);
+  rack_start_all (&r, 4);
   rack_set (&r, "{\"server\": \"e1\", \"cut_after\": 3}");
   rack_set (&r, "{\"server\": \"e2\", \"cut_after\": 3}");
   rack_set (&r, "{\"server\": \"e3\", \"cut_after\": 3}");
@@ -111,7 +111,7 @@
 {
   struct rack r;
 
-  rack_serve (&r, 4);
+  rack_start_all (&r, 4);
   rack_set (&r, "{\"server\": \"p1\", \"dark\": true}");
   rack_set (&r, "{\"server\": \"p2\", \"dark\": true}");
   cr_expect_eq (rack_call (&r, 0, "/once/x", "walk-3", NULL, NULL), 504);
--- a/t/t9303-late-list.c
+++ b/t/t9303-late-list.c
@@ -150,7 +150,7 @@
   struct rack r;
   int owner, refused = 0;
 
-  rack_serve (&r, 4);
+  rack_start_all (&r, 4);
   sleep (3); /* from then on what a list lacks counts as gone */
   owner = find_owner (&r);
   link_to (&t, &r, owner);
--- a/t/t9305-crash.c
+++ b/t/t9305-crash.c
@@ -87,7 +87,7 @@
   struct rack r;
   struct web_answer a = { 0 };
 
-  rack_serve (&r, ENGINES);
+  rack_start_all (&r, ENGINES);
   until_leaders (&r, REPLICAS);
   rack_set (&r, "{\"crash_body\": \"bad\", \"crash_ms\": 10}");
   for (int i = 0; i < 12; i++)
@@ -121,7 +121,7 @@
 static void
 serve_crashing (struct rack *r)
 {
-  rack_serve (r, ENGINES);
+  rack_start_all (r, ENGINES);
   until_leaders (r, REPLICAS);
   rack_set (r, "{\"crash_body\": \"bad\", \"crash_ms\": 10}");
 }
@@ -187,7 +187,7 @@
 {
   struct rack r;
 
-  rack_serve (&r, 8);
+  rack_start_all (&r, 8);
   for (int i = 0; i < 8; i++)
     {
       rack_set (&r, "{\"server\": \"e1\", \"cut_after\": 1}");
--- a/t/t9306-limit.c
+++ b/t/t9306-limit.c
@@ -43,7 +43,7 @@
   struct rack r;
   int most;
 
-  rack_serve (&r, 4);
+  rack_start_all (&r, 4);
   rack_set (&r, "{\"server\": \"p1\", \"limit\": \"2\"}");
   cr_expect_eq (call_for (&r, RACK_NODES, 8000), 0);
   most = rack_count (&r, "p1", "limited_most");
@@ -100,7 +100,7 @@
   struct web_answer a = { 0 };
   int refused = 0;
 
-  rack_serve (&r, 4);
+  rack_start_all (&r, 4);
   limit_server (&r, "p1", "3");
   limit_server (&r, "p2", "3");
   call_for (&r, RACK_NODES, 3000);
@@ -132,7 +132,7 @@
 {
   struct rack r;
 
-  rack_serve (&r, 4);
+  rack_start_all (&r, 4);
   limit_server (&r, "p1", "2");
   for (int round = 0; round < 2 * RACK_NODES; round++)
     {
@@ -170,7 +170,7 @@
 {
   struct rack r;
 
-  rack_serve (&r, 4);
+  rack_start_all (&r, 4);
   limit_server (&r, "p1", "1");
   limit_server (&r, "p2", "1");
   call_for (&r, RACK_NODES, 2000);
@@ -190,7 +190,7 @@
   struct rack r;
   int before;
 
-  rack_serve (&r, 4);
+  rack_start_all (&r, 4);
   limit_server (&r, "p1", "1");
   call_for (&r, RACK_NODES, 2000);
   limit_server (&r, "p1", "");
@@ -212,7 +212,7 @@
 {
   struct rack r;
 
-  rack_serve (&r, 4);
+  rack_start_all (&r, 4);
   rack_set (&r, "{\"store\": {\"silent\": true}}");
   limit_server (&r, "p1", "2");
   cr_expect_eq (call_for (&r, RACK_NODES, 8000), 0);
--- a/t/t9307-config.c
+++ b/t/t9307-config.c
@@ -87,7 +87,7 @@
   struct web_stream *asked;
   struct rack r;
 
-  rack_serve (&r, 4);
+  rack_start_all (&r, 4);
   proc_signal (r.node[0], SIGSTOP);
   rack_configure (&r, 2, "k2", "");
   usleep ((useconds_t)(APPLY_MS + 1000) * 1000);
@@ -150,7 +150,7 @@
 {
   struct rack r;
 
-  rack_serve (&r, 4);
+  rack_start_all (&r, 4);
   cr_expect_eq (rack_call (&r, 0, "/once/x", "", k2_headers, NULL), 401);
   rack_set (&r, "{\"store\": {\"silent\": true}}");
   usleep ((useconds_t)(APPLY_MS + 500) * 1000);
--- a/t/t9309-paused.c
+++ b/t/t9309-paused.c
@@ -48,7 +48,7 @@
   struct rack r;
   char id[16];
 
-  rack_serve (&r, 8);
+  rack_start_all (&r, 8);
   rack_set (&r, "{\"events\": 200, \"event_ms\": 40}");
   for (int i = 0; i < STREAMS; i++)
     {
@@ -90,7 +90,7 @@
   struct web_stream *w;
   struct rack r;
 
-  rack_serve (&r, 4);
+  rack_start_all (&r, 4);
   cr_assert (rack_until (&r, 0, "/safe/x", rack_headers ("warm"), 200));
   proc_signal (r.platform, SIGSTOP);
   w = web_open (r.front[0], "POST", "/safe/x", rack_headers ("asked"), "x");
@@ -132,7 +132,7 @@
 {
   struct rack r;
 
-  rack_serve (&r, 4);
+  rack_start_all (&r, 4);
   proc_signal (r.platform, SIGSTOP);
   usleep (500000);
   signal_nodes (&r, SIGSTOP);
@@ -154,7 +154,7 @@
   struct rack r;
   int before;
 
-  rack_serve (&r, 4);
+  rack_start_all (&r, 4);
   cr_assert (rack_until (&r, 0, "/safe/x", rack_headers ("warm"), 200));
   signal_nodes (&r, SIGSTOP);
   before = rack_count (&r, "p1", "runs");
--- a/t/t9401-soak.c
+++ b/t/t9401-soak.c
@@ -278,7 +278,7 @@
   struct soak_thread threads[CALLERS + SERIES] = { 0 };
 
   soak_init (s, seed, RACK_NODES);
-  rack_serve (&s->r, ENGINES);
+  rack_start_all (&s->r, ENGINES);
   rack_set (&s->r, "{\"events\": %d, \"event_ms\": 15}", EVENTS);
   for (unsigned i = 0; i < CALLERS + SERIES; i++)
     threads[i] = (struct soak_thread){
