--- a/control/admin-drain.c
+++ b/control/admin-drain.c
@@ -4,30 +4,31 @@
 #include "base/json.h"
 #include "control/admin.h"
 
-/* Longest wait for the node that carries out a drain. */
-#define DRAIN_MS (2 * CLK_SECOND)
+/* Timeout of a drain that was forwarded to another node. */
+#define DRAIN_TIMEOUT_MS (2 * CLK_SECOND)
 
 static void
-log_change (const struct ctl *c, struct str who, const char *what,
+log_change (const struct ctl *c, struct str operator_name, const char *what,
             struct str name, bool on)
 {
-  LOG (admin_change, LOG_S ("operator", who), LOG_C ("what", what),
+  LOG (admin_change, LOG_S ("operator", operator_name), LOG_C ("what", what),
        LOG_S ("name", name), LOG_C ("drain", on ? "on" : "off"),
        LOG_I ("revision", c->cfg ? c->cfg->revision : 0));
 }
 
-/* Drain a replica that this node's domains own. */
+/* Drains a replica of a domain that this node owns. */
 static bool
-drain_here (struct ctl *c, struct str replica, bool on, struct str who)
+drain_local (struct ctl *c, struct str replica, bool on,
+             struct str operator_name)
 {
   if (!ctl_domains_drain (c->domains, replica, on))
     return false;
-  log_change (c, who, "replica", replica, on);
+  log_change (c, operator_name, "replica", replica, on);
   return true;
 }
 
 static void
-answer_done (struct httpd_req *http, struct str name, const char *by)
+respond_done (struct httpd_req *http, struct str name, const char *by)
 {
   struct buf out = BUF_INIT;
   buf_add_c (&out, "{\"done\":true,\"name\":");
@@ -35,68 +36,68 @@
   buf_add_c (&out, ",\"node\":");
   buf_add_json (&out, str_from (by));
   buf_add_c (&out, "}\n");
-  adm_answer (http, 200, buf_str (&out));
+  adm_respond (http, 200, buf_str (&out));
   buf_free (&out);
 }
 
 static void
-on_drain_late (uv_timer_t *t)
+on_drain_timeout (uv_timer_t *t)
 {
-  struct adm_ask *k = t->data;
-  if (k->http)
-    adm_error (k->http, 504, "no-answer",
-               "the node that can do it gave no answer; it may have "
-               "happened");
-  adm_ask_end (k);
+  struct adm_pending *p = t->data;
+  if (p->http)
+    adm_error (p->http, 504, "no-answer",
+               "the responsible node did not respond; the drain may have run");
+  adm_pending_end (p);
 }
 
-/* Hand a drain to the node that can carry it out. */
+/* Forwards a drain to the node that can run it. */
 static void
 forward_drain (const struct adm_request *r, struct str node,
-               const Lapis__DrainAsk *asked)
+               const Lapis__DrainAsk *request)
 {
   struct ctl *c = r->a->c;
-  Lapis__DrainAsk ask = *asked;
+  Lapis__DrainAsk ask = *request;
   Lapis__Frame f = LAPIS__FRAME__INIT;
-  struct adm_ask *k = adm_ask_new (r->a, r->http, DRAIN_MS, on_drain_late);
-  if (!k)
+  struct adm_pending *p
+      = adm_pending_new (r->a, r->http, DRAIN_TIMEOUT_MS, on_drain_timeout);
+  if (!p)
     {
-      adm_error (r->http, 503, "busy", "too many requests wait");
+      adm_error (r->http, 503, "busy", "too many open requests");
       return;
     }
-  k->who = str_dup (r->who->name);
-  k->what = str_dup (r->name);
-  k->node = str_dup (node);
-  ask.id = k->id;
-  ask.who = k->who;
+  p->operator_name = str_dup (r->operator->name);
+  p->target_name = str_dup (r->name);
+  p->node = str_dup (node);
+  ask.id = p->id;
+  ask.who = p->operator_name;
   ask.config_revision = (uint64_t)c->cfg->revision;
   f.body_case = LAPIS__FRAME__BODY_DRAIN_ASK;
   f.drain_ask = &ask;
   if (ctl_peers_send_node (c->peers, node, &f))
     {
-      LOG (admin_forwarded, LOG_S ("operator", r->who->name),
+      LOG (admin_forwarded, LOG_S ("operator", r->operator->name),
            LOG_S ("name", r->name), LOG_S ("to", node),
            LOG_I ("revision", c->cfg->revision));
       return;
     }
   adm_error (r->http, 503, "unreachable",
-             "the node that can do it is not linked; nothing happened");
-  adm_ask_end (k);
+             "the responsible node is not linked; the drain was not executed");
+  adm_pending_end (p);
 }
 
 /**
- * Whether to drain: an empty body or {"on": true}, against {"on": false}.
- * @return false when the body says neither, and then it was refused: taken
- *         for a drain, an undo with a slip in it would stop a replica
+ * Parses the request body: empty or {"on": true} drains, {"on": false} ends a
+ * drain.
+ * @return false when the body is neither; a 400 response was sent then,
+ * because a malformed request to end a drain must not start one
  */
 static bool
-read_on (struct httpd_req *http, bool *on)
+parse_on (struct httpd_req *http, bool *on)
 {
   struct str body = str_trim (httpd_get (http)->body);
   json_object *root = jsn_parse (body);
   json_object *value = jsn_get (root, "on");
-  /* json-c ends the process when a value that is no object is asked for its
-     length. */
+  /* json-c aborts when asked for the length of a value that is no object. */
   bool empty = body.len == 0
                || (json_object_is_type (root, json_type_object)
                    && json_object_object_length (root) == 0);
@@ -106,7 +107,7 @@
   json_object_put (root);
   if (!good)
     adm_error (http, 400, "bad-request",
-               "the body is neither empty nor {\"on\": true} or false");
+               "the body must be empty, {\"on\": true} or {\"on\": false}");
   return good;
 }
 
@@ -116,7 +117,7 @@
   struct ctl *c = r->a->c;
   const struct ctl_replica *found = adm_find_replica (c, r->name);
   bool on;
-  if (!read_on (r->http, &on))
+  if (!parse_on (r->http, &on))
     return;
   if (!found || found->owner.len == 0)
     {
@@ -137,11 +138,11 @@
       free (name);
       return;
     }
-  if (drain_here (c, r->name, on, r->who->name))
-    answer_done (r->http, r->name, c->set.node);
+  if (drain_local (c, r->name, on, r->operator->name))
+    respond_done (r->http, r->name, c->set.node);
   else
     adm_error (r->http, 409, "not-drained",
-               "this node can't drain the replica now");
+               "this node doesn't probe the replica's fabric domain now");
 }
 
 void
@@ -149,18 +150,18 @@
 {
   struct ctl *c = r->a->c;
   bool on;
-  if (!read_on (r->http, &on))
+  if (!parse_on (r->http, &on))
     return;
   if (!on)
     {
       adm_error (r->http, 400, "not-taken-back",
-                 "a node that leaves can't be taken back; start it again");
+                 "a leaving node can't be undrained; restart it");
       return;
     }
   if (str_is (r->name, c->set.node))
     {
-      log_change (c, r->who->name, "node", r->name, true);
-      answer_done (r->http, r->name, c->set.node);
+      log_change (c, r->operator->name, "node", r->name, true);
+      respond_done (r->http, r->name, c->set.node);
       ctl_leave (c);
       return;
     }
@@ -177,23 +178,24 @@
   free (name);
 }
 
-/* Another node was asked; the operator's right was checked there. */
+/* The node that forwarded the request has checked the operator's role. */
 void
-adm_take_drain_ask (struct ctl_admin *a, uint64_t peer,
-                    const Lapis__DrainAsk *ask)
+adm_on_drain_ask (struct ctl_admin *a, uint64_t peer,
+                  const Lapis__DrainAsk *ask)
 {
   struct ctl *c = a->c;
-  struct str who = str_from (ask->who);
+  struct str operator_name = str_from (ask->who);
   Lapis__DrainAnswer answer = LAPIS__DRAIN_ANSWER__INIT;
   Lapis__Frame f = LAPIS__FRAME__INIT;
   bool node = strcmp (ask->node, c->set.node) == 0;
   const struct ctl_replica *r = adm_find_replica (c, str_from (ask->replica));
   answer.id = ask->id;
   if (node)
-    log_change (c, who, "node", str_from (ask->node), true);
+    log_change (c, operator_name, "node", str_from (ask->node), true);
   answer.done = node
                 || (r && str_is (r->owner, c->set.node)
-                    && drain_here (c, str_from (ask->replica), ask->on, who));
+                    && drain_local (c, str_from (ask->replica), ask->on,
+                                    operator_name));
   answer.reason = answer.done ? "" : "that node does not own the domain now";
   f.body_case = LAPIS__FRAME__BODY_DRAIN_ANSWER;
   f.drain_answer = &answer;
@@ -203,14 +205,14 @@
 }
 
 void
-adm_take_drain_answer (struct ctl_admin *a, const Lapis__DrainAnswer *answer)
+adm_on_drain_answer (struct ctl_admin *a, const Lapis__DrainAnswer *answer)
 {
-  struct adm_ask *k = adm_ask_find (a, answer->id, false);
-  if (!k)
+  struct adm_pending *p = adm_pending_find (a, answer->id, false);
+  if (!p)
     return;
-  if (k->http && answer->done)
-    answer_done (k->http, str_from (k->what), k->node);
-  else if (k->http)
-    adm_error (k->http, 409, "not-drained", answer->reason);
-  adm_ask_end (k);
+  if (p->http && answer->done)
+    respond_done (p->http, str_from (p->target_name), p->node);
+  else if (p->http)
+    adm_error (p->http, 409, "not-drained", answer->reason);
+  adm_pending_end (p);
 }
--- a/control/control.c
+++ b/control/control.c
@@ -6,32 +6,31 @@
 
 #include "store/etcd.h"
 
-/* Longest wait for one answer of the store. */
-#define STORE_CALL_MS (2 * CLK_SECOND)
+#define STORE_TIMEOUT_MS (2 * CLK_SECOND)
 
-/* How often a leaving process looks whether it may go. */
-#define LEAVE_CHECK_MS ((clk_ms)100)
+/* Interval at which a leaving process checks whether it can exit. */
+#define LEAVE_CHECK_INTERVAL_MS ((clk_ms)100)
 
 /*
- * A leaving node stays at least this long: gossip needs a few rounds to tell
- * everybody that it leaves, and owned domains need a store answer to be given
- * back.  Without it the others would take it for dead and wait for its leases.
+ * Time for gossip to announce the leave and for the store call that releases
+ * owned domains.  Without it the others would declare the node dead and wait
+ * for its leases to expire.
  */
-#define LEAVE_LEAST_MS CLK_SECOND
+#define LEAVE_MIN_MS CLK_SECOND
 
-#define SPANS 4096
+#define MAX_SPANS 4096
 
-/* Rounds of the loop in which closing handles come to their end. */
-#define CLOSE_ROUNDS 1000
+/* Limit of loop iterations that wait for closing handles. */
+#define MAX_CLOSE_ITERATIONS 1000
 
 struct process
 {
-  struct ctl ctl; /* first: the modules know only this */
+  struct ctl ctl; /* must be first: see process_of() */
   uv_loop_t loop;
-  uv_signal_t term;
-  uv_signal_t interrupt;
+  uv_signal_t sigterm;
+  uv_signal_t sigint;
   uv_timer_t leave_check;
-  clk_ms left_at;
+  clk_ms leave_started_at;
   bool finished;
 };
 
@@ -47,9 +46,9 @@
   struct cfg *old = c->cfg;
   c->cfg = cfg_ref (cfg);
   if (c->domains)
-    ctl_domains_config (c->domains);
+    ctl_domains_on_config (c->domains);
   if (c->views)
-    ctl_views_config (c->views);
+    ctl_views_on_config (c->views);
   if (old)
     cfg_unref (old);
 }
@@ -58,24 +57,24 @@
 ctl_member_changed (struct ctl *c, const struct mbr_node *node)
 {
   if (c->peers)
-    ctl_peers_member (c->peers, node);
+    ctl_peers_on_member_changed (c->peers, node);
   if (c->spread)
-    ctl_spread_members (c->spread);
+    ctl_spread_on_members_changed (c->spread);
   if (c->domains)
     ctl_domains_on_members_changed (c->domains);
   if (c->views)
-    ctl_views_touch (c->views);
+    ctl_views_schedule (c->views);
 }
 
 void
 ctl_evidence_changed (struct ctl *c)
 {
   if (c->views)
-    ctl_views_touch (c->views);
+    ctl_views_schedule (c->views);
 }
 
-/* In the reverse order of their start.  A pointer is cleared once its module
-   is gone, as those that are left may still tell the others something. */
+/* In reverse order of the start.  Pointers are cleared because modules still
+   running may notify the others. */
 static void
 stop_modules (struct ctl *c)
 {
@@ -104,26 +103,27 @@
     return;
   p->finished = true;
   stop_modules (&p->ctl);
-  uv_close ((uv_handle_t *)&p->term, NULL);
-  uv_close ((uv_handle_t *)&p->interrupt, NULL);
+  uv_close ((uv_handle_t *)&p->sigterm, NULL);
+  uv_close ((uv_handle_t *)&p->sigint, NULL);
   uv_close ((uv_handle_t *)&p->leave_check, NULL);
 }
 
 /*
- * Callers keep an address answer for its lifetime, and the gateway serves
- * them meanwhile and tells so by keeping its link.  Only when the link is
- * gone, or the last answer that names this node has run out, may control go.
+ * Clients use an address response until it expires, and until then the gateway
+ * serves them and keeps its link open.  The process exits once that link is
+ * closed or the last address response that names this node has expired.
  */
 static void
 on_leave_check (uv_timer_t *t)
 {
   struct process *p = t->data;
-  clk_ms past = clk_now () - p->left_at;
+  clk_ms elapsed = clk_now () - p->leave_started_at;
   bool linked = ctl_views_linked (p->ctl.views);
-  if (past < LEAVE_LEAST_MS || (linked && past < cfg_leave_ms (p->ctl.cfg)))
+  if (elapsed < LEAVE_MIN_MS
+      || (linked && elapsed < cfg_leave_ms (p->ctl.cfg)))
     return;
   if (linked)
-    LOG (gateway_still_linked, LOG_I ("after_ms", past));
+    LOG (gateway_still_linked, LOG_I ("after_ms", elapsed));
   finish (p);
 }
 
@@ -134,13 +134,13 @@
   if (c->leaving)
     return;
   c->leaving = true;
-  p->left_at = clk_now ();
+  p->leave_started_at = clk_now ();
   LOG (process_stopping, LOG_I ("boot", c->boot));
   ctl_swim_leave (c->swim);
   ctl_domains_on_members_changed (c->domains);
-  ctl_views_touch (c->views);
-  uv_timer_start (&p->leave_check, on_leave_check, LEAVE_CHECK_MS,
-                  LEAVE_CHECK_MS);
+  ctl_views_schedule (c->views);
+  uv_timer_start (&p->leave_check, on_leave_check, LEAVE_CHECK_INTERVAL_MS,
+                  LEAVE_CHECK_INTERVAL_MS);
 }
 
 static void
@@ -177,7 +177,7 @@
 {
   struct ctl *c = &p->ctl;
   struct etcd_options store
-      = { .endpoints = c->set.endpoints, .call_ms = STORE_CALL_MS };
+      = { .endpoints = c->set.endpoints, .call_ms = STORE_TIMEOUT_MS };
   struct store_budget budget
       = { .writes = settings_writes (set, SETTINGS_CONTROL_WRITES),
           .reads = set->store_reads };
@@ -190,11 +190,11 @@
   c->http = httpc_new (c->loop);
   c->store = etcd_store_new (c->loop, c->http, &store, &budget);
   c->met = met_new ();
-  c->spans = trc_ring_new (SPANS);
-  uv_signal_init (c->loop, &p->term);
-  uv_signal_init (c->loop, &p->interrupt);
+  c->spans = trc_ring_new (MAX_SPANS);
+  uv_signal_init (c->loop, &p->sigterm);
+  uv_signal_init (c->loop, &p->sigint);
   uv_timer_init (c->loop, &p->leave_check);
-  p->term.data = p->interrupt.data = c;
+  p->sigterm.data = p->sigint.data = c;
   p->leave_check.data = p;
 }
 
@@ -204,7 +204,7 @@
   struct ctl *c = &p->ctl;
   store_free (c->store);
   httpc_free (c->http);
-  for (int i = 0; i < CLOSE_ROUNDS && uv_loop_alive (&p->loop); i++)
+  for (int i = 0; i < MAX_CLOSE_ITERATIONS && uv_loop_alive (&p->loop); i++)
     uv_run (&p->loop, UV_RUN_NOWAIT);
   uv_loop_close (&p->loop);
   if (c->cfg)
@@ -224,13 +224,13 @@
   bool started = start_modules (&p->ctl, err);
   if (started)
     {
-      uv_signal_start (&p->term, on_signal, SIGTERM);
-      uv_signal_start (&p->interrupt, on_signal, SIGINT);
+      uv_signal_start (&p->sigterm, on_signal, SIGTERM);
+      uv_signal_start (&p->sigint, on_signal, SIGINT);
       LOG (process_started, LOG_I ("boot", p->ctl.boot));
       print_ready (&p->ctl);
-      /* Not uv_stop(): h2o runs the loop once more within the closing of a
-         server, which takes the stop back, and the process would stay for
-         ever with nothing left to do. */
+      /* uv_stop() doesn't work here: closing a server makes h2o run the loop
+         once more, which resets the stop flag, and uv_run() would then never
+         return. */
       while (!p->finished)
         uv_run (&p->loop, UV_RUN_ONCE);
       LOG (process_stopped, LOG_I ("boot", p->ctl.boot));
--- a/control/peers.h
+++ b/control/peers.h
@@ -1,8 +1,8 @@
 /**
  * @file
- * Links between control processes, inside:
+ * Internal interface of the links between control processes.
  *
- *   peers.c         links, greetings, frames to the modules that take them
+ *   peers.c         links, hello messages, dispatch of frames to the modules
  *   peer-policy.c   which processes a link is opened to, and when
  */
 #ifndef LAPISLINE_CONTROL_PEERS_H
@@ -10,44 +10,44 @@
 
 #include "control/control.h"
 
-/** Up to this many nodes of a region are all linked with each other. */
-#define PRS_MESH 16
+/** A region of up to this many nodes is a full mesh of links. */
+#define PRS_MAX_FULL_MESH 16
 
-/** Above that each node picks as many, besides those that pick it. */
-#define PRS_PICKS 4
+/** In larger regions each node opens links to this many others. */
+#define PRS_LINKS_PER_NODE 4
 
 enum peer_role
 {
-  ROLE_UNKNOWN, /**< has not greeted yet */
+  ROLE_UNKNOWN, /**< no hello received yet */
   ROLE_GATEWAY,
   ROLE_CONTROL
 };
 
 struct peer;
 
-/** A process that links are opened to. */
+/** An address that this process opens links to. */
 struct target
 {
   struct target *next;
   struct net_addr addr;
-  char *node;    /**< NULL: an address of the settings, not yet heard of */
-  bool settings; /**< from the settings: kept for ever */
+  char *node;         /**< NULL until the first hello */
+  bool from_settings; /**< from the settings: never dropped */
   bool is_self;
   struct peer *peer; /**< the link opened to it, or NULL */
   clk_ms next_try;
-  clk_ms wait;      /**< before the next try but one */
-  clk_ms missed;    /**< since when it has been wanted without a link */
-  clk_ms wanted_at; /**< last time that somebody had a frame for it */
+  clk_ms backoff;        /**< backoff after the next attempt */
+  clk_ms last_linked_at; /**< last tick with a link; at first, when added */
+  clk_ms requested_at;   /**< last time that a frame for it had no link */
 };
 
-/** One link and who is at its other end. */
+/** A link and the process at its other end. */
 struct peer
 {
   struct peer *next;
   struct ctl_peers *p;
   struct link *link;
-  struct target *target; /**< NULL: the other end opened the link */
-  uint64_t number;
+  struct target *target; /**< NULL: opened by the other end */
+  uint64_t id;
   enum peer_role role;
   char *node;
   uint64_t boot;
@@ -62,13 +62,13 @@
   uv_timer_t timer;
   struct peer *peers;
   struct target *targets;
-  uint64_t last_number;
-  uint64_t past_out, past_in; /**< traffic of links that are gone */
+  uint64_t last_id;
+  uint64_t closed_out, closed_in; /**< bytes on closed links */
   bool stopping;
 };
 
 struct peer *prs_find (const struct ctl_peers *p, struct str node);
-/** Close without a callback and forget. */
+/** Closes the link without a callback and frees the peer. */
 void prs_close (struct peer *peer);
 void prs_open (struct ctl_peers *p, struct target *target);
 
@@ -76,12 +76,10 @@
 void prs_policy_start (struct ctl_peers *p);
 void prs_policy_stop (struct ctl_peers *p);
 void prs_policy_tick (struct ctl_peers *p);
-/** A frame is there for a node without a link. */
-void prs_want (struct ctl_peers *p, struct str node);
-/** The link opened to the target is gone. */
-void prs_target_lost (struct target *t);
-/** The process at the target's address said who it is. */
-void prs_target_named (struct target *t, const char *node);
-void prs_target_is_self (struct target *t);
+/** Called when a frame could not be sent because the node has no link. */
+void prs_request_link (struct ctl_peers *p, struct str node);
+void prs_on_target_unlinked (struct target *t);
+void prs_on_target_hello (struct target *t, const char *node);
+void prs_on_target_self (struct target *t);
 
 #endif
--- a/control/spread.c
+++ b/control/spread.c
@@ -7,49 +7,50 @@
 #include "control/control.h"
 #include "fleet/hash.h"
 
-#define READERS 2
+#define READERS_PER_ZONE 2
 
-/* Before membership has told who else is there, every node would take itself
-   for a reader; a zone that boots at once would all read the store. */
-#define READER_DELAY ((clk_ms)500)
+/* Until membership lists the other nodes, each would pick itself as reader,
+   and all nodes of a zone that boots at once would read the store. */
+#define READER_DELAY_MS ((clk_ms)500)
 
 struct ctl_spread
 {
   struct ctl *c;
   struct spr *spr;
   uv_timer_t *timer;
-  clk_ms readers_from; /* when this node may become a reader */
+  clk_ms reader_allowed_at;
   bool members_changed;
   bool reader;
   struct store_watch *watch;
   char *manifest_key;
-  struct buf doc_key;   /* of the document that was asked for last... */
-  int64_t doc_revision; /* ...and the manifest's revision */
-  int64_t lower;        /* lower revision that was logged last */
+  struct buf doc_key;            /* of the document requested last... */
+  int64_t doc_revision;          /* ...and the manifest's revision */
+  int64_t logged_lower_revision; /* lower revision that was logged last */
   int64_t revision;
-  struct buf text; /* of what could be read and is in force */
+  struct buf text; /* of the configuration in force */
   struct met_series *met_bad;
   struct met_series *met_timeouts;
 };
 
-static void feed (struct ctl_spread *s, const struct spr_event *ev);
+static void handle_event (struct ctl_spread *s, const struct spr_event *ev);
 
 /* --- store -------------------------------------------------------------- */
 
 static void
-feed_failure (struct ctl_spread *s)
+handle_store_failure (struct ctl_spread *s)
 {
-  feed (s, &(struct spr_event){ .kind = SPR_STORE_FAILED });
+  handle_event (s, &(struct spr_event){ .kind = SPR_STORE_FAILED });
 }
 
-/* A revision below the one in force is never taken: the store lost writes,
-   for instance by being restored, and what was accepted must not revert. */
+/* The store lost writes, for instance in a restore; the core rejects the
+   revision, because an accepted configuration must not revert. */
 static void
 log_if_lower (struct ctl_spread *s, int64_t revision)
 {
-  if (revision >= spr_revision (s->spr) || revision == s->lower)
+  if (revision >= spr_revision (s->spr)
+      || revision == s->logged_lower_revision)
     return;
-  s->lower = revision;
+  s->logged_lower_revision = revision;
   LOG (manifest_lower, LOG_I ("revision", revision),
        LOG_I ("in_force", spr_revision (s->spr)));
 }
@@ -74,17 +75,17 @@
 }
 
 static void
-take_manifest (struct ctl_spread *s, const struct store_kv *kv, int64_t seen)
+handle_manifest (struct ctl_spread *s, const struct store_kv *kv, int64_t seen)
 {
   struct spr_event ev = { .kind = SPR_STORE_MANIFEST, .seen = seen };
 
   if (kv && !read_manifest (s, kv, &ev))
     {
-      feed_failure (s);
+      handle_store_failure (s);
       return;
     }
   log_if_lower (s, ev.revision);
-  feed (s, &ev);
+  handle_event (s, &ev);
 }
 
 static void
@@ -93,9 +94,9 @@
   struct ctl_spread *s = ctx;
 
   if (r->status == STORE_OK)
-    take_manifest (s, r->nkvs ? &r->kvs[0] : NULL, r->revision);
+    handle_manifest (s, r->nkvs ? &r->kvs[0] : NULL, r->revision);
   else
-    feed_failure (s);
+    handle_store_failure (s);
 }
 
 static void
@@ -106,20 +107,19 @@
 
   if (r->status != STORE_OK || r->nkvs == 0)
     {
-      feed_failure (s);
+      handle_store_failure (s);
       return;
     }
-  /* The answer to an older question, told by its key: a newer manifest came
-     in between. */
+  /* The response to an older request: a newer manifest was read since. */
   if (!str_eq (r->kvs[0].key, buf_str (&s->doc_key)))
     return;
   ev.revision = s->doc_revision;
   ev.bytes = r->kvs[0].value;
-  feed (s, &ev);
+  handle_event (s, &ev);
 }
 
 static void
-ask_document (struct ctl_spread *s, const struct spr_action *a)
+request_document (struct ctl_spread *s, const struct spr_action *a)
 {
   s->doc_revision = a->revision;
   buf_clear (&s->doc_key);
@@ -130,14 +130,14 @@
 }
 
 static void
-on_watched (void *ctx, int64_t revision, const struct store_watch_event *ev,
-            size_t n)
+on_watch_events (void *ctx, int64_t revision,
+                 const struct store_watch_event *ev, size_t n)
 {
   struct ctl_spread *s = ctx;
 
-  /* Only the newest counts; a deleted manifest changes nothing in force. */
+  /* Only the newest event matters; deleting the manifest changes nothing. */
   if (n > 0 && !ev[n - 1].deleted)
-    take_manifest (s, &ev[n - 1].kv, revision);
+    handle_manifest (s, &ev[n - 1].kv, revision);
 }
 
 static void
@@ -146,7 +146,7 @@
   struct ctl_spread *s = ctx;
 
   s->watch = NULL;
-  feed_failure (s);
+  handle_store_failure (s);
 }
 
 static void
@@ -161,7 +161,7 @@
 start_watch (struct ctl_spread *s, int64_t from)
 {
   static const struct store_watch_cb callbacks
-      = { .on_events = on_watched, .on_end = on_watch_end };
+      = { .on_events = on_watch_events, .on_end = on_watch_end };
 
   stop_watch (s);
   s->watch = store_watch (s->c->store, str_from (s->manifest_key), STR_EMPTY,
@@ -197,8 +197,8 @@
   ctl_peers_send (s->c->peers, a->peer, &f);
 }
 
-/* A chunk that the link does not take is missed by the peer, which then asks
-   another node. */
+/* If the link refuses a chunk, the peer's transfer times out and it requests
+   the document from another node. */
 static void
 send_chunk (struct ctl_spread *s, const struct spr_action *a)
 {
@@ -216,10 +216,11 @@
 }
 
 void
-ctl_spread_peer (struct ctl_spread *s, uint64_t peer, bool up)
+ctl_spread_on_peer (struct ctl_spread *s, uint64_t peer, bool up)
 {
-  feed (s, &(struct spr_event){ .kind = up ? SPR_PEER_UP : SPR_PEER_DOWN,
-                                .peer = peer });
+  handle_event (s,
+                &(struct spr_event){ .kind = up ? SPR_PEER_UP : SPR_PEER_DOWN,
+                                     .peer = peer });
 }
 
 static bool
@@ -232,7 +233,8 @@
 }
 
 void
-ctl_spread_frame (struct ctl_spread *s, uint64_t peer, const Lapis__Frame *f)
+ctl_spread_on_frame (struct ctl_spread *s, uint64_t peer,
+                     const Lapis__Frame *f)
 {
   struct spr_event ev = { .peer = peer };
   ProtobufCBinaryData hash;
@@ -263,20 +265,20 @@
       return;
     }
   if (set_hash (&ev, hash))
-    feed (s, &ev);
+    handle_event (s, &ev);
 }
 
 /* --- in force ----------------------------------------------------------- */
 
 static void
-put_in_force (struct ctl_spread *s, const struct spr_action *a)
+apply_document (struct ctl_spread *s, const struct spr_action *a)
 {
   struct fnd_list findings = { 0 };
   struct cfg *cfg = cfg_parse (a->bytes, a->revision, &findings);
 
   if (!cfg)
-    /* Pushed by a newer program whose keys this one does not know: what was
-       in force stays, and peers still get the document from here. */
+    /* From a newer release, with unknown keys: the previous configuration
+       stays in force, and peers can still fetch this one here. */
     LOG (config_unreadable, LOG_I ("revision", a->revision),
          LOG_C ("pointer", findings.items[0].pointer),
          LOG_C ("reason", findings.items[0].text));
@@ -294,7 +296,7 @@
 }
 
 static void
-carry_out (struct ctl_spread *s, const struct spr_action *a)
+run_action (struct ctl_spread *s, const struct spr_action *a)
 {
   switch (a->kind)
     {
@@ -303,7 +305,7 @@
                    STR_EMPTY, on_manifest, s);
       break;
     case SPR_READ_DOCUMENT:
-      ask_document (s, a);
+      request_document (s, a);
       break;
     case SPR_WATCH:
       start_watch (s, a->revision);
@@ -318,19 +320,19 @@
       send_chunk (s, a);
       break;
     case SPR_IN_FORCE:
-      put_in_force (s, a);
+      apply_document (s, a);
       break;
     }
 }
 
 static void
-feed (struct ctl_spread *s, const struct spr_event *ev)
+handle_event (struct ctl_spread *s, const struct spr_event *ev)
 {
   struct spr_action a;
 
   spr_event (s->spr, clk_now (), ev);
   while (spr_next (s->spr, &a))
-    carry_out (s, &a);
+    run_action (s, &a);
   met_set (s->met_bad, (double)(spr_counts (s->spr)->bad_documents
                                 + spr_counts (s->spr)->bad_chunks));
   met_set (s->met_timeouts, (double)spr_counts (s->spr)->timeouts);
@@ -338,16 +340,16 @@
 
 /* --- readers ------------------------------------------------------------ */
 
-/* Whether this node is one of the zone's readers, by rendezvous hash over its
-   live nodes.  Views may differ for a while; more or fewer readers for that
-   time cost some calls, and nothing else. */
+/* Readers of a zone are picked by rendezvous hashing among its live nodes.
+   While membership differs between nodes, more or fewer of them read, which
+   only costs some store calls. */
 static bool
 is_reader (struct ctl_spread *s)
 {
   struct ctl *c = s->c;
   size_t n;
   size_t nnames = 0;
-  size_t picks[READERS];
+  size_t picks[READERS_PER_ZONE];
   const struct mbr_node *const *nodes = ctl_swim_nodes (c->swim, &n);
   struct str *names = xcalloc (n + 1, sizeof *names);
   bool found = false;
@@ -355,9 +357,9 @@
   for (size_t i = 0; i < n; i++)
     if (nodes[i]->status == MBR_ALIVE && str_is (nodes[i]->zone, c->set.zone))
       names[nnames++] = nodes[i]->name;
-  n = nnames
-          ? hash_pick_k (str_from (c->set.zone), names, nnames, picks, READERS)
-          : 0;
+  n = nnames ? hash_pick_k (str_from (c->set.zone), names, nnames, picks,
+                            READERS_PER_ZONE)
+             : 0;
   for (size_t i = 0; i < n; i++)
     found = found || str_is (names[picks[i]], c->set.node);
   free (names);
@@ -365,7 +367,7 @@
 }
 
 static void
-choose_readers (struct ctl_spread *s)
+update_reader (struct ctl_spread *s)
 {
   bool reader = is_reader (s);
 
@@ -376,13 +378,13 @@
   LOG (config_reader, LOG_C ("on", reader ? "yes" : "no"));
   if (!reader)
     stop_watch (s);
-  feed (s, &(struct spr_event){ .kind = SPR_READER, .on = reader });
+  handle_event (s, &(struct spr_event){ .kind = SPR_READER, .on = reader });
 }
 
-/* Looked at with the next tick: members change in bursts, and this may be
-   called while a configuration is being handed on. */
+/* Evaluated with the next tick: members change in bursts, and this may be
+   called while a configuration is forwarded. */
 void
-ctl_spread_members (struct ctl_spread *s)
+ctl_spread_on_members_changed (struct ctl_spread *s)
 {
   s->members_changed = true;
 }
@@ -392,12 +394,12 @@
 {
   struct ctl_spread *s = t->data;
 
-  if (s->members_changed && clk_now () >= s->readers_from)
-    choose_readers (s);
-  feed (s, &(struct spr_event){ .kind = SPR_TICK });
+  if (s->members_changed && clk_now () >= s->reader_allowed_at)
+    update_reader (s);
+  handle_event (s, &(struct spr_event){ .kind = SPR_TICK });
 }
 
-/* --- life --------------------------------------------------------------- */
+/* --- start and stop ----------------------------------------------------- */
 
 static void
 start_metrics (struct ctl_spread *s)
@@ -423,7 +425,7 @@
   s->manifest_key = str_dup (buf_str (&key));
   buf_free (&key);
   s->members_changed = true;
-  s->readers_from = clk_now () + READER_DELAY;
+  s->reader_allowed_at = clk_now () + READER_DELAY_MS;
   start_metrics (s);
   s->timer = xcalloc (1, sizeof *s->timer);
   uv_timer_init (c->loop, s->timer);
--- a/control/swim.c
+++ b/control/swim.c
@@ -7,11 +7,12 @@
 
 #define TICK_MS 50
 
-/* Longest packet of the core, and some to see that one is too long. */
-#define PACKET_MAX 2048
+/* More than the longest packet of the core, so that longer ones are
+   detected. */
+#define MAX_PACKET 2048
 
-/* How often one is asked to let this node in: alone, and with others there
-   (a side of a cut that was forgotten meanwhile is found again this way). */
+/* Join intervals without and with other members.  The latter reunites the
+   sides of a partition that have dropped each other as dead. */
 #define JOIN_ALONE_MS CLK_SECOND
 #define JOIN_MS (30 * CLK_SECOND)
 
@@ -22,11 +23,11 @@
   struct ctl *c;
   uv_udp_t udp;
   uv_timer_t timer;
-  int handles; /* not closed yet */
+  int handles; /* not yet closed */
   uint16_t port;
   struct mbr *core;
-  struct mbr_node self; /* strings are those of the settings */
-  bool draining;        /* its actions are being carried out */
+  struct mbr_node self; /* its strings belong to the settings */
+  bool running_actions;
   struct net_addr seeds[MAX_SEEDS];
   size_t nseeds;
   clk_ms next_join;
@@ -36,7 +37,7 @@
 
 /* --- actions ------------------------------------------------------------ */
 
-/* A full socket loses the packet, as the network may. */
+/* A full socket buffer drops the packet, as the network may. */
 static void
 send_packet (struct ctl_swim *s, const struct mbr_action *a)
 {
@@ -62,16 +63,16 @@
   log_write (events[n->status], fields, sizeof fields / sizeof fields[0]);
 }
 
-/* Modules that are told of a member may change what this node says about
-   itself, which comes back here: the outer call takes the new actions. */
+/* Not reentrant: ctl_member_changed() may change what this node announces,
+   which calls this again; the outer call runs the new actions. */
 static void
-carry_out (struct ctl_swim *s)
+run_actions (struct ctl_swim *s)
 {
   struct mbr_action a;
 
-  if (s->draining)
+  if (s->running_actions)
     return;
-  s->draining = true;
+  s->running_actions = true;
   while (mbr_next (s->core, &a))
     {
       if (a.kind == MBR_SEND)
@@ -82,7 +83,7 @@
           ctl_member_changed (s->c, a.node);
         }
     }
-  s->draining = false;
+  s->running_actions = false;
   if (mbr_counts (s->core)->pauses != s->pauses)
     LOG (paused, LOG_I ("times", mbr_counts (s->core)->pauses));
   s->pauses = mbr_counts (s->core)->pauses;
@@ -103,7 +104,7 @@
 }
 
 static void
-join_some (struct ctl_swim *s, clk_ms now)
+join_through_seeds (struct ctl_swim *s, clk_ms now)
 {
   size_t n;
   size_t first = s->nseeds ? (size_t)rng_below (&s->c->rng, s->nseeds) : 0;
@@ -123,14 +124,14 @@
 }
 
 void
-ctl_swim_seed (struct ctl_swim *s, const struct net_addr *swim)
+ctl_swim_add_seed (struct ctl_swim *s, const struct net_addr *swim)
 {
   if (swim->port == 0 || net_addr_eq (swim, &s->self.swim))
     return;
   for (size_t i = 0; i < s->nseeds; i++)
     if (net_addr_eq (&s->seeds[i], swim))
       return;
-  /* A full list forgets one at random: they are ways in, no membership. */
+  /* A full list replaces a random seed; seeds are only used to join. */
   if (s->nseeds < MAX_SEEDS)
     s->seeds[s->nseeds++] = *swim;
   else
@@ -138,28 +139,28 @@
   if (is_member (s, swim))
     return;
   mbr_join (s->core, clk_now (), swim);
-  carry_out (s);
+  run_actions (s);
 }
 
 static void
 on_roster_seed (void *ctx, const struct net_addr *swim)
 {
-  ctl_swim_seed (ctx, swim);
+  ctl_swim_add_seed (ctx, swim);
 }
 
 /* --- socket and timer --------------------------------------------------- */
 
-/* One loop on one thread: each packet is used up before the next. */
+/* A static buffer is safe: each packet is handled before the next is read. */
 static void
 on_alloc (uv_handle_t *h, size_t suggested, uv_buf_t *out)
 {
-  static char bytes[PACKET_MAX];
+  static char bytes[MAX_PACKET];
 
   *out = uv_buf_init (bytes, sizeof bytes);
 }
 
 static bool
-addr_of (const struct sockaddr *from, struct net_addr *out)
+parse_sockaddr (const struct sockaddr *from, struct net_addr *out)
 {
   memset (out, 0, sizeof *out);
   if (from->sa_family == AF_INET6)
@@ -181,10 +182,10 @@
   struct ctl_swim *s = udp->data;
   struct net_addr addr;
 
-  if (n <= 0 || from == NULL || !addr_of (from, &addr))
+  if (n <= 0 || from == NULL || !parse_sockaddr (from, &addr))
     return;
   mbr_packet (s->core, clk_now (), &addr, str_make (b->base, (size_t)n));
-  carry_out (s);
+  run_actions (s);
 }
 
 static void
@@ -195,8 +196,8 @@
 
   mbr_tick (s->core, now);
   if (now >= s->next_join)
-    join_some (s, now);
-  carry_out (s);
+    join_through_seeds (s, now);
+  run_actions (s);
 }
 
 static bool
@@ -213,7 +214,7 @@
     rc = uv_udp_getsockname (&s->udp, (struct sockaddr *)&ss, &len);
   if (rc == 0)
     rc = uv_udp_recv_start (&s->udp, on_alloc, on_packet);
-  if (rc != 0 || !addr_of ((struct sockaddr *)&ss, &at))
+  if (rc != 0 || !parse_sockaddr ((struct sockaddr *)&ss, &at))
     {
       buf_addf (err, "cannot open the membership socket on %s:%u: %s",
                 s->c->set.control_swim.host,
@@ -240,7 +241,7 @@
   s->self.swim = c->set.control_swim;
   s->self.swim.port = s->port;
   opt.self = s->self;
-  /* A key of its own, so that no bytes of a link can pass for a packet. */
+  /* A separate key, so that bytes from a link are no valid packet. */
   HMAC (EVP_sha256 (), c->set.secret, sizeof c->set.secret,
         (const uint8_t *)label, sizeof label - 1, opt.secret, NULL);
   s->core = mbr_new (&opt, rng_next (&c->rng));
@@ -289,7 +290,7 @@
   uv_close ((uv_handle_t *)&s->timer, on_closed);
 }
 
-/* --- what others ask and tell ------------------------------------------- */
+/* --- interface to other modules ----------------------------------------- */
 
 uint16_t
 ctl_swim_port (const struct ctl_swim *s)
@@ -316,17 +317,17 @@
 }
 
 static void
-tell_self (struct ctl_swim *s)
+announce_self (struct ctl_swim *s)
 {
   mbr_update_self (s->core, clk_now (), &s->self);
-  carry_out (s);
+  run_actions (s);
 }
 
 void
-ctl_swim_set_peer (struct ctl_swim *s, const struct net_addr *peer)
+ctl_swim_set_peer_addr (struct ctl_swim *s, const struct net_addr *peer)
 {
   s->self.peer = *peer;
-  tell_self (s);
+  announce_self (s);
   if (s->roster == NULL)
     s->roster = ctl_roster_start (s->c, &s->self, on_roster_seed, s);
 }
@@ -338,19 +339,19 @@
   s->self.gw_http = *http;
   s->self.gw_peer = *peer;
   s->self.load = load;
-  tell_self (s);
+  announce_self (s);
 }
 
 void
 ctl_swim_set_revision (struct ctl_swim *s, int64_t revision)
 {
   s->self.config_revision = revision;
-  tell_self (s);
+  announce_self (s);
 }
 
 void
 ctl_swim_leave (struct ctl_swim *s)
 {
   mbr_leave (s->core, clk_now ());
-  carry_out (s);
+  run_actions (s);
 }
--- a/t/lib-site.c
+++ b/t/lib-site.c
@@ -7,8 +7,8 @@
 
 #include <criterion/criterion.h>
 
-#define TURN_US 50000
-#define TURNS 1200 /* a minute */
+#define POLL_INTERVAL_US 50000
+#define MAX_POLLS 1200 /* one minute */
 
 #define REPLICA "/admin/v1/replicas/r1"
 
@@ -127,7 +127,8 @@
     }
   site_until_both (s, "\"whole\":true");
   for (int i = 0; i < SITE_NODES; i++)
-    cr_assert (site_call_until (s, i, "200 done -"), "not routed to");
+    cr_assert (site_call_until (s, i, "200 done -"),
+               "entry-%d is not routed to", i + 1);
 }
 
 void
@@ -164,22 +165,22 @@
 bool
 site_call_until (const struct site *s, int node, const char *outcome)
 {
-  for (int i = 0; i < TURNS; i++)
+  for (int i = 0; i < MAX_POLLS; i++)
     {
       if (strcmp (site_call (s, node), outcome) == 0)
         return true;
-      usleep (TURN_US);
+      usleep (POLL_INTERVAL_US);
     }
   return false;
 }
 
-/* ---- what control says ---- */
+/* ---- state reported by control ---- */
 
 void
 site_until (const struct site *s, int node, const char *text)
 {
   cr_assert (web_until (s->admin[node], REPLICA, SITE_ADMIN, text, 60000),
-             "entry-%d never said %s", node + 1, text);
+             "entry-%d did not return %s", node + 1, text);
 }
 
 void
@@ -212,7 +213,7 @@
   web_free (&a);
 }
 
-/** Number behind a word of an answer. */
+/** The number after @p word in a response. */
 static long
 number_at (const char *addr, const char *path, const char *word)
 {
@@ -238,13 +239,13 @@
 void
 site_until_fence_above (const struct site *s, int node, long fence)
 {
-  for (int i = 0; i < TURNS; i++)
+  for (int i = 0; i < MAX_POLLS; i++)
     {
       if (site_fence (s, node) > fence)
         return;
-      usleep (TURN_US);
+      usleep (POLL_INTERVAL_US);
     }
-  cr_assert (false, "entry-%d did not get the domain", node + 1);
+  cr_assert (false, "entry-%d did not become the owner", node + 1);
 }
 
 long
--- a/t/t8003-control.c
+++ b/t/t8003-control.c
@@ -5,14 +5,14 @@
 
 #include "t/lib-control.h"
 
-/* The control process as it ships, with the store's stand-in and, where a
-   gateway is needed, a link of this test in its place. */
+/* The control process with the store's stand-in and, where a test needs a
+   gateway, a link that the test opens itself. */
 
-#define NOBODY "127.0.0.1:1"
+#define UNREACHABLE "127.0.0.1:1"
 
 static const char *token_file;
 
-/* Push a configuration and wait until every node has it in force. */
+/* Pushes a configuration and waits until it is in force at every node. */
 static void
 push (const char *path, const char *admin, int address_ms)
 {
@@ -34,7 +34,7 @@
 
 TestSuite (control, .fini = proc_stop_all, .timeout = 120);
 
-Test (control, wrong_settings)
+Test (control, invalid_settings)
 {
   const char *bad = proc_file ("bad.json", "{\"node\":\"\",\"zon\":1}");
   cr_expect_eq (PROC_RUN (NULL, "lapisline", "control", "--settings", bad), 3);
@@ -42,9 +42,10 @@
 
 Test (control, starts_and_stops_without_a_store)
 {
-  /* The store is down when the VM boots.  The node must come up, answer what
-     it can and leave when told, as it would with a store. */
-  struct proc *p = control_up (control_settings ("entry-1", NOBODY, "", ""));
+  /* With the store down when the VM boots, the process must start, respond to
+     what it can and leave on SIGTERM. */
+  struct proc *p
+      = control_up (control_settings ("entry-1", UNREACHABLE, "", ""));
   const char *admin = proc_addr (p, "admin");
   struct web_answer a;
   cr_assert (web_call (admin, "GET", "/admin/v1/nodes", NULL, NULL, &a));
@@ -56,8 +57,8 @@
   cr_expect (web_until (admin, "/metrics", NULL,
                         "store_ends_total{end=\"unavailable\"} ",
                         PROC_WAIT_MS));
-  cr_expect_eq (PROC_RUN (NULL, "lapisline", "node", "list", "--admin", NOBODY,
-                          "--token-file", "/nowhere"),
+  cr_expect_eq (PROC_RUN (NULL, "lapisline", "node", "list", "--admin",
+                          UNREACHABLE, "--token-file", "/nowhere"),
                 2);
   proc_signal (p, SIGTERM);
   cr_expect_eq (proc_wait (p, PROC_WAIT_MS), 0);
@@ -65,9 +66,9 @@
 
 Test (control, drain_of_another_node)
 {
-  /* An operator asks one node to drain another.  The other ends with 0, the
-     first goes on and says so; a viewer's token and a wrong name change
-     nothing. */
+  /* An operator drains one node through another.  The drained process exits
+     with 0, the other one keeps running and no longer lists it as alive.  A
+     viewer's token and an unknown name change nothing. */
   struct proc *store = PROC_UP ("standin", "store");
   const char *at = proc_addr (store, "http");
   const char *path = control_settings ("entry-1", at, "", "");
@@ -105,26 +106,26 @@
   buf_free (&out);
 }
 
-/* --- a gateway's link --------------------------------------------------- */
+/* --- the gateway's link ------------------------------------------------- */
 
 static uv_loop_t loop;
 static struct control_gateway gw;
-static uint64_t views;
+static uint64_t last_view;
 static bool leaving;
-static size_t text;
+static size_t text_bytes;
 
 static void
 on_view (struct control_gateway *g, const Lapis__View *view)
 {
-  views = view->seq;
+  last_view = view->seq;
   leaving = view->leaving;
-  text += view->config.len;
+  text_bytes += view->config.len;
 }
 
 static bool
 has_text (void)
 {
-  return views > 0 && text > 0;
+  return last_view > 0 && text_bytes > 0;
 }
 
 static bool
@@ -145,9 +146,9 @@
   return false;
 }
 
-/* Turn the loop, which also keeps the link's heartbeat, until `done`. */
+/* Runs the loop, which also sends the link's heartbeats, until `done`. */
 static bool
-pump (bool (*done) (void), clk_ms wait_ms)
+run_loop_until (bool (*done) (void), clk_ms wait_ms)
 {
   clk_ms until = clk_now () + wait_ms;
   while (!done () && clk_now () < until)
@@ -159,7 +160,7 @@
 }
 
 static void
-gateway_down (void)
+close_gateway (void)
 {
   if (gw.state != LINK_DOWN)
     link_close (gw.link);
@@ -167,9 +168,9 @@
   uv_loop_close (&loop);
 }
 
-/* One node with a gateway linked and a configuration in force. */
+/* Starts a node with a linked gateway and a configuration in force. */
 static struct proc *
-node_up (int address_ms)
+start_node (int address_ms)
 {
   struct proc *store = PROC_UP ("standin", "store");
   const char *path
@@ -178,35 +179,37 @@
   push (path, proc_addr (p, "admin"), address_ms);
   uv_loop_init (&loop);
   control_gateway_up (&gw, &loop, "entry-1", proc_addr (p, "peer"), on_view);
-  cr_assert (pump (has_text, PROC_WAIT_MS), "the gateway got no text");
+  cr_assert (run_loop_until (has_text, PROC_WAIT_MS),
+             "the gateway got no text");
   return p;
 }
 
-Test (control, goes_after_its_gateway)
+Test (control, exits_after_its_gateway)
 {
-  /* SIGTERM while callers still hold this node's address.  The gateway hears
-     that the node leaves and serves them out; control goes only after it.
-     Without the wait the gateway would lose its views, and with them its
-     evidence, while it still serves. */
-  struct proc *p = node_up (60000);
+  /* SIGTERM while clients still use this node's address.  The gateway receives
+     a view that says leaving and completes its requests; control exits only
+     after it.  If it exited earlier, the evidence in the gateway's last view
+     would expire while the gateway still serves. */
+  struct proc *p = start_node (60000);
   cr_expect (!leaving);
   proc_signal (p, SIGTERM);
-  cr_expect (pump (is_leaving, PROC_WAIT_MS), "the gateway was not told");
-  cr_expect (!pump (never, 1500));
-  cr_expect_eq (proc_wait (p, 0), -1, "control did not wait");
-  gateway_down ();
+  cr_expect (run_loop_until (is_leaving, PROC_WAIT_MS),
+             "no view with leaving set");
+  cr_expect (!run_loop_until (never, 1500));
+  cr_expect_eq (proc_wait (p, 0), -1, "control exited too early");
+  close_gateway ();
   cr_expect_eq (proc_wait (p, PROC_WAIT_MS), 0);
 }
 
-Test (control, goes_when_the_last_address_answer_has_run_out)
+Test (control, exits_when_address_responses_have_expired)
 {
-  /* The gateway hangs and keeps its link.  Nobody holds this node's address
-     any more after the longest answer's life, so control goes; a planned
-     stop that never ends would be killed, and cut what it protects. */
-  struct proc *p = node_up (1500);
+  /* The gateway hangs with an open link.  After the longest lifetime of an
+     address response no client uses this node's address, so control exits;
+     otherwise a planned stop would hang until the process is killed. */
+  struct proc *p = start_node (1500);
   proc_signal (p, SIGTERM);
-  cr_expect (pump (is_down, PROC_WAIT_MS), "control waits for ever");
+  cr_expect (run_loop_until (is_down, PROC_WAIT_MS), "control did not exit");
   cr_expect_eq (proc_wait (p, PROC_WAIT_MS), 0);
   cr_expect (leaving);
-  gateway_down ();
+  close_gateway ();
 }
--- a/t/t8101-peers.c
+++ b/t/t8101-peers.c
@@ -7,70 +7,71 @@
 #include "t/lib-latekv.h"
 
 /*
- * Membership, roster and links of several control processes, each with its
- * own sockets, all in one loop; fakes in place of the other modules.  A
- * process is a NAME or NAME/BOOT.  Commands of a script:
- *   store up|down|loses-answer      what the store does from now on
- *   start PROCESS [PEER...]         with the links of PEERs in its settings
+ * Membership, roster and links of several control processes, each with its own
+ * sockets, in one loop; stubs for the other modules.  A process is a NAME or
+ * NAME/BOOT.  Commands of a script:
+ *   store up|down|loses-answer      state of the store from now on
+ *   start PROCESS [PEER...]         with the addresses of PEERs as settings
  *   stop PROCESS
- *   until CONDITION                 turn the loop until it holds; it must
- *   send FROM TO                    evidence by name, which must go out
- *   pester FROM TO                  try to send it for two seconds
- * and of a condition:
- *   alive PROCESS N                 it knows so many live nodes
- *   links PROCESS LEAST MOST        it holds so many links
- *   got PROCESS N                   so much evidence has reached it
- *   row NAME BOOT                   the roster names that boot
- *   gateway PROCESS                 its gateway has greeted
- *   closed stranger                 the link of a stranger was closed
+ *   until CONDITION                 run the loop until it holds; it must
+ *   send FROM TO                    evidence by name, which must be sent
+ *   retry-send FROM TO              try to send it for two seconds
+ * Conditions:
+ *   alive PROCESS N                 number of live nodes that it lists
+ *   links PROCESS MIN MAX           number of its links
+ *   got PROCESS N                   messages of evidence that it received
+ *   record NAME BOOT                boot number in the roster
+ *   gateway PROCESS                 it received its gateway's hello
+ *   closed rejected                 the link of an unknown role was closed
  */
 
 #define WAIT_MS (20 * CLK_SECOND)
-#define PESTER_MS (2 * CLK_SECOND)
-#define WAKE_MS 10
+#define RESEND_MS (2 * CLK_SECOND)
+#define LOOP_TURN_MS 10
 #define MAX_NODES 24
 
 struct node
 {
-  struct ctl c; /* first: fakes get it from the modules' pointers */
+  struct ctl c; /* must be first: stubs cast the modules' pointers to it */
   char name[16];
   bool running;
   size_t evidence;
   bool gateway;
 };
 
-static struct world
+static struct fixture
 {
   uv_loop_t loop;
-  uv_timer_t wake; /* no wait for a condition is longer */
+  uv_timer_t turn_timer; /* bounds each turn of the loop */
   struct node nodes[MAX_NODES];
   size_t n;
   struct latekv store;
-  bool closed; /* a stranger's link */
-} w;
+  bool rejected_closed; /* the link of an unknown role */
+} fx;
 
 static const struct net_addr any_port = { .host = "127.0.0.1" };
 
-/* --- fakes of the other modules ----------------------------------------- */
+/* --- stubs of the other modules ----------------------------------------- */
 
 void
 ctl_member_changed (struct ctl *c, const struct mbr_node *node)
 {
   if (c->peers != NULL)
-    ctl_peers_member (c->peers, node);
+    ctl_peers_on_member_changed (c->peers, node);
 }
 
 void
-ctl_spread_peer (struct ctl_spread *s, uint64_t peer, bool up)
+ctl_spread_on_peer (struct ctl_spread *s, uint64_t peer, bool up)
 {
 }
 
 void
-ctl_spread_frame (struct ctl_spread *s, uint64_t peer, const Lapis__Frame *f)
+ctl_spread_on_frame (struct ctl_spread *s, uint64_t peer,
+                     const Lapis__Frame *f)
 {
 }
 
-/* The fakes' pointers are those of the node that they belong to. */
+/* The module pointers of a node point to the node itself. */
 void
 ctl_domains_on_evidence (struct ctl_domains *d, const Lapis__Evidence *e)
 {
@@ -90,36 +91,36 @@
 }
 
 void
-ctl_shares_demand (struct ctl_shares *s, struct str node,
-                   const Lapis__ShareDemand *d)
+ctl_shares_on_demand (struct ctl_shares *s, struct str node,
+                      const Lapis__ShareDemand *d)
 {
 }
 
 void
-ctl_shares_grant (struct ctl_shares *s, const Lapis__ShareGrant *g)
+ctl_shares_on_grant (struct ctl_shares *s, const Lapis__ShareGrant *g)
 {
 }
 
 void
-ctl_views_gateway (struct ctl_views *v, struct link *l,
-                   const Lapis__Hello *hello)
+ctl_views_on_gateway (struct ctl_views *v, struct link *l,
+                      const Lapis__Hello *hello)
 {
   ((struct node *)v)->gateway = true;
 }
 
 void
-ctl_views_gateway_down (struct ctl_views *v, struct link *l)
+ctl_views_on_gateway_down (struct ctl_views *v, struct link *l)
 {
   ((struct node *)v)->gateway = false;
 }
 
 void
-ctl_views_frame (struct ctl_views *v, struct link *l, const Lapis__Frame *f)
+ctl_views_on_frame (struct ctl_views *v, struct link *l, const Lapis__Frame *f)
 {
 }
 
 void
-ctl_admin_frame (struct ctl_admin *a, uint64_t peer, const Lapis__Frame *f)
+ctl_admin_on_frame (struct ctl_admin *a, uint64_t peer, const Lapis__Frame *f)
 {
 }
 
@@ -128,15 +129,15 @@
 static struct node *
 find_node (const char *name)
 {
-  for (size_t i = 0; i < w.n; i++)
-    if (strcmp (w.nodes[i].name, name) == 0)
-      return &w.nodes[i];
+  for (size_t i = 0; i < fx.n; i++)
+    if (strcmp (fx.nodes[i].name, name) == 0)
+      return &fx.nodes[i];
   cr_assert (false, "no process '%s'", name);
   return NULL;
 }
 
 static void
-configure (struct node *n, const char *peers)
+fill_settings (struct node *n, const char *peers)
 {
   struct settings *set = &n->c.set;
   char *list = xstrdup (peers);
@@ -161,7 +162,7 @@
 static void
 start (char *args)
 {
-  struct node *n = &w.nodes[w.n++];
+  struct node *n = &fx.nodes[fx.n++];
   char *peers = strchr (args, ' ');
   struct buf err = BUF_INIT;
   const char *boot;
@@ -170,12 +171,12 @@
     *peers++ = '\0';
   snprintf (n->name, sizeof n->name, "%s", args);
   boot = strchr (n->name, '/');
-  configure (n, peers != NULL ? peers : "");
-  n->c.loop = &w.loop;
+  fill_settings (n, peers != NULL ? peers : "");
+  n->c.loop = &fx.loop;
   n->c.boot = boot != NULL ? strtoull (boot + 1, NULL, 10) : 1;
-  rng_seed (&n->c.rng, w.n);
+  rng_seed (&n->c.rng, fx.n);
   n->c.met = met_new ();
-  n->c.store = latekv_store (&w.store);
+  n->c.store = latekv_store (&fx.store);
   n->c.domains = (struct ctl_domains *)n;
   n->c.views = (struct ctl_views *)n;
   n->c.spread = (struct ctl_spread *)n;
@@ -204,7 +205,7 @@
 /* --- conditions --------------------------------------------------------- */
 
 static size_t
-alive (const struct node *n)
+count_alive (const struct node *n)
 {
   size_t all, count = 0;
   const struct mbr_node *const *nodes = ctl_swim_nodes (n->c.swim, &all);
@@ -215,23 +216,23 @@
 }
 
 static bool
-row_names (const char *name, unsigned boot)
+record_has_boot (const char *name, unsigned boot)
 {
   struct buf key = BUF_INIT, want = BUF_INIT;
-  struct store_result row;
+  struct store_result record;
   bool ok;
 
   buf_addf (&key, "/lapisline/roster/hall-a/%s", name);
   buf_addf (&want, "{\"boot\":%u,", boot);
-  row = memkv_range (w.store.kv, buf_str (&key));
-  ok = row.nkvs == 1 && str_starts (row.kvs->value, buf_str (&want));
+  record = memkv_range (fx.store.kv, buf_str (&key));
+  ok = record.nkvs == 1 && str_starts (record.kvs->value, buf_str (&want));
   buf_free (&key);
   buf_free (&want);
   return ok;
 }
 
 static bool
-holds (const char *condition)
+condition_holds (const char *condition)
 {
   char what[16], name[16];
   unsigned a = 0, b = 0;
@@ -239,14 +240,14 @@
   size_t links;
 
   cr_assert (sscanf (condition, "%15s %15s %u %u", what, name, &a, &b) >= 2);
-  if (strcmp (what, "row") == 0)
-    return row_names (name, a);
+  if (strcmp (what, "record") == 0)
+    return record_has_boot (name, a);
   if (strcmp (what, "alive") == 0)
-    return alive (find_node (name)) == a;
+    return count_alive (find_node (name)) == a;
   if (strcmp (what, "got") == 0)
     return find_node (name)->evidence == a;
   if (strcmp (what, "closed") == 0)
-    return w.closed;
+    return fx.rejected_closed;
   if (strcmp (what, "gateway") == 0)
     return find_node (name)->gateway;
   links = ctl_peers_traffic (find_node (name)->c.peers, &out, &in);
@@ -254,13 +255,13 @@
 }
 
 static void
-until (const char *condition)
+wait_until (const char *condition)
 {
-  clk_ms end = clk_now () + WAIT_MS;
+  clk_ms deadline = clk_now () + WAIT_MS;
 
-  while (!holds (condition) && clk_now () < end)
-    uv_run (&w.loop, UV_RUN_ONCE);
-  cr_assert (holds (condition), "not in time: %s", condition);
+  while (!condition_holds (condition) && clk_now () < deadline)
+    uv_run (&fx.loop, UV_RUN_ONCE);
+  cr_assert (condition_holds (condition), "timed out: %s", condition);
 }
 
 static bool
@@ -277,14 +278,14 @@
 }
 
 static void
-pester (const char *args)
+retry_send (const char *args)
 {
-  clk_ms end = clk_now () + PESTER_MS;
+  clk_ms deadline = clk_now () + RESEND_MS;
 
-  while (clk_now () < end)
+  while (clk_now () < deadline)
     {
       try_to_send (args);
-      uv_run (&w.loop, UV_RUN_ONCE);
+      uv_run (&fx.loop, UV_RUN_ONCE);
     }
 }
 
@@ -297,7 +298,7 @@
   Lapis__Frame f = LAPIS__FRAME__INIT;
 
   if (state == LINK_DOWN)
-    w.closed = true;
+    fx.rejected_closed = true;
   if (state != LINK_UP)
     return;
   hello.node = strcmp (ctx, "gateway") == 0 ? "n1" : "n9";
@@ -323,25 +324,25 @@
   *args++ = '\0';
   if (strcmp (line, "store") == 0)
     {
-      w.store.unavailable = strcmp (args, "down") == 0;
-      w.store.loses_response = strcmp (args, "loses-answer") == 0;
+      fx.store.unavailable = strcmp (args, "down") == 0;
+      fx.store.loses_response = strcmp (args, "loses-answer") == 0;
     }
   else if (strcmp (line, "start") == 0)
     start (args);
   else if (strcmp (line, "stop") == 0)
     stop (find_node (args));
   else if (strcmp (line, "until") == 0)
-    until (args);
+    wait_until (args);
   else if (strcmp (line, "send") == 0)
     cr_assert (try_to_send (args), "no link: %s", args);
-  else if (strcmp (line, "pester") == 0)
-    pester (args);
+  else if (strcmp (line, "retry-send") == 0)
+    retry_send (args);
   else
     cr_assert (false, "command '%s'", line);
 }
 
 static void
-play (const char *script)
+run_script (const char *script)
 {
   char *text = xstrdup (script);
   char *save = NULL;
@@ -353,137 +354,137 @@
 }
 
 static void
-on_wake (uv_timer_t *t)
+on_turn (uv_timer_t *t)
 {
 }
 
 static void
-begin (void)
+setup (void)
 {
-  memset (&w, 0, sizeof w);
-  uv_loop_init (&w.loop);
-  uv_timer_init (&w.loop, &w.wake);
-  uv_timer_start (&w.wake, on_wake, WAKE_MS, WAKE_MS);
-  latekv_init (&w.store, &w.loop);
+  memset (&fx, 0, sizeof fx);
+  uv_loop_init (&fx.loop);
+  uv_timer_init (&fx.loop, &fx.turn_timer);
+  uv_timer_start (&fx.turn_timer, on_turn, LOOP_TURN_MS, LOOP_TURN_MS);
+  latekv_init (&fx.store, &fx.loop);
   log_setup (LOG_TEXT, LOG_ERROR, STR ("test"));
 }
 
 static void
-end (void)
+teardown (void)
 {
-  for (size_t i = 0; i < w.n; i++)
-    stop (&w.nodes[i]);
-  uv_close ((uv_handle_t *)&w.wake, NULL);
-  for (int i = 0; i < 100 && uv_loop_alive (&w.loop); i++)
-    uv_run (&w.loop, UV_RUN_NOWAIT);
-  cr_expect_eq (uv_loop_close (&w.loop), 0, "handles are left");
-  latekv_destroy (&w.store);
+  for (size_t i = 0; i < fx.n; i++)
+    stop (&fx.nodes[i]);
+  uv_close ((uv_handle_t *)&fx.turn_timer, NULL);
+  for (int i = 0; i < 100 && uv_loop_alive (&fx.loop); i++)
+    uv_run (&fx.loop, UV_RUN_NOWAIT);
+  cr_expect_eq (uv_loop_close (&fx.loop), 0, "handles remain open");
+  latekv_destroy (&fx.store);
 }
 
 static void
-scripted (const char *script)
-{
-  begin ();
-  play (script);
-  end ();
-}
-
-Test (peers, nodes_find_each_other_by_the_roster)
-{
-  /* Three entry VMs start with nothing but the store.  Each must know the
-     others and hold exactly one link to each, whoever opened it first. */
-  scripted ("start n1\n"
-            "until row n1 1\n"
-            "start n2\n"
-            "start n3\n"
-            "until alive n1 3\n"
-            "until alive n2 3\n"
-            "until alive n3 3\n"
-            "until links n1 2 2\n"
-            "until links n2 2 2\n"
-            "until links n3 2 2\n"
-            "send n1 n3\n"
-            "send n3 n1\n"
-            "until got n3 1\n"
-            "until got n1 1\n");
-}
-
-Test (peers, store_down_they_join_through_settings)
-{
-  /* The store is out while VMs are replaced: a node must come in through any
-     peer that its settings name, and its row follows when the store is
-     back. */
-  scripted ("store down\n"
-            "start n1\n"
-            "start n2 n1\n"
-            "start n3 n1 n2\n"
-            "until alive n1 3\n"
-            "until alive n3 3\n"
-            "until links n1 2 2\n"
-            "until links n2 2 2\n"
-            "store up\n"
-            "until row n3 1\n");
-}
-
-Test (peers, predecessor_is_turned_away)
-{
-  /* n2 is replaced while its old VM still runs, as the platform's list lags.
-     What the old one says about its domains must reach nobody any more, and
-     it must not take the roster's row back. */
-  scripted ("start n1\n"
-            "until row n1 1\n"
-            "start n2/1 n1\n"
-            "until links n1 1 1\n"
-            "send n2/1 n1\n"
-            "until got n1 1\n"
-            "until row n2 1\n"
-            "start n2/2 n1\n"
-            "until links n2/2 1 1\n"
-            "until row n2 2\n"
-            "until links n2/1 0 0\n"
-            "pester n2/1 n1\n"
-            "until got n1 1\n"
-            "until links n2/2 1 1\n"
-            "send n2/2 n1\n"
-            "until got n1 2\n"
-            "send n1 n2\n"
-            "until got n2/2 1\n"
-            "until row n2 2\n");
+run_scripted (const char *script)
+{
+  setup ();
+  run_script (script);
+  teardown ();
+}
+
+Test (peers, nodes_join_through_the_roster)
+{
+  /* Three nodes start with nothing but the store.  Each must list the others
+     and hold exactly one link to each, whichever end opened it first. */
+  run_scripted ("start n1\n"
+                "until record n1 1\n"
+                "start n2\n"
+                "start n3\n"
+                "until alive n1 3\n"
+                "until alive n2 3\n"
+                "until alive n3 3\n"
+                "until links n1 2 2\n"
+                "until links n2 2 2\n"
+                "until links n3 2 2\n"
+                "send n1 n3\n"
+                "send n3 n1\n"
+                "until got n3 1\n"
+                "until got n1 1\n");
+}
+
+Test (peers, nodes_join_through_settings_without_a_store)
+{
+  /* The store is down while VMs are replaced: a node must join through any
+     peer in its settings and write its record once the store is back. */
+  run_scripted ("store down\n"
+                "start n1\n"
+                "start n2 n1\n"
+                "start n3 n1 n2\n"
+                "until alive n1 3\n"
+                "until alive n3 3\n"
+                "until links n1 2 2\n"
+                "until links n2 2 2\n"
+                "store up\n"
+                "until record n3 1\n");
+}
+
+Test (peers, replaced_process_is_rejected)
+{
+  /* n2 is replaced while its old VM still runs, because the platform's list is
+     out of date.  Evidence of the old process must be dropped, and it must not
+     overwrite the new process's record in the roster. */
+  run_scripted ("start n1\n"
+                "until record n1 1\n"
+                "start n2/1 n1\n"
+                "until links n1 1 1\n"
+                "send n2/1 n1\n"
+                "until got n1 1\n"
+                "until record n2 1\n"
+                "start n2/2 n1\n"
+                "until links n2/2 1 1\n"
+                "until record n2 2\n"
+                "until links n2/1 0 0\n"
+                "retry-send n2/1 n1\n"
+                "until got n1 1\n"
+                "until links n2/2 1 1\n"
+                "send n2/2 n1\n"
+                "until got n1 2\n"
+                "send n1 n2\n"
+                "until got n2/2 1\n"
+                "until record n2 2\n");
 }
 
 Test (peers, roster_keeps_the_higher_boot)
 {
-  /* A process that was paused while its VM was replaced wakes and joins: the
-     row of the successor stands, and a lost answer writes no second time. */
-  begin ();
-  play ("store loses-answer\n"
-        "start n1/5\n"
-        "until row n1 5\n"
-        "start n1/4\n"
-        "start n2\n"
-        "until row n2 1\n"
-        "until row n1 5\n"
-        "until alive n2 2\n");
-  cr_expect_eq (memkv_range (w.store.kv, STR ("")).revision, 2);
-  end ();
-}
-
-Test (peers, large_regions_are_not_a_mesh)
-{
-  /* Twenty nodes: a link from each to each would cost more with every node.
-     Each holds a few; a frame for another node opens a link on demand. */
+  /* A process that was suspended while its VM was replaced resumes and joins:
+     the record of its successor stays.  A lost response doesn't cause a second
+     write. */
+  setup ();
+  run_script ("store loses-answer\n"
+              "start n1/5\n"
+              "until record n1 5\n"
+              "start n1/4\n"
+              "start n2\n"
+              "until record n2 1\n"
+              "until record n1 5\n"
+              "until alive n2 2\n");
+  cr_expect_eq (memkv_range (fx.store.kv, STR ("")).revision, 2);
+  teardown ();
+}
+
+Test (peers, large_regions_are_not_a_full_mesh)
+{
+  /* With twenty nodes, a full mesh would cost more with every node.  Each node
+     keeps a few links; a frame for another node opens one on demand. */
   struct buf script = BUF_INIT;
 
-  begin ();
-  play ("start n1\nuntil row n1 1\n");
+  setup ();
+  run_script ("start n1\nuntil record n1 1\n");
   for (int i = 2; i <= 20; i++)
     buf_addf (&script, "start n%d\n", i);
-  play (buf_c (&script));
-  play ("until alive n1 20\n"
-        "until alive n20 20\n"
-        "until links n1 4 16\n"
-        "until links n7 4 16\n"
-        "until links n20 4 16\n");
+  run_script (buf_c (&script));
+  run_script ("until alive n1 20\n"
+              "until alive n20 20\n"
+              "until links n1 4 16\n"
+              "until links n7 4 16\n"
+              "until links n20 4 16\n");
   for (int i = 2; i <= 20; i++)
     {
       char to[16];
@@ -493,31 +494,31 @@
       snprintf (to, sizeof to, "n%d", i);
       f.body_case = LAPIS__FRAME__BODY_HEARTBEAT;
       f.heartbeat = &hb;
-      ctl_peers_send_node (w.nodes[0].c.peers, str_from (to), &f);
+      ctl_peers_send_node (fx.nodes[0].c.peers, str_from (to), &f);
     }
-  play ("until links n1 19 19\n");
+  run_script ("until links n1 19 19\n");
   buf_free (&script);
-  end ();
+  teardown ();
 }
 
-Test (peers, gateways_and_strangers)
+Test (peers, gateway_and_unknown_role)
 {
-  /* The same port takes this node's gateway; whoever has the secret but
-     claims another role gets nowhere. */
+  /* The same port accepts this node's gateway.  A process with the secret but
+     an unknown role is rejected. */
   static const struct link_callbacks cb
       = { on_gateway_state, on_gateway_frame };
   struct link_secret secret = { { 't', 'e', 's', 't', 's' } };
   struct net_addr at = any_port;
   struct link *gateway;
 
-  begin ();
-  play ("start n1\n");
-  at.port = ctl_peers_port (w.nodes[0].c.peers);
-  gateway = link_connect (&w.loop, &at, &secret, &cb, "gateway");
-  play ("until gateway n1\n");
-  link_connect (&w.loop, &at, &secret, &cb, "operator");
-  play ("until closed stranger\n"
-        "until gateway n1\n");
+  setup ();
+  run_script ("start n1\n");
+  at.port = ctl_peers_port (fx.nodes[0].c.peers);
+  gateway = link_connect (&fx.loop, &at, &secret, &cb, "gateway");
+  run_script ("until gateway n1\n");
+  link_connect (&fx.loop, &at, &secret, &cb, "operator");
+  run_script ("until closed rejected\n"
+              "until gateway n1\n");
   link_close (gateway);
-  end ();
+  teardown ();
 }
--- a/t/t8201-commands.c
+++ b/t/t8201-commands.c
@@ -1,7 +1,4 @@
-/*
- * The command line as an operator meets it: help, wrong options, missing
- * files and exit codes.
- */
+/* The command line: help, invalid options, missing files and exit codes. */
 #include <criterion/criterion.h>
 #include <string.h>
 
@@ -9,18 +6,18 @@
 
 TestSuite (commands, .fini = proc_stop_all, .timeout = 60);
 
-#define MOST 8
+#define MAX_ARGS 8
 
-struct run
+struct invocation
 {
-  const char *args[MOST]; /**< after the program's name */
+  const char *args[MAX_ARGS]; /**< after the program's name */
   int code;
 };
 
 static void
-check (const struct run *r)
+check (const struct invocation *r)
 {
-  const char *argv[MOST + 2] = { "lapisline" };
+  const char *argv[MAX_ARGS + 2] = { "lapisline" };
   struct buf out = BUF_INIT;
 
   memcpy (argv + 1, r->args, sizeof r->args);
@@ -30,11 +27,11 @@
   buf_free (&out);
 }
 
-/* Scripts act on exit codes: 2 for a wrong command line, 3 for errors in
-   files, 4 when nobody answers. */
+/* Scripts depend on exit codes: 2 for an invalid command line, 3 for errors in
+   files, 4 for no response. */
 Test (commands, exit_codes)
 {
-  static const struct run runs[] = {
+  static const struct invocation invocations[] = {
     { { "--version" }, 0 },
     { { "version", "--nosuch" }, 2 },
     { { "version", "now" }, 2 },
@@ -61,11 +58,11 @@
     { { "replay", "/nosuch" }, 3 },
   };
 
-  for (size_t i = 0; i < sizeof runs / sizeof runs[0]; i++)
-    check (&runs[i]);
+  for (size_t i = 0; i < sizeof invocations / sizeof invocations[0]; i++)
+    check (&invocations[i]);
 }
 
-/* Help is read on servers, where the locale is "C". */
+/* Servers run with the locale "C", in which other characters print as "?". */
 Test (commands, help_is_plain_text)
 {
   static const char *const commands[]
