--- a/standins/control.c
+++ b/standins/control.c
@@ -1,13 +1,15 @@
-/* Stand-in of a node's control process towards its gateway.
+/* Stand-in for a node's control process, as its gateway sees it.
 
-   POST /control/view sets the view, sent at once and then each second:
+   POST /control/view sets the view, which is sent at once and then every
+   second:
      {"revision": 7, "config": {...}, "leaving": false,
       "nodes": [{"node", "zone", "region", "status", "http", "load"}],
       "replicas": [{"replica", "model", "domain", "generation", "whole",
                     "draining", "valid_ms", "leader"}]}
-   GET /control/heard gives the last hello and report; GET
-   /control/trace?HEX32 asks the gateway for its spans.  A stopped process
-   (SIGSTOP) is a silent control.  */
+   "chunked": true sends the configuration as separate chunks, "same_text":
+   true omits it.  GET /control/heard returns the last hello and report
+   received; GET /control/trace?HEX32 requests the gateway's spans of a trace.
+   SIGSTOP simulates a control process that stopped responding.  */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -31,7 +33,7 @@
   json_object *view;
   uint64_t seq;
   json_object *hello, *report;
-  struct httpd_req *trace; /**< waits for the gateway's spans */
+  struct httpd_req *trace; /**< /control/trace request without answer yet */
 };
 
 /* ---- views ---- */
@@ -111,7 +113,8 @@
   free (v->replicas);
 }
 
-/** The text in two parts, as control sends what exceeds a frame. */
+/** Sends the configuration text in two chunks, as the control process does
+    for a text that exceeds the size of a frame. */
 static void
 send_chunks (struct control *c, const Lapis__View *v, struct str text)
 {
@@ -169,7 +172,7 @@
   send_view (t->data);
 }
 
-/* ---- the gateway ---- */
+/* ---- gateway link ---- */
 
 static void
 take_hello (struct control *c, const Lapis__Hello *h)
@@ -229,7 +232,7 @@
     c->gateway = NULL;
 }
 
-/* ---- its own port ---- */
+/* ---- control interface ---- */
 
 static void
 answer_heard (struct control *c, struct httpd_req *req)
--- a/standins/fault.c
+++ b/standins/fault.c
@@ -217,7 +217,7 @@
   _exit (1);
 }
 
-/** Send body up to `end`; false when a fault ended the reply. */
+/** Sends the body up to `end`; false if a fault ended the reply. */
 static bool
 reply_send_to (struct reply *r, size_t end)
 {
@@ -255,7 +255,7 @@
       reply_begin (r);
       return;
     }
-  /* As an engine would: not more than the reader takes. */
+  /* Flow control as in a model engine: wait while the client reads slowly. */
   if (r->begun && httpd_queued (r->req) > MAX_QUEUED)
     {
       uv_timer_start (t, on_piece, 1, 0);
@@ -269,7 +269,8 @@
     uv_timer_start (t, on_piece, (uint64_t)r->piece_ms, 0);
 }
 
-/** A plain answer with its length, when no fault asks for more. */
+/** Sends the reply as one response with content-length; false if it has
+    several pieces, is resumed, or a fault applies. */
 static bool
 reply_at_once (struct reply *r)
 {
--- a/standins/fault.h
+++ b/standins/fault.h
@@ -1,7 +1,7 @@
 /**
  * @file
- * What the stand-ins of backend servers share: faults that a test switches
- * on by POST /control/set, counts of runs, and replies sent piece by piece.
+ * Shared code of the HTTP stand-ins: faults that a test enables with POST
+ * /control/set, request counters, and replies sent in several pieces.
  */
 #ifndef LAPISLINE_STANDINS_FAULT_H
 #define LAPISLINE_STANDINS_FAULT_H
@@ -11,38 +11,38 @@
 
 #include "net/httpd.h"
 
-/** Faults; all zero means none. */
+/** Injected faults; a zeroed struct means none. */
 struct fault
 {
-  int slow_ms;        /**< before the first byte */
-  int fail_status;    /**< refuse with this status, without running */
-  bool silent;        /**< read the request, never answer */
-  int truncate_after; /**< bytes of the body, then the connection is cut */
-  bool close_first;   /**< cut after the first byte */
-  bool die_first;     /**< the process exits after the first byte */
-  bool stall;         /**< stop for good in the middle of the body */
+  int slow_ms;        /**< delay before the first byte, in ms */
+  int fail_status;    /**< reject requests with this status; 0: off */
+  bool silent;        /**< read requests and never respond */
+  int truncate_after; /**< close after this many body bytes; 0: off */
+  bool close_first;   /**< close the connection after one body byte */
+  bool die_first;     /**< exit the process after one body byte */
+  bool stall;         /**< send at most half of the body, then hang */
 };
 
-/** One stand-in of a backend server. */
+/** State shared by the HTTP stand-ins. */
 struct backend
 {
   uv_loop_t loop;
   struct httpd *httpd;
   struct fault fault;
   bool keep_counts;
-  GHashTable *by_request; /**< x-request-id -> runs */
-  GHashTable *by_key;     /**< Idempotency-Key -> runs */
-  unsigned runs;
-  unsigned refused;
-  unsigned gone; /**< callers that left before the end */
-  unsigned open;
-  unsigned peak; /**< most open at once */
-  /** Set further fields from the JSON of /control/set; may be NULL. */
+  GHashTable *by_request; /**< x-request-id -> number of executions */
+  GHashTable *by_key;     /**< Idempotency-Key -> number of executions */
+  unsigned runs;          /**< requests executed */
+  unsigned refused;       /**< requests rejected by fail_status */
+  unsigned gone;          /**< clients that disconnected early */
+  unsigned open;          /**< replies in progress */
+  unsigned peak;          /**< maximum of open */
+  /** Handles stand-in specific fields of /control/set; may be NULL. */
   void (*set) (void *ctx, json_object *o);
   void *ctx;
 };
 
-/** A reply being sent. */
+/** A reply in progress. */
 struct reply
 {
   struct backend *b;
@@ -52,35 +52,34 @@
   int status;
   const char *type; /**< content-type */
   struct buf body;
-  size_t skip;  /**< resumed: bytes not sent again */
-  size_t *cuts; /**< ends of the pieces, or NULL: all at once */
+  size_t skip;  /**< offset of the next byte; not 0 when resumed */
+  size_t *cuts; /**< end offset of each piece; NULL: one piece */
   size_t ncuts;
-  size_t next;  /**< piece to send */
-  int piece_ms; /**< between pieces */
-  bool begun;
+  size_t next;  /**< index of the next piece */
+  int piece_ms; /**< delay between pieces, in ms */
+  bool begun;   /**< the response headers were sent */
 };
 
 /**
- * Serve until the process is killed; prints "ready NAME http=ADDR".
- * @return the exit code
+ * Prints "ready NAME http=ADDR" and serves until the process is killed.
+ * @return exit code
  */
 int backend_run (struct backend *b, const char *name, const char *listen,
                  httpd_handler handler);
 
-/** Answer requests under /control/; false when the path is another. */
+/** Handles /control/set and /control/counts; false for any other path. */
 bool backend_control (struct backend *b, struct httpd_req *req);
 
-/** Count a run of this request and apply the faults that come before it;
-    false when the request was dealt with. */
+/** Counts an execution of the request; false if fail_status rejected it. */
 bool backend_admit (struct backend *b, struct httpd_req *req);
 
-/** A new reply; the caller fills status, type, body and pieces. */
+/** Creates a reply with status 200; the caller sets type, body and pieces. */
 struct reply *reply_new (struct backend *b, struct httpd_req *req);
 
-/** Send it, under the faults. */
+/** Starts sending the reply, subject to the injected faults. */
 void reply_start (struct reply *r);
 
-/** Answer with a JSON body at once. */
+/** Sends a JSON response and releases @p o. */
 void backend_json (struct httpd_req *req, int status, json_object *o);
 
 bool json_flag (json_object *o, const char *key, bool fallback);
--- a/standins/kv.c
+++ b/standins/kv.c
@@ -44,7 +44,6 @@
   return g_tree_lookup (kv->keys, key);
 }
 
-/* An end of one zero byte means all keys from there on. */
 bool
 kv_in_range (GBytes *key, GBytes *from, GBytes *end)
 {
--- a/standins/kv.h
+++ b/standins/kv.h
@@ -1,6 +1,7 @@
 /**
  * @file
- * Data of the store's stand-in: keys with revisions, leases, history.
+ * In-memory key-value data of the stand-ins: keys with revisions, leases and
+ * a bounded change history for watches.
  */
 #ifndef LAPISLINE_STANDINS_KV_H
 #define LAPISLINE_STANDINS_KV_H
@@ -10,13 +11,13 @@
 #include "base/clock.h"
 #include "base/str.h"
 
-/** Changes that are remembered for watches; older ones are compacted. */
+/** Changes kept in the history for watches; older ones are compacted. */
 #define KV_HISTORY 20000
 
 struct kv_entry
 {
   GBytes *key;
-  GBytes *value; /**< NULL in a deletion of the history */
+  GBytes *value; /**< NULL for a deletion in the history */
   int64_t mod, create, lease;
 };
 
@@ -29,9 +30,9 @@
 
 struct kv
 {
-  int64_t era; /**< rises when the data goes back to a copy */
+  int64_t era; /**< incremented when a backup is restored */
   int64_t revision;
-  int64_t compacted; /**< changes up to it are forgotten */
+  int64_t compacted; /**< history up to this revision is discarded */
   int64_t next_lease;
   GTree *keys;        /**< GBytes -> struct kv_entry */
   GQueue *history;    /**< of struct kv_entry, oldest first */
@@ -40,50 +41,52 @@
 
 void kv_init (struct kv *kv);
 
-/** Length-counted view of @p b. */
+/** View of the bytes in @p b. */
 struct str kv_str (GBytes *b);
 
-/** Entry or NULL. */
+/** Looks up a key; NULL if it doesn't exist. */
 struct kv_entry *kv_get (struct kv *kv, GBytes *key);
 
-/** Whether @p key lies in the range; an empty @p end means one key. */
+/** Whether @p key lies in [from, end).  An empty @p end selects the single
+    key @p from; one zero byte selects all keys from @p from on. */
 bool kv_in_range (GBytes *key, GBytes *from, GBytes *end);
 
-/** Call @p fn for each entry of the range, in order. */
+/** Calls @p fn for each entry of the range, in key order. */
 void kv_range (struct kv *kv, GBytes *from, GBytes *end,
                void (*fn) (void *ctx, const struct kv_entry *e), void *ctx);
 
-/** Put at revision @p rev. */
+/** Writes a key at revision @p rev. */
 void kv_put (struct kv *kv, GBytes *key, GBytes *value, int64_t lease,
              int64_t rev);
 
-/** Delete a range at revision @p rev; the number of deleted keys. */
+/** Deletes a range at revision @p rev; returns the number of deleted keys. */
 int kv_delete (struct kv *kv, GBytes *from, GBytes *end, int64_t rev);
 
-/** Grant a lease of @p ttl from @p now; its id. */
+/** Grants a lease that expires at @p now + @p ttl; returns its id. */
 int64_t kv_grant (struct kv *kv, clk_ms ttl, clk_ms now);
 
-/** Lease by id, or NULL. */
+/** Looks up a lease; NULL if it doesn't exist. */
 struct kv_lease *kv_lease (struct kv *kv, int64_t id);
 
-/** End a lease and delete its keys, as one revision. */
+/** Ends a lease and deletes its keys in one revision. */
 void kv_revoke (struct kv *kv, int64_t id);
 
-/** Revoke what has expired; true when something has. */
+/** Revokes the expired leases; true if there were any. */
 bool kv_expire (struct kv *kv, clk_ms now);
 
-/** Give out the last @p n revisions again, as a service that has come back
-   from an older copy of its data, after all others have written theirs anew.
- */
+/** Rolls the revision counter back by @p n without changing the data, so that
+    the last revisions are assigned again.  This is the state of a service
+    restored from an old backup, after all clients rewrote their keys. */
 void kv_go_back (struct kv *kv, int64_t n);
 
-/** Copy the keys and the revision; neither leases nor history. */
+/** Copies the revision and the keys without a lease; no leases, no history. */
 void kv_copy (struct kv *to, const struct kv *from);
 
-/** Go back to a copy, as the next era.  Keys under leases are gone. */
+/** Restores a copy made by kv_copy() and increments the era.  All leases and
+    the keys under them are lost. */
 void kv_restore (struct kv *kv, const struct kv *copy);
 
-/** Forget the whole history. */
+/** Discards the whole history. */
 void kv_compact (struct kv *kv);
 
 #endif
--- a/standins/model.c
+++ b/standins/model.c
@@ -1,8 +1,8 @@
-/* Stand-in of a backend server of one VM of a model replica.
+/* Stand-in for the backend server on one VM of a model replica.
 
-   Its answer is a pure function of the request's id and body and carries the
-   prompt's text, so that a test can tell whose answer it got and a stream can
-   be resumed at any offset.  */
+   The response is a pure function of the request id and body and contains the
+   prompt.  A test can therefore match each response to its request, and a
+   stream can be resumed at any offset.  */
 #include <stdlib.h>
 #include <string.h>
 
@@ -12,25 +12,25 @@
 struct model
 {
   struct backend b;
-  int tokens;   /**< of an answer that names no max_tokens */
-  int token_ms; /**< between tokens of a stream */
-  int load_ms;  /**< a load order takes this long */
+  int tokens;   /**< response length if the request has no max_tokens */
+  int token_ms; /**< delay between tokens of a stream, in ms */
+  int load_ms;  /**< duration of a load order, in ms */
   gboolean ignore_fence;
   gboolean no_counts;
   bool not_ready;
   bool unloaded;
-  bool drop_orders; /**< fault: read orders, never act or answer */
-  bool skip_states; /**< fault: answer every other probe only */
-  unsigned states;  /**< probes so far */
-  bool no_end_mark; /**< fault: streams end cleanly before their end */
+  bool drop_orders; /**< fault: read orders, never apply or answer them */
+  bool skip_states; /**< fault: answer only every other state probe */
+  unsigned states;  /**< state probes received under skip_states */
+  bool no_end_mark; /**< fault: streams end without "data: [DONE]" */
   char *replica;
   int64_t generation;
-  int64_t rank; /**< below 0: not told */
+  int64_t rank; /**< rank in the replica; negative: omitted from the state */
   int64_t fence;
   clk_ms ready_at;
   int64_t load;
   unsigned orders;
-  unsigned old_orders; /**< refused for their fencing number */
+  unsigned old_orders; /**< rejected because of a stale fencing token */
 };
 
 /* ---- state and orders ---- */
@@ -115,7 +115,7 @@
 
 /* ---- completions ---- */
 
-/** Text of the prompt: "prompt", or the last message's content. */
+/** Prompt of the request: "prompt", or the content of the last message. */
 static const char *
 prompt_of (json_object *o)
 {
@@ -132,7 +132,7 @@
   return prompt ? prompt : "";
 }
 
-/** What an answer is made of. */
+/** Inputs from which a response is generated. */
 struct answer
 {
   struct str id;
@@ -195,7 +195,7 @@
   buf_free (&text);
 }
 
-/** Resumed: neither the bytes nor the pieces before the offset again. */
+/** Resumes the reply at `offset`: earlier bytes and pieces are not sent. */
 static void
 skip_to (struct reply *r, struct str offset)
 {
--- a/standins/platform.c
+++ b/standins/platform.c
@@ -1,4 +1,4 @@
-/* Stand-in of the platform's list of VMs, changed by /control/set. */
+/* Stand-in for the platform's list of VMs; /control/set changes the list. */
 #include <stdlib.h>
 
 #include "standins/fault.h"
@@ -7,7 +7,7 @@
 struct platform
 {
   struct backend b;
-  json_object *vms; /**< name -> state */
+  json_object *vms; /**< VM name -> state */
 };
 
 static json_object *
@@ -47,7 +47,7 @@
   reply_start (r);
 }
 
-/** {"vms": {"vm-1": "leaving", "vm-2": null}}: null takes it off the list. */
+/** {"vms": {"vm-1": "leaving", "vm-2": null}}: null removes the VM. */
 static void
 on_set (void *ctx, json_object *o)
 {
--- a/standins/rack-limit.c
+++ b/standins/rack-limit.c
@@ -4,7 +4,8 @@
 #include "platform/names.h"
 #include "standins/rack.h"
 
-/** Nodes have so long to heed what they were told. */
+/** Time for the nodes to apply a newly announced limit; requests that arrive
+    earlier are not counted. */
 #define HEED_MS ((clk_ms)500)
 
 void
--- a/standins/rack-server.c
+++ b/standins/rack-server.c
@@ -6,10 +6,11 @@
 #include "platform/names.h"
 #include "standins/rack.h"
 
-/** Loading a model takes so long, and joining with a loaded one. */
+/** Duration of joining a replica: with loading the model, and with the model
+    already loaded. */
 #define LOAD_MS 400
 #define JOIN_MS 50
-/** Of an answer, at most. */
+/** Maximum number of response headers. */
 #define HEADERS 5
 
 static const char *const part_names[]
@@ -24,7 +25,7 @@
   return NULL;
 }
 
-/* --- its entry --------------------------------------------------------- */
+/* --- entry in the server list ------------------------------------------ */
 
 static void
 add_text (json_object *o, const char *key, const char *text)
@@ -179,14 +180,14 @@
 
 /* --- requests ---------------------------------------------------------- */
 
-/** A stream being sent. */
+/** An event stream in progress. */
 struct stream
 {
   struct server *s;
   struct httpd_req *req;
   uv_timer_t timer;
   int next;
-  struct stream *after, **before; /**< of its server */
+  struct stream *after, **before; /**< links in the server's list */
 };
 
 static void
@@ -214,7 +215,8 @@
   stream_over (st);
 }
 
-/** Whether a member of the replica is gone: then nothing moves. */
+/** Whether a member of the replica is unavailable.  A replica produces no
+    events then. */
 static bool
 stands_still (const struct server *s)
 {
@@ -240,7 +242,7 @@
     return;
   if (st->next > s->rack->events)
     {
-      /* The caller has had all events and missed only the end. */
+      /* Resumed after the last event: only the end is missing. */
       stream_over (st);
       httpd_end (req, true);
       return;
@@ -329,7 +331,7 @@
   rack_server_crash (t->data);
 }
 
-/** Whether it is a request that ends its server's process. */
+/** Whether the request crashes the server; starts the crash timer if so. */
 static bool
 does_crash (struct server *s, struct httpd_req *req)
 {
@@ -424,7 +426,7 @@
   rack_list (s);
 }
 
-/** The list shows a process that is gone for as long as three heartbeats. */
+/** Time until the entry of a crashed server expires: three heartbeats. */
 #define LAPSE_MS 1500
 
 static void
--- a/standins/rack-store.c
+++ b/standins/rack-store.c
@@ -6,18 +6,18 @@
 #include "platform/names.h"
 #include "standins/rack.h"
 
-/** A watch that waits. */
+/** A watch call (long poll) without an answer yet. */
 struct watch_call
 {
   struct rack *r;
   struct watch_call *next;
-  struct httpd_req *req; /* NULL: its caller left */
+  struct httpd_req *req; /* NULL after the client disconnected */
   char *prefix;
   int64_t after;
   clk_ms until;
 };
 
-/* --- parts of answers -------------------------------------------------- */
+/* --- requests and responses -------------------------------------------- */
 
 static void
 add_item (json_object *list, const struct kv_entry *e)
@@ -71,7 +71,7 @@
   return g_bytes_new (s.ptr, s.len);
 }
 
-/** Value of a parameter, unescaped; released by g_free(). */
+/** Unescaped value of a query parameter; free with g_free(). */
 static char *
 parameter (struct httpd_req *req, const char *name)
 {
@@ -172,7 +172,8 @@
   return n;
 }
 
-/** Answer if there is something to say; true when the watch is over. */
+/** Answers the watch if it has events, reached its timeout or asks for a
+    revision outside the history; true if the watch has ended. */
 static bool
 feed (struct rack *r, struct watch_call *w)
 {
--- a/standins/rack.c
+++ b/standins/rack.c
@@ -1,28 +1,29 @@
 /*
- * Stand-in of the users' platform.  POST /control/set:
+ * Stand-in for the users' platform.  POST /control/set:
  *
  *   "config": {...}        the operators' configuration
  *   "store": {"silent": B, "refuse": B, "no_writes": B, "lose_next": N,
  *             "compact": true, "lapse": true, "back": N, "skip": N,
- *             "copy": true, "restore": true}   faults of its key-value
- *                          service; lapse ends all leases, back gives out the
- *                          last N revisions again, skip leaves out N, restore
- *                          goes back to the copy, and the backend servers
- *                          write their entries again
- *   "event_ms", "events"   of the streams
- *   "crash_body": TEXT, "crash_ms"   a request with that body ends the process
- *                          of each server that runs it
- *   "server": ID, and of it "dead", "dark", "draining", "unlisted",
- *             "unsealed": B, "fail": STATUS, "cut_after": N, "end_after": N,
- *             "reborn": true   it starts again under its id and address,
- *             "limit": TEXT    request rate that its answers name; "": none
- *   "entry": {"id": ID, "value": TEXT}   an entry of the list by another
- *                          writer
+ *             "copy": true, "restore": true}   faults of the key-value
+ *                          service: lapse expires all leases, back assigns the
+ *                          last N revisions again, skip leaves out N
+ *                          revisions, copy makes a backup, restore restores it
+ *                          and lets the backend servers rewrite their entries
+ *   "event_ms", "events"   delay and number of the events of a stream
+ *   "crash_body": TEXT, "crash_ms"   a request with this body crashes every
+ *                          server that executes it, after crash_ms
+ *   "server": ID           server that the following fields apply to:
+ *             "dead", "dark", "draining", "unlisted", "unsealed": B,
+ *             "fail": STATUS, "cut_after": N, "end_after": N,
+ *             "reborn": true   restart with the same id and address,
+ *             "limit": TEXT    announced request rate limit; "": none
+ *   "entry": {"id": ID, "value": TEXT}   write any entry into the server list
  *
- * GET /control/counts: how many servers have crashed, runs by server, and by
- * request id where above one; of a server that names a limit, the requests
- * that began from half a second after its first such answer on, and the most
- * of them in any 4 s. GET /control/runs: runs by request id.
+ * GET /control/counts returns the number of crashed servers, the executions
+ * by server, and the ids of requests executed more than once.  For a server
+ * with a limit, limited_arrived counts the requests from half a second after
+ * the first response with the limit on, and limited_most is their maximum in
+ * any 4 s.  GET /control/runs returns the executions by request id.
  */
 #include <glib.h>
 #include <stdio.h>
@@ -35,7 +36,7 @@
 #include "standins/standin.h"
 
 #define TICK_MS 10
-/** Servers of one fabric domain. */
+/** Servers per fabric domain. */
 #define DOMAIN_SIZE 4
 
 /* --- control ----------------------------------------------------------- */
@@ -214,7 +215,7 @@
   httpd_answer (req, 404, NULL, 0, STR_EMPTY);
 }
 
-/* --- life -------------------------------------------------------------- */
+/* --- process ----------------------------------------------------------- */
 
 static void
 on_tick (uv_timer_t *t)
--- a/standins/rack.h
+++ b/standins/rack.h
@@ -1,12 +1,14 @@
 /**
  * @file
- * Stand-in of the users' platform: its key-value service and the backend
- * servers that list themselves there, in one process.
+ * Stand-in for the users' platform: its key-value service and the backend
+ * servers registered in it, in one process.
  *
- *   rack.c         command line, control, the list entries
- *   rack-store.c   the key-value service
- *   rack-server.c  a backend server: requests, orders, its part in a replica
- *   rack-limit.c   the request rate that it names, and what it gets
+ *   rack.c         command line and control interface
+ *   rack-store.c   key-value service
+ *   rack-server.c  backend server: entry in the server list, requests, orders,
+ *                  replica membership
+ *   rack-limit.c   request rate limit that a server announces, and the
+ *                  requests that arrive under it
  */
 #ifndef LAPISLINE_STANDINS_RACK_H
 #define LAPISLINE_STANDINS_RACK_H
@@ -28,18 +30,18 @@
 };
 
 #define LIMIT_WINDOW_MS ((clk_ms)4000)
-/** Arrivals that are remembered; more in one window count as so many. */
+/** Maximum number of arrivals recorded per window. */
 #define LIMIT_ARRIVALS 512
 
-/** The request rate that a server names, and what it has had since. */
+/** Request rate limit that a server announces, and the arrivals since. */
 struct limit
 {
-  char text[32];   /**< as the answers say it; empty: they say nothing */
-  clk_ms named_at; /**< first; 0: not yet */
-  clk_ms arrivals[LIMIT_ARRIVALS]; /**< a ring */
+  char text[32];   /**< value of the response header; empty: no limit */
+  clk_ms named_at; /**< time of the first announcement; 0: none yet */
+  clk_ms arrivals[LIMIT_ARRIVALS]; /**< ring buffer of the last window */
   unsigned first, n;
-  unsigned arrived; /**< all of them */
-  unsigned most;    /**< in one window */
+  unsigned arrived; /**< total number of arrivals */
+  unsigned most;    /**< maximum in one window */
 };
 
 /** One backend server. */
@@ -51,23 +53,24 @@
   char addr[32];
   char domain[16];
   bool engine;
-  bool dead; /**< nobody listens; it drops out of the list */
-  bool dark; /**< it reads and answers nothing more */
+  bool dead; /**< port closed; the entry is removed from the list */
+  bool dark; /**< ignores new requests and stops streaming */
   bool draining;
-  int64_t born;  /**< start of its process, Unix ms; told in its entry */
-  bool unlisted; /**< cut from the key-value service only */
-  int fail;      /**< status of the next answers, 0: none */
-  int cut_after; /**< events, then the connection breaks; 0: never */
-  int end_after; /**< events, then the answer ends in the next; 0: never */
-  bool unsealed; /**< answers lack the signature */
+  int64_t born;  /**< start time of the process, Unix ms; in the entry */
+  bool unlisted; /**< entry removed from the list, requests still served */
+  int fail;      /**< status of plain responses; 0: 200 */
+  int cut_after; /**< break a stream after this many events; 0: never */
+  int end_after; /**< end a stream cleanly within the event after this many;
+                      0: never */
+  bool unsealed; /**< responses lack the instance's signature header */
   char model[32], replica[32];
   char members[RACK_SERVERS][16];
   unsigned nmembers, rank;
   int64_t generation, fence;
   enum part part;
   struct limit limit;
-  uv_timer_t timer; /**< the end of joining */
-  uv_timer_t crash; /**< when its process ends under a request */
+  uv_timer_t timer; /**< end of joining, or expiry of the entry */
+  uv_timer_t crash; /**< delay between a crashing request and the crash */
   struct stream *streams;
   unsigned runs, open, gone;
 };
@@ -75,10 +78,10 @@
 /** Faults of the key-value service. */
 struct store_fault
 {
-  bool silent;    /**< read, never answered */
-  bool refuse;    /**< 503 */
-  bool no_writes; /**< 503 to transactions only */
-  int lose_next;  /**< writes that are applied and not answered */
+  bool silent;    /**< read requests, never answer */
+  bool refuse;    /**< answer 503 */
+  bool no_writes; /**< answer 503 to transactions only */
+  int lose_next;  /**< number of writes to apply without an answer */
 };
 
 struct watch_call;
@@ -90,45 +93,47 @@
   struct httpd *httpd;
   uv_timer_t tick;
   struct kv kv;
-  struct kv copy; /**< that the service may come back from */
+  struct kv copy; /**< backup for "restore" */
   struct store_fault fault;
   struct watch_call *watches;
   struct server servers[RACK_SERVERS];
   size_t n;
-  int event_ms;        /**< between two events of a stream */
-  int events;          /**< of a stream */
-  char crash_body[64]; /**< a request with it ends its server's process */
-  int crash_ms;        /**< after it has begun to run */
-  int crashed;         /**< servers whose process has ended so */
-  GHashTable *runs;    /**< request id -> how often it began to run */
+  int event_ms;        /**< delay between events of a stream, in ms */
+  int events;          /**< number of events per stream */
+  char crash_body[64]; /**< request body that crashes the server */
+  int crash_ms;        /**< delay from the request to the crash, in ms */
+  int crashed;         /**< number of servers crashed so far */
+  GHashTable *runs;    /**< request id -> number of executions */
 };
 
 /* rack-store.c */
-/** Answer a call of the key-value service; false: another path. */
+/** Handles a call of the key-value service; false for any other path. */
 bool rack_store_call (struct rack *r, struct httpd_req *req);
-/** Write a key under no lease. */
+/** Writes a key without a lease. */
 void rack_store_put (struct rack *r, const char *key, const char *value);
 void rack_store_remove (struct rack *r, const char *key);
-/** Answer the watches that have something, or have waited enough. */
+/** Answers the watches that have events or reached their timeout. */
 void rack_store_tick (struct rack *r);
 
 /* rack-limit.c */
-/** Name that rate from now on, and count anew. */
+/** Sets the announced limit and resets the counters. */
 void rack_limit_set (struct limit *l, const char *text);
-/** A request has come. */
+/** Counts the arrival of a request. */
 void rack_limit_count (struct limit *l);
-/** An answer is made; its header, or false. */
+/** Fills the limit's response header; false if no limit is set. */
 bool rack_limit_header (struct limit *l, struct http_header *out);
 
 /* rack-server.c */
 bool rack_server_start (struct server *s);
 struct server *rack_find (struct rack *r, const char *id);
-/** Write its entry, or remove it. */
+/** Writes the server's entry in the list, or removes it. */
 void rack_list (struct server *s);
 void rack_server_stop (struct server *s);
-/** Its process ends; connections break, the entry lapses after a while. */
+/** Simulates a process crash: connections break at once, the entry is removed
+    from the list after its expiry time. */
 void rack_server_crash (struct server *s);
-/** Its process starts again: it holds and knows nothing of before. */
+/** Simulates a process restart: model, replica, fencing token and limit are
+    reset. */
 void rack_server_restart (struct server *s);
 
 #endif
--- a/standins/service.c
+++ b/standins/service.c
@@ -1,4 +1,4 @@
-/* Stand-in of a plain service: it echoes what it was asked. */
+/* Stand-in for a plain HTTP service that echoes each request as JSON. */
 #include <stdlib.h>
 
 #include "standins/fault.h"
@@ -7,9 +7,9 @@
 struct service
 {
   struct backend b;
-  int large;  /**< bytes of padding in each answer */
-  int pieces; /**< sent in this many pieces; 0: whole, with its length */
-  int piece_ms;
+  int large;    /**< bytes of padding in each response */
+  int pieces;   /**< pieces per response; 0: one, with content-length */
+  int piece_ms; /**< delay between pieces, in ms */
   char *name;
 };
 
--- a/standins/standin.h
+++ b/standins/standin.h
@@ -1,12 +1,14 @@
 /**
  * @file
- * The stand-ins of what the system meets: one program, one file each.
+ * Entry points of the stand-ins for external systems.  One test program
+ * contains them all; its first argument selects one.
  */
 #ifndef LAPISLINE_STANDINS_STANDIN_H
 #define LAPISLINE_STANDINS_STANDIN_H
 
-/* Each takes "--listen ADDR" and more (--help), prints "ready NAME http=ADDR"
-   and serves /control/... at the same port.  Returns an exit code.  */
+/* Each parses its own options (--help), prints "ready NAME http=ADDR" and
+   serves /control/... on that port.  All but the control stand-in accept
+   "--listen ADDR".  Returns the exit code of the process.  */
 int standin_control (int argc, char **argv);
 int standin_model (int argc, char **argv);
 int standin_platform (int argc, char **argv);
--- a/standins/store-calls.c
+++ b/standins/store-calls.c
@@ -14,7 +14,6 @@
   return v;
 }
 
-/* Numbers come as strings or as numbers. */
 int64_t
 store_num (json_object *o, const char *key)
 {
--- a/standins/store-int.h
+++ b/standins/store-int.h
@@ -1,7 +1,8 @@
 /**
  * @file
- * What the files of the store's stand-in share: store.c takes requests and
- * faults, store-calls.c carries out calls, store-watch.c feeds watches.
+ * Shared declarations of the key-value service's stand-in: store.c accepts
+ * requests and injects faults, store-calls.c implements the calls and
+ * store-watch.c the watches.
  */
 #ifndef LAPISLINE_STANDINS_STORE_INT_H
 #define LAPISLINE_STANDINS_STORE_INT_H
@@ -10,7 +11,7 @@
 #include "standins/fault.h"
 #include "standins/kv.h"
 
-/** Largest request in bytes. */
+/** Maximum size of a request body in bytes, as in etcd. */
 #define MAX_REQUEST ((size_t)1536 * 1024)
 
 enum down_mode
@@ -31,7 +32,7 @@
 {
   struct httpd_req *req;
   GBytes *from, *end;
-  int64_t next; /**< first revision that was not sent */
+  int64_t next; /**< first revision not yet sent */
 };
 
 struct server
@@ -43,9 +44,9 @@
   struct kv kv;
   struct counts counts;
   enum down_mode down;
-  unsigned outages; /**< times that the listener went, with its requests */
+  unsigned outages; /**< times the listener was closed with its requests */
   int delay_ms, answer_delay_ms, lose_next, lose_read_next;
-  int fail_write; /**< error code, or 0 */
+  int fail_write; /**< error code returned for writes; 0: off */
   bool silence_watches;
   GPtrArray *watches;
 };
@@ -58,31 +59,31 @@
   bool write;
 };
 
-/** Field of an object, or NULL. */
+/** Field of a JSON object; NULL if missing or not an object. */
 json_object *store_get (json_object *o, const char *key);
 
-/** Number that comes as a string or as a number. */
+/** Integer field, given as a JSON string or number; 0 if missing. */
 int64_t store_num (json_object *o, const char *key);
 
-/** Bytes that come in base64. */
+/** Decodes a base64 field; empty if missing. */
 GBytes *store_bytes (json_object *o, const char *key);
 
 void store_add_header (struct server *s, struct buf *out);
 void store_add_kv (struct buf *out, const struct kv_entry *e);
 
-/** Replace @p out by an error; returns @p status. */
+/** Replaces the content of @p out with an error body; returns @p status. */
 int store_error (struct buf *out, int status, int code, const char *text);
 
-/** Call by its path, or NULL. */
+/** Looks up a call by its path; NULL if unknown. */
 const struct call *store_find_call (const char *path);
 
 void store_watch_open (struct server *s, struct httpd_req *req,
                        json_object *o);
 
-/** Send every watch what it has not got. */
+/** Sends each open watch the changes since its last event. */
 void store_feed_watches (struct server *s);
 
-/** Cut every watch. */
+/** Breaks the connections of all watches. */
 void store_drop_watches (struct server *s);
 
 #endif
--- a/standins/store-watch.c
+++ b/standins/store-watch.c
@@ -13,7 +13,7 @@
 {
   struct watch *w = ctx;
 
-  w->req = NULL; /* swept with the next change */
+  w->req = NULL; /* freed by the next store_feed_watches() */
 }
 
 static void
@@ -26,7 +26,8 @@
   buf_add_char (out, '}');
 }
 
-/* Oldest change from a revision on; the newest are at the tail. */
+/* Oldest change at or after `revision`; the history is searched from its
+   tail, where the newest changes are. */
 static GList *
 first_since (struct server *s, int64_t revision)
 {
@@ -41,7 +42,8 @@
   return first;
 }
 
-/* Send what a watch has not got; all changes of a revision together. */
+/* Sends the changes from w->next on in one message, so that the changes of a
+   revision are never split. */
 static void
 watch_feed (struct server *s, struct watch *w)
 {
--- a/standins/store.c
+++ b/standins/store.c
@@ -1,22 +1,24 @@
 /*
- * Stand-in of the platform's key-value service: the JSON gateway of etcd v3
- * with its limits, and faults by POST /control/set, at the port of the
- * service and at one of its own that stays up while the service is down:
+ * Stand-in for the platform's key-value service: the JSON gateway of etcd v3
+ * with its size limits.  POST /control/set injects faults.  It is served on
+ * the service port and on a separate control port, which stays open while the
+ * service is down:
  *
- *   "down": true, "mode": "refuse" (nobody listens), "silent" (requests are
- *       read and never answered) or "error" (refused, not applied)
- *   "delay_ms": N          wait, then apply, then answer
- *   "answer_delay_ms": N   apply, wait, then answer
- *   "lose_answer_next": N  apply the next N writes and close unanswered
- *   "lose_read_next": N    close the next N reads unanswered
- *   "fail_write": CODE     apply writes and answer with that error; 0: off
- *   "drop_watches": true   cut every watch
- *   "silence_watches": B   watches get nothing more, and stay open
- *   "lapse_lease": ID or "all"
- *   "compact": true        forget the history
- *   "clear": true          no faults
+ *   "down": true, "mode": "refuse" (the port is closed), "silent" (requests
+ *       are read and never answered) or "error" (rejected, not applied)
+ *   "delay_ms": N          delay before a request is applied
+ *   "answer_delay_ms": N   delay between applying and answering
+ *   "lose_answer_next": N  apply the next N writes, close without an answer
+ *   "lose_read_next": N    close the next N reads without an answer
+ *   "fail_write": CODE     apply writes and return this error; 0: off
+ *   "drop_watches": true   break the connections of all watches
+ *   "silence_watches": B   keep watches open without sending events
+ *   "lapse_lease": ID      expire this lease; "all": every lease
+ *   "compact": true        discard the history
+ *   "clear": true          reset all faults
  *
- * GET /control/counts: calls by kind; GET /control/dump: keys and leases.
+ * GET /control/counts returns the number of calls by kind, GET /control/dump
+ * the keys and leases.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -27,18 +29,18 @@
 
 #define TICK_MS 20
 
-/* A request while it is delayed. */
+/* A request that waits to be applied or answered. */
 struct pending
 {
   uv_timer_t timer;
   struct server *s;
-  struct httpd_req *req; /* NULL once the caller has left */
+  struct httpd_req *req; /* NULL after the client disconnected */
   char *path;
   struct buf body;
   struct buf answer;
   int status;
   bool lose;
-  unsigned outages; /* the server's when it came */
+  unsigned outages; /* value of server.outages on arrival */
 };
 
 /* --- requests and their delays ----------------------------------------- */
@@ -65,7 +67,7 @@
 {
   struct pending *p = ctx;
 
-  p->req = NULL; /* the write happens all the same */
+  p->req = NULL; /* the write is still applied */
 }
 
 static void
@@ -291,8 +293,9 @@
 }
 
 /*
- * In force once answered.  At the port of the service the answer goes first,
- * as in mode "refuse" its own connection goes too.
+ * The faults are in effect when the client receives the answer.  On the
+ * service port the answer is sent first, because mode "refuse" closes this
+ * connection too.
  */
 static void
 control_set (struct server *s, struct httpd_req *req, bool at_service)
@@ -402,7 +405,7 @@
   take (ctx, req, false);
 }
 
-/* --- the process ------------------------------------------------------- */
+/* --- process ----------------------------------------------------------- */
 
 static void
 on_tick (uv_timer_t *t)
