--- a/standins/control.c
+++ b/standins/control.c
@@ -21,7 +21,7 @@
 #include "standins/fault.h"
 #include "standins/standin.h"
 
-#define REPEAT_MS 1000
+#define VIEW_INTERVAL_MS 1000
 
 struct control
 {
@@ -39,7 +39,7 @@
 /* ---- views ---- */
 
 static json_object *
-list_of (json_object *o, const char *key, size_t *n)
+get_array (json_object *o, const char *key, size_t *n)
 {
   json_object *list = NULL;
 
@@ -49,22 +49,22 @@
 }
 
 static char *
-text_of (json_object *o, const char *key)
+get_text (json_object *o, const char *key)
 {
   const char *t = json_text (o, key);
   return (char *)(t ? t : "");
 }
 
 static Lapis__NodeView *
-node_of (json_object *o)
+node_view_from_json (json_object *o)
 {
   Lapis__NodeView *n = xmalloc (sizeof *n);
 
   lapis__node_view__init (n);
-  n->node = text_of (o, "node");
-  n->zone = text_of (o, "zone");
-  n->region = text_of (o, "region");
-  n->http_addr = text_of (o, "http");
+  n->node = get_text (o, "node");
+  n->zone = get_text (o, "zone");
+  n->region = get_text (o, "region");
+  n->http_addr = get_text (o, "http");
   n->peer_addr = (char *)"127.0.0.1:1";
   n->status = (uint32_t)json_num (o, "status", 0);
   n->load = (uint32_t)json_num (o, "load", 0);
@@ -72,34 +72,35 @@
 }
 
 static Lapis__ReplicaView *
-replica_of (json_object *o)
+replica_view_from_json (json_object *o)
 {
   Lapis__ReplicaView *r = xmalloc (sizeof *r);
 
   lapis__replica_view__init (r);
-  r->replica = text_of (o, "replica");
-  r->model = text_of (o, "model");
-  r->domain = text_of (o, "domain");
+  r->replica = get_text (o, "replica");
+  r->model = get_text (o, "model");
+  r->domain = get_text (o, "domain");
   r->generation = (uint64_t)json_num (o, "generation", 0);
   r->whole = json_flag (o, "whole", true);
   r->draining = json_flag (o, "draining", false);
   r->valid_ms = (uint32_t)json_num (o, "valid_ms", 3000);
-  r->leader_addr = text_of (o, "leader");
+  r->leader_addr = get_text (o, "leader");
   return r;
 }
 
 static void
 fill_lists (Lapis__View *v, json_object *o)
 {
-  json_object *list = list_of (o, "nodes", &v->n_nodes);
+  json_object *list = get_array (o, "nodes", &v->n_nodes);
 
   v->nodes = xcalloc (v->n_nodes + 1, sizeof (void *));
   for (size_t i = 0; i < v->n_nodes; i++)
-    v->nodes[i] = node_of (json_object_array_get_idx (list, i));
-  list = list_of (o, "replicas", &v->n_replicas);
+    v->nodes[i] = node_view_from_json (json_object_array_get_idx (list, i));
+  list = get_array (o, "replicas", &v->n_replicas);
   v->replicas = xcalloc (v->n_replicas + 1, sizeof (void *));
   for (size_t i = 0; i < v->n_replicas; i++)
-    v->replicas[i] = replica_of (json_object_array_get_idx (list, i));
+    v->replicas[i]
+        = replica_view_from_json (json_object_array_get_idx (list, i));
 }
 
 static void
@@ -175,7 +176,7 @@
 /* ---- gateway link ---- */
 
 static void
-take_hello (struct control *c, const Lapis__Hello *h)
+handle_hello (struct control *c, const Lapis__Hello *h)
 {
   json_object_put (c->hello);
   c->hello = json_object_new_object ();
@@ -186,7 +187,7 @@
 }
 
 static void
-take_report (struct control *c, const Lapis__Report *r)
+handle_report (struct control *c, const Lapis__Report *r)
 {
   json_object_put (c->report);
   c->report = json_object_new_object ();
@@ -199,7 +200,7 @@
 }
 
 static void
-take_spans (struct control *c, const Lapis__TraceAnswer *t)
+handle_trace_answer (struct control *c, const Lapis__TraceAnswer *t)
 {
   if (c->trace != NULL)
     httpd_answer (c->trace, 200, NULL, 0,
@@ -215,12 +216,12 @@
   if (f->body_case == LAPIS__FRAME__BODY_HELLO)
     {
       c->gateway = l;
-      take_hello (c, f->hello);
+      handle_hello (c, f->hello);
     }
   else if (f->body_case == LAPIS__FRAME__BODY_REPORT)
-    take_report (c, f->report);
+    handle_report (c, f->report);
   else if (f->body_case == LAPIS__FRAME__BODY_TRACE_ANSWER)
-    take_spans (c, f->trace_answer);
+    handle_trace_answer (c, f->trace_answer);
 }
 
 static void
@@ -235,13 +236,13 @@
 /* ---- control interface ---- */
 
 static void
-answer_heard (struct control *c, struct httpd_req *req)
+answer_received (struct control *c, struct httpd_req *req)
 {
   json_object *o = json_object_new_object ();
 
   json_object_object_add (o, "hello", json_object_get (c->hello));
   json_object_object_add (o, "report", json_object_get (c->report));
-  backend_json (req, 200, o);
+  backend_answer_json (req, 200, o);
 }
 
 static void
@@ -257,7 +258,7 @@
 }
 
 static void
-ask_trace (struct control *c, struct httpd_req *req)
+request_trace (struct control *c, struct httpd_req *req)
 {
   Lapis__TraceAsk ask = LAPIS__TRACE_ASK__INIT;
   Lapis__Frame f = LAPIS__FRAME__INIT;
@@ -283,9 +284,9 @@
   if (str_is (path, "/control/view"))
     set_view (ctx, req);
   else if (str_is (path, "/control/heard"))
-    answer_heard (ctx, req);
+    answer_received (ctx, req);
   else if (str_is (path, "/control/trace"))
-    ask_trace (ctx, req);
+    request_trace (ctx, req);
   else
     httpd_answer (req, 404, NULL, 0, STR ("no such path\n"));
 }
@@ -313,7 +314,7 @@
     }
   uv_timer_init (&c->loop, &c->timer);
   c->timer.data = c;
-  uv_timer_start (&c->timer, on_timer, REPEAT_MS, REPEAT_MS);
+  uv_timer_start (&c->timer, on_timer, VIEW_INTERVAL_MS, VIEW_INTERVAL_MS);
   printf ("ready control http=127.0.0.1:%u peer=127.0.0.1:%u\n",
           httpd_port (c->httpd), link_server_port (c->server));
   fflush (stdout);
--- a/standins/fault.c
+++ b/standins/fault.c
@@ -31,7 +31,7 @@
 }
 
 void
-backend_json (struct httpd_req *req, int status, json_object *o)
+backend_answer_json (struct httpd_req *req, int status, json_object *o)
 {
   struct http_header type = { STR ("content-type"), STR ("application/json") };
   const char *text = json_object_to_json_string (o);
@@ -55,7 +55,7 @@
 }
 
 static json_object *
-table_json (GHashTable *t)
+hash_table_json (GHashTable *t)
 {
   json_object *o = json_object_new_object ();
   GHashTableIter it;
@@ -75,11 +75,13 @@
 
   json_object_object_add (o, "runs", json_object_new_int ((int)b->runs));
   json_object_object_add (o, "refused", json_object_new_int ((int)b->refused));
-  json_object_object_add (o, "gone", json_object_new_int ((int)b->gone));
+  json_object_object_add (o, "gone",
+                          json_object_new_int ((int)b->disconnects));
   json_object_object_add (o, "open", json_object_new_int ((int)b->open));
   json_object_object_add (o, "peak", json_object_new_int ((int)b->peak));
-  json_object_object_add (o, "by_request", table_json (b->by_request));
-  json_object_object_add (o, "by_key", table_json (b->by_key));
+  json_object_object_add (o, "by_request",
+                          hash_table_json (b->runs_by_request));
+  json_object_object_add (o, "by_key", hash_table_json (b->runs_by_key));
   return o;
 }
 
@@ -115,7 +117,7 @@
   if (str_is (v->path, "/control/set"))
     control_set (b, req);
   else if (str_is (v->path, "/control/counts"))
-    backend_json (req, 200, counts_json (b));
+    backend_answer_json (req, 200, counts_json (b));
   else
     return false;
   return true;
@@ -124,7 +126,7 @@
 /* ---- runs ---- */
 
 static void
-count_one (GHashTable *t, struct str key)
+increment_count (GHashTable *t, struct str key)
 {
   if (key.len == 0)
     return;
@@ -145,8 +147,8 @@
   b->runs++;
   if (b->keep_counts)
     {
-      count_one (b->by_request, httpd_header (req, "x-request-id"));
-      count_one (b->by_key, httpd_header (req, "idempotency-key"));
+      increment_count (b->runs_by_request, httpd_header (req, "x-request-id"));
+      increment_count (b->runs_by_key, httpd_header (req, "idempotency-key"));
     }
   return true;
 }
@@ -154,10 +156,10 @@
 /* ---- replies ---- */
 
 static void
-reply_closed (uv_handle_t *h)
+on_reply_closed (uv_handle_t *h)
 {
   struct reply *r = h->data;
-  free (r->cuts);
+  free (r->piece_ends);
   buf_free (&r->body);
   free (r);
 }
@@ -166,14 +168,14 @@
 reply_free (struct reply *r)
 {
   r->b->open--;
-  uv_close ((uv_handle_t *)&r->timer, reply_closed);
+  uv_close ((uv_handle_t *)&r->timer, on_reply_closed);
 }
 
 static void
-on_gone (void *ctx)
+on_disconnect (void *ctx)
 {
   struct reply *r = ctx;
-  r->b->gone++;
+  r->b->disconnects++;
   reply_free (r);
 }
 
@@ -189,7 +191,7 @@
   r->timer.data = r;
   if (++b->open > b->peak)
     b->peak = b->open;
-  httpd_on_gone (req, on_gone, r);
+  httpd_on_gone (req, on_disconnect, r);
   return r;
 }
 
@@ -197,9 +199,9 @@
 reply_begin (struct reply *r)
 {
   struct http_header type = { STR ("content-type"), str_from (r->type) };
-  if (!r->begun)
+  if (!r->headers_sent)
     httpd_begin (r->req, r->status, &type, 1);
-  r->begun = true;
+  r->headers_sent = true;
 }
 
 static void
@@ -211,7 +213,7 @@
 }
 
 static void
-die_when_drained (void *ctx)
+exit_when_drained (void *ctx)
 {
   (void)ctx;
   _exit (1);
@@ -222,7 +224,7 @@
 reply_send_to (struct reply *r, size_t end)
 {
   const struct fault *f = &r->b->fault;
-  size_t from = r->skip;
+  size_t from = r->offset;
   bool cut = f->truncate_after > 0 && end > (size_t)f->truncate_after;
 
   if (cut)
@@ -230,12 +232,12 @@
   if (f->close_first || f->die_first)
     end = from + 1;
   if (f->die_first)
-    httpd_on_drained (r->req, die_when_drained, NULL);
+    httpd_on_drained (r->req, exit_when_drained, NULL);
   reply_begin (r);
   if (end > from)
     {
       httpd_write (r->req, str_make (r->body.ptr + from, end - from));
-      r->skip = end;
+      r->offset = end;
     }
   if (f->die_first)
     return false;
@@ -245,10 +247,10 @@
 }
 
 static void
-on_piece (uv_timer_t *t)
+send_next_piece (uv_timer_t *t)
 {
   struct reply *r = t->data;
-  size_t end = r->ncuts ? r->cuts[r->next] : r->body.len;
+  size_t end = r->npieces ? r->piece_ends[r->next_piece] : r->body.len;
 
   if (r->b->fault.stall && end * 2 > r->body.len)
     {
@@ -256,30 +258,30 @@
       return;
     }
   /* Flow control as in a model engine: wait while the client reads slowly. */
-  if (r->begun && httpd_queued (r->req) > MAX_QUEUED)
+  if (r->headers_sent && httpd_queued (r->req) > MAX_QUEUED)
     {
-      uv_timer_start (t, on_piece, 1, 0);
+      uv_timer_start (t, send_next_piece, 1, 0);
       return;
     }
   if (!reply_send_to (r, end))
     return;
-  if (++r->next >= r->ncuts)
+  if (++r->next_piece >= r->npieces)
     reply_end (r, true);
   else
-    uv_timer_start (t, on_piece, (uint64_t)r->piece_ms, 0);
+    uv_timer_start (t, send_next_piece, (uint64_t)r->piece_ms, 0);
 }
 
 /** Sends the reply as one response with content-length; false if it has
     several pieces, is resumed, or a fault applies. */
 static bool
-reply_at_once (struct reply *r)
+reply_send_whole (struct reply *r)
 {
   const struct fault *f = &r->b->fault;
   struct http_header type = { STR ("content-type"), str_from (r->type) };
   struct httpd_req *req = r->req;
 
-  if (r->ncuts > 0 || r->skip > 0 || f->truncate_after > 0 || f->close_first
-      || f->die_first || f->stall || f->slow_ms > 0)
+  if (r->npieces > 0 || r->offset > 0 || f->truncate_after > 0
+      || f->close_first || f->die_first || f->stall || f->slow_ms > 0)
     return false;
   httpd_answer (req, r->status, &type, 1, buf_str (&r->body));
   reply_free (r);
@@ -289,9 +291,10 @@
 void
 reply_start (struct reply *r)
 {
-  if (r->b->fault.silent || reply_at_once (r))
+  if (r->b->fault.silent || reply_send_whole (r))
     return;
-  uv_timer_start (&r->timer, on_piece, (uint64_t)r->b->fault.slow_ms, 0);
+  uv_timer_start (&r->timer, send_next_piece, (uint64_t)r->b->fault.slow_ms,
+                  0);
 }
 
 /* ---- process ---- */
@@ -311,8 +314,9 @@
       return 2;
     }
   uv_loop_init (&b->loop);
-  b->by_request = g_hash_table_new_full (g_str_hash, g_str_equal, free, NULL);
-  b->by_key = g_hash_table_new_full (g_str_hash, g_str_equal, free, NULL);
+  b->runs_by_request
+      = g_hash_table_new_full (g_str_hash, g_str_equal, free, NULL);
+  b->runs_by_key = g_hash_table_new_full (g_str_hash, g_str_equal, free, NULL);
   b->httpd = httpd_listen (&b->loop, &at, &limits, handler, b->ctx, &err);
   if (b->httpd == NULL)
     {
--- a/standins/fault.h
+++ b/standins/fault.h
@@ -30,13 +30,13 @@
   struct httpd *httpd;
   struct fault fault;
   bool keep_counts;
-  GHashTable *by_request; /**< x-request-id -> number of executions */
-  GHashTable *by_key;     /**< Idempotency-Key -> number of executions */
-  unsigned runs;          /**< requests executed */
-  unsigned refused;       /**< requests rejected by fail_status */
-  unsigned gone;          /**< clients that disconnected early */
-  unsigned open;          /**< replies in progress */
-  unsigned peak;          /**< maximum of open */
+  GHashTable *runs_by_request; /**< x-request-id -> number of executions */
+  GHashTable *runs_by_key;     /**< Idempotency-Key -> number of executions */
+  unsigned runs;               /**< requests executed */
+  unsigned refused;            /**< requests rejected by fail_status */
+  unsigned disconnects;        /**< clients that disconnected early */
+  unsigned open;               /**< replies in progress */
+  unsigned peak;               /**< maximum of open */
   /** Handles stand-in specific fields of /control/set; may be NULL. */
   void (*set) (void *ctx, json_object *o);
   void *ctx;
@@ -52,12 +52,12 @@
   int status;
   const char *type; /**< content-type */
   struct buf body;
-  size_t skip;  /**< offset of the next byte; not 0 when resumed */
-  size_t *cuts; /**< end offset of each piece; NULL: one piece */
-  size_t ncuts;
-  size_t next;  /**< index of the next piece */
-  int piece_ms; /**< delay between pieces, in ms */
-  bool begun;   /**< the response headers were sent */
+  size_t offset;      /**< offset of the next byte; not 0 when resumed */
+  size_t *piece_ends; /**< end offset of each piece; NULL: one piece */
+  size_t npieces;
+  size_t next_piece; /**< index of the next piece */
+  int piece_ms;      /**< delay between pieces, in ms */
+  bool headers_sent;
 };
 
 /**
@@ -80,7 +80,7 @@
 void reply_start (struct reply *r);
 
 /** Sends a JSON response and releases @p o. */
-void backend_json (struct httpd_req *req, int status, json_object *o);
+void backend_answer_json (struct httpd_req *req, int status, json_object *o);
 
 bool json_flag (json_object *o, const char *key, bool fallback);
 int64_t json_num (json_object *o, const char *key, int64_t fallback);
--- a/standins/kv.c
+++ b/standins/kv.c
@@ -1,7 +1,7 @@
 #include "standins/kv.h"
 
 static int
-by_bytes (const void *a, const void *b, void *ctx)
+compare_keys (const void *a, const void *b, void *ctx)
 {
   return g_bytes_compare (a, b);
 }
@@ -23,7 +23,7 @@
   kv->era = 1;
   kv->revision = 1;
   kv->next_lease = 7001;
-  kv->keys = g_tree_new_full (by_bytes, NULL, NULL, entry_free);
+  kv->keys = g_tree_new_full (compare_keys, NULL, NULL, entry_free);
   kv->history = g_queue_new ();
   kv->leases
       = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
@@ -72,7 +72,8 @@
 }
 
 static void
-remember (struct kv *kv, const struct kv_entry *e, GBytes *value, int64_t rev)
+add_history (struct kv *kv, const struct kv_entry *e, GBytes *value,
+             int64_t rev)
 {
   struct kv_entry *h = g_new0 (struct kv_entry, 1);
 
@@ -102,11 +103,11 @@
   e->lease = lease;
   g_tree_replace (kv->keys, e->key, e);
   kv->revision = rev;
-  remember (kv, e, value, rev);
+  add_history (kv, e, value, rev);
 }
 
 static void
-collect (void *ctx, const struct kv_entry *e)
+collect_key (void *ctx, const struct kv_entry *e)
 {
   g_ptr_array_add (ctx, g_bytes_ref (e->key));
 }
@@ -114,7 +115,7 @@
 static void
 delete_key (struct kv *kv, GBytes *key, int64_t rev)
 {
-  remember (kv, kv_get (kv, key), NULL, rev);
+  add_history (kv, kv_get (kv, key), NULL, rev);
   g_tree_remove (kv->keys, key);
   kv->revision = rev;
 }
@@ -126,7 +127,7 @@
       = g_ptr_array_new_with_free_func ((GDestroyNotify)g_bytes_unref);
   int n;
 
-  kv_range (kv, from, end, collect, keys);
+  kv_range (kv, from, end, collect_key, keys);
   n = (int)keys->len;
   for (int i = 0; i < n; i++)
     delete_key (kv, keys->pdata[i], rev);
@@ -147,22 +148,22 @@
 }
 
 struct kv_lease *
-kv_lease (struct kv *kv, int64_t id)
+kv_find_lease (struct kv *kv, int64_t id)
 {
   return g_hash_table_lookup (kv->leases, &id);
 }
 
-struct leased
+struct leased_keys
 {
   int64_t lease;
   GPtrArray *keys;
 };
 
 static gboolean
-collect_leased (void *key, void *value, void *ctx)
+collect_leased_key (void *key, void *value, void *ctx)
 {
   const struct kv_entry *e = value;
-  struct leased *l = ctx;
+  struct leased_keys *l = ctx;
 
   if (e->lease == l->lease)
     g_ptr_array_add (l->keys, g_bytes_ref (e->key));
@@ -172,19 +173,19 @@
 void
 kv_revoke (struct kv *kv, int64_t id)
 {
-  struct leased l
+  struct leased_keys l
       = { id, g_ptr_array_new_with_free_func ((GDestroyNotify)g_bytes_unref) };
   int64_t rev = kv->revision + 1;
 
   g_hash_table_remove (kv->leases, &id);
-  g_tree_foreach (kv->keys, collect_leased, &l);
+  g_tree_foreach (kv->keys, collect_leased_key, &l);
   for (guint i = 0; i < l.keys->len; i++)
     delete_key (kv, l.keys->pdata[i], rev);
   g_ptr_array_unref (l.keys);
 }
 
 static struct kv_lease *
-find_expired (struct kv *kv, clk_ms now)
+find_expired_lease (struct kv *kv, clk_ms now)
 {
   GHashTableIter it;
   void *value;
@@ -205,7 +206,7 @@
   struct kv_lease *l;
   bool any = false;
 
-  while ((l = find_expired (kv, now)) != NULL)
+  while ((l = find_expired_lease (kv, now)) != NULL)
     {
       kv_revoke (kv, l->id);
       any = true;
@@ -221,21 +222,21 @@
 }
 
 static gboolean
-bound_revision (gpointer key, gpointer value, gpointer ctx)
+clamp_revision (gpointer key, gpointer value, gpointer ctx)
 {
   struct kv_entry *e = value;
-  const int64_t *most = ctx;
+  const int64_t *max = ctx;
 
-  e->mod = e->mod < *most ? e->mod : *most;
-  e->create = e->create < *most ? e->create : *most;
+  e->mod = e->mod < *max ? e->mod : *max;
+  e->create = e->create < *max ? e->create : *max;
   return FALSE;
 }
 
 void
-kv_go_back (struct kv *kv, int64_t n)
+kv_rewind (struct kv *kv, int64_t n)
 {
   kv->revision = kv->revision > n ? kv->revision - n : 1;
-  g_tree_foreach (kv->keys, bound_revision, &kv->revision);
+  g_tree_foreach (kv->keys, clamp_revision, &kv->revision);
   kv_compact (kv);
 }
 
--- a/standins/kv.h
+++ b/standins/kv.h
@@ -66,7 +66,7 @@
 int64_t kv_grant (struct kv *kv, clk_ms ttl, clk_ms now);
 
 /** Looks up a lease; NULL if it doesn't exist. */
-struct kv_lease *kv_lease (struct kv *kv, int64_t id);
+struct kv_lease *kv_find_lease (struct kv *kv, int64_t id);
 
 /** Ends a lease and deletes its keys in one revision. */
 void kv_revoke (struct kv *kv, int64_t id);
@@ -77,7 +77,7 @@
 /** Rolls the revision counter back by @p n without changing the data, so that
     the last revisions are assigned again.  This is the state of a service
     restored from an old backup, after all clients rewrote their keys. */
-void kv_go_back (struct kv *kv, int64_t n);
+void kv_rewind (struct kv *kv, int64_t n);
 
 /** Copies the revision and the keys without a lease; no leases, no history. */
 void kv_copy (struct kv *to, const struct kv *from);
--- a/standins/model.c
+++ b/standins/model.c
@@ -19,10 +19,10 @@
   gboolean no_counts;
   bool not_ready;
   bool unloaded;
-  bool drop_orders; /**< fault: read orders, never apply or answer them */
-  bool skip_states; /**< fault: answer only every other state probe */
-  unsigned states;  /**< state probes received under skip_states */
-  bool no_end_mark; /**< fault: streams end without "data: [DONE]" */
+  bool drop_orders;      /**< fault: read orders, never apply or answer them */
+  bool skip_states;      /**< fault: answer only every other state probe */
+  unsigned state_probes; /**< state probes received under skip_states */
+  bool no_end_mark;      /**< fault: streams end without "data: [DONE]" */
   char *replica;
   int64_t generation;
   int64_t rank; /**< rank in the replica; negative: omitted from the state */
@@ -30,7 +30,7 @@
   clk_ms ready_at;
   int64_t load;
   unsigned orders;
-  unsigned old_orders; /**< rejected because of a stale fencing token */
+  unsigned stale_orders; /**< rejected because of a stale fencing token */
 };
 
 /* ---- state and orders ---- */
@@ -55,8 +55,8 @@
       o, "fence", json_object_new_int64 (m->ignore_fence ? 0 : m->fence));
   json_object_object_add (o, "orders", json_object_new_int ((int)m->orders));
   json_object_object_add (o, "old_orders",
-                          json_object_new_int ((int)m->old_orders));
-  backend_json (req, 200, o);
+                          json_object_new_int ((int)m->stale_orders));
+  backend_answer_json (req, 200, o);
 }
 
 static void
@@ -67,18 +67,18 @@
 }
 
 static void
-refuse_old_fence (struct model *m, struct httpd_req *req)
+reject_stale_fence (struct model *m, struct httpd_req *req)
 {
   json_object *o = json_object_new_object ();
 
-  m->old_orders++;
+  m->stale_orders++;
   json_object_object_add (o, "error", json_object_new_string ("old-fence"));
   json_object_object_add (o, "fence", json_object_new_int64 (m->fence));
-  backend_json (req, 409, o);
+  backend_answer_json (req, 409, o);
 }
 
 static void
-obey (struct model *m, json_object *o)
+apply_order (struct model *m, json_object *o)
 {
   const char *order = json_text (o, "order");
 
@@ -91,7 +91,7 @@
 }
 
 static void
-take_order (struct model *m, struct httpd_req *req)
+handle_order (struct model *m, struct httpd_req *req)
 {
   char *text = str_dup (httpd_get (req)->body);
   json_object *o = json_tokener_parse (text);
@@ -103,11 +103,11 @@
   else if (o == NULL)
     httpd_answer (req, 400, NULL, 0, STR ("no JSON\n"));
   else if (!m->ignore_fence && fence < m->fence)
-    refuse_old_fence (m, req);
+    reject_stale_fence (m, req);
   else
     {
       m->fence = fence;
-      obey (m, o);
+      apply_order (m, o);
       httpd_answer (req, 200, NULL, 0, STR ("{\"ok\":true}"));
     }
   json_object_put (o);
@@ -117,7 +117,7 @@
 
 /** Prompt of the request: "prompt", or the content of the last message. */
 static const char *
-prompt_of (json_object *o)
+get_prompt (json_object *o)
 {
   json_object *list, *last;
   const char *prompt = json_text (o, "prompt");
@@ -133,7 +133,7 @@
 }
 
 /** Inputs from which a response is generated. */
-struct answer
+struct completion
 {
   struct str id;
   const char *model;
@@ -143,7 +143,7 @@
 };
 
 static void
-add_chunk (struct reply *r, const struct answer *a, struct str text)
+add_chunk (struct reply *r, const struct completion *a, struct str text)
 {
   buf_add_c (&r->body, "data: {\"id\":");
   buf_add_json (&r->body, a->id);
@@ -152,14 +152,14 @@
   buf_add_c (&r->body, ",\"choices\":[{\"index\":0,\"delta\":{\"content\":");
   buf_add_json (&r->body, text);
   buf_add_c (&r->body, "},\"finish_reason\":null}]}\n\n");
-  r->cuts[r->ncuts++] = r->body.len;
+  r->piece_ends[r->npieces++] = r->body.len;
 }
 
 static void
-stream_body (struct reply *r, const struct answer *a)
+build_stream_body (struct reply *r, const struct completion *a)
 {
   r->type = "text/event-stream";
-  r->cuts = xcalloc ((size_t)a->tokens + 2, sizeof *r->cuts);
+  r->piece_ends = xcalloc ((size_t)a->tokens + 2, sizeof *r->piece_ends);
   add_chunk (r, a, str_from (a->prompt));
   for (int i = 1; i < a->tokens; i++)
     {
@@ -169,11 +169,11 @@
     }
   if (a->end_mark)
     buf_add_c (&r->body, "data: [DONE]\n\n");
-  r->cuts[r->ncuts++] = r->body.len;
+  r->piece_ends[r->npieces++] = r->body.len;
 }
 
 static void
-whole_body (struct reply *r, const struct answer *a)
+build_json_body (struct reply *r, const struct completion *a)
 {
   struct buf text = BUF_INIT;
 
@@ -197,19 +197,20 @@
 
 /** Resumes the reply at `offset`: earlier bytes and pieces are not sent. */
 static void
-skip_to (struct reply *r, struct str offset)
+resume_at (struct reply *r, struct str offset)
 {
   int64_t n;
 
   if (!str_to_i64 (offset, &n) || n < 0 || (size_t)n > r->body.len)
     return;
-  r->skip = (size_t)n;
-  while (r->next + 1 < r->ncuts && r->cuts[r->next] <= r->skip)
-    r->next++;
+  r->offset = (size_t)n;
+  while (r->next_piece + 1 < r->npieces
+         && r->piece_ends[r->next_piece] <= r->offset)
+    r->next_piece++;
 }
 
 static void
-complete (struct model *m, struct httpd_req *req)
+handle_completion (struct model *m, struct httpd_req *req)
 {
   char *text = str_dup (httpd_get (req)->body);
   json_object *o = json_tokener_parse (text);
@@ -224,17 +225,18 @@
       return;
     }
   r = reply_new (&m->b, req);
-  struct answer a = { .id = resumed.len ? resumed : id,
-                      .model = json_text (o, "model"),
-                      .prompt = prompt_of (o),
-                      .tokens = (int)json_num (o, "max_tokens", m->tokens),
-                      .end_mark = !m->no_end_mark };
+  struct completion a = { .id = resumed.len ? resumed : id,
+                          .model = json_text (o, "model"),
+                          .prompt = get_prompt (o),
+                          .tokens = (int)json_num (o, "max_tokens", m->tokens),
+                          .end_mark = !m->no_end_mark };
   if (a.model == NULL)
     a.model = "";
   if (a.tokens < 1)
     a.tokens = 1;
-  (json_flag (o, "stream", false) ? stream_body : whole_body) (r, &a);
-  skip_to (r, httpd_header (req, "x-resume-offset"));
+  (json_flag (o, "stream", false) ? build_stream_body : build_json_body) (r,
+                                                                          &a);
+  resume_at (r, httpd_header (req, "x-resume-offset"));
   r->piece_ms = m->token_ms;
   json_object_put (o);
   reply_start (r);
@@ -250,16 +252,16 @@
     return;
   if (str_is (v->path, "/lapis/v1/state"))
     {
-      if (!m->skip_states || m->states++ % 2 == 0)
+      if (!m->skip_states || m->state_probes++ % 2 == 0)
         answer_state (m, req);
     }
   else if (str_is (v->path, "/lapis/v1/order"))
-    take_order (m, req);
+    handle_order (m, req);
   else if (!str_is (v->path, "/v1/chat/completions")
            && !str_is (v->path, "/v1/completions"))
     httpd_answer (req, 404, NULL, 0, STR ("no such path\n"));
   else if (backend_admit (&m->b, req))
-    complete (m, req);
+    handle_completion (m, req);
 }
 
 static void
--- a/standins/rack-server.c
+++ b/standins/rack-server.c
@@ -11,13 +11,13 @@
 #define LOAD_MS 400
 #define JOIN_MS 50
 /** Maximum number of response headers. */
-#define HEADERS 5
+#define MAX_HEADERS 5
 
-static const char *const part_names[]
+static const char *const member_state_names[]
     = { "", "joining", "ready", "open", "closing" };
 
 struct server *
-rack_find (struct rack *r, const char *id)
+rack_find_server (struct rack *r, const char *id)
 {
   for (size_t i = 0; i < r->n; i++)
     if (strcmp (r->servers[i].id, id) == 0)
@@ -41,7 +41,7 @@
   add_text (o, "name", s->replica);
   json_object_object_add (o, "epoch", json_object_new_int64 (s->generation));
   json_object_object_add (o, "rank", json_object_new_int ((int)s->rank));
-  add_text (o, "state", part_names[s->part]);
+  add_text (o, "state", member_state_names[s->member_state]);
   return o;
 }
 
@@ -59,8 +59,8 @@
   add_text (o, "version", "v1");
   json_object_object_add (o, "seq", json_object_new_int (0));
   json_object_object_add (o, "cold_left_ms", json_object_new_int (0));
-  if (s->born)
-    json_object_object_add (o, "born", json_object_new_int64 (s->born));
+  if (s->start_time)
+    json_object_object_add (o, "born", json_object_new_int64 (s->start_time));
   json_object_object_add (o, "capacity", json_object_new_int (8));
   add_text (o, "state", s->draining ? "draining" : "ready");
   if (s->model[0])
@@ -76,7 +76,7 @@
 }
 
 void
-rack_list (struct server *s)
+rack_server_publish (struct server *s)
 {
   char key[64];
   json_object *o;
@@ -99,13 +99,13 @@
 {
   struct server *s = t->data;
 
-  if (s->part == PART_JOINING)
-    s->part = PART_READY;
-  rack_list (s);
+  if (s->member_state == MEMBER_JOINING)
+    s->member_state = MEMBER_READY;
+  rack_server_publish (s);
 }
 
 static bool
-is_of (const struct server *s, json_object *o)
+matches_replica (const struct server *s, json_object *o)
 {
   return str_is (jsn_str (o, "group"), s->replica)
          && s->generation == jsn_int (o, "epoch");
@@ -116,11 +116,11 @@
 {
   size_t n;
   json_object *members = jsn_array (o, "members", &n);
-  bool warm = str_is (jsn_str (o, "model"), s->model);
+  bool model_loaded = str_is (jsn_str (o, "model"), s->model);
 
   if (jsn_int (o, "epoch") < s->generation)
     return 412;
-  if (is_of (s, o))
+  if (matches_replica (s, o))
     return 200;
   snprintf (s->replica, sizeof s->replica, "%s", jsn_text (o, "group"));
   snprintf (s->model, sizeof s->model, "%s", jsn_text (o, "model"));
@@ -134,8 +134,8 @@
       if (strcmp (s->members[i], s->id) == 0)
         s->rank = (unsigned)i;
     }
-  s->part = PART_JOINING;
-  uv_timer_start (&s->timer, on_joined, warm ? JOIN_MS : LOAD_MS, 0);
+  s->member_state = MEMBER_JOINING;
+  uv_timer_start (&s->timer, on_joined, model_loaded ? JOIN_MS : LOAD_MS, 0);
   return 202;
 }
 
@@ -149,20 +149,20 @@
   s->fence = jsn_int (o, "fence");
   if (str_is (op, "join"))
     return do_join (s, o);
-  if (!is_of (s, o))
+  if (!matches_replica (s, o))
     return 409;
   if (str_is (op, "open"))
     {
-      if (s->part < PART_READY || s->rank != 0)
+      if (s->member_state < MEMBER_READY || s->rank != 0)
         return 409;
-      s->part = PART_OPEN;
+      s->member_state = MEMBER_OPEN;
     }
-  else if (str_is (op, "close") && s->part >= PART_OPEN)
-    s->part = PART_READY;
+  else if (str_is (op, "close") && s->member_state >= MEMBER_OPEN)
+    s->member_state = MEMBER_READY;
   else if (str_is (op, "leave"))
     {
       s->replica[0] = '\0';
-      s->part = PART_ALONE;
+      s->member_state = MEMBER_NONE;
     }
   return 202;
 }
@@ -173,7 +173,7 @@
   json_object *o = jsn_parse (httpd_get (req)->body);
   int status = o ? do_order (s, o) : 400;
 
-  rack_list (s);
+  rack_server_publish (s);
   json_object_put (o);
   httpd_answer (req, status, NULL, 0, STR_EMPTY);
 }
@@ -186,8 +186,8 @@
   struct server *s;
   struct httpd_req *req;
   uv_timer_t timer;
-  int next;
-  struct stream *after, **before; /**< links in the server's list */
+  int next_event;
+  struct stream *list_next, **list_prev; /**< links in the server's list */
 };
 
 static void
@@ -197,33 +197,33 @@
 }
 
 static void
-stream_over (struct stream *st)
+stream_close (struct stream *st)
 {
   st->s->open--;
-  *st->before = st->after;
-  if (st->after)
-    st->after->before = st->before;
+  *st->list_prev = st->list_next;
+  if (st->list_next)
+    st->list_next->list_prev = st->list_prev;
   uv_close ((uv_handle_t *)&st->timer, on_stream_closed);
 }
 
 static void
-on_stream_gone (void *ctx)
+on_stream_disconnect (void *ctx)
 {
   struct stream *st = ctx;
 
-  st->s->gone++;
-  stream_over (st);
+  st->s->disconnects++;
+  stream_close (st);
 }
 
 /** Whether a member of the replica is unavailable.  A replica produces no
     events then. */
 static bool
-stands_still (const struct server *s)
+replica_stalled (const struct server *s)
 {
   for (unsigned i = 0; i < s->nmembers; i++)
     {
-      const struct server *m = rack_find (s->rack, s->members[i]);
-      if (!m || m->dead || m->dark)
+      const struct server *m = rack_find_server (s->rack, s->members[i]);
+      if (!m || m->dead || m->unresponsive)
         return true;
     }
   return false;
@@ -238,37 +238,37 @@
   char text[64];
   int n;
 
-  if (s->dark || stands_still (s))
+  if (s->unresponsive || replica_stalled (s))
     return;
-  if (st->next > s->rack->events)
+  if (st->next_event > s->rack->events)
     {
       /* Resumed after the last event: only the end is missing. */
-      stream_over (st);
+      stream_close (st);
       httpd_end (req, true);
       return;
     }
-  n = snprintf (text, sizeof text, "id: %d\ndata: w%d\n\n", st->next,
-                st->next);
+  n = snprintf (text, sizeof text, "id: %d\ndata: w%d\n\n", st->next_event,
+                st->next_event);
   httpd_write (req, str_make (text, (size_t)n));
-  if ((s->cut_after && st->next >= s->cut_after)
-      || (s->end_after && st->next >= s->end_after))
+  if ((s->cut_after && st->next_event >= s->cut_after)
+      || (s->end_after && st->next_event >= s->end_after))
     {
-      bool in_order = s->end_after != 0;
+      bool clean_end = s->end_after != 0;
       s->cut_after = s->end_after = 0;
       httpd_write (req, STR ("id: 9"));
-      stream_over (st);
-      httpd_end (req, in_order);
+      stream_close (st);
+      httpd_end (req, clean_end);
     }
-  else if (st->next++ >= s->rack->events)
+  else if (st->next_event++ >= s->rack->events)
     {
-      stream_over (st);
+      stream_close (st);
       httpd_end (req, true);
     }
 }
 
 static size_t
-make_head (struct server *s, struct httpd_req *req, const char *type,
-           struct http_header *h)
+make_headers (struct server *s, struct httpd_req *req, const char *type,
+              struct http_header *h)
 {
   size_t n = 0;
 
@@ -285,21 +285,21 @@
 start_stream (struct server *s, struct httpd_req *req)
 {
   struct stream *st = xcalloc (1, sizeof *st);
-  struct http_header h[HEADERS];
-  size_t n = make_head (s, req, "text/event-stream", h);
+  struct http_header h[MAX_HEADERS];
+  size_t n = make_headers (s, req, "text/event-stream", h);
   int64_t last = 0;
 
   str_to_i64 (httpd_header (req, PLT_H_LAST_EVENT), &last);
   st->s = s;
   st->req = req;
-  st->next = (int)last + 1;
+  st->next_event = (int)last + 1;
   s->open++;
-  st->after = s->streams;
-  st->before = &s->streams;
-  if (st->after)
-    st->after->before = &st->after;
+  st->list_next = s->streams;
+  st->list_prev = &s->streams;
+  if (st->list_next)
+    st->list_next->list_prev = &st->list_next;
   s->streams = st;
-  httpd_on_gone (req, on_stream_gone, st);
+  httpd_on_gone (req, on_stream_disconnect, st);
   uv_timer_init (&s->rack->loop, &st->timer);
   st->timer.data = st;
   httpd_begin (req, 200, h, n);
@@ -308,7 +308,7 @@
 }
 
 static void
-refuse (struct httpd_req *req, int status)
+reject_request (struct httpd_req *req, int status)
 {
   struct http_header h[] = { { STR (PLT_H_NOT_RUN), STR ("1") } };
 
@@ -333,7 +333,7 @@
 
 /** Whether the request crashes the server; starts the crash timer if so. */
 static bool
-does_crash (struct server *s, struct httpd_req *req)
+schedule_crash (struct server *s, struct httpd_req *req)
 {
   struct rack *r = s->rack;
 
@@ -347,8 +347,8 @@
 static void
 answer_plain (struct server *s, struct httpd_req *req)
 {
-  struct http_header h[HEADERS];
-  size_t n = make_head (s, req, "application/json", h);
+  struct http_header h[MAX_HEADERS];
+  size_t n = make_headers (s, req, "application/json", h);
   struct buf body = BUF_INIT;
 
   buf_addf (&body, "{\"server\":\"%s\",\"account\":", s->id);
@@ -356,7 +356,8 @@
   buf_add_c (&body, ",\"key\":");
   buf_add_json (&body, httpd_header (req, PLT_H_KEY));
   buf_add_c (&body, "}");
-  httpd_answer (req, s->fail ? s->fail : 200, h, n, buf_str (&body));
+  httpd_answer (req, s->fail_status ? s->fail_status : 200, h, n,
+                buf_str (&body));
   buf_free (&body);
 }
 
@@ -366,20 +367,20 @@
   struct server *s = ctx;
   struct str path = httpd_get (req)->path;
 
-  if (s->dark)
+  if (s->unresponsive)
     return;
   if (!str_is (httpd_header (req, PLT_H_EXPECT), s->id))
-    refuse (req, 421);
+    reject_request (req, 421);
   else if (str_is (path, PLT_ORDER))
     on_order (s, req);
   else if (str_is (path, PLT_REPORT))
     httpd_answer (req, 200, NULL, 0, STR ("{}"));
-  else if (s->engine && (s->part != PART_OPEN || s->rank != 0))
-    refuse (req, s->part == PART_READY ? 503 : 421);
+  else if (s->engine && (s->member_state != MEMBER_OPEN || s->rank != 0))
+    reject_request (req, s->member_state == MEMBER_READY ? 503 : 421);
   else
     {
-      bool crashes = does_crash (s, req);
-      rack_limit_count (&s->limit);
+      bool crashes = schedule_crash (s, req);
+      rack_limit_count_arrival (&s->limit);
       count_run (s, req);
       if (s->engine)
         start_stream (s, req);
@@ -411,8 +412,8 @@
   s->timer.data = s;
   uv_timer_init (&s->rack->loop, &s->crash);
   s->crash.data = s;
-  s->born = clk_wall ();
-  rack_list (s);
+  s->start_time = clk_wall ();
+  rack_server_publish (s);
   return true;
 }
 
@@ -423,16 +424,16 @@
     return;
   s->dead = true;
   httpd_free (s->httpd);
-  rack_list (s);
+  rack_server_publish (s);
 }
 
 /** Time until the entry of a crashed server expires: three heartbeats. */
-#define LAPSE_MS 1500
+#define ENTRY_EXPIRY_MS 1500
 
 static void
-on_lapsed (uv_timer_t *t)
+on_entry_expired (uv_timer_t *t)
 {
-  rack_list (t->data);
+  rack_server_publish (t->data);
 }
 
 void
@@ -443,9 +444,9 @@
   s->dead = true;
   s->rack->crashed++;
   while (s->streams)
-    stream_over (s->streams);
+    stream_close (s->streams);
   httpd_free (s->httpd);
-  uv_timer_start (&s->timer, on_lapsed, LAPSE_MS, 0);
+  uv_timer_start (&s->timer, on_entry_expired, ENTRY_EXPIRY_MS, 0);
 }
 
 void
@@ -453,9 +454,9 @@
 {
   uv_timer_stop (&s->timer);
   s->model[0] = s->replica[0] = '\0';
-  s->part = PART_ALONE;
+  s->member_state = MEMBER_NONE;
   s->generation = s->fence = 0;
   s->nmembers = s->rank = 0;
-  s->born = clk_wall ();
+  s->start_time = clk_wall ();
   rack_limit_set (&s->limit, "");
 }
--- a/standins/rack-store.c
+++ b/standins/rack-store.c
@@ -14,7 +14,7 @@
   struct httpd_req *req; /* NULL after the client disconnected */
   char *prefix;
   int64_t after;
-  clk_ms until;
+  clk_ms deadline;
 };
 
 /* --- requests and responses -------------------------------------------- */
@@ -58,22 +58,22 @@
 }
 
 static void
-answer (const struct rack *r, struct httpd_req *req, int status,
-        json_object *o)
+answer_json (const struct rack *r, struct httpd_req *req, int status,
+             json_object *o)
 {
   answer_text (r, req, status, str_from (json_object_to_json_string (o)));
   json_object_put (o);
 }
 
 static GBytes *
-bytes_of (struct str s)
+to_bytes (struct str s)
 {
   return g_bytes_new (s.ptr, s.len);
 }
 
 /** Unescaped value of a query parameter; free with g_free(). */
 static char *
-parameter (struct httpd_req *req, const char *name)
+query_param (struct httpd_req *req, const char *name)
 {
   struct str q = httpd_get (req)->query;
   size_t len = strlen (name);
@@ -91,15 +91,15 @@
 /* --- reading ----------------------------------------------------------- */
 
 static void
-collect (void *ctx, const struct kv_entry *e)
+collect_item (void *ctx, const struct kv_entry *e)
 {
   add_item (ctx, e);
 }
 
 static void
-on_key (struct rack *r, struct httpd_req *req)
+on_get (struct rack *r, struct httpd_req *req)
 {
-  char *key = parameter (req, "key");
+  char *key = query_param (req, "key");
   GBytes *bytes = g_bytes_new (key, strlen (key));
   struct kv_entry *e = kv_get (&r->kv, bytes);
   json_object *list = json_object_new_array (), *o;
@@ -112,7 +112,7 @@
       o = json_object_get (json_object_array_get_idx (list, 0));
       json_object_object_add (o, "store_revision",
                               json_object_new_int64 (r->kv.revision));
-      answer (r, req, 200, o);
+      answer_json (r, req, 200, o);
     }
   json_object_put (list);
   g_bytes_unref (bytes);
@@ -136,18 +136,18 @@
 static void
 on_range (struct rack *r, struct httpd_req *req)
 {
-  char *prefix = parameter (req, "prefix");
+  char *prefix = query_param (req, "prefix");
   GBytes *from = g_bytes_new (prefix, strlen (prefix));
   GBytes *end = prefix_end (prefix);
   json_object *o = json_object_new_object ();
   json_object *list = json_object_new_array ();
 
-  kv_range (&r->kv, from, end, collect, list);
+  kv_range (&r->kv, from, end, collect_item, list);
   json_object_object_add (o, "items", list);
   json_object_object_add (o, "truncated", json_object_new_boolean (false));
   json_object_object_add (o, "store_revision",
                           json_object_new_int64 (r->kv.revision));
-  answer (r, req, 200, o);
+  answer_json (r, req, 200, o);
   g_bytes_unref (from);
   g_bytes_unref (end);
   g_free (prefix);
@@ -175,7 +175,7 @@
 /** Answers the watch if it has events, reached its timeout or asks for a
     revision outside the history; true if the watch has ended. */
 static bool
-feed (struct rack *r, struct watch_call *w)
+try_answer_watch (struct rack *r, struct watch_call *w)
 {
   json_object *o, *list;
 
@@ -189,7 +189,7 @@
       return true;
     }
   list = json_object_new_array ();
-  if (events_after (r, w, list) == 0 && clk_now () < w->until)
+  if (events_after (r, w, list) == 0 && clk_now () < w->deadline)
     {
       json_object_put (list);
       return false;
@@ -198,7 +198,7 @@
   json_object_object_add (o, "events", list);
   json_object_object_add (o, "store_revision",
                           json_object_new_int64 (r->kv.revision));
-  answer (r, w->req, 200, o);
+  answer_json (r, w->req, 200, o);
   return true;
 }
 
@@ -208,7 +208,7 @@
   for (struct watch_call **p = &r->watches; *p;)
     {
       struct watch_call *w = *p;
-      if (!feed (r, w))
+      if (!try_answer_watch (r, w))
         {
           p = &w->next;
           continue;
@@ -220,7 +220,7 @@
 }
 
 static void
-on_watcher_gone (void *ctx)
+on_watch_disconnect (void *ctx)
 {
   struct watch_call *w = ctx;
 
@@ -231,16 +231,17 @@
 on_watch (struct rack *r, struct httpd_req *req)
 {
   struct watch_call *w = xcalloc (1, sizeof *w);
-  char *after = parameter (req, "after"), *wait = parameter (req, "wait_ms");
+  char *after = query_param (req, "after"),
+       *wait = query_param (req, "wait_ms");
 
   w->r = r;
   w->req = req;
-  w->prefix = parameter (req, "prefix");
+  w->prefix = query_param (req, "prefix");
   w->after = atoll (after);
-  w->until = clk_now () + atoll (wait);
+  w->deadline = clk_now () + atoll (wait);
   w->next = r->watches;
   r->watches = w;
-  httpd_on_gone (req, on_watcher_gone, w);
+  httpd_on_gone (req, on_watch_disconnect, w);
   g_free (after);
   g_free (wait);
 }
@@ -248,14 +249,14 @@
 /* --- writing ----------------------------------------------------------- */
 
 static bool
-holds (struct rack *r, json_object *expected)
+conditions_met (struct rack *r, json_object *expected)
 {
   size_t n = json_object_array_length (expected);
 
   for (size_t i = 0; i < n; i++)
     {
       json_object *row = json_object_array_get_idx (expected, i);
-      GBytes *key = bytes_of (jsn_str (row, "key"));
+      GBytes *key = to_bytes (jsn_str (row, "key"));
       const struct kv_entry *e = kv_get (&r->kv, key);
       g_bytes_unref (key);
       if ((e ? e->mod : 0) != jsn_int (row, "rev"))
@@ -272,7 +273,7 @@
   for (size_t i = 0; i < json_object_array_length (writes); i++)
     {
       json_object *row = json_object_array_get_idx (writes, i);
-      GBytes *key = bytes_of (jsn_str (row, "key"));
+      GBytes *key = to_bytes (jsn_str (row, "key"));
       gsize len;
       guchar *text = g_base64_decode (jsn_text (row, "value"), &len);
       GBytes *value = g_bytes_new_take (text, len);
@@ -282,7 +283,7 @@
     }
   for (size_t i = 0; i < json_object_array_length (removed); i++)
     {
-      GBytes *key = bytes_of (str_from (
+      GBytes *key = to_bytes (str_from (
           json_object_get_string (json_object_array_get_idx (removed, i))));
       GBytes *none = g_bytes_new ("", 0);
       kv_delete (&r->kv, key, none, rev);
@@ -292,12 +293,12 @@
 }
 
 static bool
-leases_live (struct rack *r, json_object *writes)
+leases_exist (struct rack *r, json_object *writes)
 {
   for (size_t i = 0; i < json_object_array_length (writes); i++)
     {
       int64_t id = jsn_int (json_object_array_get_idx (writes, i), "lease");
-      if (id && kv_lease (&r->kv, id) == NULL)
+      if (id && kv_find_lease (&r->kv, id) == NULL)
         return false;
     }
   return true;
@@ -314,16 +315,16 @@
 
   if (!expected || !writes || !removed)
     answer_text (r, req, 400, STR_EMPTY);
-  else if (!leases_live (r, writes))
+  else if (!leases_exist (r, writes))
     answer_text (r, req, 404, STR_EMPTY);
-  else if (!holds (r, expected))
+  else if (!conditions_met (r, expected))
     answer_text (r, req, 412, STR ("{\"items\":[]}"));
   else
     {
       apply (r, writes, removed);
-      if (r->fault.lose_next > 0)
+      if (r->fault.lose_next_writes > 0)
         {
-          r->fault.lose_next--;
+          r->fault.lose_next_writes--;
           httpd_begin (req, 200, NULL, 0);
           httpd_end (req, false);
         }
@@ -332,7 +333,7 @@
           out = json_object_new_object ();
           json_object_object_add (out, "rev",
                                   json_object_new_int64 (r->kv.revision));
-          answer (r, req, 200, out);
+          answer_json (r, req, 200, out);
         }
     }
   json_object_put (o);
@@ -349,14 +350,14 @@
       out, "lease",
       json_object_new_int64 (kv_grant (&r->kv, ttl, clk_now ())));
   json_object_object_add (out, "ttl_ms", json_object_new_int64 (ttl));
-  answer (r, req, 200, out);
+  answer_json (r, req, 200, out);
   json_object_put (in);
 }
 
 static void
-on_keep (struct rack *r, struct httpd_req *req, int64_t id)
+on_keepalive (struct rack *r, struct httpd_req *req, int64_t id)
 {
-  struct kv_lease *l = kv_lease (&r->kv, id);
+  struct kv_lease *l = kv_find_lease (&r->kv, id);
   json_object *out;
 
   if (l == NULL)
@@ -367,7 +368,7 @@
   l->expires = clk_now () + l->ttl;
   out = json_object_new_object ();
   json_object_object_add (out, "ttl_ms", json_object_new_int64 (l->ttl));
-  answer (r, req, 200, out);
+  answer_json (r, req, 200, out);
 }
 
 /* --- dispatch ---------------------------------------------------------- */
@@ -395,7 +396,7 @@
 }
 
 static int64_t
-id_after (struct str path, const char *prefix)
+parse_id (struct str path, const char *prefix)
 {
   int64_t id = 0;
 
@@ -416,7 +417,7 @@
   if (r->fault.refuse || (r->fault.no_writes && str_is (path, PLT_KV_TXN)))
     answer_text (r, req, 503, STR_EMPTY);
   else if (str_is (path, PLT_KV_KEY))
-    on_key (r, req);
+    on_get (r, req);
   else if (str_is (path, PLT_KV_RANGE))
     on_range (r, req);
   else if (str_is (path, PLT_KV_WATCH))
@@ -426,10 +427,10 @@
   else if (str_is (path, PLT_KV_LEASE))
     on_grant (r, req);
   else if (str_starts (path, STR (PLT_KV_KEEP)))
-    on_keep (r, req, id_after (path, PLT_KV_KEEP));
+    on_keepalive (r, req, parse_id (path, PLT_KV_KEEP));
   else if (str_starts (path, STR (PLT_KV_LEASE_END)))
     {
-      kv_revoke (&r->kv, id_after (path, PLT_KV_LEASE_END));
+      kv_revoke (&r->kv, parse_id (path, PLT_KV_LEASE_END));
       answer_text (r, req, 200, STR ("{}"));
     }
   else
--- a/standins/rack.c
+++ b/standins/rack.c
@@ -49,12 +49,12 @@
 }
 
 static void
-restore (struct rack *r)
+restore_backup (struct rack *r)
 {
-  kv_restore (&r->kv, &r->copy);
+  kv_restore (&r->kv, &r->backup);
   for (size_t i = 0; i < r->n; i++)
     if (!r->servers[i].dead)
-      rack_list (&r->servers[i]);
+      rack_server_publish (&r->servers[i]);
 }
 
 static void
@@ -64,16 +64,16 @@
   set_flag (o, "refuse", &r->fault.refuse);
   set_flag (o, "no_writes", &r->fault.no_writes);
   if (jsn_get (o, "lose_next"))
-    r->fault.lose_next = (int)jsn_int (o, "lose_next");
+    r->fault.lose_next_writes = (int)jsn_int (o, "lose_next");
   if (jsn_bool (o, "compact"))
     kv_compact (&r->kv);
   if (jsn_get (o, "back"))
-    kv_go_back (&r->kv, jsn_int (o, "back"));
+    kv_rewind (&r->kv, jsn_int (o, "back"));
   r->kv.revision += jsn_int (o, "skip");
   if (jsn_bool (o, "copy"))
-    kv_copy (&r->copy, &r->kv);
+    kv_copy (&r->backup, &r->kv);
   if (jsn_bool (o, "restore"))
-    restore (r);
+    restore_backup (r);
   if (jsn_bool (o, "lapse"))
     kv_expire (&r->kv, CLK_NEVER);
 }
@@ -85,12 +85,12 @@
     rack_server_stop (s);
   if (jsn_bool (o, "reborn"))
     rack_server_restart (s);
-  set_flag (o, "dark", &s->dark);
+  set_flag (o, "dark", &s->unresponsive);
   set_flag (o, "draining", &s->draining);
   set_flag (o, "unlisted", &s->unlisted);
   set_flag (o, "unsealed", &s->unsealed);
   if (jsn_get (o, "fail"))
-    s->fail = (int)jsn_int (o, "fail");
+    s->fail_status = (int)jsn_int (o, "fail");
   if (jsn_get (o, "cut_after"))
     s->cut_after = (int)jsn_int (o, "cut_after");
   if (jsn_get (o, "limit"))
@@ -98,7 +98,7 @@
   if (jsn_get (o, "end_after"))
     s->end_after = (int)jsn_int (o, "end_after");
   if (!s->dead)
-    rack_list (s);
+    rack_server_publish (s);
 }
 
 static void
@@ -132,7 +132,7 @@
   if (jsn_get (o, "crash_ms"))
     r->crash_ms = (int)jsn_int (o, "crash_ms");
   if (jsn_get (o, "server"))
-    s = rack_find (r, jsn_text (o, "server"));
+    s = rack_find_server (r, jsn_text (o, "server"));
   if (s)
     set_server (s, o);
   rack_store_tick (r);
@@ -165,14 +165,18 @@
       json_object *row = json_object_new_object ();
       json_object_object_add (row, "runs", json_object_new_int ((int)s->runs));
       json_object_object_add (row, "open", json_object_new_int ((int)s->open));
-      json_object_object_add (row, "gone", json_object_new_int ((int)s->gone));
-      json_object_object_add (row, "leads",
-                              json_object_new_boolean (s->part == PART_OPEN));
+      json_object_object_add (row, "gone",
+                              json_object_new_int ((int)s->disconnects));
+      json_object_object_add (
+          row, "leads",
+          json_object_new_boolean (s->member_state == MEMBER_OPEN));
       json_object_object_add (row, "model", json_object_new_string (s->model));
-      json_object_object_add (row, "limited_arrived",
-                              json_object_new_int ((int)s->limit.arrived));
-      json_object_object_add (row, "limited_most",
-                              json_object_new_int ((int)s->limit.most));
+      json_object_object_add (
+          row, "limited_arrived",
+          json_object_new_int ((int)s->limit.total_arrivals));
+      json_object_object_add (
+          row, "limited_most",
+          json_object_new_int ((int)s->limit.max_arrivals));
       json_object_object_add (o, s->id, row);
     }
   json_object_object_add (o, "crashed", json_object_new_int (r->crashed));
--- a/standins/rack.h
+++ b/standins/rack.h
@@ -20,13 +20,14 @@
 
 #define RACK_SERVERS 64
 
-enum part
+/** State of a server as a member of a replica. */
+enum member_state
 {
-  PART_ALONE,
-  PART_JOINING,
-  PART_READY,
-  PART_OPEN,
-  PART_CLOSING
+  MEMBER_NONE, /**< in no replica */
+  MEMBER_JOINING,
+  MEMBER_READY,
+  MEMBER_OPEN,
+  MEMBER_CLOSING
 };
 
 #define LIMIT_WINDOW_MS ((clk_ms)4000)
@@ -34,14 +35,14 @@
 #define LIMIT_ARRIVALS 512
 
 /** Request rate limit that a server announces, and the arrivals since. */
-struct limit
+struct rate_limit
 {
-  char text[32];   /**< value of the response header; empty: no limit */
-  clk_ms named_at; /**< time of the first announcement; 0: none yet */
+  char text[32];       /**< value of the response header; empty: no limit */
+  clk_ms announced_at; /**< time of the first announcement; 0: none yet */
   clk_ms arrivals[LIMIT_ARRIVALS]; /**< ring buffer of the last window */
-  unsigned first, n;
-  unsigned arrived; /**< total number of arrivals */
-  unsigned most;    /**< maximum in one window */
+  unsigned first_arrival, narrivals;
+  unsigned total_arrivals;
+  unsigned max_arrivals; /**< maximum in one window */
 };
 
 /** One backend server. */
@@ -53,35 +54,35 @@
   char addr[32];
   char domain[16];
   bool engine;
-  bool dead; /**< port closed; the entry is removed from the list */
-  bool dark; /**< ignores new requests and stops streaming */
+  bool dead;         /**< port closed; the entry is removed from the list */
+  bool unresponsive; /**< ignores new requests and stops streaming */
   bool draining;
-  int64_t born;  /**< start time of the process, Unix ms; in the entry */
-  bool unlisted; /**< entry removed from the list, requests still served */
-  int fail;      /**< status of plain responses; 0: 200 */
-  int cut_after; /**< break a stream after this many events; 0: never */
-  int end_after; /**< end a stream cleanly within the event after this many;
-                      0: never */
-  bool unsealed; /**< responses lack the instance's signature header */
+  int64_t start_time; /**< of the process, Unix ms; part of its entry */
+  bool unlisted;   /**< entry removed from the list, requests still served */
+  int fail_status; /**< status of plain responses; 0: 200 */
+  int cut_after;   /**< break a stream after this many events; 0: never */
+  int end_after;   /**< end a stream cleanly within the event after this many;
+                        0: never */
+  bool unsealed;   /**< responses lack the seal header (PLT_H_SEAL) */
   char model[32], replica[32];
   char members[RACK_SERVERS][16];
   unsigned nmembers, rank;
   int64_t generation, fence;
-  enum part part;
-  struct limit limit;
+  enum member_state member_state;
+  struct rate_limit limit;
   uv_timer_t timer; /**< end of joining, or expiry of the entry */
   uv_timer_t crash; /**< delay between a crashing request and the crash */
   struct stream *streams;
-  unsigned runs, open, gone;
+  unsigned runs, open, disconnects;
 };
 
 /** Faults of the key-value service. */
 struct store_fault
 {
-  bool silent;    /**< read requests, never answer */
-  bool refuse;    /**< answer 503 */
-  bool no_writes; /**< answer 503 to transactions only */
-  int lose_next;  /**< number of writes to apply without an answer */
+  bool silent;          /**< read requests, never answer */
+  bool refuse;          /**< answer 503 */
+  bool no_writes;       /**< answer 503 to transactions only */
+  int lose_next_writes; /**< number of writes to apply without an answer */
 };
 
 struct watch_call;
@@ -93,7 +94,7 @@
   struct httpd *httpd;
   uv_timer_t tick;
   struct kv kv;
-  struct kv copy; /**< backup for "restore" */
+  struct kv backup; /**< written by "copy", read by "restore" */
   struct store_fault fault;
   struct watch_call *watches;
   struct server servers[RACK_SERVERS];
@@ -117,17 +118,17 @@
 
 /* rack-limit.c */
 /** Sets the announced limit and resets the counters. */
-void rack_limit_set (struct limit *l, const char *text);
+void rack_limit_set (struct rate_limit *l, const char *text);
 /** Counts the arrival of a request. */
-void rack_limit_count (struct limit *l);
+void rack_limit_count_arrival (struct rate_limit *l);
 /** Fills the limit's response header; false if no limit is set. */
-bool rack_limit_header (struct limit *l, struct http_header *out);
+bool rack_limit_header (struct rate_limit *l, struct http_header *out);
 
 /* rack-server.c */
 bool rack_server_start (struct server *s);
-struct server *rack_find (struct rack *r, const char *id);
+struct server *rack_find_server (struct rack *r, const char *id);
 /** Writes the server's entry in the list, or removes it. */
-void rack_list (struct server *s);
+void rack_server_publish (struct server *s);
 void rack_server_stop (struct server *s);
 /** Simulates a process crash: connections break at once, the entry is removed
     from the list after its expiry time. */
--- a/standins/service.c
+++ b/standins/service.c
@@ -7,7 +7,7 @@
 struct service
 {
   struct backend b;
-  int large;    /**< bytes of padding in each response */
+  int padding;  /**< bytes of padding in each response */
   int pieces;   /**< pieces per response; 0: one, with content-length */
   int piece_ms; /**< delay between pieces, in ms */
   char *name;
@@ -52,7 +52,7 @@
   add_text (o, "body", v->body);
   buf_add_c (out, json_object_to_json_string (o));
   json_object_put (o);
-  for (int i = 0; i < s->large; i++)
+  for (int i = 0; i < s->padding; i++)
     buf_add_char (out, ' ');
   buf_add_char (out, '\n');
 }
@@ -62,10 +62,10 @@
 {
   if (pieces <= 0)
     return;
-  r->cuts = xcalloc ((size_t)pieces, sizeof *r->cuts);
-  r->ncuts = (size_t)pieces;
-  for (size_t i = 0; i < r->ncuts; i++)
-    r->cuts[i] = r->body.len * (i + 1) / r->ncuts;
+  r->piece_ends = xcalloc ((size_t)pieces, sizeof *r->piece_ends);
+  r->npieces = (size_t)pieces;
+  for (size_t i = 0; i < r->npieces; i++)
+    r->piece_ends[i] = r->body.len * (i + 1) / r->npieces;
 }
 
 static void
@@ -87,7 +87,7 @@
 on_set (void *ctx, json_object *o)
 {
   struct service *s = ctx;
-  s->large = (int)json_num (o, "large", s->large);
+  s->padding = (int)json_num (o, "large", s->padding);
   s->pieces = (int)json_num (o, "pieces", s->pieces);
   s->piece_ms = (int)json_num (o, "piece_ms", s->piece_ms);
 }
--- a/standins/store-calls.c
+++ b/standins/store-calls.c
@@ -5,7 +5,7 @@
 #define MAX_TXN_OPS 128
 
 json_object *
-store_get (json_object *o, const char *key)
+store_json_field (json_object *o, const char *key)
 {
   json_object *v = NULL;
 
@@ -15,17 +15,17 @@
 }
 
 int64_t
-store_num (json_object *o, const char *key)
+store_json_int (json_object *o, const char *key)
 {
-  json_object *v = store_get (o, key);
+  json_object *v = store_json_field (o, key);
 
   return v == NULL ? 0 : json_object_get_int64 (v);
 }
 
 GBytes *
-store_bytes (json_object *o, const char *key)
+store_json_bytes (json_object *o, const char *key)
 {
-  json_object *v = store_get (o, key);
+  json_object *v = store_json_field (o, key);
   struct buf b = BUF_INIT;
   GBytes *bytes;
 
@@ -76,7 +76,7 @@
 };
 
 static void
-list_one (void *ctx, const struct kv_entry *e)
+add_listed (void *ctx, const struct kv_entry *e)
 {
   struct listing *l = ctx;
 
@@ -88,13 +88,14 @@
 static int
 do_range (struct server *s, json_object *o, struct buf *out)
 {
-  GBytes *from = store_bytes (o, "key"), *end = store_bytes (o, "range_end");
+  GBytes *from = store_json_bytes (o, "key"),
+         *end = store_json_bytes (o, "range_end");
   struct listing l = { out, 0 };
 
   buf_add_char (out, '{');
   store_add_header (s, out);
   buf_add_c (out, ",\"kvs\":[");
-  kv_range (&s->kv, from, end, list_one, &l);
+  kv_range (&s->kv, from, end, add_listed, &l);
   buf_addf (out, "],\"count\":\"%d\"}", l.n);
   g_bytes_unref (from);
   g_bytes_unref (end);
@@ -102,68 +103,69 @@
 }
 
 static bool
-compare_holds (struct server *s, json_object *c)
+compare_succeeds (struct server *s, json_object *c)
 {
-  GBytes *key = store_bytes (c, "key");
+  GBytes *key = store_json_bytes (c, "key");
   const struct kv_entry *e = kv_get (&s->kv, key);
 
   g_bytes_unref (key);
-  return (e != NULL ? e->mod : 0) == store_num (c, "mod_revision");
+  return (e != NULL ? e->mod : 0) == store_json_int (c, "mod_revision");
 }
 
 static bool
-compares_hold (struct server *s, json_object *list)
+compares_succeed (struct server *s, json_object *list)
 {
   size_t n = list != NULL ? json_object_array_length (list) : 0;
 
   for (size_t i = 0; i < n; i++)
-    if (!compare_holds (s, json_object_array_get_idx (list, i)))
+    if (!compare_succeeds (s, json_object_array_get_idx (list, i)))
       return false;
   return true;
 }
 
 static bool
-leases_known (struct server *s, json_object *ops)
+leases_exist (struct server *s, json_object *ops)
 {
   size_t n = ops != NULL ? json_object_array_length (ops) : 0;
 
   for (size_t i = 0; i < n; i++)
     {
-      json_object *put
-          = store_get (json_object_array_get_idx (ops, i), "request_put");
-      int64_t lease = store_num (put, "lease");
-      if (lease != 0 && kv_lease (&s->kv, lease) == NULL)
+      json_object *put = store_json_field (json_object_array_get_idx (ops, i),
+                                           "request_put");
+      int64_t lease = store_json_int (put, "lease");
+      if (lease != 0 && kv_find_lease (&s->kv, lease) == NULL)
         return false;
     }
   return true;
 }
 
 static bool
-puts_twice (json_object *ops)
+has_duplicate_put (json_object *ops)
 {
   GHashTable *seen = g_hash_table_new (g_str_hash, g_str_equal);
   size_t n = ops != NULL ? json_object_array_length (ops) : 0;
-  bool twice = false;
+  bool duplicate = false;
 
   for (size_t i = 0; i < n; i++)
     {
-      json_object *put
-          = store_get (json_object_array_get_idx (ops, i), "request_put");
-      json_object *key = store_get (put, "key");
+      json_object *put = store_json_field (json_object_array_get_idx (ops, i),
+                                           "request_put");
+      json_object *key = store_json_field (put, "key");
       if (key != NULL
           && !g_hash_table_add (seen, (void *)json_object_get_string (key)))
-        twice = true;
+        duplicate = true;
     }
   g_hash_table_unref (seen);
-  return twice;
+  return duplicate;
 }
 
 static void
 apply_put (struct server *s, json_object *put, int64_t rev)
 {
-  GBytes *key = store_bytes (put, "key"), *value = store_bytes (put, "value");
+  GBytes *key = store_json_bytes (put, "key"),
+         *value = store_json_bytes (put, "value");
 
-  kv_put (&s->kv, key, value, store_num (put, "lease"), rev);
+  kv_put (&s->kv, key, value, store_json_int (put, "lease"), rev);
   g_bytes_unref (key);
   g_bytes_unref (value);
 }
@@ -171,8 +173,8 @@
 static void
 apply_delete (struct server *s, json_object *del, int64_t rev)
 {
-  GBytes *key = store_bytes (del, "key"),
-         *end = store_bytes (del, "range_end");
+  GBytes *key = store_json_bytes (del, "key"),
+         *end = store_json_bytes (del, "range_end");
 
   kv_delete (&s->kv, key, end, rev);
   g_bytes_unref (key);
@@ -188,9 +190,9 @@
   for (size_t i = 0; i < n; i++)
     {
       json_object *op = json_object_array_get_idx (ops, i);
-      json_object *put = store_get (op, "request_put");
-      json_object *del = store_get (op, "request_delete_range");
-      json_object *range = store_get (op, "request_range");
+      json_object *put = store_json_field (op, "request_put");
+      json_object *del = store_json_field (op, "request_delete_range");
+      json_object *range = store_json_field (op, "request_range");
       buf_add_c (out, i > 0 ? "," : "");
       if (put != NULL)
         apply_put (s, put, rev);
@@ -216,19 +218,19 @@
 static int
 do_txn (struct server *s, json_object *o, struct buf *out)
 {
-  json_object *compare = store_get (o, "compare");
-  bool ok = compares_hold (s, compare);
-  json_object *ops = store_get (o, ok ? "success" : "failure");
+  json_object *compare = store_json_field (o, "compare");
+  bool ok = compares_succeed (s, compare);
+  json_object *ops = store_json_field (o, ok ? "success" : "failure");
   struct buf responses = BUF_INIT;
 
   if (array_len (compare) > MAX_TXN_OPS
-      || array_len (store_get (o, "success")) > MAX_TXN_OPS)
+      || array_len (store_json_field (o, "success")) > MAX_TXN_OPS)
     return store_error (out, 400, ETCD_INVALID_ARGUMENT,
                         "too many operations in txn request");
-  if (puts_twice (store_get (o, "success")))
+  if (has_duplicate_put (store_json_field (o, "success")))
     return store_error (out, 400, ETCD_INVALID_ARGUMENT,
                         "duplicate key given in txn request");
-  if (!leases_known (s, ops))
+  if (!leases_exist (s, ops))
     return store_error (out, 404, ETCD_NOT_FOUND, "requested lease not found");
   s->counts.conflicts += !ok;
   apply (s, ops, &responses);
@@ -253,7 +255,7 @@
 static int
 do_grant (struct server *s, json_object *o, struct buf *out)
 {
-  clk_ms ttl = store_num (o, "TTL") * CLK_SECOND;
+  clk_ms ttl = store_json_int (o, "TTL") * CLK_SECOND;
   int64_t id = kv_grant (&s->kv, ttl, clk_now ());
 
   buf_add_char (out, '{');
@@ -264,10 +266,10 @@
 }
 
 static int
-do_keep (struct server *s, json_object *o, struct buf *out)
+do_keepalive (struct server *s, json_object *o, struct buf *out)
 {
-  int64_t id = store_num (o, "ID");
-  struct kv_lease *l = kv_lease (&s->kv, id);
+  int64_t id = store_json_int (o, "ID");
+  struct kv_lease *l = kv_find_lease (&s->kv, id);
 
   buf_add_c (out, "{\"result\":{");
   store_add_header (s, out);
@@ -284,9 +286,9 @@
 static int
 do_revoke (struct server *s, json_object *o, struct buf *out)
 {
-  int64_t id = store_num (o, "ID");
+  int64_t id = store_json_int (o, "ID");
 
-  if (kv_lease (&s->kv, id) == NULL)
+  if (kv_find_lease (&s->kv, id) == NULL)
     return store_error (out, 404, ETCD_NOT_FOUND, "requested lease not found");
   kv_revoke (&s->kv, id);
   buf_add_char (out, '{');
@@ -300,7 +302,8 @@
   { "/v3/kv/txn", do_txn, offsetof (struct counts, txns), true },
   { "/v3/kv/put", do_put, offsetof (struct counts, puts), true },
   { "/v3/lease/grant", do_grant, offsetof (struct counts, grants), true },
-  { "/v3/lease/keepalive", do_keep, offsetof (struct counts, keeps), true },
+  { "/v3/lease/keepalive", do_keepalive, offsetof (struct counts, keeps),
+    true },
   { "/v3/lease/revoke", do_revoke, offsetof (struct counts, revokes), true }
 };
 
--- a/standins/store-int.h
+++ b/standins/store-int.h
@@ -32,7 +32,7 @@
 {
   struct httpd_req *req;
   GBytes *from, *end;
-  int64_t next; /**< first revision not yet sent */
+  int64_t next_revision; /**< first revision not yet sent */
 };
 
 struct server
@@ -45,7 +45,7 @@
   struct counts counts;
   enum down_mode down;
   unsigned outages; /**< times the listener was closed with its requests */
-  int delay_ms, answer_delay_ms, lose_next, lose_read_next;
+  int delay_ms, answer_delay_ms, lose_next_writes, lose_next_reads;
   int fail_write; /**< error code returned for writes; 0: off */
   bool silence_watches;
   GPtrArray *watches;
@@ -60,13 +60,13 @@
 };
 
 /** Field of a JSON object; NULL if missing or not an object. */
-json_object *store_get (json_object *o, const char *key);
+json_object *store_json_field (json_object *o, const char *key);
 
 /** Integer field, given as a JSON string or number; 0 if missing. */
-int64_t store_num (json_object *o, const char *key);
+int64_t store_json_int (json_object *o, const char *key);
 
 /** Decodes a base64 field; empty if missing. */
-GBytes *store_bytes (json_object *o, const char *key);
+GBytes *store_json_bytes (json_object *o, const char *key);
 
 void store_add_header (struct server *s, struct buf *out);
 void store_add_kv (struct buf *out, const struct kv_entry *e);
@@ -81,7 +81,7 @@
                        json_object *o);
 
 /** Sends each open watch the changes since its last event. */
-void store_feed_watches (struct server *s);
+void store_notify_watches (struct server *s);
 
 /** Breaks the connections of all watches. */
 void store_drop_watches (struct server *s);
--- a/standins/store-watch.c
+++ b/standins/store-watch.c
@@ -9,11 +9,11 @@
 }
 
 static void
-watch_gone (void *ctx)
+on_watch_disconnect (void *ctx)
 {
   struct watch *w = ctx;
 
-  w->req = NULL; /* freed by the next store_feed_watches() */
+  w->req = NULL; /* freed by the next store_notify_watches() */
 }
 
 static void
@@ -29,7 +29,7 @@
 /* Oldest change at or after `revision`; the history is searched from its
    tail, where the newest changes are. */
 static GList *
-first_since (struct server *s, int64_t revision)
+first_change_since (struct server *s, int64_t revision)
 {
   GList *first = NULL;
 
@@ -42,20 +42,21 @@
   return first;
 }
 
-/* Sends the changes from w->next on in one message, so that the changes of a
-   revision are never split. */
+/* Sends the changes from w->next_revision on in one message, so that the
+   changes of a revision are never split. */
 static void
-watch_feed (struct server *s, struct watch *w)
+send_changes (struct server *s, struct watch *w)
 {
   struct buf events = BUF_INIT, out = BUF_INIT;
 
-  for (GList *l = first_since (s, w->next); l != NULL; l = l->next)
+  for (GList *l = first_change_since (s, w->next_revision); l != NULL;
+       l = l->next)
     {
       const struct kv_entry *e = l->data;
       if (kv_in_range (e->key, w->from, w->end))
         add_event (&events, e);
     }
-  w->next = s->kv.revision + 1;
+  w->next_revision = s->kv.revision + 1;
   if (events.len > 0)
     {
       buf_add_c (&out, "{\"result\":{");
@@ -68,7 +69,7 @@
 }
 
 void
-store_feed_watches (struct server *s)
+store_notify_watches (struct server *s)
 {
   for (guint i = 0; i < s->watches->len;)
     {
@@ -79,8 +80,8 @@
           watch_free (w);
           continue;
         }
-      if (!s->silence_watches && w->next <= s->kv.revision)
-        watch_feed (s, w);
+      if (!s->silence_watches && w->next_revision <= s->kv.revision)
+        send_changes (s, w);
       i++;
     }
 }
@@ -99,7 +100,7 @@
 }
 
 static void
-watch_compacted (struct server *s, struct httpd_req *req)
+reject_compacted (struct server *s, struct httpd_req *req)
 {
   struct buf out = BUF_INIT;
 
@@ -115,30 +116,30 @@
 void
 store_watch_open (struct server *s, struct httpd_req *req, json_object *o)
 {
-  json_object *create = store_get (o, "create_request");
+  json_object *create = store_json_field (o, "create_request");
   struct watch *w = g_new0 (struct watch, 1);
   struct buf out = BUF_INIT;
 
   s->counts.watches++;
   httpd_begin (req, 200, NULL, 0);
   w->req = req;
-  w->from = store_bytes (create, "key");
-  w->end = store_bytes (create, "range_end");
-  w->next = store_num (create, "start_revision");
-  if (w->next == 0)
-    w->next = s->kv.revision + 1;
-  if (w->next <= s->kv.compacted)
+  w->from = store_json_bytes (create, "key");
+  w->end = store_json_bytes (create, "range_end");
+  w->next_revision = store_json_int (create, "start_revision");
+  if (w->next_revision == 0)
+    w->next_revision = s->kv.revision + 1;
+  if (w->next_revision <= s->kv.compacted)
     {
       watch_free (w);
-      watch_compacted (s, req);
+      reject_compacted (s, req);
       return;
     }
   g_ptr_array_add (s->watches, w);
-  httpd_on_gone (req, watch_gone, w);
+  httpd_on_gone (req, on_watch_disconnect, w);
   buf_add_c (&out, "{\"result\":{");
   store_add_header (s, &out);
   buf_add_c (&out, ",\"created\":true}}\n");
   httpd_write (req, buf_str (&out));
   buf_free (&out);
-  store_feed_watches (s);
+  store_notify_watches (s);
 }
--- a/standins/store.c
+++ b/standins/store.c
@@ -30,7 +30,7 @@
 #define TICK_MS 20
 
 /* A request that waits to be applied or answered. */
-struct pending
+struct delayed_request
 {
   uv_timer_t timer;
   struct server *s;
@@ -39,16 +39,16 @@
   struct buf body;
   struct buf answer;
   int status;
-  bool lose;
+  bool drop_answer;
   unsigned outages; /* value of server.outages on arrival */
 };
 
 /* --- requests and their delays ----------------------------------------- */
 
 static void
-on_pending_closed (uv_handle_t *h)
+on_delayed_closed (uv_handle_t *h)
 {
-  struct pending *p = h->data;
+  struct delayed_request *p = h->data;
 
   free (p->path);
   buf_free (&p->body);
@@ -57,27 +57,27 @@
 }
 
 static void
-pending_end (struct pending *p)
+delayed_close (struct delayed_request *p)
 {
-  uv_close ((uv_handle_t *)&p->timer, on_pending_closed);
+  uv_close ((uv_handle_t *)&p->timer, on_delayed_closed);
 }
 
 static void
-pending_gone (void *ctx)
+on_delayed_disconnect (void *ctx)
 {
-  struct pending *p = ctx;
+  struct delayed_request *p = ctx;
 
   p->req = NULL; /* the write is still applied */
 }
 
 static void
-answer (struct pending *p)
+send_answer (struct delayed_request *p)
 {
   struct http_header type = { STR ("content-type"), STR ("application/json") };
 
   if (p->req == NULL || p->outages != p->s->outages)
     return;
-  if (p->lose)
+  if (p->drop_answer)
     {
       httpd_begin (p->req, 200, NULL, 0);
       httpd_end (p->req, false);
@@ -89,16 +89,16 @@
 static void
 on_answer_time (uv_timer_t *t)
 {
-  struct pending *p = t->data;
+  struct delayed_request *p = t->data;
 
-  answer (p);
-  pending_end (p);
+  send_answer (p);
+  delayed_close (p);
 }
 
 static void
 on_apply_time (uv_timer_t *t)
 {
-  struct pending *p = t->data;
+  struct delayed_request *p = t->data;
   struct server *s = p->s;
   const struct call *c = store_find_call (p->path);
   json_object *o = json_tokener_parse (buf_c (&p->body));
@@ -114,16 +114,16 @@
   else
     p->status = c->run (s, o, &p->answer);
   json_object_put (o);
-  int *lose = c->write ? &s->lose_next : &s->lose_read_next;
-  if (*lose > 0)
+  int *remaining = c->write ? &s->lose_next_writes : &s->lose_next_reads;
+  if (*remaining > 0)
     {
-      --*lose;
+      --*remaining;
       s->counts.lost++;
-      p->lose = true;
+      p->drop_answer = true;
     }
   if (c->write && s->fail_write > 0)
     p->status = store_error (&p->answer, 503, s->fail_write, "stand-in fails");
-  store_feed_watches (s);
+  store_notify_watches (s);
   if (s->answer_delay_ms > 0)
     uv_timer_start (t, on_answer_time, (uint64_t)s->answer_delay_ms, 0);
   else
@@ -131,9 +131,9 @@
 }
 
 static void
-take_call (struct server *s, struct httpd_req *req, const char *path)
+accept_call (struct server *s, struct httpd_req *req, const char *path)
 {
-  struct pending *p = xcalloc (1, sizeof *p);
+  struct delayed_request *p = xcalloc (1, sizeof *p);
 
   p->s = s;
   p->req = req;
@@ -147,12 +147,12 @@
       on_apply_time (&p->timer);
       return;
     }
-  httpd_on_gone (req, pending_gone, p);
+  httpd_on_gone (req, on_delayed_disconnect, p);
   uv_timer_start (&p->timer, on_apply_time, (uint64_t)s->delay_ms, 0);
 }
 
 static void
-take_watch (struct server *s, struct httpd_req *req)
+accept_watch (struct server *s, struct httpd_req *req)
 {
   char *text = str_dup (httpd_get (req)->body);
   json_object *o = json_tokener_parse (text);
@@ -166,12 +166,12 @@
 }
 
 static void
-silent_gone (void *ctx)
+ignore_disconnect (void *ctx)
 {
 }
 
 static void
-take_api (struct server *s, struct httpd_req *req)
+handle_api (struct server *s, struct httpd_req *req)
 {
   struct buf out = BUF_INIT;
   char *path = str_dup (httpd_get (req)->path);
@@ -184,11 +184,11 @@
       httpd_answer (req, 429, NULL, 0, buf_str (&out));
     }
   else if (s->down != UP)
-    httpd_on_gone (req, silent_gone, NULL); /* never answered */
+    httpd_on_gone (req, ignore_disconnect, NULL); /* never answered */
   else if (strcmp (path, "/v3/watch") == 0)
-    take_watch (s, req);
+    accept_watch (s, req);
   else if (store_find_call (path) != NULL)
-    take_call (s, req, path);
+    accept_call (s, req, path);
   else
     {
       store_error (&out, 404, ETCD_NOT_FOUND, "Not Found");
@@ -221,7 +221,7 @@
 }
 
 static enum down_mode
-mode_of (json_object *o)
+parse_down_mode (json_object *o)
 {
   const char *mode = json_text (o, "mode");
 
@@ -235,7 +235,7 @@
 }
 
 static void
-lapse (struct server *s, json_object *which)
+expire_leases (struct server *s, json_object *which)
 {
   GList *ids = g_hash_table_get_keys (s->kv.leases);
   bool all = json_object_is_type (which, json_type_string)
@@ -248,14 +248,14 @@
         kv_revoke (&s->kv, id);
     }
   g_list_free (ids);
-  store_feed_watches (s);
+  store_notify_watches (s);
 }
 
 static void
 clear_faults (struct server *s)
 {
   s->delay_ms = s->answer_delay_ms = 0;
-  s->lose_next = s->lose_read_next = s->fail_write = 0;
+  s->lose_next_writes = s->lose_next_reads = s->fail_write = 0;
   s->silence_watches = false;
   set_down (s, UP);
 }
@@ -270,12 +270,13 @@
   s->delay_ms = (int)json_num (o, "delay_ms", s->delay_ms);
   s->answer_delay_ms
       = (int)json_num (o, "answer_delay_ms", s->answer_delay_ms);
-  s->lose_next = (int)json_num (o, "lose_answer_next", s->lose_next);
-  s->lose_read_next = (int)json_num (o, "lose_read_next", s->lose_read_next);
+  s->lose_next_writes
+      = (int)json_num (o, "lose_answer_next", s->lose_next_writes);
+  s->lose_next_reads = (int)json_num (o, "lose_read_next", s->lose_next_reads);
   s->fail_write = (int)json_num (o, "fail_write", s->fail_write);
   s->silence_watches = json_flag (o, "silence_watches", s->silence_watches);
   if (json_object_object_get_ex (o, "lapse_lease", &which))
-    lapse (s, which);
+    expire_leases (s, which);
   if (json_flag (o, "compact", false))
     kv_compact (&s->kv);
   if (json_flag (o, "drop_watches", false))
@@ -289,7 +290,7 @@
 
   apply_faults (s, o);
   if (json_object_object_get_ex (o, "down", &down))
-    set_down (s, mode_of (o));
+    set_down (s, parse_down_mode (o));
 }
 
 /*
@@ -298,7 +299,7 @@
  * connection too.
  */
 static void
-control_set (struct server *s, struct httpd_req *req, bool at_service)
+control_set (struct server *s, struct httpd_req *req, bool on_service_port)
 {
   char *text = str_dup (httpd_get (req)->body);
   json_object *o = json_tokener_parse (text);
@@ -309,10 +310,10 @@
       httpd_answer (req, 400, NULL, 0, STR ("no JSON\n"));
       return;
     }
-  if (at_service)
+  if (on_service_port)
     httpd_answer (req, 200, NULL, 0, STR ("{}\n"));
   apply_json (s, o);
-  if (!at_service)
+  if (!on_service_port)
     httpd_answer (req, 200, NULL, 0, STR ("{}\n"));
   json_object_put (o);
 }
@@ -379,30 +380,30 @@
 }
 
 static void
-take (struct server *s, struct httpd_req *req, bool at_service)
+handle_request (struct server *s, struct httpd_req *req, bool on_service_port)
 {
   struct str path = httpd_get (req)->path;
 
   if (str_is (path, "/control/set"))
-    control_set (s, req, at_service);
+    control_set (s, req, on_service_port);
   else if (str_is (path, "/control/counts"))
     control_counts (s, req);
   else if (str_is (path, "/control/dump"))
     control_dump (s, req);
   else
-    take_api (s, req);
+    handle_api (s, req);
 }
 
 static void
 on_request (void *ctx, struct httpd_req *req)
 {
-  take (ctx, req, true);
+  handle_request (ctx, req, true);
 }
 
 static void
 on_control_request (void *ctx, struct httpd_req *req)
 {
-  take (ctx, req, false);
+  handle_request (ctx, req, false);
 }
 
 /* --- process ----------------------------------------------------------- */
@@ -413,7 +414,7 @@
   struct server *s = t->data;
 
   if (kv_expire (&s->kv, clk_now ()))
-    store_feed_watches (s);
+    store_notify_watches (s);
 }
 
 static bool
