--- a/standins/control.c
+++ b/standins/control.c
@@ -327,9 +327,9 @@
   static struct control c;
   char *secret = NULL;
   GOptionEntry entries[] = { { "secret", 0, 0, G_OPTION_ARG_STRING, &secret,
-                               "content of the secret file", "TEXT" },
+                               "content of the shared secret file", "TEXT" },
                              { 0 } };
-  GOptionContext *oc = g_option_context_new ("- control of a gateway");
+  GOptionContext *oc = g_option_context_new ("- control process of a gateway");
 
   g_option_context_add_main_entries (oc, entries, NULL);
   if (!g_option_context_parse (oc, &argc, &argv, NULL))
--- a/standins/main.c
+++ b/standins/main.c
@@ -19,7 +19,8 @@
   for (size_t i = 0; argc > 1 && i < sizeof standins / sizeof standins[0]; i++)
     if (strcmp (argv[1], standins[i].name) == 0)
       return standins[i].run (argc - 1, argv + 1);
-  fputs ("usage: standin store|model|service|platform|rack [OPTION...]\n",
-         stderr);
+  fputs (
+      "usage: standin control|model|platform|rack|service|store [OPTION...]\n",
+      stderr);
   return 2;
 }
