--- a/t/lib-net.c
+++ b/t/lib-net.c
@@ -29,7 +29,8 @@
   buf_add_char (&r->log, '\n');
 }
 
-/* Whether it was written since the line last waited for; moves past it. */
+/* Searches the log for the line, from the last match on; moves the match
+   position past it. */
 static bool
 has_line (struct run *r, struct str line)
 {
--- a/t/lib-proc.c
+++ b/t/lib-proc.c
@@ -26,17 +26,17 @@
 struct proc
 {
   pid_t pid;
-  int out; /* its standard output; -1: a file */
+  int out; /* pipe from its standard output; -1: output goes to a file */
   bool ended;
   int status;
   struct buf output;
-  struct buf ready; /* the ready line, once it came */
+  struct buf ready; /* the ready line; empty before it is printed */
 };
 
 static struct proc procs[MAX_PROCS];
 static size_t nprocs;
 static char dir[PATH_MAX];
-static char **kept; /* strings handed out, freed by proc_stop_all() */
+static char **kept; /* returned strings, freed by proc_stop_all() */
 static size_t nkept;
 
 static const char *
@@ -72,8 +72,8 @@
 static void
 run_child (const char *const argv[], int out)
 {
-  /* A test that is killed by its timeout runs no teardown; its processes
-     would live on and hold the CI run.  So the kernel kills them with it. */
+  /* A test killed by its timeout runs no teardown.  Without the parent-death
+     signal its processes would keep running and block the CI run. */
   prctl (PR_SET_PDEATHSIG, SIGKILL);
   const char *path = strchr (argv[0], '/') ? argv[0] : proc_binary (argv[0]);
   dup2 (out, STDOUT_FILENO);
@@ -112,7 +112,7 @@
   return start (argv, fd, -1);
 }
 
-/* Append what the process has printed; false at the end of its output. */
+/* Reads more output of the process; false at end of file. */
 static bool
 read_output (struct proc *p, int wait_ms)
 {
@@ -126,7 +126,7 @@
   return n > 0;
 }
 
-/* Take the ready line out of the output; false when it has not come. */
+/* Copies the ready line from the output; false if it is not complete yet. */
 static bool
 find_ready (struct proc *p)
 {
@@ -325,17 +325,18 @@
 
 /* --- ports ------------------------------------------------------------- */
 
-/** Ports below those that the kernel gives out by itself.  One of its choice,
-    free a moment ago, goes to a connection of another test before a process
-    listens on it, or between two lives of one that is started again at the
-    address that it had; it ends with "address already in use". */
+/** Ports below the kernel's ephemeral range.  An ephemeral port that is free
+    now may be assigned to a connection of another test before the process
+    listens on it, or while the process restarts at the same address.  The
+    process then fails with "address already in use". */
 #define PORT_FIRST 16384
 #define PORT_END 32384
 #define PORT_BLOCK 40
 
-/** Whether nobody has the port.  From then on this test has it: its socket
-    stays bound and never listens, which lets in those that allow to share an
-    address, as servers do, and keeps out the same look of another test. */
+/** Reserves the port; false if it is in use.  The socket stays bound and never
+    listens.  A server can still bind the port, because both sockets have
+    SO_REUSEADDR set by then.  Another test can't reserve it: its bind() here
+    runs before SO_REUSEADDR is set and fails. */
 static bool
 take_port (int port)
 {
--- a/t/lib-web.c
+++ b/t/lib-web.c
@@ -11,7 +11,7 @@
 #include "base/clock.h"
 #include "t/lib-proc.h"
 
-/* How the end of the body is known. */
+/* How the end of the body is determined. */
 enum framing
 {
   BY_LENGTH,
@@ -22,11 +22,11 @@
 struct web_stream
 {
   int fd;
-  struct buf in;   /* received, not yet handed out */
-  struct buf head; /* once it came whole */
+  struct buf in;   /* received bytes that are not consumed yet */
+  struct buf head; /* status line and headers; empty until complete */
   int status;
   enum framing framing;
-  size_t left; /* of the body or of the present chunk */
+  size_t left; /* remaining bytes of the body or of the current chunk */
   bool in_chunk;
   bool ended;
 };
@@ -115,7 +115,7 @@
   free (s);
 }
 
-/* Receive something: 1, 0 at the end of the connection, -1 on timeout. */
+/* Receives bytes: 1 on success, 0 at end of file or error, -1 on timeout. */
 static int
 receive (struct web_stream *s, clk_ms until)
 {
@@ -189,7 +189,7 @@
   return s->status;
 }
 
-/* Hand out up to `left` bytes of what was received. */
+/* Moves up to `left` received bytes to `out`. */
 static size_t
 take_bytes (struct web_stream *s, struct buf *out, size_t left)
 {
@@ -200,7 +200,7 @@
   return n;
 }
 
-/* The size line of the next chunk; false when it has not come whole. */
+/* Parses the size line of the next chunk; false if it is incomplete. */
 static bool
 take_chunk_size (struct web_stream *s)
 {
@@ -217,7 +217,8 @@
   return true;
 }
 
-/* Hand out what can be; false when more has to be received. */
+/* Moves the received part of the body to `out`; false if more input is
+   needed. */
 static bool
 take_body (struct web_stream *s, struct buf *out)
 {
