--- a/t/lib-memkv.c
+++ b/t/lib-memkv.c
@@ -17,8 +17,8 @@
 {
   struct entry *entries;
   int64_t revision;
-  struct store_kv answer;
-  struct store_txn held;
+  struct store_kv last_read;
+  struct store_txn held_txn;
 };
 
 struct memkv *
@@ -28,7 +28,7 @@
 }
 
 static struct entry **
-find (const struct memkv *k, struct str key)
+find_entry (const struct memkv *k, struct str key)
 {
   struct entry **e = (struct entry **)&k->entries;
 
@@ -38,7 +38,7 @@
 }
 
 static void
-drop (struct entry **at)
+remove_entry (struct entry **at)
 {
   struct entry *e = *at;
 
@@ -49,14 +49,14 @@
 }
 
 static void
-set (struct memkv *k, const struct store_put *put)
+put_entry (struct memkv *k, const struct store_put *put)
 {
-  struct entry **at = find (k, put->key);
+  struct entry **at = find_entry (k, put->key);
   struct entry *e = xcalloc (1, sizeof *e);
 
   e->create_rev = *at ? (*at)->create_rev : k->revision;
   if (*at)
-    drop (at);
+    remove_entry (at);
   e->next = k->entries;
   e->key = str_dup (put->key);
   e->value = str_dup (put->value);
@@ -67,7 +67,7 @@
 }
 
 static struct store_kv
-view (const struct entry *e)
+kv_view (const struct entry *e)
 {
   return (struct store_kv){ .key = str_from (e->key),
                             .value = str_make (e->value, e->len),
@@ -79,13 +79,13 @@
 struct store_result
 memkv_range (struct memkv *k, struct str key)
 {
-  struct entry *e = *find (k, key);
+  struct entry *e = *find_entry (k, key);
   struct store_result r = { .status = STORE_OK, .revision = k->revision };
 
   if (!e)
     return r;
-  k->answer = view (e);
-  r.kvs = &k->answer;
+  k->last_read = kv_view (e);
+  r.kvs = &k->last_read;
   r.nkvs = 1;
   return r;
 }
@@ -102,7 +102,7 @@
 
       if (end.len ? str_cmp (at, key) >= 0 && str_cmp (at, end) < 0
                   : str_eq (at, key))
-        out[n++] = view (e);
+        out[n++] = kv_view (e);
     }
   return n;
 }
@@ -112,17 +112,17 @@
 {
   for (struct entry **at = &k->entries; *at;)
     if ((*at)->lease == lease && lease)
-      drop (at);
+      remove_entry (at);
     else
       at = &(*at)->next;
 }
 
 static bool
-holds (struct memkv *k, const struct store_txn *txn)
+compares_succeed (struct memkv *k, const struct store_txn *txn)
 {
   for (size_t i = 0; i < txn->ncompares; i++)
     {
-      struct entry *e = *find (k, txn->compares[i].key);
+      struct entry *e = *find_entry (k, txn->compares[i].key);
       if ((e ? e->mod_rev : 0) != txn->compares[i].mod_rev)
         return false;
     }
@@ -136,30 +136,30 @@
 
   if (txn->nputs + txn->ndeletes > MEMKV_MAX_OPS)
     return (struct store_result){ .status = STORE_UNAVAILABLE };
-  if (holds (k, txn))
+  if (compares_succeed (k, txn))
     {
       r.status = STORE_OK;
       k->revision++;
       for (size_t i = 0; i < txn->nputs; i++)
-        set (k, &txn->puts[i]);
+        put_entry (k, &txn->puts[i]);
       for (size_t i = 0; i < txn->ndeletes; i++)
-        if (*find (k, txn->deletes[i]))
-          drop (find (k, txn->deletes[i]));
+        if (*find_entry (k, txn->deletes[i]))
+          remove_entry (find_entry (k, txn->deletes[i]));
     }
   r.revision = k->revision;
   return r;
 }
 
 static struct str
-copy (struct str s)
+copy_str (struct str s)
 {
   return str_make (str_dup (s), s.len);
 }
 
 static void
-drop_held (struct memkv *k)
+free_held_txn (struct memkv *k)
 {
-  struct store_txn *t = &k->held;
+  struct store_txn *t = &k->held_txn;
 
   for (size_t i = 0; i < t->ncompares; i++)
     free ((char *)t->compares[i].key.ptr);
@@ -184,25 +184,26 @@
   struct store_put *puts = xcalloc (txn->nputs + 1, sizeof *puts);
   struct str *deletes = xcalloc (txn->ndeletes + 1, sizeof *deletes);
 
-  drop_held (k);
+  free_held_txn (k);
   for (size_t i = 0; i < txn->ncompares; i++)
-    compares[i] = (struct store_compare){ copy (txn->compares[i].key),
+    compares[i] = (struct store_compare){ copy_str (txn->compares[i].key),
                                           txn->compares[i].mod_rev };
   for (size_t i = 0; i < txn->nputs; i++)
-    puts[i] = (struct store_put){ copy (txn->puts[i].key),
-                                  copy (txn->puts[i].value), 0 };
+    puts[i] = (struct store_put){ copy_str (txn->puts[i].key),
+                                  copy_str (txn->puts[i].value), 0 };
   for (size_t i = 0; i < txn->ndeletes; i++)
-    deletes[i] = copy (txn->deletes[i]);
-  k->held = (struct store_txn){ compares,   txn->ncompares, puts,
-                                txn->nputs, deletes,        txn->ndeletes };
+    deletes[i] = copy_str (txn->deletes[i]);
+  k->held_txn
+      = (struct store_txn){ compares,   txn->ncompares, puts,
+                            txn->nputs, deletes,        txn->ndeletes };
 }
 
 struct store_result
 memkv_deliver (struct memkv *k)
 {
-  struct store_result r = memkv_txn (k, &k->held);
+  struct store_result r = memkv_txn (k, &k->held_txn);
 
-  drop_held (k);
+  free_held_txn (k);
   return r;
 }
 
@@ -219,8 +220,8 @@
 void
 memkv_free (struct memkv *k)
 {
-  drop_held (k);
+  free_held_txn (k);
   while (k->entries)
-    drop (&k->entries);
+    remove_entry (&k->entries);
   free (k);
 }
--- a/t/lib-net.c
+++ b/t/lib-net.c
@@ -7,7 +7,7 @@
 #include <string.h>
 #include <unistd.h>
 
-#define RUN_BOUND_MS (10 * CLK_SECOND)
+#define RUN_TIMEOUT_MS (10 * CLK_SECOND)
 
 void
 run_init (struct run *r)
@@ -34,7 +34,7 @@
 static bool
 has_line (struct run *r, struct str line)
 {
-  struct str left = str_skip (buf_str (&r->log), r->seen);
+  struct str left = str_skip (buf_str (&r->log), r->matched_end);
 
   while (left.len > 0)
     {
@@ -43,7 +43,7 @@
       left = str_skip (left, end + 1);
       if (found)
         {
-          r->seen = r->log.len - left.len;
+          r->matched_end = r->log.len - left.len;
           return true;
         }
     }
@@ -51,13 +51,13 @@
 }
 
 static void
-on_bound (uv_timer_t *t)
+on_timeout (uv_timer_t *t)
 {
   *(bool *)t->data = true;
 }
 
 static void
-on_bound_closed (uv_handle_t *h)
+on_timer_closed (uv_handle_t *h)
 {
   *(bool *)h->data = true;
 }
@@ -65,24 +65,24 @@
 void
 run_until (struct run *r, struct str line)
 {
-  uv_timer_t bound;
-  bool late = false, closed = false, found;
+  uv_timer_t timer;
+  bool timed_out = false, closed = false, found;
 
   uv_update_time (&r->loop);
-  uv_timer_init (&r->loop, &bound);
-  bound.data = &late;
-  uv_timer_start (&bound, on_bound, RUN_BOUND_MS, 0);
-  while (!(found = has_line (r, line)) && !late)
+  uv_timer_init (&r->loop, &timer);
+  timer.data = &timed_out;
+  uv_timer_start (&timer, on_timeout, RUN_TIMEOUT_MS, 0);
+  while (!(found = has_line (r, line)) && !timed_out)
     uv_run (&r->loop, UV_RUN_ONCE);
-  bound.data = &closed;
-  uv_close ((uv_handle_t *)&bound, on_bound_closed);
+  timer.data = &closed;
+  uv_close ((uv_handle_t *)&timer, on_timer_closed);
   while (!closed)
     uv_run (&r->loop, UV_RUN_NOWAIT);
   cr_assert (found, "no line '%.*s' in:\n%s", STR_ARG (line), buf_c (&r->log));
 }
 
 void
-run_settle (struct run *r)
+run_poll (struct run *r)
 {
   for (int i = 0; i < 20; i++)
     uv_run (&r->loop, UV_RUN_NOWAIT);
@@ -146,16 +146,16 @@
 }
 
 static void
-on_busy_end (uv_timer_t *t)
+start_accepting (uv_timer_t *t)
 {
-  struct run_busy *busy = t->data;
+  struct run_full_backlog *backlog = t->data;
 
-  cr_assert_eq (uv_listen ((uv_stream_t *)&busy->tcp, 16, busy->cb), 0);
+  cr_assert_eq (uv_listen ((uv_stream_t *)&backlog->tcp, 16, backlog->cb), 0);
 }
 
 struct net_addr
-run_busy_up (struct run *r, struct run_busy *busy, uint64_t ms,
-             uv_connection_cb cb, void *data)
+run_full_backlog_start (struct run *r, struct run_full_backlog *backlog,
+                        uint64_t ms, uv_connection_cb cb, void *data)
 {
   struct net_addr at = run_any_port ();
   struct sockaddr_storage ss;
@@ -168,26 +168,26 @@
   cr_assert_eq (listen (fd, 0), 0);
   cr_assert_eq (getsockname (fd, sa, &len), 0);
   at.port = ntohs (((struct sockaddr_in *)&ss)->sin_port);
-  busy->caller = socket (AF_INET, SOCK_STREAM, 0);
-  cr_assert_eq (connect (busy->caller, sa, len), 0);
-  busy->cb = cb;
-  uv_tcp_init (&r->loop, &busy->tcp);
-  busy->tcp.data = data;
-  uv_tcp_open (&busy->tcp, fd);
-  uv_timer_init (&r->loop, &busy->until);
-  busy->until.data = busy;
-  uv_timer_start (&busy->until, on_busy_end, ms, 0);
+  backlog->filler_fd = socket (AF_INET, SOCK_STREAM, 0);
+  cr_assert_eq (connect (backlog->filler_fd, sa, len), 0);
+  backlog->cb = cb;
+  uv_tcp_init (&r->loop, &backlog->tcp);
+  backlog->tcp.data = data;
+  uv_tcp_open (&backlog->tcp, fd);
+  uv_timer_init (&r->loop, &backlog->accept_timer);
+  backlog->accept_timer.data = backlog;
+  uv_timer_start (&backlog->accept_timer, start_accepting, ms, 0);
   return at;
 }
 
 void
-run_busy_down (struct run_busy *busy)
+run_full_backlog_stop (struct run_full_backlog *backlog)
 {
-  if (busy->caller == 0)
+  if (backlog->filler_fd == 0)
     return;
-  close (busy->caller);
-  uv_close ((uv_handle_t *)&busy->tcp, NULL);
-  uv_close ((uv_handle_t *)&busy->until, NULL);
+  close (backlog->filler_fd);
+  uv_close ((uv_handle_t *)&backlog->tcp, NULL);
+  uv_close ((uv_handle_t *)&backlog->accept_timer, NULL);
 }
 
 void
@@ -215,7 +215,7 @@
   uv_read_start ((uv_stream_t *)tcp, on_alloc, cb);
 }
 
-struct write
+struct write_req
 {
   uv_write_t req; /* first */
   char bytes[];
@@ -230,7 +230,7 @@
 void
 run_write (uv_tcp_t *tcp, struct str bytes)
 {
-  struct write *w = xmalloc (sizeof *w + bytes.len);
+  struct write_req *w = xmalloc (sizeof *w + bytes.len);
   uv_buf_t b = uv_buf_init (w->bytes, (unsigned)bytes.len);
 
   if (bytes.len > 0)
@@ -241,7 +241,7 @@
 }
 
 const char *
-run_end_name (enum httpc_end end)
+run_call_end_name (enum httpc_end end)
 {
   static const char *const names[] = {
     "whole", "connect-failed", "stopped", "broken", "silent", "unbounded"
--- a/t/lib-net.h
+++ b/t/lib-net.h
@@ -17,7 +17,8 @@
 {
   uv_loop_t loop;
   struct buf log;
-  size_t seen; /**< log offset after the line that run_until() matched last */
+  size_t matched_end; /**< log offset after the line that run_until() matched
+                         last */
 };
 
 /** Executes one line of a script: its first word and the rest. */
@@ -36,7 +37,7 @@
 void run_until (struct run *r, struct str line);
 
 /** Handles the events that are ready now, without blocking. */
-void run_settle (struct run *r);
+void run_poll (struct run *r);
 
 /** Executes each line of a script; "wait TEXT" calls run_until(). */
 void run_script (struct run *r, const char *script, run_fn fn, void *ctx);
@@ -52,21 +53,23 @@
                             void *data);
 
 /** Server whose accept queue is full for a while. */
-struct run_busy
+struct run_full_backlog
 {
   uv_tcp_t tcp;
-  uv_timer_t until;
+  uv_timer_t accept_timer;
   uv_connection_cb cb;
-  int caller; /**< client socket that fills the queue; 0: not started */
+  int filler_fd; /**< client socket that fills the queue; 0: not started */
 };
 
 /**
  * Starts to accept connections only after @p ms.  Until then one connection
  * fills the accept queue, and the kernel drops the SYN of any other.
  */
-struct net_addr run_busy_up (struct run *r, struct run_busy *busy, uint64_t ms,
-                             uv_connection_cb cb, void *data);
-void run_busy_down (struct run_busy *busy);
+struct net_addr run_full_backlog_start (struct run *r,
+                                        struct run_full_backlog *backlog,
+                                        uint64_t ms, uv_connection_cb cb,
+                                        void *data);
+void run_full_backlog_stop (struct run_full_backlog *backlog);
 
 /** Connects a raw socket. */
 void run_connect (struct run *r, uv_tcp_t *tcp, const struct net_addr *to,
@@ -79,6 +82,6 @@
 void run_write (uv_tcp_t *tcp, struct str bytes);
 
 /** Log text for the result of a client call. */
-const char *run_end_name (enum httpc_end end);
+const char *run_call_end_name (enum httpc_end end);
 
 #endif
--- a/t/lib-proc.c
+++ b/t/lib-proc.c
@@ -26,35 +26,36 @@
 struct proc
 {
   pid_t pid;
-  int out; /* pipe from its standard output; -1: output goes to a file */
+  int out_fd; /* pipe from its standard output; -1: output goes to a file */
   bool ended;
   int status;
   struct buf output;
-  struct buf ready; /* the ready line; empty before it is printed */
+  struct buf ready_line; /* the ready line; empty before it is printed */
 };
 
 static struct proc procs[MAX_PROCS];
 static size_t nprocs;
-static char dir[PATH_MAX];
-static char **kept; /* returned strings, freed by proc_stop_all() */
-static size_t nkept;
+static char temp_dir[PATH_MAX];
+static char **kept_strings; /* returned strings, freed by proc_stop_all() */
+static size_t nkept_strings;
 
 static const char *
-keep (char *c)
+keep_string (char *c)
 {
-  kept = xrealloc (kept, (nkept + 1) * sizeof *kept);
-  kept[nkept++] = c;
+  kept_strings
+      = xrealloc (kept_strings, (nkept_strings + 1) * sizeof *kept_strings);
+  kept_strings[nkept_strings++] = c;
   return c;
 }
 
 static void
-free_kept (void)
+free_kept_strings (void)
 {
-  for (size_t i = 0; i < nkept; i++)
-    free (kept[i]);
-  free (kept);
-  kept = NULL;
-  nkept = 0;
+  for (size_t i = 0; i < nkept_strings; i++)
+    free (kept_strings[i]);
+  free (kept_strings);
+  kept_strings = NULL;
+  nkept_strings = 0;
 }
 
 const char *
@@ -66,7 +67,7 @@
     cr_assert_fail ("readlink: %s", strerror (errno));
   if (asprintf (&path, "%s/%s", dirname (dirname (self)), name) < 0)
     cr_assert_fail ("no memory");
-  return keep (path);
+  return keep_string (path);
 }
 
 static void
@@ -83,11 +84,11 @@
 }
 
 static struct proc *
-start (const char *const argv[], int out, int in)
+spawn (const char *const argv[], int out, int in)
 {
   cr_assert (nprocs < MAX_PROCS, "too many processes");
   struct proc *p = &procs[nprocs++];
-  *p = (struct proc){ .out = in };
+  *p = (struct proc){ .out_fd = in };
   p->pid = fork ();
   if (p->pid == 0)
     run_child (argv, out);
@@ -101,7 +102,7 @@
 {
   int fds[2];
   cr_assert (pipe2 (fds, O_CLOEXEC) == 0, "pipe: %s", strerror (errno));
-  return start (argv, fds[1], fds[0]);
+  return spawn (argv, fds[1], fds[0]);
 }
 
 struct proc *
@@ -109,18 +110,18 @@
 {
   int fd = open (path, O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600);
   cr_assert (fd >= 0, "%s: %s", path, strerror (errno));
-  return start (argv, fd, -1);
+  return spawn (argv, fd, -1);
 }
 
 /* Reads more output of the process; false at end of file. */
 static bool
 read_output (struct proc *p, int wait_ms)
 {
-  struct pollfd fd = { .fd = p->out, .events = POLLIN };
+  struct pollfd fd = { .fd = p->out_fd, .events = POLLIN };
   if (poll (&fd, 1, wait_ms) <= 0)
     return true;
   buf_reserve (&p->output, 4096);
-  ssize_t n = read (p->out, p->output.ptr + p->output.len, 4096);
+  ssize_t n = read (p->out_fd, p->output.ptr + p->output.len, 4096);
   if (n > 0)
     p->output.len += (size_t)n;
   return n > 0;
@@ -128,7 +129,7 @@
 
 /* Copies the ready line from the output; false if it is not complete yet. */
 static bool
-find_ready (struct proc *p)
+parse_ready_line (struct proc *p)
 {
   struct str rest = buf_str (&p->output);
   while (rest.len)
@@ -138,7 +139,7 @@
         return false;
       if (str_starts (rest, STR ("ready ")))
         {
-          buf_add (&p->ready, str_head (rest, end));
+          buf_add (&p->ready_line, str_head (rest, end));
           return true;
         }
       rest = str_skip (rest, end + 1);
@@ -150,7 +151,7 @@
 proc_ready (struct proc *p, int wait_ms)
 {
   clk_ms until = clk_now () + wait_ms;
-  while (p->ready.len == 0 && !find_ready (p))
+  while (p->ready_line.len == 0 && !parse_ready_line (p))
     {
       clk_ms left = until - clk_now ();
       if (left <= 0 || !read_output (p, (int)left))
@@ -162,7 +163,7 @@
 const char *
 proc_addr (const struct proc *p, const char *key)
 {
-  struct str rest = buf_str (&p->ready);
+  struct str rest = buf_str (&p->ready_line);
   size_t n = strlen (key);
   while (rest.len)
     {
@@ -170,7 +171,7 @@
       struct str word = str_head (rest, end);
       if (str_starts (word, str_from (key)) && word.len > n
           && word.ptr[n] == '=')
-        return keep (str_dup (str_skip (word, n + 1)));
+        return keep_string (str_dup (str_skip (word, n + 1)));
       rest = str_skip (rest, end + 1);
     }
   return NULL;
@@ -265,27 +266,28 @@
   for (size_t i = 0; i < nprocs; i++)
     {
       reap (&procs[i], 0);
-      if (procs[i].out >= 0)
-        close (procs[i].out);
+      if (procs[i].out_fd >= 0)
+        close (procs[i].out_fd);
       buf_free (&procs[i].output);
-      buf_free (&procs[i].ready);
+      buf_free (&procs[i].ready_line);
     }
   nprocs = 0;
-  free_kept ();
-  if (dir[0])
-    nftw (dir, remove_entry, 8, FTW_DEPTH | FTW_PHYS);
-  dir[0] = '\0';
+  free_kept_strings ();
+  if (temp_dir[0])
+    nftw (temp_dir, remove_entry, 8, FTW_DEPTH | FTW_PHYS);
+  temp_dir[0] = '\0';
 }
 
 const char *
 proc_dir (void)
 {
-  if (dir[0])
-    return dir;
+  if (temp_dir[0])
+    return temp_dir;
   const char *tmp = getenv ("TMPDIR");
-  snprintf (dir, sizeof dir, "%s/lapisline-XXXXXX", tmp ? tmp : "/tmp");
-  cr_assert (mkdtemp (dir) != NULL, "mkdtemp: %s", strerror (errno));
-  return dir;
+  snprintf (temp_dir, sizeof temp_dir, "%s/lapisline-XXXXXX",
+            tmp ? tmp : "/tmp");
+  cr_assert (mkdtemp (temp_dir) != NULL, "mkdtemp: %s", strerror (errno));
+  return temp_dir;
 }
 
 static void
@@ -313,7 +315,7 @@
   vfprintf (f, fmt, ap);
   va_end (ap);
   fclose (f);
-  return keep (path);
+  return keep_string (path);
 }
 
 const char *
@@ -338,7 +340,7 @@
     SO_REUSEADDR set by then.  Another test can't reserve it: its bind() here
     runs before SO_REUSEADDR is set and fails. */
 static bool
-take_port (int port)
+reserve_port (int port)
 {
   struct sockaddr_in sa = { .sin_family = AF_INET };
   const int on = 1;
@@ -365,7 +367,7 @@
   for (int i = PORT_FIRST; i < PORT_END; i++)
     {
       int port = PORT_FIRST + next++ % (PORT_END - PORT_FIRST);
-      if (take_port (port))
+      if (reserve_port (port))
         return port;
     }
   cr_assert_fail ("no port is free");
@@ -379,5 +381,5 @@
 
   if (asprintf (&text, "127.0.0.1:%d", proc_port ()) < 0)
     cr_assert_fail ("no memory");
-  return keep (text);
+  return keep_string (text);
 }
--- a/t/lib-web.c
+++ b/t/lib-web.c
@@ -22,8 +22,8 @@
 struct web_stream
 {
   int fd;
-  struct buf in;   /* received bytes that are not consumed yet */
-  struct buf head; /* status line and headers; empty until complete */
+  struct buf input; /* received bytes that are not consumed yet */
+  struct buf head;  /* status line and headers; empty until complete */
   int status;
   enum framing framing;
   size_t left; /* remaining bytes of the body or of the current chunk */
@@ -110,7 +110,7 @@
   if (!s)
     return;
   close (s->fd);
-  buf_free (&s->in);
+  buf_free (&s->input);
   buf_free (&s->head);
   free (s);
 }
@@ -123,11 +123,11 @@
   clk_ms left = until - clk_now ();
   if (poll (&fd, 1, left > 0 ? (int)left : 0) <= 0)
     return -1;
-  buf_reserve (&s->in, 16384);
-  ssize_t n = recv (s->fd, s->in.ptr + s->in.len, 16384, 0);
+  buf_reserve (&s->input, 16384);
+  ssize_t n = recv (s->fd, s->input.ptr + s->input.len, 16384, 0);
   if (n <= 0)
     return 0;
-  s->in.len += (size_t)n;
+  s->input.len += (size_t)n;
   return 1;
 }
 
@@ -174,16 +174,17 @@
   clk_ms until = clk_now () + wait_ms;
   while (s->status == 0)
     {
-      const char *end = s->in.len ? strstr (buf_c (&s->in), "\r\n\r\n") : NULL;
+      const char *end
+          = s->input.len ? strstr (buf_c (&s->input), "\r\n\r\n") : NULL;
       if (!end)
         {
           if (receive (s, until) <= 0)
             return 0;
           continue;
         }
-      size_t n = (size_t)(end - s->in.ptr) + 4;
-      buf_add (&s->head, str_head (buf_str (&s->in), n));
-      buf_consume (&s->in, n);
+      size_t n = (size_t)(end - s->input.ptr) + 4;
+      buf_add (&s->head, str_head (buf_str (&s->input), n));
+      buf_consume (&s->input, n);
       parse_head (s);
     }
   return s->status;
@@ -191,20 +192,20 @@
 
 /* Moves up to `left` received bytes to `out`. */
 static size_t
-take_bytes (struct web_stream *s, struct buf *out, size_t left)
+consume_bytes (struct web_stream *s, struct buf *out, size_t left)
 {
-  struct str some = str_head (buf_str (&s->in), left);
+  struct str some = str_head (buf_str (&s->input), left);
   size_t n = some.len;
   buf_add (out, some);
-  buf_consume (&s->in, n);
+  buf_consume (&s->input, n);
   return n;
 }
 
 /* Parses the size line of the next chunk; false if it is incomplete. */
 static bool
-take_chunk_size (struct web_stream *s)
+parse_chunk_size (struct web_stream *s)
 {
-  struct str in = buf_str (&s->in);
+  struct str in = buf_str (&s->input);
   if (str_starts (in, STR ("\r\n")))
     in = str_skip (in, 2);
   size_t end = str_chr (in, '\n');
@@ -213,29 +214,29 @@
   s->left = strtoul (in.ptr, NULL, 16);
   s->in_chunk = s->left > 0;
   s->ended = s->left == 0;
-  buf_consume (&s->in, s->in.len - in.len + end + 1);
+  buf_consume (&s->input, s->input.len - in.len + end + 1);
   return true;
 }
 
 /* Moves the received part of the body to `out`; false if more input is
    needed. */
 static bool
-take_body (struct web_stream *s, struct buf *out)
+consume_body (struct web_stream *s, struct buf *out)
 {
   size_t before = out->len;
   switch (s->framing)
     {
     case BY_CLOSE:
-      take_bytes (s, out, SIZE_MAX);
+      consume_bytes (s, out, SIZE_MAX);
       break;
     case BY_LENGTH:
-      s->left -= take_bytes (s, out, s->left);
+      s->left -= consume_bytes (s, out, s->left);
       s->ended = s->left == 0;
       break;
     case BY_CHUNKS:
-      while (!s->ended && (s->in_chunk || take_chunk_size (s)))
+      while (!s->ended && (s->in_chunk || parse_chunk_size (s)))
         {
-          size_t n = take_bytes (s, out, s->left);
+          size_t n = consume_bytes (s, out, s->left);
           s->left -= n;
           s->in_chunk = s->left > 0;
           if (n == 0)
@@ -253,7 +254,7 @@
   size_t before = out->len;
   if (web_status (s, wait_ms) == 0)
     return clk_now () >= until ? WEB_TIMEOUT : WEB_BROKEN;
-  while (!s->ended && !take_body (s, out))
+  while (!s->ended && !consume_body (s, out))
     {
       int got = receive (s, until);
       if (got < 0)
--- a/t/t2001-client.c
+++ b/t/t2001-client.c
@@ -68,7 +68,7 @@
   struct httpc_call *last, *held;
   uv_tcp_t server;
   struct net_addr at;
-  struct run_busy busy;
+  struct run_full_backlog busy;
   struct conn *conns[32];
   int nconns;
   struct call *last_call;
@@ -209,7 +209,7 @@
 {
   struct call *c = ctx;
 
-  run_log (&c->b->run, "%s: %s %d [%s]", c->name, run_end_name (end),
+  run_log (&c->b->run, "%s: %s %d [%s]", c->name, run_call_end_name (end),
            c->status, c->body.len > 64 ? "(long)" : buf_c (&c->body));
   c->b->last = NULL;
   call_free (c);
@@ -289,9 +289,10 @@
   else if (str_is (word, "sleep-after-reply"))
     b->sleep_ms = (unsigned)n;
   else if (str_is (word, "settle"))
-    run_settle (&b->run);
+    run_poll (&b->run);
   else if (str_is (word, "busy"))
-    b->at = run_busy_up (&b->run, &b->busy, (uint64_t)n, on_accept, b);
+    b->at = run_full_backlog_start (&b->run, &b->busy, (uint64_t)n, on_accept,
+                                    b);
   else if (str_is (word, "port"))
     b->at.port = (uint16_t)n;
   else
@@ -308,7 +309,7 @@
   b.at = run_listen (&b.run, &b.server, on_accept, &b);
   run_script (&b.run, script, step, &b);
   httpc_free (b.http);
-  run_busy_down (&b.busy);
+  run_full_backlog_stop (&b.busy);
   for (int i = 0; i < b.nconns; i++)
     conn_close (b.conns[i]);
   uv_close ((uv_handle_t *)&b.server, NULL);
--- a/t/t2004-server.c
+++ b/t/t2004-server.c
@@ -131,8 +131,8 @@
 {
   struct caller *c = ctx;
 
-  run_log (&c->b->run, "%s: %s %d, %zu bytes", c->path, run_end_name (end),
-           c->status, c->got);
+  run_log (&c->b->run, "%s: %s %d, %zu bytes", c->path,
+           run_call_end_name (end), c->status, c->got);
   c->call = NULL;
 }
 
@@ -331,7 +331,7 @@
   else if (str_is (word, "leave"))
     leave (b, rest);
   else if (str_is (word, "settle"))
-    run_settle (&b->run);
+    run_poll (&b->run);
   else
     server_step (b, word, rest);
 }
