--- a/t/lib-net.c
+++ b/t/lib-net.c
@@ -78,7 +78,8 @@
   uv_close ((uv_handle_t *)&timer, on_timer_closed);
   while (!closed)
     uv_run (&r->loop, UV_RUN_NOWAIT);
-  cr_assert (found, "no line '%.*s' in:\n%s", STR_ARG (line), buf_c (&r->log));
+  cr_assert (found, "line '%.*s' not found in log:\n%s", STR_ARG (line),
+             buf_c (&r->log));
 }
 
 void
@@ -116,7 +117,8 @@
   cr_expect_str_eq (buf_c (&r->log), expected, "log:\n%s\nexpected:\n%s",
                     buf_c (&r->log), expected);
   uv_run (&r->loop, UV_RUN_DEFAULT);
-  cr_expect_eq (uv_loop_close (&r->loop), 0, "handles are left open");
+  cr_expect_eq (uv_loop_close (&r->loop), 0,
+                "the event loop still has open handles");
   buf_free (&r->log);
 }
 
--- a/t/lib-proc.c
+++ b/t/lib-proc.c
@@ -66,7 +66,7 @@
   if (readlink ("/proc/self/exe", self, sizeof self - 1) < 0)
     cr_assert_fail ("readlink: %s", strerror (errno));
   if (asprintf (&path, "%s/%s", dirname (dirname (self)), name) < 0)
-    cr_assert_fail ("no memory");
+    cr_assert_fail ("out of memory");
   return keep_string (path);
 }
 
@@ -181,7 +181,8 @@
 proc_up (const char *const argv[])
 {
   struct proc *p = proc_start (argv);
-  cr_assert (proc_ready (p, PROC_WAIT_MS), "%s %s is not ready", argv[0],
+  cr_assert (proc_ready (p, PROC_WAIT_MS),
+             "%s %s did not print its ready line", argv[0],
              argv[1] ? argv[1] : "");
   return p;
 }
@@ -307,7 +308,7 @@
   char *path = NULL;
   va_list ap;
   if (asprintf (&path, "%s/%s", proc_dir (), name) < 0)
-    cr_assert_fail ("no memory");
+    cr_assert_fail ("out of memory");
   make_parents (path);
   FILE *f = fopen (path, "w");
   cr_assert (f != NULL, "%s: %s", path, strerror (errno));
@@ -370,7 +371,7 @@
       if (reserve_port (port))
         return port;
     }
-  cr_assert_fail ("no port is free");
+  cr_assert_fail ("proc_port: no free port in its range");
   return 0;
 }
 
@@ -380,6 +381,6 @@
   char *text = NULL;
 
   if (asprintf (&text, "127.0.0.1:%d", proc_port ()) < 0)
-    cr_assert_fail ("no memory");
+    cr_assert_fail ("out of memory");
   return keep_string (text);
 }
