--- a/t/lib-proc.c
+++ b/t/lib-proc.c
@@ -59,7 +59,7 @@
 }
 
 const char *
-proc_binary (const char *name)
+proc_binary_path (const char *name)
 {
   char self[PATH_MAX] = "";
   char *path = NULL;
@@ -76,7 +76,8 @@
   /* A test killed by its timeout runs no teardown.  Without the parent-death
      signal its processes would keep running and block the CI run. */
   prctl (PR_SET_PDEATHSIG, SIGKILL);
-  const char *path = strchr (argv[0], '/') ? argv[0] : proc_binary (argv[0]);
+  const char *path
+      = strchr (argv[0], '/') ? argv[0] : proc_binary_path (argv[0]);
   dup2 (out, STDOUT_FILENO);
   execv (path, (char *const *)argv);
   fprintf (stderr, "%s: %s\n", path, strerror (errno));
@@ -178,7 +179,7 @@
 }
 
 struct proc *
-proc_up (const char *const argv[])
+proc_start_ready (const char *const argv[])
 {
   struct proc *p = proc_start (argv);
   cr_assert (proc_ready (p, PROC_WAIT_MS),
--- a/t/lib-proc.h
+++ b/t/lib-proc.h
@@ -21,11 +21,12 @@
 
 /** Path of a program in the build directory, e.g. "lapisline", "standin".
     Valid until proc_stop_all(). */
-const char *proc_binary (const char *name);
+const char *proc_binary_path (const char *name);
 
 /**
  * Starts a program; it inherits the standard error of the test.
- * @param argv  NULL-terminated; argv[0] is a path or a name for proc_binary()
+ * @param argv  NULL-terminated; argv[0] is a path or a name for
+ * proc_binary_path()
  */
 struct proc *proc_start (const char *const argv[]);
 
@@ -44,8 +45,9 @@
 const char *proc_addr (const struct proc *p, const char *key);
 
 /** Starts a program and waits until it is ready; fails the test otherwise. */
-struct proc *proc_up (const char *const argv[]);
-#define PROC_UP(...) proc_up ((const char *const[]){ __VA_ARGS__, NULL })
+struct proc *proc_start_ready (const char *const argv[]);
+#define PROC_UP(...)                                                          \
+  proc_start_ready ((const char *const[]){ __VA_ARGS__, NULL })
 
 pid_t proc_pid (const struct proc *p);
 void proc_signal (struct proc *p, int sig);
