--- a/standins/rack-server.c
+++ b/standins/rack-server.c
@@ -6,8 +6,8 @@
 #include "platform/names.h"
 #include "standins/rack.h"
 
-/** Duration of joining a replica: with loading the model, and with the model
-    already loaded. */
+/** Time to join a replica: LOAD_MS if the model has to be loaded, JOIN_MS if
+   it is loaded already. */
 #define LOAD_MS 400
 #define JOIN_MS 50
 /** Maximum number of response headers. */
--- a/standins/rack.h
+++ b/standins/rack.h
@@ -7,8 +7,8 @@
  *   rack-store.c   key-value service
  *   rack-server.c  backend server: entry in the server list, requests, orders,
  *                  replica membership
- *   rack-limit.c   request rate limit that a server announces, and the
- *                  requests that arrive under it
+ *   rack-limit.c   announced request rate limit, and the count of requests
+ *                  that arrive under it
  */
 #ifndef LAPISLINE_STANDINS_RACK_H
 #define LAPISLINE_STANDINS_RACK_H
@@ -60,9 +60,9 @@
   int64_t start_time; /**< of the process, Unix ms; part of its entry */
   bool unlisted;   /**< entry removed from the list, requests still served */
   int fail_status; /**< status of plain responses; 0: 200 */
-  int cut_after;   /**< break a stream after this many events; 0: never */
-  int end_after;   /**< end a stream cleanly within the event after this many;
-                        0: never */
+  int cut_after;   /**< after this many events of a stream, send part of the
+                        next one and break the connection; 0: never */
+  int end_after;   /**< likewise, but end the response cleanly; 0: never */
   bool unsealed;   /**< responses lack the seal header (PLT_H_SEAL) */
   char model[32], replica[32];
   char members[RACK_SERVERS][16];
@@ -121,7 +121,8 @@
 void rack_limit_set (struct rate_limit *l, const char *text);
 /** Counts the arrival of a request. */
 void rack_limit_count_arrival (struct rate_limit *l);
-/** Fills the limit's response header; false if no limit is set. */
+/** Fills the response header that announces the limit; false if none is set.
+ */
 bool rack_limit_header (struct rate_limit *l, struct http_header *out);
 
 /* rack-server.c */
--- a/standins/store-int.h
+++ b/standins/store-int.h
@@ -44,7 +44,7 @@
   struct kv kv;
   struct counts counts;
   enum down_mode down;
-  unsigned outages; /**< times the listener was closed with its requests */
+  unsigned outages; /**< times the service port was closed */
   int delay_ms, answer_delay_ms, lose_next_writes, lose_next_reads;
   int fail_write; /**< error code returned for writes; 0: off */
   bool silence_watches;
--- a/standins/store.c
+++ b/standins/store.c
@@ -40,7 +40,8 @@
   struct buf answer;
   int status;
   bool drop_answer;
-  unsigned outages; /* value of server.outages on arrival */
+  unsigned outages; /* server.outages on arrival; a change means that
+                       the connection was closed */
 };
 
 /* --- requests and their delays ----------------------------------------- */
