--- a/standins/platform.c
+++ b/standins/platform.c
@@ -71,11 +71,10 @@
   static struct platform p;
   char *listen = NULL;
   char **vms = NULL;
-  GOptionEntry entries[] = { { "listen", 0, 0, G_OPTION_ARG_STRING, &listen,
-                               "listen address", "ADDR" },
-                             { "vm", 0, 0, G_OPTION_ARG_STRING_ARRAY, &vms,
-                               "VM in state live (repeatable)", "NAME" },
-                             { 0 } };
+  GOptionEntry entries[]
+      = { { "listen", 0, 0, G_OPTION_ARG_STRING, &listen, "address", "ADDR" },
+          { "vm", 0, 0, G_OPTION_ARG_STRING_ARRAY, &vms, "a live VM", "NAME" },
+          { 0 } };
   GOptionContext *oc = g_option_context_new ("- platform's list of VMs");
 
   g_option_context_add_main_entries (oc, entries, NULL);
--- a/standins/service.c
+++ b/standins/service.c
@@ -97,11 +97,10 @@
 {
   static struct service s;
   char *listen = NULL;
-  GOptionEntry entries[] = { { "listen", 0, 0, G_OPTION_ARG_STRING, &listen,
-                               "listen address", "ADDR" },
-                             { "name", 0, 0, G_OPTION_ARG_STRING, &s.name,
-                               "name of the service in responses", "NAME" },
-                             { 0 } };
+  GOptionEntry entries[]
+      = { { "listen", 0, 0, G_OPTION_ARG_STRING, &listen, "address", "ADDR" },
+          { "name", 0, 0, G_OPTION_ARG_STRING, &s.name, "name", "NAME" },
+          { 0 } };
   GOptionContext *oc = g_option_context_new ("- plain service");
 
   g_option_context_add_main_entries (oc, entries, NULL);
