--- a/standins/fault.h
+++ b/standins/fault.h
@@ -32,11 +32,11 @@
   bool keep_counts;
   GHashTable *runs_by_request; /**< x-request-id -> number of executions */
   GHashTable *runs_by_key;     /**< Idempotency-Key -> number of executions */
-  unsigned runs;               /**< requests executed */
-  unsigned refused;            /**< requests rejected by fail_status */
-  unsigned disconnects;        /**< clients that disconnected early */
-  unsigned open;               /**< replies in progress */
-  unsigned peak;               /**< maximum of open */
+  unsigned runs;
+  unsigned refused;     /**< requests rejected by fail_status */
+  unsigned disconnects; /**< clients that disconnected early */
+  unsigned open;
+  unsigned peak; /**< maximum of open */
   /** Handles stand-in specific fields of /control/set; may be NULL. */
   void (*set) (void *ctx, json_object *o);
   void *ctx;
@@ -55,8 +55,8 @@
   size_t offset;      /**< offset of the next byte; not 0 when resumed */
   size_t *piece_ends; /**< end offset of each piece; NULL: one piece */
   size_t npieces;
-  size_t next_piece; /**< index of the next piece */
-  int piece_ms;      /**< delay between pieces, in ms */
+  size_t next_piece;
+  int piece_ms; /**< delay between pieces, in ms */
   bool headers_sent;
 };
 
--- a/standins/kv.h
+++ b/standins/kv.h
@@ -41,10 +41,9 @@
 
 void kv_init (struct kv *kv);
 
-/** View of the bytes in @p b. */
 struct str kv_str (GBytes *b);
 
-/** Looks up a key; NULL if it doesn't exist. */
+/** Entry of a key; NULL if missing. */
 struct kv_entry *kv_get (struct kv *kv, GBytes *key);
 
 /** Whether @p key lies in [from, end).  An empty @p end selects the single
@@ -55,7 +54,6 @@
 void kv_range (struct kv *kv, GBytes *from, GBytes *end,
                void (*fn) (void *ctx, const struct kv_entry *e), void *ctx);
 
-/** Writes a key at revision @p rev. */
 void kv_put (struct kv *kv, GBytes *key, GBytes *value, int64_t lease,
              int64_t rev);
 
@@ -86,7 +84,6 @@
     the keys under them are lost. */
 void kv_restore (struct kv *kv, const struct kv *copy);
 
-/** Discards the whole history. */
 void kv_compact (struct kv *kv);
 
 #endif
--- a/standins/rack-server.c
+++ b/standins/rack-server.c
@@ -10,7 +10,6 @@
    it is loaded already. */
 #define LOAD_MS 400
 #define JOIN_MS 50
-/** Maximum number of response headers. */
 #define MAX_HEADERS 5
 
 static const char *const member_state_names[]
@@ -180,7 +179,6 @@
 
 /* --- requests ---------------------------------------------------------- */
 
-/** An event stream in progress. */
 struct stream
 {
   struct server *s;
--- a/standins/rack.c
+++ b/standins/rack.c
@@ -288,7 +288,7 @@
   int engines = 4, plain = 2, code;
   GOptionEntry entries[]
       = { { "listen", 0, 0, G_OPTION_ARG_STRING, &listen, "address", "ADDR" },
-          { "engines", 0, 0, G_OPTION_ARG_INT, &engines, "engines", "N" },
+          { "engines", 0, 0, G_OPTION_ARG_INT, &engines, "servers", "N" },
           { "plain", 0, 0, G_OPTION_ARG_INT, &plain, "plain servers", "N" },
           { 0 } };
   GOptionContext *c = g_option_context_new (NULL);
--- a/standins/rack.h
+++ b/standins/rack.h
@@ -7,8 +7,7 @@
  *   rack-store.c   key-value service
  *   rack-server.c  backend server: entry in the server list, requests, orders,
  *                  replica membership
- *   rack-limit.c   announced request rate limit, and the count of requests
- *                  that arrive under it
+ *   rack-limit.c   announced request rate limit, and arrival counts
  */
 #ifndef LAPISLINE_STANDINS_RACK_H
 #define LAPISLINE_STANDINS_RACK_H
@@ -100,11 +99,11 @@
   struct server servers[RACK_SERVERS];
   size_t n;
   int event_ms;        /**< delay between events of a stream, in ms */
-  int events;          /**< number of events per stream */
+  int events;          /**< per stream */
   char crash_body[64]; /**< request body that crashes the server */
   int crash_ms;        /**< delay from the request to the crash, in ms */
-  int crashed;         /**< number of servers crashed so far */
-  GHashTable *runs;    /**< request id -> number of executions */
+  int crashed;
+  GHashTable *runs; /**< request id -> number of executions */
 };
 
 /* rack-store.c */
@@ -119,10 +118,8 @@
 /* rack-limit.c */
 /** Sets the announced limit and resets the counters. */
 void rack_limit_set (struct rate_limit *l, const char *text);
-/** Counts the arrival of a request. */
 void rack_limit_count_arrival (struct rate_limit *l);
-/** Fills the response header that announces the limit; false if none is set.
- */
+/** Fills the header that announces the limit; false if none is set. */
 bool rack_limit_header (struct rate_limit *l, struct http_header *out);
 
 /* rack-server.c */
--- a/standins/store.c
+++ b/standins/store.c
@@ -40,8 +40,7 @@
   struct buf answer;
   int status;
   bool drop_answer;
-  unsigned outages; /* server.outages on arrival; a change means that
-                       the connection was closed */
+  unsigned outages; /* server.outages on arrival */
 };
 
 /* --- requests and their delays ----------------------------------------- */
@@ -76,6 +75,7 @@
 {
   struct http_header type = { STR ("content-type"), STR ("application/json") };
 
+  /* The connection is closed if the service port was closed meanwhile. */
   if (p->req == NULL || p->outages != p->s->outages)
     return;
   if (p->drop_answer)
--- a/t/lib-net.h
+++ b/t/lib-net.h
@@ -17,8 +17,7 @@
 {
   uv_loop_t loop;
   struct buf log;
-  size_t matched_end; /**< log offset after the line that run_until() matched
-                         last */
+  size_t matched_end; /**< log offset after the last line matched */
 };
 
 /** Executes one line of a script: its first word and the rest. */
@@ -26,7 +25,6 @@
 
 void run_init (struct run *r);
 
-/** Appends a line to the log. */
 void run_log (struct run *r, const char *fmt, ...)
     __attribute__ ((format (printf, 2, 3)));
 
@@ -71,7 +69,6 @@
                                         void *data);
 void run_full_backlog_stop (struct run_full_backlog *backlog);
 
-/** Connects a raw socket. */
 void run_connect (struct run *r, uv_tcp_t *tcp, const struct net_addr *to,
                   uv_connect_t *req, uv_connect_cb cb, void *data);
 
--- a/t/lib-proc.c
+++ b/t/lib-proc.c
@@ -30,7 +30,7 @@
   bool ended;
   int status;
   struct buf output;
-  struct buf ready_line; /* the ready line; empty before it is printed */
+  struct buf ready_line; /* empty before it is printed */
 };
 
 static struct proc procs[MAX_PROCS];
--- a/t/lib-proc.h
+++ b/t/lib-proc.h
@@ -13,8 +13,7 @@
 
 #include "base/str.h"
 
-/** Default timeout of a wait, long enough for sanitizers on a loaded machine.
- */
+/** Default timeout, long enough for sanitizers on a loaded machine. */
 #define PROC_WAIT_MS 20000
 
 struct proc;
@@ -25,8 +24,7 @@
 
 /**
  * Starts a program; it inherits the standard error of the test.
- * @param argv  NULL-terminated; argv[0] is a path or a name for
- * proc_binary_path()
+ * @param argv  NULL-terminated; argv[0] is a path or a program name
  */
 struct proc *proc_start (const char *const argv[]);
 
@@ -93,11 +91,9 @@
     of this test, which can be restarted at the same address. */
 int proc_port (void);
 
-/** Loopback address with a port of proc_port(); valid until proc_stop_all().
- */
+/** Loopback address with a proc_port(); valid until proc_stop_all(). */
 const char *proc_listen (void);
 
-/** HTTP response. */
 struct web_answer
 {
   int status;      /**< 0: no headers received */
@@ -139,8 +135,7 @@
 /** Waits for the response headers; returns the status, 0 on timeout or EOF. */
 int web_status (struct web_stream *s, int wait_ms);
 
-/** Status line and headers as received; valid once web_status() returned a
-    status. */
+/** Status line and headers; valid once web_status() returned a status. */
 const char *web_stream_head (struct web_stream *s);
 
 enum web_read
