--- a/standins/model.c
+++ b/standins/model.c
@@ -1,8 +1,8 @@
-/* Stand-in of a backend server of one VM of a model replica.
+/* Stand-in for the backend server on one VM of a model replica.
 
-   Its answer is a pure function of the request's id and body and carries the
-   prompt's text, so that a test can tell whose answer it got and a stream can
-   be resumed at any offset.  */
+   The response is a pure function of the request id and body and contains the
+   prompt.  A test can therefore match each response to its request, and a
+   stream can be resumed at any offset.  */
 #include <stdlib.h>
 #include <string.h>
 
@@ -12,25 +12,25 @@
 struct model
 {
   struct backend b;
-  int tokens;   /**< of an answer that names no max_tokens */
-  int token_ms; /**< between tokens of a stream */
-  int load_ms;  /**< a load order takes this long */
+  int tokens;   /**< response length if the request has no max_tokens */
+  int token_ms; /**< delay between tokens of a stream, in ms */
+  int load_ms;  /**< duration of a load order, in ms */
   gboolean ignore_fence;
   gboolean no_counts;
   bool not_ready;
   bool unloaded;
-  bool drop_orders; /**< fault: read orders, never act or answer */
-  bool skip_states; /**< fault: answer every other probe only */
-  unsigned states;  /**< probes so far */
-  bool no_end_mark; /**< fault: streams end cleanly before their end */
+  bool drop_orders;      /**< fault: read orders, never apply or answer them */
+  bool skip_states;      /**< fault: answer only every other state probe */
+  unsigned state_probes; /**< state probes received under skip_states */
+  bool no_end_mark;      /**< fault: streams end without "data: [DONE]" */
   char *replica;
   int64_t generation;
-  int64_t rank; /**< below 0: not told */
+  int64_t rank; /**< rank in the replica; negative: omitted from the state */
   int64_t fence;
   clk_ms ready_at;
   int64_t load;
   unsigned orders;
-  unsigned old_orders; /**< refused for their fencing number */
+  unsigned stale_orders; /**< rejected because of a stale fencing token */
 };
 
 /* ---- state and orders ---- */
@@ -55,8 +55,8 @@
       o, "fence", json_object_new_int64 (m->ignore_fence ? 0 : m->fence));
   json_object_object_add (o, "orders", json_object_new_int ((int)m->orders));
   json_object_object_add (o, "old_orders",
-                          json_object_new_int ((int)m->old_orders));
-  backend_json (req, 200, o);
+                          json_object_new_int ((int)m->stale_orders));
+  backend_answer_json (req, 200, o);
 }
 
 static void
@@ -67,18 +67,18 @@
 }
 
 static void
-refuse_old_fence (struct model *m, struct httpd_req *req)
+reject_stale_fence (struct model *m, struct httpd_req *req)
 {
   json_object *o = json_object_new_object ();
 
-  m->old_orders++;
+  m->stale_orders++;
   json_object_object_add (o, "error", json_object_new_string ("old-fence"));
   json_object_object_add (o, "fence", json_object_new_int64 (m->fence));
-  backend_json (req, 409, o);
+  backend_answer_json (req, 409, o);
 }
 
 static void
-obey (struct model *m, json_object *o)
+apply_order (struct model *m, json_object *o)
 {
   const char *order = json_text (o, "order");
 
@@ -91,7 +91,7 @@
 }
 
 static void
-take_order (struct model *m, struct httpd_req *req)
+handle_order (struct model *m, struct httpd_req *req)
 {
   char *text = str_dup (httpd_get (req)->body);
   json_object *o = json_tokener_parse (text);
@@ -103,11 +103,11 @@
   else if (o == NULL)
     httpd_answer (req, 400, NULL, 0, STR ("no JSON\n"));
   else if (!m->ignore_fence && fence < m->fence)
-    refuse_old_fence (m, req);
+    reject_stale_fence (m, req);
   else
     {
       m->fence = fence;
-      obey (m, o);
+      apply_order (m, o);
       httpd_answer (req, 200, NULL, 0, STR ("{\"ok\":true}"));
     }
   json_object_put (o);
@@ -115,9 +115,9 @@
 
 /* ---- completions ---- */
 
-/** Text of the prompt: "prompt", or the last message's content. */
+/** Prompt of the request: "prompt", or the content of the last message. */
 static const char *
-prompt_of (json_object *o)
+get_prompt (json_object *o)
 {
   json_object *list, *last;
   const char *prompt = json_text (o, "prompt");
@@ -132,8 +132,8 @@
   return prompt ? prompt : "";
 }
 
-/** What an answer is made of. */
-struct answer
+/** Inputs from which a response is generated. */
+struct completion
 {
   struct str id;
   const char *model;
@@ -143,7 +143,7 @@
 };
 
 static void
-add_chunk (struct reply *r, const struct answer *a, struct str text)
+add_chunk (struct reply *r, const struct completion *a, struct str text)
 {
   buf_add_c (&r->body, "data: {\"id\":");
   buf_add_json (&r->body, a->id);
@@ -152,14 +152,14 @@
   buf_add_c (&r->body, ",\"choices\":[{\"index\":0,\"delta\":{\"content\":");
   buf_add_json (&r->body, text);
   buf_add_c (&r->body, "},\"finish_reason\":null}]}\n\n");
-  r->cuts[r->ncuts++] = r->body.len;
+  r->piece_ends[r->npieces++] = r->body.len;
 }
 
 static void
-stream_body (struct reply *r, const struct answer *a)
+build_stream_body (struct reply *r, const struct completion *a)
 {
   r->type = "text/event-stream";
-  r->cuts = xcalloc ((size_t)a->tokens + 2, sizeof *r->cuts);
+  r->piece_ends = xcalloc ((size_t)a->tokens + 2, sizeof *r->piece_ends);
   add_chunk (r, a, str_from (a->prompt));
   for (int i = 1; i < a->tokens; i++)
     {
@@ -169,11 +169,11 @@
     }
   if (a->end_mark)
     buf_add_c (&r->body, "data: [DONE]\n\n");
-  r->cuts[r->ncuts++] = r->body.len;
+  r->piece_ends[r->npieces++] = r->body.len;
 }
 
 static void
-whole_body (struct reply *r, const struct answer *a)
+build_json_body (struct reply *r, const struct completion *a)
 {
   struct buf text = BUF_INIT;
 
@@ -195,21 +195,22 @@
   buf_free (&text);
 }
 
-/** Resumed: neither the bytes nor the pieces before the offset again. */
+/** Resumes the reply at `offset`: earlier bytes and pieces are not sent. */
 static void
-skip_to (struct reply *r, struct str offset)
+resume_at (struct reply *r, struct str offset)
 {
   int64_t n;
 
   if (!str_to_i64 (offset, &n) || n < 0 || (size_t)n > r->body.len)
     return;
-  r->skip = (size_t)n;
-  while (r->next + 1 < r->ncuts && r->cuts[r->next] <= r->skip)
-    r->next++;
+  r->offset = (size_t)n;
+  while (r->next_piece + 1 < r->npieces
+         && r->piece_ends[r->next_piece] <= r->offset)
+    r->next_piece++;
 }
 
 static void
-complete (struct model *m, struct httpd_req *req)
+handle_completion (struct model *m, struct httpd_req *req)
 {
   char *text = str_dup (httpd_get (req)->body);
   json_object *o = json_tokener_parse (text);
@@ -224,17 +225,18 @@
       return;
     }
   r = reply_new (&m->b, req);
-  struct answer a = { .id = resumed.len ? resumed : id,
-                      .model = json_text (o, "model"),
-                      .prompt = prompt_of (o),
-                      .tokens = (int)json_num (o, "max_tokens", m->tokens),
-                      .end_mark = !m->no_end_mark };
+  struct completion a = { .id = resumed.len ? resumed : id,
+                          .model = json_text (o, "model"),
+                          .prompt = get_prompt (o),
+                          .tokens = (int)json_num (o, "max_tokens", m->tokens),
+                          .end_mark = !m->no_end_mark };
   if (a.model == NULL)
     a.model = "";
   if (a.tokens < 1)
     a.tokens = 1;
-  (json_flag (o, "stream", false) ? stream_body : whole_body) (r, &a);
-  skip_to (r, httpd_header (req, "x-resume-offset"));
+  (json_flag (o, "stream", false) ? build_stream_body : build_json_body) (r,
+                                                                          &a);
+  resume_at (r, httpd_header (req, "x-resume-offset"));
   r->piece_ms = m->token_ms;
   json_object_put (o);
   reply_start (r);
@@ -250,16 +252,16 @@
     return;
   if (str_is (v->path, "/lapis/v1/state"))
     {
-      if (!m->skip_states || m->states++ % 2 == 0)
+      if (!m->skip_states || m->state_probes++ % 2 == 0)
         answer_state (m, req);
     }
   else if (str_is (v->path, "/lapis/v1/order"))
-    take_order (m, req);
+    handle_order (m, req);
   else if (!str_is (v->path, "/v1/chat/completions")
            && !str_is (v->path, "/v1/completions"))
     httpd_answer (req, 404, NULL, 0, STR ("no such path\n"));
   else if (backend_admit (&m->b, req))
-    complete (m, req);
+    handle_completion (m, req);
 }
 
 static void
@@ -290,17 +292,17 @@
   gboolean unloaded = FALSE;
   GOptionEntry entries[] = {
     { "listen", 0, 0, G_OPTION_ARG_STRING, &listen, "address", "ADDR" },
-    { "tokens", 0, 0, G_OPTION_ARG_INT, &m.tokens, "tokens a reply", "N" },
-    { "token-ms", 0, 0, G_OPTION_ARG_INT, &m.token_ms, "ms a token", "MS" },
-    { "load-ms", 0, 0, G_OPTION_ARG_INT, &m.load_ms, "ms a load", "MS" },
+    { "tokens", 0, 0, G_OPTION_ARG_INT, &m.tokens, "default tokens", "N" },
+    { "token-ms", 0, 0, G_OPTION_ARG_INT, &m.token_ms, "token time", "MS" },
+    { "load-ms", 0, 0, G_OPTION_ARG_INT, &m.load_ms, "load time", "MS" },
     { "replica", 0, 0, G_OPTION_ARG_STRING, &m.replica, "replica", "NAME" },
     { "generation", 0, 0, G_OPTION_ARG_INT64, &m.generation, "", "N" },
     { "unloaded", 0, 0, G_OPTION_ARG_NONE, &unloaded, "holds no weights",
       NULL },
     { "ignore-fence", 0, 0, G_OPTION_ARG_NONE, &m.ignore_fence,
-      "take orders with any fencing number", NULL },
+      "accept all fencing tokens in orders", NULL },
     { "no-counts", 0, 0, G_OPTION_ARG_NONE, &m.no_counts,
-      "keep no counts by request", NULL },
+      "omit counts by request id", NULL },
     { 0 }
   };
   GOptionContext *oc = g_option_context_new ("- VM of a model replica");
--- a/standins/rack.h
+++ b/standins/rack.h
@@ -1,12 +1,13 @@
 /**
  * @file
- * Stand-in of the users' platform: its key-value service and the backend
- * servers that list themselves there, in one process.
+ * Stand-in for the users' platform: its key-value service and the backend
+ * servers registered in it, in one process.
  *
- *   rack.c         command line, control, the list entries
- *   rack-store.c   the key-value service
- *   rack-server.c  a backend server: requests, orders, its part in a replica
- *   rack-limit.c   the request rate that it names, and what it gets
+ *   rack.c         command line and control interface
+ *   rack-store.c   key-value service
+ *   rack-server.c  backend server: entry in the server list, requests, orders,
+ *                  replica membership
+ *   rack-limit.c   announced request rate limit, and arrival counts
  */
 #ifndef LAPISLINE_STANDINS_RACK_H
 #define LAPISLINE_STANDINS_RACK_H
@@ -18,28 +19,29 @@
 
 #define RACK_SERVERS 64
 
-enum part
+/** State of a server as a member of a replica. */
+enum member_state
 {
-  PART_ALONE,
-  PART_JOINING,
-  PART_READY,
-  PART_OPEN,
-  PART_CLOSING
+  MEMBER_NONE, /**< in no replica */
+  MEMBER_JOINING,
+  MEMBER_READY,
+  MEMBER_OPEN,
+  MEMBER_CLOSING
 };
 
 #define LIMIT_WINDOW_MS ((clk_ms)4000)
-/** Arrivals that are remembered; more in one window count as so many. */
+/** Maximum number of arrivals recorded per window. */
 #define LIMIT_ARRIVALS 512
 
-/** The request rate that a server names, and what it has had since. */
-struct limit
+/** Request rate limit that a server announces, and the arrivals since. */
+struct rate_limit
 {
-  char text[32];   /**< as the answers say it; empty: they say nothing */
-  clk_ms named_at; /**< first; 0: not yet */
-  clk_ms arrivals[LIMIT_ARRIVALS]; /**< a ring */
-  unsigned first, n;
-  unsigned arrived; /**< all of them */
-  unsigned most;    /**< in one window */
+  char text[32];       /**< value of the response header; empty: no limit */
+  clk_ms announced_at; /**< time of the first announcement; 0: none yet */
+  clk_ms arrivals[LIMIT_ARRIVALS]; /**< ring buffer of the last window */
+  unsigned first_arrival, narrivals;
+  unsigned total_arrivals;
+  unsigned max_arrivals; /**< maximum in one window */
 };
 
 /** One backend server. */
@@ -51,34 +53,35 @@
   char addr[32];
   char domain[16];
   bool engine;
-  bool dead; /**< nobody listens; it drops out of the list */
-  bool dark; /**< it reads and answers nothing more */
+  bool dead;         /**< port closed; the entry is removed from the list */
+  bool unresponsive; /**< ignores new requests and stops streaming */
   bool draining;
-  int64_t born;  /**< start of its process, Unix ms; told in its entry */
-  bool unlisted; /**< cut from the key-value service only */
-  int fail;      /**< status of the next answers, 0: none */
-  int cut_after; /**< events, then the connection breaks; 0: never */
-  int end_after; /**< events, then the answer ends in the next; 0: never */
-  bool unsealed; /**< answers lack the signature */
+  int64_t start_time; /**< of the process, Unix ms; part of its entry */
+  bool unlisted;   /**< entry removed from the list, requests still served */
+  int fail_status; /**< status of plain responses; 0: 200 */
+  int cut_after;   /**< after this many events of a stream, send part of the
+                        next one and break the connection; 0: never */
+  int end_after;   /**< likewise, but end the response cleanly; 0: never */
+  bool unsealed;   /**< responses lack the seal header (PLT_H_SEAL) */
   char model[32], replica[32];
   char members[RACK_SERVERS][16];
   unsigned nmembers, rank;
   int64_t generation, fence;
-  enum part part;
-  struct limit limit;
-  uv_timer_t timer; /**< the end of joining */
-  uv_timer_t crash; /**< when its process ends under a request */
+  enum member_state member_state;
+  struct rate_limit limit;
+  uv_timer_t timer; /**< end of joining, or expiry of the entry */
+  uv_timer_t crash; /**< delay between a crashing request and the crash */
   struct stream *streams;
-  unsigned runs, open, gone;
+  unsigned runs, open, disconnects;
 };
 
 /** Faults of the key-value service. */
 struct store_fault
 {
-  bool silent;    /**< read, never answered */
-  bool refuse;    /**< 503 */
-  bool no_writes; /**< 503 to transactions only */
-  int lose_next;  /**< writes that are applied and not answered */
+  bool silent;          /**< read requests, never answer */
+  bool refuse;          /**< answer 503 */
+  bool no_writes;       /**< answer 503 to transactions only */
+  int lose_next_writes; /**< number of writes to apply without an answer */
 };
 
 struct watch_call;
@@ -90,45 +93,46 @@
   struct httpd *httpd;
   uv_timer_t tick;
   struct kv kv;
-  struct kv copy; /**< that the service may come back from */
+  struct kv backup; /**< written by "copy", read by "restore" */
   struct store_fault fault;
   struct watch_call *watches;
   struct server servers[RACK_SERVERS];
   size_t n;
-  int event_ms;        /**< between two events of a stream */
-  int events;          /**< of a stream */
-  char crash_body[64]; /**< a request with it ends its server's process */
-  int crash_ms;        /**< after it has begun to run */
-  int crashed;         /**< servers whose process has ended so */
-  GHashTable *runs;    /**< request id -> how often it began to run */
+  int event_ms;        /**< delay between events of a stream, in ms */
+  int events;          /**< per stream */
+  char crash_body[64]; /**< request body that crashes the server */
+  int crash_ms;        /**< delay from the request to the crash, in ms */
+  int crashed;
+  GHashTable *runs; /**< request id -> number of executions */
 };
 
 /* rack-store.c */
-/** Answer a call of the key-value service; false: another path. */
+/** Handles a call of the key-value service; false for any other path. */
 bool rack_store_call (struct rack *r, struct httpd_req *req);
-/** Write a key under no lease. */
+/** Writes a key without a lease. */
 void rack_store_put (struct rack *r, const char *key, const char *value);
 void rack_store_remove (struct rack *r, const char *key);
-/** Answer the watches that have something, or have waited enough. */
+/** Answers the watches that have events or reached their timeout. */
 void rack_store_tick (struct rack *r);
 
 /* rack-limit.c */
-/** Name that rate from now on, and count anew. */
-void rack_limit_set (struct limit *l, const char *text);
-/** A request has come. */
-void rack_limit_count (struct limit *l);
-/** An answer is made; its header, or false. */
-bool rack_limit_header (struct limit *l, struct http_header *out);
+/** Sets the announced limit and resets the counters. */
+void rack_limit_set (struct rate_limit *l, const char *text);
+void rack_limit_count_arrival (struct rate_limit *l);
+/** Fills the header that announces the limit; false if none is set. */
+bool rack_limit_header (struct rate_limit *l, struct http_header *out);
 
 /* rack-server.c */
 bool rack_server_start (struct server *s);
-struct server *rack_find (struct rack *r, const char *id);
-/** Write its entry, or remove it. */
-void rack_list (struct server *s);
+struct server *rack_find_server (struct rack *r, const char *id);
+/** Writes the server's entry in the list, or removes it. */
+void rack_server_publish (struct server *s);
 void rack_server_stop (struct server *s);
-/** Its process ends; connections break, the entry lapses after a while. */
+/** Simulates a process crash: connections break at once, the entry is removed
+    from the list after its expiry time. */
 void rack_server_crash (struct server *s);
-/** Its process starts again: it holds and knows nothing of before. */
+/** Simulates a process restart: model, replica, fencing token and limit are
+    reset. */
 void rack_server_restart (struct server *s);
 
 #endif
--- a/t/lib-proc.c
+++ b/t/lib-proc.c
@@ -26,56 +26,58 @@
 struct proc
 {
   pid_t pid;
-  int out; /* its standard output; -1: a file */
+  int out_fd; /* pipe from its standard output; -1: output goes to a file */
   bool ended;
   int status;
   struct buf output;
-  struct buf ready; /* the ready line, once it came */
+  struct buf ready_line; /* empty before it is printed */
 };
 
 static struct proc procs[MAX_PROCS];
 static size_t nprocs;
-static char dir[PATH_MAX];
-static char **kept; /* strings handed out, freed by proc_stop_all() */
-static size_t nkept;
+static char temp_dir[PATH_MAX];
+static char **kept_strings; /* returned strings, freed by proc_stop_all() */
+static size_t nkept_strings;
 
 static const char *
-keep (char *c)
+keep_string (char *c)
 {
-  kept = xrealloc (kept, (nkept + 1) * sizeof *kept);
-  kept[nkept++] = c;
+  kept_strings
+      = xrealloc (kept_strings, (nkept_strings + 1) * sizeof *kept_strings);
+  kept_strings[nkept_strings++] = c;
   return c;
 }
 
 static void
-free_kept (void)
+free_kept_strings (void)
 {
-  for (size_t i = 0; i < nkept; i++)
-    free (kept[i]);
-  free (kept);
-  kept = NULL;
-  nkept = 0;
+  for (size_t i = 0; i < nkept_strings; i++)
+    free (kept_strings[i]);
+  free (kept_strings);
+  kept_strings = NULL;
+  nkept_strings = 0;
 }
 
 const char *
-proc_binary (const char *name)
+proc_binary_path (const char *name)
 {
   char self[PATH_MAX] = "";
   char *path = NULL;
   if (readlink ("/proc/self/exe", self, sizeof self - 1) < 0)
     cr_assert_fail ("readlink: %s", strerror (errno));
   if (asprintf (&path, "%s/%s", dirname (dirname (self)), name) < 0)
-    cr_assert_fail ("no memory");
-  return keep (path);
+    cr_assert_fail ("out of memory");
+  return keep_string (path);
 }
 
 static void
 run_child (const char *const argv[], int out)
 {
-  /* A test that is killed by its timeout runs no teardown; its processes
-     would live on and hold the CI run.  So the kernel kills them with it. */
+  /* A test killed by its timeout runs no teardown.  Without the parent-death
+     signal its processes would keep running and block the CI run. */
   prctl (PR_SET_PDEATHSIG, SIGKILL);
-  const char *path = strchr (argv[0], '/') ? argv[0] : proc_binary (argv[0]);
+  const char *path
+      = strchr (argv[0], '/') ? argv[0] : proc_binary_path (argv[0]);
   dup2 (out, STDOUT_FILENO);
   execv (path, (char *const *)argv);
   fprintf (stderr, "%s: %s\n", path, strerror (errno));
@@ -83,11 +85,11 @@
 }
 
 static struct proc *
-start (const char *const argv[], int out, int in)
+spawn (const char *const argv[], int out, int in)
 {
   cr_assert (nprocs < MAX_PROCS, "too many processes");
   struct proc *p = &procs[nprocs++];
-  *p = (struct proc){ .out = in };
+  *p = (struct proc){ .out_fd = in };
   p->pid = fork ();
   if (p->pid == 0)
     run_child (argv, out);
@@ -101,7 +103,7 @@
 {
   int fds[2];
   cr_assert (pipe2 (fds, O_CLOEXEC) == 0, "pipe: %s", strerror (errno));
-  return start (argv, fds[1], fds[0]);
+  return spawn (argv, fds[1], fds[0]);
 }
 
 struct proc *
@@ -109,26 +111,26 @@
 {
   int fd = open (path, O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600);
   cr_assert (fd >= 0, "%s: %s", path, strerror (errno));
-  return start (argv, fd, -1);
+  return spawn (argv, fd, -1);
 }
 
-/* Append what the process has printed; false at the end of its output. */
+/* Reads more output of the process; false at end of file. */
 static bool
 read_output (struct proc *p, int wait_ms)
 {
-  struct pollfd fd = { .fd = p->out, .events = POLLIN };
+  struct pollfd fd = { .fd = p->out_fd, .events = POLLIN };
   if (poll (&fd, 1, wait_ms) <= 0)
     return true;
   buf_reserve (&p->output, 4096);
-  ssize_t n = read (p->out, p->output.ptr + p->output.len, 4096);
+  ssize_t n = read (p->out_fd, p->output.ptr + p->output.len, 4096);
   if (n > 0)
     p->output.len += (size_t)n;
   return n > 0;
 }
 
-/* Take the ready line out of the output; false when it has not come. */
+/* Copies the ready line from the output; false if it is not complete yet. */
 static bool
-find_ready (struct proc *p)
+parse_ready_line (struct proc *p)
 {
   struct str rest = buf_str (&p->output);
   while (rest.len)
@@ -138,7 +140,7 @@
         return false;
       if (str_starts (rest, STR ("ready ")))
         {
-          buf_add (&p->ready, str_head (rest, end));
+          buf_add (&p->ready_line, str_head (rest, end));
           return true;
         }
       rest = str_skip (rest, end + 1);
@@ -150,7 +152,7 @@
 proc_ready (struct proc *p, int wait_ms)
 {
   clk_ms until = clk_now () + wait_ms;
-  while (p->ready.len == 0 && !find_ready (p))
+  while (p->ready_line.len == 0 && !parse_ready_line (p))
     {
       clk_ms left = until - clk_now ();
       if (left <= 0 || !read_output (p, (int)left))
@@ -162,7 +164,7 @@
 const char *
 proc_addr (const struct proc *p, const char *key)
 {
-  struct str rest = buf_str (&p->ready);
+  struct str rest = buf_str (&p->ready_line);
   size_t n = strlen (key);
   while (rest.len)
     {
@@ -170,17 +172,18 @@
       struct str word = str_head (rest, end);
       if (str_starts (word, str_from (key)) && word.len > n
           && word.ptr[n] == '=')
-        return keep (str_dup (str_skip (word, n + 1)));
+        return keep_string (str_dup (str_skip (word, n + 1)));
       rest = str_skip (rest, end + 1);
     }
   return NULL;
 }
 
 struct proc *
-proc_up (const char *const argv[])
+proc_start_ready (const char *const argv[])
 {
   struct proc *p = proc_start (argv);
-  cr_assert (proc_ready (p, PROC_WAIT_MS), "%s %s is not ready", argv[0],
+  cr_assert (proc_ready (p, PROC_WAIT_MS),
+             "%s %s did not print its ready line", argv[0],
              argv[1] ? argv[1] : "");
   return p;
 }
@@ -265,27 +268,28 @@
   for (size_t i = 0; i < nprocs; i++)
     {
       reap (&procs[i], 0);
-      if (procs[i].out >= 0)
-        close (procs[i].out);
+      if (procs[i].out_fd >= 0)
+        close (procs[i].out_fd);
       buf_free (&procs[i].output);
-      buf_free (&procs[i].ready);
+      buf_free (&procs[i].ready_line);
     }
   nprocs = 0;
-  free_kept ();
-  if (dir[0])
-    nftw (dir, remove_entry, 8, FTW_DEPTH | FTW_PHYS);
-  dir[0] = '\0';
+  free_kept_strings ();
+  if (temp_dir[0])
+    nftw (temp_dir, remove_entry, 8, FTW_DEPTH | FTW_PHYS);
+  temp_dir[0] = '\0';
 }
 
 const char *
 proc_dir (void)
 {
-  if (dir[0])
-    return dir;
+  if (temp_dir[0])
+    return temp_dir;
   const char *tmp = getenv ("TMPDIR");
-  snprintf (dir, sizeof dir, "%s/lapisline-XXXXXX", tmp ? tmp : "/tmp");
-  cr_assert (mkdtemp (dir) != NULL, "mkdtemp: %s", strerror (errno));
-  return dir;
+  snprintf (temp_dir, sizeof temp_dir, "%s/lapisline-XXXXXX",
+            tmp ? tmp : "/tmp");
+  cr_assert (mkdtemp (temp_dir) != NULL, "mkdtemp: %s", strerror (errno));
+  return temp_dir;
 }
 
 static void
@@ -305,7 +309,7 @@
   char *path = NULL;
   va_list ap;
   if (asprintf (&path, "%s/%s", proc_dir (), name) < 0)
-    cr_assert_fail ("no memory");
+    cr_assert_fail ("out of memory");
   make_parents (path);
   FILE *f = fopen (path, "w");
   cr_assert (f != NULL, "%s: %s", path, strerror (errno));
@@ -313,7 +317,7 @@
   vfprintf (f, fmt, ap);
   va_end (ap);
   fclose (f);
-  return keep (path);
+  return keep_string (path);
 }
 
 const char *
@@ -325,19 +329,20 @@
 
 /* --- ports ------------------------------------------------------------- */
 
-/** Ports below those that the kernel gives out by itself.  One of its choice,
-    free a moment ago, goes to a connection of another test before a process
-    listens on it, or between two lives of one that is started again at the
-    address that it had; it ends with "address already in use". */
+/** Ports below the kernel's ephemeral range.  An ephemeral port that is free
+    now may be assigned to a connection of another test before the process
+    listens on it, or while the process restarts at the same address.  The
+    process then fails with "address already in use". */
 #define PORT_FIRST 16384
 #define PORT_END 32384
 #define PORT_BLOCK 40
 
-/** Whether nobody has the port.  From then on this test has it: its socket
-    stays bound and never listens, which lets in those that allow to share an
-    address, as servers do, and keeps out the same look of another test. */
+/** Reserves the port; false if it is in use.  The socket stays bound and never
+    listens.  A server can still bind the port, because both sockets have
+    SO_REUSEADDR set by then.  Another test can't reserve it: its bind() here
+    runs before SO_REUSEADDR is set and fails. */
 static bool
-take_port (int port)
+reserve_port (int port)
 {
   struct sockaddr_in sa = { .sin_family = AF_INET };
   const int on = 1;
@@ -364,10 +369,10 @@
   for (int i = PORT_FIRST; i < PORT_END; i++)
     {
       int port = PORT_FIRST + next++ % (PORT_END - PORT_FIRST);
-      if (take_port (port))
+      if (reserve_port (port))
         return port;
     }
-  cr_assert_fail ("no port is free");
+  cr_assert_fail ("proc_port: no free port in its range");
   return 0;
 }
 
@@ -377,6 +382,6 @@
   char *text = NULL;
 
   if (asprintf (&text, "127.0.0.1:%d", proc_port ()) < 0)
-    cr_assert_fail ("no memory");
-  return keep (text);
+    cr_assert_fail ("out of memory");
+  return keep_string (text);
 }
