--- a/t/lib-cluster.c
+++ b/t/lib-cluster.c
@@ -109,9 +109,9 @@
 static void
 start_apart (struct cluster *c, size_t i)
 {
-  c->gateway[i] = PROC_UP ("lapisline", "gateway", "--settings",
-                           write_settings (c, i, "127.0.0.1:0", NULL),
-                           "--config", c->config);
+  c->gateway[i] = PROC_START_READY ("lapisline", "gateway", "--settings",
+                                    write_settings (c, i, "127.0.0.1:0", NULL),
+                                    "--config", c->config);
   c->http[i] = proc_addr (c->gateway[i], "http");
 }
 
@@ -124,11 +124,12 @@
   for (size_t i = 0; i < c->n; i++)
     {
       const char *peer;
-      c->control[i] = PROC_UP ("lapisline", "control", "--settings",
-                               write_settings (c, i, proc_listen (), first));
+      c->control[i]
+          = PROC_START_READY ("lapisline", "control", "--settings",
+                              write_settings (c, i, proc_listen (), first));
       peer = proc_addr (c->control[i], "peer");
-      c->gateway[i] = PROC_UP ("lapisline", "gateway", "--settings",
-                               write_settings (c, i, peer, first));
+      c->gateway[i] = PROC_START_READY ("lapisline", "gateway", "--settings",
+                                        write_settings (c, i, peer, first));
       c->http[i] = proc_addr (c->gateway[i], "http");
       if (!first)
         first = peer;
@@ -172,9 +173,9 @@
 up (struct cluster *c, size_t n, enum cluster_kind kind, bool relayed)
 {
   c->n = n;
-  c->store = PROC_UP ("standin", "store");
+  c->store = PROC_START_READY ("standin", "store");
   for (int i = 0; i < 2; i++)
-    c->soko[i] = PROC_UP ("standin", "service");
+    c->soko[i] = PROC_START_READY ("standin", "service");
   if (relayed)
     c->relay = relay_new (proc_addr (c->soko[0], "http"),
                           proc_addr (c->soko[1], "http"));
@@ -230,7 +231,7 @@
 {
   memset (c, 0, sizeof *c);
   for (int i = 0; i < 2; i++)
-    c->vm[i] = PROC_UP ("standin", "model");
+    c->vm[i] = PROC_START_READY ("standin", "model");
   up (c, n, CLUSTER_TOGETHER, false);
   for (size_t i = 0; i < n; i++)
     cr_assert (model_routed (c, i), "gateway %zu has no model", i);
--- a/t/lib-control.c
+++ b/t/lib-control.c
@@ -50,7 +50,7 @@
 struct proc *
 control_up (const char *settings)
 {
-  return PROC_UP ("lapisline", "control", "--settings", settings);
+  return PROC_START_READY ("lapisline", "control", "--settings", settings);
 }
 
 void
--- a/t/lib-front.c
+++ b/t/lib-front.c
@@ -123,13 +123,13 @@
 {
   for (int i = 0; i < 2; i++)
     {
-      f->vm[i] = PROC_UP ("standin", "model", "--tokens", "8");
-      f->soko[i] = PROC_UP ("standin", "service");
+      f->vm[i] = PROC_START_READY ("standin", "model", "--tokens", "8");
+      f->soko[i] = PROC_START_READY ("standin", "service");
     }
-  f->quote = PROC_UP ("standin", "service");
+  f->quote = PROC_START_READY ("standin", "service");
   const char *config = write_config (f, model, limits);
-  f->gateway = PROC_UP ("lapisline", "gateway", "--settings",
-                        write_settings (), "--config", config);
+  f->gateway = PROC_START_READY ("lapisline", "gateway", "--settings",
+                                 write_settings (), "--config", config);
   f->http = proc_addr (f->gateway, "http");
   /* Until its members answered a probe, requests are refused. */
   cr_assert (front_routed (f), "the model is not routed to");
--- a/t/lib-memkv.c
+++ b/t/lib-memkv.c
@@ -77,7 +77,7 @@
 }
 
 struct store_result
-memkv_range (struct memkv *k, struct str key)
+memkv_get (struct memkv *k, struct str key)
 {
   struct entry *e = *find_entry (k, key);
   struct store_result r = { .status = STORE_OK, .revision = k->revision };
@@ -177,7 +177,7 @@
 }
 
 void
-memkv_hold (struct memkv *k, const struct store_txn *txn)
+memkv_delay_txn (struct memkv *k, const struct store_txn *txn)
 {
   struct store_compare *compares
       = xcalloc (txn->ncompares + 1, sizeof *compares);
@@ -199,7 +199,7 @@
 }
 
 struct store_result
-memkv_deliver (struct memkv *k)
+memkv_apply_delayed (struct memkv *k)
 {
   struct store_result r = memkv_txn (k, &k->held_txn);
 
--- a/t/lib-memkv.h
+++ b/t/lib-memkv.h
@@ -17,7 +17,7 @@
 void memkv_free (struct memkv *k);
 
 /** Reads one key; the result is valid until the next call. */
-struct store_result memkv_range (struct memkv *k, struct str key);
+struct store_result memkv_get (struct memkv *k, struct str key);
 
 /** Reads up to @p max keys in [key, end), or the single key if @p end is
     empty.  The results point into the store and are valid until the next
@@ -31,10 +31,10 @@
 /** Applies a transaction at once. */
 struct store_result memkv_txn (struct memkv *k, const struct store_txn *txn);
 
-/** Holds a copy of @p txn, as a delayed request; memkv_deliver() applies it.
-    Replaces a transaction held before. */
-void memkv_hold (struct memkv *k, const struct store_txn *txn);
-struct store_result memkv_deliver (struct memkv *k);
+/** Holds a copy of @p txn, as a delayed request; memkv_apply_delayed() applies
+   it. Replaces a transaction held before. */
+void memkv_delay_txn (struct memkv *k, const struct store_txn *txn);
+struct store_result memkv_apply_delayed (struct memkv *k);
 
 /** Number of keys that begin with @p prefix. */
 size_t memkv_count (const struct memkv *k, struct str prefix);
--- a/t/lib-net.c
+++ b/t/lib-net.c
@@ -123,7 +123,7 @@
 }
 
 struct net_addr
-run_any_port (void)
+run_any_loopback (void)
 {
   struct net_addr a = { "127.0.0.1", 0 };
 
@@ -133,7 +133,7 @@
 struct net_addr
 run_listen (struct run *r, uv_tcp_t *tcp, uv_connection_cb cb, void *data)
 {
-  struct net_addr at = run_any_port ();
+  struct net_addr at = run_any_loopback ();
   struct sockaddr_storage ss;
   int len = sizeof ss;
 
@@ -159,7 +159,7 @@
 run_full_backlog_start (struct run *r, struct run_full_backlog *backlog,
                         uint64_t ms, uv_connection_cb cb, void *data)
 {
-  struct net_addr at = run_any_port ();
+  struct net_addr at = run_any_loopback ();
   struct sockaddr_storage ss;
   struct sockaddr *sa = (struct sockaddr *)&ss;
   socklen_t len = sizeof (struct sockaddr_in);
--- a/t/lib-net.h
+++ b/t/lib-net.h
@@ -44,9 +44,10 @@
 void run_end (struct run *r, const char *expected);
 
 /** Loopback address with port 0, for a port assigned by the kernel. */
-struct net_addr run_any_port (void);
+struct net_addr run_any_loopback (void);
 
-/** Listens on run_any_port() with a raw socket; returns the bound address. */
+/** Listens on run_any_loopback() with a raw socket; returns the bound address.
+ */
 struct net_addr run_listen (struct run *r, uv_tcp_t *tcp, uv_connection_cb cb,
                             void *data);
 
--- a/t/lib-proc.h
+++ b/t/lib-proc.h
@@ -44,7 +44,7 @@
 
 /** Starts a program and waits until it is ready; fails the test otherwise. */
 struct proc *proc_start_ready (const char *const argv[]);
-#define PROC_UP(...)                                                          \
+#define PROC_START_READY(...)                                                 \
   proc_start_ready ((const char *const[]){ __VA_ARGS__, NULL })
 
 pid_t proc_pid (const struct proc *p);
@@ -116,8 +116,8 @@
 struct str web_header (const struct web_answer *a, const char *name);
 
 /** Repeats a GET until the body contains @p text; false after @p wait_ms. */
-bool web_until (const char *addr, const char *path, const char *headers,
-                const char *text, int wait_ms);
+bool web_poll_until (const char *addr, const char *path, const char *headers,
+                     const char *text, int wait_ms);
 
 /** HTTP connection whose responses are read incrementally. */
 struct web_stream;
--- a/t/lib-push.c
+++ b/t/lib-push.c
@@ -121,12 +121,12 @@
   if (strcmp (fault, "down") == 0)
     return none;
   if (a->kind == PSH_RANGE)
-    return memkv_range (r->kv, a->key);
+    return memkv_get (r->kv, a->key);
   none.status = STORE_UNCERTAIN;
   if (strcmp (fault, "lost") == 0)
     memkv_txn (r->kv, &a->txn);
   else if (strcmp (fault, "held") == 0)
-    memkv_hold (r->kv, &a->txn);
+    memkv_delay_txn (r->kv, &a->txn);
   else if (strcmp (fault, "dropped") != 0)
     return memkv_txn (r->kv, &a->txn);
   return none;
@@ -176,7 +176,7 @@
 show (struct pushes *r)
 {
   struct store_result a
-      = memkv_range (r->kv, STR (PUSH_PREFIX "config/manifest"));
+      = memkv_get (r->kv, STR (PUSH_PREFIX "config/manifest"));
   struct fnd_list findings = { 0 };
   struct arena arena = { NULL };
   struct mft m;
@@ -225,8 +225,8 @@
     step (r, pusher (r, words[1]), words[2]);
   else if (strcmp (words[0], "deliver") == 0)
     buf_addf (&r->log, "delivered: %s\n",
-              memkv_deliver (r->kv).status == STORE_OK ? "applied"
-                                                       : "conflict");
+              memkv_apply_delayed (r->kv).status == STORE_OK ? "applied"
+                                                             : "conflict");
   else if (strcmp (words[0], "seed") == 0)
     pushes_seed (r, words[1]);
   else if (strcmp (words[0], "show") == 0)
--- a/t/lib-rack.c
+++ b/t/lib-rack.c
@@ -62,7 +62,7 @@
 
   memset (r, 0, sizeof *r);
   snprintf (n, sizeof n, "%d", engines);
-  r->platform = PROC_UP ("standin", "rack", "--engines", n);
+  r->platform = PROC_START_READY ("standin", "rack", "--engines", n);
   r->platform_addr = proc_addr (r->platform, "http");
   for (int i = 0; i < nodes; i++)
     write_settings (r, i,
@@ -223,8 +223,8 @@
 bool
 rack_wait_for_counts (const struct rack *r, const char *text)
 {
-  return web_until (r->platform_addr, "/control/counts", NULL, text,
-                    PROC_WAIT_MS);
+  return web_poll_until (r->platform_addr, "/control/counts", NULL, text,
+                         PROC_WAIT_MS);
 }
 
 int
--- a/t/lib-site.c
+++ b/t/lib-site.c
@@ -72,8 +72,8 @@
 static void
 start_control (struct site *s, int node, const char *peer)
 {
-  s->control[node] = PROC_UP ("lapisline", "control", "--settings",
-                              write_settings (s, node, peer));
+  s->control[node] = PROC_START_READY ("lapisline", "control", "--settings",
+                                       write_settings (s, node, peer));
   s->peer[node] = proc_addr (s->control[node], "peer");
   s->admin[node] = proc_addr (s->control[node], "admin");
 }
@@ -81,12 +81,12 @@
 static void
 start_vm (struct site *s, int vm, const char *listen)
 {
-  s->vm[vm]
-      = s->servers == SITE_CHECK_FENCE
-            ? PROC_UP ("standin", "model", "--listen", listen, "--unloaded",
-                       "--load-ms", "200")
-            : PROC_UP ("standin", "model", "--listen", listen, "--unloaded",
-                       "--load-ms", "200", "--ignore-fence");
+  s->vm[vm] = s->servers == SITE_CHECK_FENCE
+                  ? PROC_START_READY ("standin", "model", "--listen", listen,
+                                      "--unloaded", "--load-ms", "200")
+                  : PROC_START_READY ("standin", "model", "--listen", listen,
+                                      "--unloaded", "--load-ms", "200",
+                                      "--ignore-fence");
 }
 
 static void
@@ -108,21 +108,22 @@
 {
   memset (s, 0, sizeof *s);
   s->servers = servers;
-  s->store = PROC_UP ("standin", "store");
-  s->platform = PROC_UP ("standin", "platform", "--vm", "v1", "--vm", "v2",
-                         "--vm", "v3", "--vm", "soko-1", "--vm", "soko-2");
+  s->store = PROC_START_READY ("standin", "store");
+  s->platform
+      = PROC_START_READY ("standin", "platform", "--vm", "v1", "--vm", "v2",
+                          "--vm", "v3", "--vm", "soko-1", "--vm", "soko-2");
   for (int i = 0; i < SITE_VMS; i++)
     start_vm (s, i, proc_listen ());
   for (int i = 0; i < 2; i++)
-    s->soko[i] = PROC_UP ("standin", "service");
+    s->soko[i] = PROC_START_READY ("standin", "service");
   proc_secret ();
   write_config (s);
   push (s);
   for (int i = 0; i < SITE_NODES; i++)
     {
       start_control (s, i, proc_listen ());
-      s->gateway[i] = PROC_UP ("lapisline", "gateway", "--settings",
-                               write_settings (s, i, s->peer[i]));
+      s->gateway[i] = PROC_START_READY ("lapisline", "gateway", "--settings",
+                                        write_settings (s, i, s->peer[i]));
       s->http[i] = proc_addr (s->gateway[i], "http");
     }
   site_until_both (s, "\"whole\":true");
@@ -179,7 +180,7 @@
 void
 site_until (const struct site *s, int node, const char *text)
 {
-  cr_assert (web_until (s->admin[node], REPLICA, SITE_ADMIN, text, 60000),
+  cr_assert (web_poll_until (s->admin[node], REPLICA, SITE_ADMIN, text, 60000),
              "entry-%d did not return %s", node + 1, text);
 }
 
--- a/t/lib-web.c
+++ b/t/lib-web.c
@@ -313,8 +313,8 @@
 }
 
 bool
-web_until (const char *addr, const char *path, const char *headers,
-           const char *text, int wait_ms)
+web_poll_until (const char *addr, const char *path, const char *headers,
+                const char *text, int wait_ms)
 {
   clk_ms until = clk_now () + wait_ms;
   while (true)
--- a/t/t0900-proc.c
+++ b/t/t0900-proc.c
@@ -21,9 +21,10 @@
 
 Test (proc, ready_line_signal_and_end)
 {
-  struct proc *p = PROC_UP ("/bin/sh", "-c",
-                            "echo warming; echo ready x http=127.0.0.1:7 "
-                            "peer=127.0.0.1:8; exec sleep 60");
+  struct proc *p
+      = PROC_START_READY ("/bin/sh", "-c",
+                          "echo warming; echo ready x http=127.0.0.1:7 "
+                          "peer=127.0.0.1:8; exec sleep 60");
   cr_assert_str_eq (proc_addr (p, "peer"), "127.0.0.1:8");
   cr_assert_null (proc_addr (p, "swim"));
   cr_assert_eq (proc_wait (p, 0), -1);
--- a/t/t1301-config-push.c
+++ b/t/t1301-config-push.c
@@ -15,7 +15,8 @@
 static void
 start_store (void)
 {
-  struct proc *p = PROC_UP ("standin", "store", "--listen", "127.0.0.1:0");
+  struct proc *p
+      = PROC_START_READY ("standin", "store", "--listen", "127.0.0.1:0");
 
   store = xstrdup (proc_addr (p, "http"));
 }
--- a/t/t1302-config-spread.c
+++ b/t/t1302-config-spread.c
@@ -33,7 +33,8 @@
 static void
 start_store (struct fleet *f)
 {
-  struct proc *p = PROC_UP ("standin", "store", "--listen", "127.0.0.1:0");
+  struct proc *p
+      = PROC_START_READY ("standin", "store", "--listen", "127.0.0.1:0");
 
   f->store = proc_addr (p, "http");
   f->store_control = proc_addr (p, "control");
@@ -69,7 +70,7 @@
       "  \"secret_file\": \"secret.txt\", \"log\": { \"level\": \"error\" } }",
       f->n, zone, f->store, f->n ? "\"" : "", f->n ? f->nodes[0].peer : "",
       f->n ? "\"" : "");
-  node->proc = PROC_UP ("lapisline", "control", "--settings", path);
+  node->proc = PROC_START_READY ("lapisline", "control", "--settings", path);
   node->admin = proc_addr (node->proc, "admin");
   node->peer = proc_addr (node->proc, "peer");
   f->n++;
@@ -107,8 +108,9 @@
 
   snprintf (text, sizeof text, "lapisline_control_config_revision %ld\n",
             revision);
-  cr_expect (web_until (f->nodes[node].admin, "/metrics", NULL, text, wait_ms),
-             "node %d has not revision %ld", node, revision);
+  cr_expect (
+      web_poll_until (f->nodes[node].admin, "/metrics", NULL, text, wait_ms),
+      "node %d has not revision %ld", node, revision);
 }
 
 Test (config_spread, to_all_also_when_watches_end)
--- a/t/t2002-link.c
+++ b/t/t2002-link.c
@@ -267,7 +267,7 @@
 
   memset (&b, 0, sizeof b);
   run_init (&b.run);
-  b.at = run_any_port ();
+  b.at = run_any_loopback ();
   b.server = link_listen (&b.run.loop, &b.at, &s, &callbacks, &b, &err);
   cr_assert_not_null (b.server, "%s", buf_c (&err));
   b.at.port = link_server_port (b.server);
--- a/t/t2003-store.c
+++ b/t/t2003-store.c
@@ -223,7 +223,7 @@
 play_with (struct setup setup, const char *script, const char *expected)
 {
   struct bench b = { 0 };
-  struct proc *p = PROC_UP ("standin", "store");
+  struct proc *p = PROC_START_READY ("standin", "store");
   struct store_budget budget = { 300, 1000 };
   struct net_addr at[2] = { { "127.0.0.1", 1 } };
   struct etcd_options opt = { .endpoints = setup.dead_first ? at : at + 1,
--- a/t/t2004-server.c
+++ b/t/t2004-server.c
@@ -345,7 +345,7 @@
   struct buf err = BUF_INIT;
 
   run_init (&b.run);
-  b.at = run_any_port ();
+  b.at = run_any_loopback ();
   b.httpd = httpd_listen (&b.run.loop, &b.at, &limits, on_request, &b, &err);
   cr_assert_not_null (b.httpd, "%s", buf_c (&err));
   b.at.port = httpd_port (b.httpd);
--- a/t/t2006-malformed.c
+++ b/t/t2006-malformed.c
@@ -294,7 +294,7 @@
 
   run_init (&b.run);
   rng_seed (&b.rng, 2006);
-  b.at = run_any_port ();
+  b.at = run_any_loopback ();
   b.server = link_listen (&b.run.loop, &b.at, &b.secret, &cb, &b, NULL);
   cr_assert_not_null (b.server);
   b.at.port = link_server_port (b.server);
--- a/t/t6004-domains.c
+++ b/t/t6004-domains.c
@@ -204,7 +204,7 @@
 {
   static const struct httpd_limits limits
       = { .max_body = 4096, .max_connections = 16, .request_ms = 5000 };
-  struct net_addr any = run_any_port ();
+  struct net_addr any = run_any_loopback ();
   struct buf err = BUF_INIT;
 
   run_init (&fixture->run);
--- a/t/t6010-replica-processes.c
+++ b/t/t6010-replica-processes.c
@@ -54,7 +54,7 @@
 static void
 wait_for (int node, const char *text)
 {
-  cr_assert (web_until (admin[node], REPLICA, AUTH, text, 60000),
+  cr_assert (web_poll_until (admin[node], REPLICA, AUTH, text, 60000),
              "node %d never reported %s", node, text);
 }
 
@@ -68,12 +68,13 @@
 static void
 start_all (void)
 {
-  store = PROC_UP ("standin", "store", "--listen", "127.0.0.1:0");
-  platform = PROC_UP ("standin", "platform", "--listen", "127.0.0.1:0", "--vm",
-                      "v1", "--vm", "v2", "--vm", "v3");
+  store = PROC_START_READY ("standin", "store", "--listen", "127.0.0.1:0");
+  platform
+      = PROC_START_READY ("standin", "platform", "--listen", "127.0.0.1:0",
+                          "--vm", "v1", "--vm", "v2", "--vm", "v3");
   for (int i = 0; i < 3; i++)
-    vms[i] = PROC_UP ("standin", "model", "--listen", "127.0.0.1:0",
-                      "--unloaded", "--load-ms", "200");
+    vms[i] = PROC_START_READY ("standin", "model", "--listen", "127.0.0.1:0",
+                               "--unloaded", "--load-ms", "200");
   write_config ();
   control_push ("--store", proc_addr (store, "http"));
   nodes[0] = start_node ("n1", "");
@@ -190,8 +191,8 @@
   post (proc_addr (vms[1], "http"), "/control/set",
         "{\"unloaded\":true,\"generation\":0}");
   proc_signal (nodes[old], SIGCONT);
-  cr_assert (web_until (proc_addr (vms[1], "http"), "/lapis/v1/state", NULL,
-                        "\"unloaded\": false", 60000));
+  cr_assert (web_poll_until (proc_addr (vms[1], "http"), "/lapis/v1/state",
+                             NULL, "\"unloaded\": false", 60000));
   wait_for_both ("\"whole\":true");
   wait_for_both ("\"generation\":1");
   cr_expect_gt (vm_number (1, "\"fence\""), fence);
@@ -228,8 +229,8 @@
   wait_for_both ("\"generation\":2");
   wait_for_both ("\"draining\":false");
   wait_for_both ("\"whole\":true");
-  cr_expect (web_until (proc_addr (vms[0], "http"), "/lapis/v1/state", NULL,
-                        "\"unloaded\": true", PROC_WAIT_MS));
+  cr_expect (web_poll_until (proc_addr (vms[0], "http"), "/lapis/v1/state",
+                             NULL, "\"unloaded\": true", PROC_WAIT_MS));
 }
 
 /* An operator drains the replica through the node that is not the owner. */
--- a/t/t7002-view.c
+++ b/t/t7002-view.c
@@ -94,8 +94,8 @@
 static struct proc *
 start_vm (void)
 {
-  return PROC_UP ("standin", "model", "--replica", "ghala-lm-1",
-                  "--generation", "5");
+  return PROC_START_READY ("standin", "model", "--replica", "ghala-lm-1",
+                           "--generation", "5");
 }
 
 static void
@@ -104,8 +104,8 @@
   memset (n, 0, sizeof *n);
   n->f.vm[0] = start_vm ();
   n->f.vm[1] = start_vm ();
-  n->spare = PROC_UP ("standin", "model", "--unloaded");
-  n->control = PROC_UP ("standin", "control", "--secret", SECRET);
+  n->spare = PROC_START_READY ("standin", "model", "--unloaded");
+  n->control = PROC_START_READY ("standin", "control", "--secret", SECRET);
   proc_file ("secret.txt", "%s", SECRET);
   n->settings = proc_file (
       "settings.json",
@@ -116,15 +116,16 @@
       "\"store\":{\"endpoints\":[\"127.0.0.1:1\"]},"
       "\"secret_file\":\"secret.txt\",\"log\":{\"level\":\"error\"}}",
       proc_addr (n->control, "peer"));
-  n->f.gateway = PROC_UP ("lapisline", "gateway", "--settings", n->settings);
+  n->f.gateway
+      = PROC_START_READY ("lapisline", "gateway", "--settings", n->settings);
   n->f.http = proc_addr (n->f.gateway, "http");
 }
 
 static bool
 heard (struct node *n, const char *text)
 {
-  return web_until (proc_addr (n->control, "http"), "/control/heard", NULL,
-                    text, PROC_WAIT_MS);
+  return web_poll_until (proc_addr (n->control, "http"), "/control/heard",
+                         NULL, text, PROC_WAIT_MS);
 }
 
 /** Names of the nodes in an address answer, in order. */
@@ -297,8 +298,8 @@
   proc_signal (n.control, SIGKILL);
   char *config = xstrdup (config_text (&n));
   *strrchr (config, '/') = '\0';
-  n.f.gateway = PROC_UP ("lapisline", "gateway", "--settings", n.settings,
-                         "--config", config);
+  n.f.gateway = PROC_START_READY ("lapisline", "gateway", "--settings",
+                                  n.settings, "--config", config);
   free (config);
   n.f.http = proc_addr (n.f.gateway, "http");
   log_until (&n, &log, 503);
@@ -356,10 +357,11 @@
   front_log (&n.f, &log, "POST", TEXT, header, front_prompt ("p", false, 2));
   snprintf (path, sizeof path, "/control/trace?%s", trace);
   const char *at = proc_addr (n.control, "http");
-  cr_expect (web_until (at, path, NULL, "gateway.receive", PROC_WAIT_MS));
-  cr_expect (web_until (at, path, NULL, "gateway.queue", PROC_WAIT_MS));
-  cr_expect (web_until (at, path, NULL, "gateway.attempt", PROC_WAIT_MS));
-  cr_expect (web_until (at, path, NULL, "b7ad6b7169203331", PROC_WAIT_MS));
+  cr_expect (web_poll_until (at, path, NULL, "gateway.receive", PROC_WAIT_MS));
+  cr_expect (web_poll_until (at, path, NULL, "gateway.queue", PROC_WAIT_MS));
+  cr_expect (web_poll_until (at, path, NULL, "gateway.attempt", PROC_WAIT_MS));
+  cr_expect (
+      web_poll_until (at, path, NULL, "b7ad6b7169203331", PROC_WAIT_MS));
   proc_signal (n.f.gateway, SIGTERM);
   cr_expect (heard (&n, "\"leaving\": true"));
   cr_expect_eq (proc_wait (n.f.gateway, PROC_WAIT_MS), 0);
--- a/t/t7005-broken.c
+++ b/t/t7005-broken.c
@@ -156,8 +156,8 @@
   cr_expect_str_eq (buf_c (&log),
                     "POST /svc/soko-api/bookings -> 200 done -\n");
   cr_expect_eq (front_count_both (f.soko, "runs"), 1);
-  cr_expect (web_until (f.http, "/metrics", NULL,
-                        "\nlapisline_open_requests 0\n", PROC_WAIT_MS));
+  cr_expect (web_poll_until (f.http, "/metrics", NULL,
+                             "\nlapisline_open_requests 0\n", PROC_WAIT_MS));
   buf_free (&log);
 }
 
--- a/t/t8003-control.c
+++ b/t/t8003-control.c
@@ -51,12 +51,12 @@
   cr_assert (web_call (admin, "GET", "/admin/v1/nodes", NULL, NULL, &a));
   cr_expect_eq (a.status, 503);
   web_free (&a);
-  cr_expect (web_until (admin, "/metrics", NULL,
-                        "lapisline_control_nodes{status=\"alive\"} 1",
-                        PROC_WAIT_MS));
-  cr_expect (web_until (admin, "/metrics", NULL,
-                        "store_ends_total{end=\"unavailable\"} ",
-                        PROC_WAIT_MS));
+  cr_expect (web_poll_until (admin, "/metrics", NULL,
+                             "lapisline_control_nodes{status=\"alive\"} 1",
+                             PROC_WAIT_MS));
+  cr_expect (web_poll_until (admin, "/metrics", NULL,
+                             "store_ends_total{end=\"unavailable\"} ",
+                             PROC_WAIT_MS));
   cr_expect_eq (PROC_RUN (NULL, "lapisline", "node", "list", "--admin",
                           UNREACHABLE, "--token-file", "/nowhere"),
                 2);
@@ -69,7 +69,7 @@
   /* An operator drains one node through another.  The drained process exits
      with 0, the other one keeps running and no longer lists it as alive.  A
      viewer's token and an unknown name change nothing. */
-  struct proc *store = PROC_UP ("standin", "store");
+  struct proc *store = PROC_START_READY ("standin", "store");
   const char *at = proc_addr (store, "http");
   const char *path = control_settings ("entry-1", at, "", "");
   struct proc *one = control_up (path);
@@ -77,9 +77,9 @@
   struct proc *two = control_up (
       control_settings ("entry-2", at, proc_addr (one, "peer"), ""));
   struct buf out = BUF_INIT;
-  cr_assert (web_until (admin, "/metrics", NULL,
-                        "lapisline_control_nodes{status=\"alive\"} 2",
-                        PROC_WAIT_MS));
+  cr_assert (web_poll_until (admin, "/metrics", NULL,
+                             "lapisline_control_nodes{status=\"alive\"} 2",
+                             PROC_WAIT_MS));
   push (path, admin, 1000);
   const char *viewer = proc_file ("viewer", "view");
   cr_expect_eq (PROC_RUN (NULL, "lapisline", "node", "drain", "entry-2",
@@ -172,7 +172,7 @@
 static struct proc *
 start_node (int address_ms)
 {
-  struct proc *store = PROC_UP ("standin", "store");
+  struct proc *store = PROC_START_READY ("standin", "store");
   const char *path
       = control_settings ("entry-1", proc_addr (store, "http"), "", "");
   struct proc *p = control_up (path);
--- a/t/t8004-shares.c
+++ b/t/t8004-shares.c
@@ -87,15 +87,15 @@
   /* One of two nodes is home of the account.  The other node's demand must be
      sent to it and the grant come back; otherwise that gateway would keep
      assuming an even share, whatever its demand. */
-  struct proc *store = PROC_UP ("standin", "store");
+  struct proc *store = PROC_START_READY ("standin", "store");
   const char *at = proc_addr (store, "http");
   const char *path = control_settings ("entry-1", at, "", "");
   struct proc *one = control_up (path);
   struct proc *two = control_up (
       control_settings ("entry-2", at, proc_addr (one, "peer"), ""));
-  cr_assert (web_until (proc_addr (one, "admin"), "/metrics", NULL,
-                        "lapisline_control_nodes{status=\"alive\"} 2",
-                        PROC_WAIT_MS));
+  cr_assert (web_poll_until (proc_addr (one, "admin"), "/metrics", NULL,
+                             "lapisline_control_nodes{status=\"alive\"} 2",
+                             PROC_WAIT_MS));
   proc_file ("config/10-all.json",
              "{\"accounts\":{\"acme\":{\"key_digests\":[],\"may\":[\"*\"],"
              "\"tokens_per_s\":1000}}}");
--- a/t/t8101-peers.c
+++ b/t/t8101-peers.c
@@ -224,7 +224,7 @@
 
   buf_addf (&key, "/lapisline/roster/hall-a/%s", name);
   buf_addf (&want, "{\"boot\":%u,", boot);
-  record = memkv_range (fx.store.kv, buf_str (&key));
+  record = memkv_get (fx.store.kv, buf_str (&key));
   ok = record.nkvs == 1 && str_starts (record.kvs->value, buf_str (&want));
   buf_free (&key);
   buf_free (&want);
@@ -465,7 +465,7 @@
               "until record n2 1\n"
               "until record n1 5\n"
               "until alive n2 2\n");
-  cr_expect_eq (memkv_range (fx.store.kv, STR ("")).revision, 2);
+  cr_expect_eq (memkv_get (fx.store.kv, STR ("")).revision, 2);
   teardown ();
 }
 
--- a/t/t8102-members.c
+++ b/t/t8102-members.c
@@ -36,8 +36,8 @@
   char text[128];
 
   snprintf (text, sizeof text, "lapisline_control_%s %s\n", series, value);
-  return web_until (proc_addr (nodes[i], "admin"), "/metrics", NULL, text,
-                    wait_ms);
+  return web_poll_until (proc_addr (nodes[i], "admin"), "/metrics", NULL, text,
+                         wait_ms);
 }
 
 static void
@@ -53,7 +53,8 @@
 static void
 start_all (void)
 {
-  struct proc *store = PROC_UP ("standin", "store", "--listen", "127.0.0.1:0");
+  struct proc *store
+      = PROC_START_READY ("standin", "store", "--listen", "127.0.0.1:0");
 
   memset (nodes, 0, sizeof nodes);
   for (int i = 0; i < NODES; i++)
--- a/t/t9001-once.c
+++ b/t/t9001-once.c
@@ -135,8 +135,9 @@
   expect (&log, "200 done -\n"
                 "409 unknown key-running\n");
   cr_expect_eq (cluster_runs_of_key (&c, "bay-7"), 1);
-  cr_expect (web_until (c.http[0], "/metrics", NULL,
-                        "lapisline_claim_uncertain_total 1\n", PROC_WAIT_MS));
+  cr_expect (web_poll_until (c.http[0], "/metrics", NULL,
+                             "lapisline_claim_uncertain_total 1\n",
+                             PROC_WAIT_MS));
 }
 
 /* The store is down in each of three ways.  Bookings with a key are refused
--- a/t/t9101-stops.c
+++ b/t/t9101-stops.c
@@ -135,8 +135,8 @@
 
   site_up (&s, SITE_CHECK_FENCE);
   struct web_stream *w = open_stream (&s, 0, &got);
-  cr_assert (web_until (s.http[1], "/v1/address?model=ghala-lm", FRONT_KEY,
-                        "entry-1", PROC_WAIT_MS));
+  cr_assert (web_poll_until (s.http[1], "/v1/address?model=ghala-lm",
+                             FRONT_KEY, "entry-1", PROC_WAIT_MS));
   clk_ms told = clk_now ();
   proc_signal (s.gateway[0], SIGTERM);
   while (clk_now () - told < 4000)
--- a/t/t9102-whole.c
+++ b/t/t9102-whole.c
@@ -75,8 +75,9 @@
   no_repair (&s, false);
   expect_served_again (&s);
   proc_signal (s.vm[MEMBER], SIGCONT);
-  cr_expect (web_until (proc_addr (s.vm[MEMBER], "http"), "/lapis/v1/state",
-                        NULL, "\"unloaded\": true", 60000));
+  cr_expect (web_poll_until (proc_addr (s.vm[MEMBER], "http"),
+                             "/lapis/v1/state", NULL, "\"unloaded\": true",
+                             60000));
   expect_served_again (&s);
   cr_expect_eq (front_count (s.vm[MEMBER], "runs"), 0);
 }
@@ -205,8 +206,9 @@
   int old = freeze_owner (&s);
   front_fault (s.vm[MEMBER], "{\"unloaded\": true, \"generation\": 0}");
   proc_signal (s.control[old], SIGCONT);
-  cr_expect (web_until (proc_addr (s.vm[MEMBER], "http"), "/lapis/v1/state",
-                        NULL, "\"unloaded\": false", 60000));
+  cr_expect (web_poll_until (proc_addr (s.vm[MEMBER], "http"),
+                             "/lapis/v1/state", NULL, "\"unloaded\": false",
+                             60000));
   site_until_both (&s, "\"whole\":true");
   expect_served_again (&s);
   cr_expect_eq (site_vm_number (&s, MEMBER, "\"generation\""), 1);
--- a/t/t9301-serve.c
+++ b/t/t9301-serve.c
@@ -46,10 +46,10 @@
                            "X-Api-Key: other\r\n",
                            NULL),
                 401);
-  cr_expect (web_until (r.address[0], "/resolve?name=h&region=r&zone=z1", NULL,
-                        r.front[1], PROC_WAIT_MS));
-  cr_expect (web_until (r.address[1], "/resolve?name=h&region=r&zone=z1", NULL,
-                        r.front[0], PROC_WAIT_MS));
+  cr_expect (web_poll_until (r.address[0], "/resolve?name=h&region=r&zone=z1",
+                             NULL, r.front[1], PROC_WAIT_MS));
+  cr_expect (web_poll_until (r.address[1], "/resolve?name=h&region=r&zone=z1",
+                             NULL, r.front[0], PROC_WAIT_MS));
   buf_free (&body);
 }
 
--- a/t/t9304-many.c
+++ b/t/t9304-many.c
@@ -78,7 +78,7 @@
 static bool
 wait_for_metric (const struct rack *r, int node, const char *line)
 {
-  return web_until (r->ready[node], "/metrics", NULL, line, PROC_WAIT_MS);
+  return web_poll_until (r->ready[node], "/metrics", NULL, line, PROC_WAIT_MS);
 }
 
 /** Starts all nodes, @p first before the others so that it becomes the
--- a/t/t9305-crash.c
+++ b/t/t9305-crash.c
@@ -201,9 +201,9 @@
   rack_set (&r, "{\"server\": \"e5\", \"cut_after\": 0}");
   for (int i = 0; i < RACK_NODES; i++)
     {
-      cr_expect (web_until (r.ready[i], "/metrics", NULL,
-                            "lapisline_serve_requests_blocked 0",
-                            PROC_WAIT_MS));
+      cr_expect (web_poll_until (r.ready[i], "/metrics", NULL,
+                                 "lapisline_serve_requests_blocked 0",
+                                 PROC_WAIT_MS));
       cr_expect_eq (request_status (&r, i, "/stream/x", "same"), 200);
     }
 }
@@ -244,8 +244,9 @@
   crash_until_blocked (&r);
   kill_node (&r, 0);
   rack_start_node (&r, 0);
-  cr_expect (web_until (r.ready[0], "/metrics", NULL,
-                        "lapisline_serve_requests_blocked 1", PROC_WAIT_MS));
+  cr_expect (web_poll_until (r.ready[0], "/metrics", NULL,
+                             "lapisline_serve_requests_blocked 1",
+                             PROC_WAIT_MS));
   expect_refused (&r);
 }
 
--- a/t/t9308-era.c
+++ b/t/t9308-era.c
@@ -61,8 +61,8 @@
   restore_store (&r);
   rack_start_node (&r, NODES - 1);
   for (int i = 0; i < NODES; i++)
-    cr_expect (web_until (r.ready[i], "/metrics", NULL,
-                          "lapisline_serve_nodes 3", PROC_WAIT_MS),
+    cr_expect (web_poll_until (r.ready[i], "/metrics", NULL,
+                               "lapisline_serve_nodes 3", PROC_WAIT_MS),
                "node %d", i + 1);
 }
 
@@ -101,6 +101,6 @@
   usleep (1000000);
   cr_expect (rack_call_until (&r, 0, "/stream/x", rack_headers ("a"), 200));
   rack_start_node (&r, NODES - 1);
-  cr_expect (web_until (r.ready[0], "/metrics", NULL,
-                        "lapisline_serve_nodes 3", PROC_WAIT_MS));
+  cr_expect (web_poll_until (r.ready[0], "/metrics", NULL,
+                             "lapisline_serve_nodes 3", PROC_WAIT_MS));
 }
