--- a/claim/asker.c
+++ b/claim/asker.c
@@ -1,10 +1,10 @@
 #include "claim/asker.h"
 
 static enum clm_requester_action
-ask_next (struct clm_requester *a, clk_ms now)
+send_to_next (struct clm_requester *a, clk_ms now)
 {
   a->ntried++;
-  a->next = a->ntried < a->ntargets ? now + CLM_FAILOVER_MS : CLK_NEVER;
+  a->failover_at = a->ntried < a->ntargets ? now + CLM_FAILOVER_MS : CLK_NEVER;
   return CLM_REQUESTER_SEND;
 }
 
@@ -25,7 +25,7 @@
     wait_ms = CLM_MAX_WAIT_MS;
   *a = (struct clm_requester){ .ntargets = ntargets,
                                .deadline = now + wait_ms };
-  return ask_next (a, now);
+  return send_to_next (a, now);
 }
 
 enum clm_requester_action
@@ -34,17 +34,17 @@
   if (a->done)
     return CLM_REQUESTER_NONE;
   if (now >= a->deadline)
-    return give_up (a, a->nresponded < a->ntried);
-  if (now < a->next)
+    return give_up (a, a->nended < a->ntried);
+  if (now < a->failover_at)
     return CLM_REQUESTER_NONE;
-  return ask_next (a, now);
+  return send_to_next (a, now);
 }
 
 enum clm_requester_action
 clm_requester_target_lost (struct clm_requester *a, clk_ms now)
 {
   if (a->ntried < a->ntargets)
-    a->next = now;
+    a->failover_at = now;
   return clm_requester_tick (a, now);
 }
 
@@ -53,17 +53,17 @@
 {
   if (a->done)
     return CLM_REQUESTER_NONE;
-  a->nresponded++;
+  a->nended++;
   if (a->ntried == a->ntargets || now >= a->deadline)
-    return give_up (a, a->nresponded < a->ntried);
-  return ask_next (a, now);
+    return give_up (a, a->nended < a->ntried);
+  return send_to_next (a, now);
 }
 
 enum clm_requester_action
 clm_requester_on_verdict (struct clm_requester *a, clk_ms now,
                           enum clm_verdict verdict)
 {
-  a->nresponded++;
+  a->nended++;
   /* Two nodes may grant the same attempt.  Once one grant was passed on, the
      second must not be released: the release would let a retry run beside the
      call that is being sent. */
@@ -77,7 +77,7 @@
       return CLM_REQUESTER_GIVE_UP_AND_RELEASE;
     }
   if (now >= a->deadline)
-    return give_up (a, a->nresponded < a->ntried);
+    return give_up (a, a->nended < a->ntried);
   /* A node does not report whether a write of the claim is pending. */
   if (verdict == CLM_UNAVAILABLE)
     return give_up (a, true);
@@ -88,7 +88,6 @@
      would be sent for that record, and callers would be told "running" for the
      whole window.  A release in the store voids the record whichever of the
      two is applied first. */
-  return !a->granted && a->nresponded < a->ntried
-             ? CLM_REQUESTER_REPLY_AND_RELEASE
-             : CLM_REQUESTER_REPLY;
+  return !a->granted && a->nended < a->ntried ? CLM_REQUESTER_REPLY_AND_RELEASE
+                                              : CLM_REQUESTER_REPLY;
 }
--- a/claim/asker.h
+++ b/claim/asker.h
@@ -31,10 +31,10 @@
 struct clm_requester
 {
   unsigned ntargets;
-  unsigned ntried;     /**< targets tried so far */
-  unsigned nresponded; /**< number of those that responded */
+  unsigned ntried; /**< targets tried so far */
+  unsigned nended; /**< number of those that responded */
   clk_ms deadline;
-  clk_ms next;
+  clk_ms failover_at;
   bool done;
   bool granted; /**< a grant was passed to the caller */
 };
--- a/claim/calls.c
+++ b/claim/calls.c
@@ -93,7 +93,8 @@
 /** A batch must outlive window + CLM_SLACK_MS, so a lease is used only while
     one and a half windows remain, which is half a window for a new lease. */
 void
-core_lease_answer (struct clm *c, clk_ms now, const struct store_result *r)
+core_on_lease_response (struct clm *c, clk_ms now,
+                        const struct store_result *r)
 {
   c->lease.token = 0;
   c->lease.next_request = now + c->opt.gap_ms;
--- a/claim/claim.c
+++ b/claim/claim.c
@@ -3,8 +3,8 @@
 
 #include "claim/core.h"
 
-#define RETRY_DOWN_MS (2 * CLK_SECOND)
-#define RETRY_BUSY_MS ((clk_ms)500)
+#define RETRY_AFTER_DOWN_MS (2 * CLK_SECOND)
+#define RETRY_AFTER_BUSY_MS ((clk_ms)500)
 
 /** A batch lives for at least one and a half windows, and a claim must be held
     for the window plus the slack. */
@@ -44,7 +44,7 @@
   if (!c->opt.gap_ms)
     c->opt.gap_ms = CLM_DEFAULT_GAP_MS;
   if (!c->opt.max_claims)
-    c->opt.max_claims = CLM_MAX_CLAIMS;
+    c->opt.max_claims = CLM_DEFAULT_MAX_CLAIMS;
   chart_init (&c->chart);
   rng_seed (&c->rng, seed);
   tbl_init (&c->table, opt->max_response_bytes);
@@ -151,7 +151,7 @@
 retry_after_ms (const struct clm *c, enum clm_verdict verdict)
 {
   if (verdict == CLM_UNAVAILABLE)
-    return core_store_down (c) ? RETRY_DOWN_MS : RETRY_BUSY_MS;
+    return core_store_down (c) ? RETRY_AFTER_DOWN_MS : RETRY_AFTER_BUSY_MS;
   return verdict == CLM_RUNNING ? CLK_SECOND : 0;
 }
 
@@ -161,7 +161,7 @@
 {
   struct clm_reply *r = &core_push_action (c, CLM_ACT_REPLY)->reply;
 
-  r->id = w->ask.id;
+  r->id = w->request.id;
   r->verdict = verdict;
   r->retry_after_ms = retry_after_ms (c, verdict);
   if (verdict == CLM_COMPLETED)
@@ -181,19 +181,20 @@
 void
 core_reply_unavailable (struct clm *c, struct shard *s, struct waiter *w)
 {
-  const struct tbl_rec *rec = tbl_find (&c->table, w->ask.key, w->ask.attempt);
+  const struct tbl_rec *rec
+      = tbl_find (&c->table, w->request.key, w->request.attempt);
   struct waiter *release;
 
   core_reply (c, w, CLM_UNAVAILABLE, NULL);
-  if (w->ask.kind != CLM_ACQUIRE || !w->ask.final || !rec
+  if (w->request.kind != CLM_ACQUIRE || !w->request.final || !rec
       || rec->state == TBL_RELEASED || s->waiting.n >= CORE_MAX_WAITING)
     return;
   /* The claim is or may become recorded in the store, although the requester
      was told that it was refused.  Without a release, every retry would be
      refused for the whole window.  The requester will not send the call. */
   release = xcalloc (1, sizeof *release);
-  release->ask = w->ask;
-  release->ask.kind = CLM_RELEASE;
+  release->request = w->request;
+  release->request.kind = CLM_RELEASE;
   release->deadline = CLK_NEVER;
   release->replied = true;
   waiter_append (&s->waiting, release);
@@ -203,20 +204,20 @@
 /* Deadlines. */
 
 static void
-expire_waiting (struct clm *c, struct shard *s, clk_ms now, bool all)
+expire_waiting (struct clm *c, struct shard *s, clk_ms now, bool refuse_all)
 {
   struct waiter_list old = s->waiting;
 
   memset (&s->waiting, 0, sizeof s->waiting);
   for (struct waiter *w; (w = waiter_pop (&old));)
     {
-      bool due
-          = !w->replied
-            && (now >= w->deadline || (all && w->ask.kind == CLM_ACQUIRE));
+      bool due = !w->replied
+                 && (now >= w->deadline
+                     || (refuse_all && w->request.kind == CLM_ACQUIRE));
       if (due)
         core_reply_unavailable (c, s, w);
       /* Keep the release: the requester only stopped waiting for it. */
-      if (due && w->ask.kind == CLM_ACQUIRE)
+      if (due && w->request.kind == CLM_ACQUIRE)
         {
           c->probe_shard = (int)s->no;
           free (w);
@@ -271,47 +272,49 @@
 /* Events. */
 
 static void
-finish (struct clm *c, const struct clm_request *ask)
+finish (struct clm *c, const struct clm_request *request)
 {
-  struct tbl_rec *r = tbl_find (&c->table, ask->key, ask->attempt);
-  struct waiter w = { .ask = *ask };
+  struct tbl_rec *r = tbl_find (&c->table, request->key, request->attempt);
+  struct waiter w = { .request = *request };
 
-  if (r && r->state == TBL_TAKEN)
-    tbl_store_response (&c->table, r, ask->response_status, ask->response);
+  if (r && r->state == TBL_ACQUIRED)
+    tbl_store_response (&c->table, r, request->response_status,
+                        request->response);
   core_reply (c, &w, CLM_ACKNOWLEDGED, NULL);
 }
 
 static struct waiter *
-new_waiter (const struct clm_request *ask, clk_ms now)
+new_waiter (const struct clm_request *request, clk_ms now)
 {
   struct waiter *w = xcalloc (1, sizeof *w);
 
-  w->ask = *ask;
-  w->ask.response = STR_EMPTY;
-  w->deadline = now + (ask->wait_ms ? ask->wait_ms : CLM_DEFAULT_WAIT_MS);
+  w->request = *request;
+  w->request.response = STR_EMPTY;
+  w->deadline
+      = now + (request->wait_ms ? request->wait_ms : CLM_DEFAULT_WAIT_MS);
   return w;
 }
 
 void
-clm_request (struct clm *c, clk_ms now, const struct clm_request *ask)
+clm_request (struct clm *c, clk_ms now, const struct clm_request *request)
 {
-  struct shard *s = &c->shards[clm_shard (ask->key)];
+  struct shard *s = &c->shards[clm_shard (request->key)];
   struct waiter *w;
   struct decision_result d;
 
   free_fetched_actions (c);
-  if (ask->kind == CLM_FINISH)
+  if (request->kind == CLM_FINISH)
     {
-      finish (c, ask);
+      finish (c, request);
       return;
     }
   tbl_expire (&c->table, now);
-  w = new_waiter (ask, now);
+  w = new_waiter (request, now);
   d = decide (c, s, w, now);
   if (d.what == DECIDE_REPLY)
     core_reply (c, w, d.verdict, d.holder);
   else if (s->waiting.n >= CORE_MAX_WAITING
-           || (ask->kind == CLM_ACQUIRE && core_store_down (c)))
+           || (request->kind == CLM_ACQUIRE && core_store_down (c)))
     {
       core_reply_unavailable (c, s, w);
       c->probe_shard = (int)s->no;
@@ -324,7 +327,7 @@
         c->next_deadline = w->deadline;
       s->needs_read |= d.what == DECIDE_READ;
       waiter_append (&s->waiting, w);
-      c->counts.releases += ask->kind == CLM_RELEASE;
+      c->counts.releases += request->kind == CLM_RELEASE;
     }
   run_shards (c, now);
 }
@@ -335,11 +338,11 @@
 {
   free_fetched_actions (c);
   if (token == c->lease.token && token != 0)
-    core_lease_answer (c, now, r);
+    core_on_lease_response (c, now, r);
   for (unsigned i = 0; i < CLM_SHARDS; i++)
     if (c->shards[i].op != OP_NONE && c->shards[i].token == token)
       {
-        shard_answer (c, &c->shards[i], now, r);
+        shard_on_response (c, &c->shards[i], now, r);
         break;
       }
   run_shards (c, now);
@@ -365,23 +368,23 @@
 clm_next_wakeup (const struct clm *c)
 {
   clk_ms wake = any_waiter (c) ? c->next_deadline : CLK_NEVER;
-  clk_ms call = c->nfailures ? c->probe_at : 0;
+  clk_ms next_call = c->nfailures ? c->probe_at : 0;
   unsigned normal;
 
   /* The response to the open call will trigger the next event. */
   if (c->lease.token || (c->nfailures && core_open_calls (c, &normal)))
     return wake;
-  if (c->probe_shard >= 0 && c->nfailures && call < wake)
-    wake = call;
+  if (c->probe_shard >= 0 && c->nfailures && next_call < wake)
+    wake = next_call;
   for (unsigned i = 0; i < CLM_SHARDS; i++)
     {
       const struct shard *s = &c->shards[i];
-      bool reads = s->write == c->chart.uncertain || !s->has_all;
+      bool reads = s->write_state == c->chart.uncertain || !s->has_all;
       clk_ms at = reads ? s->next_read : s->next_write;
       if (!shard_has_work (c, s))
         continue;
-      if (at < call)
-        at = call;
+      if (at < next_call)
+        at = next_call;
       if (!reads && !c->lease.id && at < c->lease.next_request)
         at = c->lease.next_request;
       if (at < wake)
--- a/claim/claim.h
+++ b/claim/claim.h
@@ -81,7 +81,7 @@
 #define CLM_DEFAULT_GAP_MS ((clk_ms)50)
 
 /** Default for the maximum number of claims in memory; more are refused. */
-#define CLM_MAX_CLAIMS ((size_t)1 << 20)
+#define CLM_DEFAULT_MAX_CLAIMS ((size_t)1 << 20)
 
 /** A claim whose outcome is unknown is reported as running for this long. */
 #define CLM_RUNNING_MS (2 * CLK_MINUTE)
@@ -160,15 +160,15 @@
   uint64_t boot;             /**< random; must be unique to each process */
   clk_ms gap_ms;             /**< minimum between transactions of a shard; 0:
                                 CLM_DEFAULT_GAP_MS */
-  size_t max_claims;         /**< 0: CLM_MAX_CLAIMS */
+  size_t max_claims;         /**< 0: CLM_DEFAULT_MAX_CLAIMS */
 };
 
 /** Counters since the start, for metrics and benchmarks. */
 struct clm_stats
 {
   uint64_t txns, conflicts, uncertain, reads, whole_reads;
-  uint64_t settled_found;  /**< uncertain writes that were found applied */
-  uint64_t settled_absent; /**< uncertain writes that were sent again */
+  uint64_t resolved_applied; /**< uncertain writes that were found applied */
+  uint64_t resolved_absent;  /**< uncertain writes that were sent again */
   uint64_t batch_records, batch_bytes;
   uint64_t granted, refused, unavailable, releases, late_releases;
 };
@@ -180,7 +180,8 @@
 
 /** Change the window for new claims. */
 void clm_set_window (struct clm *c, clk_ms window);
-void clm_request (struct clm *c, clk_ms now, const struct clm_request *ask);
+void clm_request (struct clm *c, clk_ms now,
+                  const struct clm_request *request);
 void clm_on_store_response (struct clm *c, clk_ms now, uint64_t token,
                             const struct store_result *r);
 void clm_tick (struct clm *c, clk_ms now);
--- a/claim/core.h
+++ b/claim/core.h
@@ -26,7 +26,7 @@
 /** A request that is not decided yet, or a release that the core queued. */
 struct waiter
 {
-  struct clm_request ask;
+  struct clm_request request;
   clk_ms deadline;
   bool replied;
   struct tbl_rec *rec; /**< set while in a batch */
@@ -52,10 +52,10 @@
   unsigned no;
   struct waiter_list waiting;
   struct waiter_list batch; /**< of the write that is not settled */
-  int write;                /**< state of chart "store-write" */
+  int write_state;          /**< state of chart "store-write" */
   bool response_lost;       /**< of this write, which may be applied later */
   clk_ms formed_at;
-  struct bat_name name;
+  struct bat_name batch_name;
   struct buf head_key, head_value, batch_key, value, range_key, range_end;
   struct store_compare compare;
   struct store_put puts[2];
@@ -66,7 +66,7 @@
   bool is_probe; /**< the open call was started while the store was down */
 
   bool has_all;        /**< the table holds every claim up to `head` */
-  int64_t head;        /**< mod_revision of the head key, 0: none */
+  int64_t head_rev;    /**< mod_revision of the head key, 0: none */
   clk_ms confirmed_at; /**< `head` was current at this time or later */
   bool needs_read;     /**< a request needs a newer read */
   clk_ms next_write;
@@ -152,8 +152,8 @@
 
 /** Returns true if there is a usable lease; otherwise requests one. */
 bool core_ensure_lease (struct clm *c, clk_ms now);
-void core_lease_answer (struct clm *c, clk_ms now,
-                        const struct store_result *r);
+void core_on_lease_response (struct clm *c, clk_ms now,
+                             const struct store_result *r);
 clk_ms core_claim_expiry (const struct clm *c, clk_ms now);
 
 /* decide.c */
@@ -183,8 +183,8 @@
 
 /** Start the store call that can start now, if any. */
 void shard_start_call (struct clm *c, struct shard *s, clk_ms now);
-void shard_answer (struct clm *c, struct shard *s, clk_ms now,
-                   const struct store_result *r);
+void shard_on_response (struct clm *c, struct shard *s, clk_ms now,
+                        const struct store_result *r);
 
 /** Start a read without waiting requests, to check if the store is back. */
 void shard_probe (struct clm *c, struct shard *s, clk_ms now);
--- a/claim/decide.c
+++ b/claim/decide.c
@@ -38,7 +38,7 @@
   if (!holder->response && !core_store_down (c)
       && now - s->confirmed_at > CORE_FRESH_MS)
     return without_verdict (DECIDE_READ);
-  if (memcmp (holder->fingerprint, w->ask.fingerprint, 16) != 0)
+  if (memcmp (holder->fingerprint, w->request.fingerprint, 16) != 0)
     return reply_with (CLM_MISMATCH, holder);
   if (holder->response)
     return reply_with (CLM_COMPLETED, holder);
@@ -66,7 +66,7 @@
     return reply_with (CLM_UNAVAILABLE, NULL);
   if (now - own->written_at < CLM_REUSE_MS)
     return reply_with (CLM_GRANTED, NULL);
-  holder = tbl_holder (&c->table, w->ask.key, w->ask.attempt);
+  holder = tbl_holder (&c->table, w->request.key, w->request.attempt);
   return holder ? decide_held (c, s, w, holder, now)
                 : without_verdict (DECIDE_WRITE);
 }
@@ -75,12 +75,12 @@
 decide (struct clm *c, const struct shard *s, const struct waiter *w,
         clk_ms now)
 {
-  const uint8_t *key = w->ask.key;
-  const uint8_t *attempt = w->ask.attempt;
+  const uint8_t *key = w->request.key;
+  const uint8_t *attempt = w->request.attempt;
   const struct tbl_rec *own = tbl_find (&c->table, key, attempt);
   const struct tbl_rec *holder;
 
-  if (w->ask.kind == CLM_RELEASE)
+  if (w->request.kind == CLM_RELEASE)
     return decide_release (own);
   if (own)
     return decide_repeated (c, s, w, own, now);
--- a/claim/shard.c
+++ b/claim/shard.c
@@ -30,12 +30,12 @@
 static void
 apply_event (struct clm *c, struct shard *s, int event)
 {
-  int next = chart_step (c->chart.chart, s->write, event);
+  int next = chart_step (c->chart.chart, s->write_state, event);
 
   /* Only a bug in this file can cause a refused event. */
   if (next == CHART_REFUSED)
     abort ();
-  s->write = next;
+  s->write_state = next;
 }
 
 void
@@ -43,7 +43,7 @@
 {
   memset (s, 0, sizeof *s);
   s->no = no;
-  s->write = c->chart.idle;
+  s->write_state = c->chart.idle;
   s->confirmed_at = INT64_MIN / 2;
   s->next_write = s->next_read = INT64_MIN / 2;
   bat_head_key (&s->head_key, c->opt.prefix, no);
@@ -73,7 +73,8 @@
 shard_has_work (const struct clm *c, const struct shard *s)
 {
   return s->op == OP_NONE
-         && (s->write == c->chart.uncertain || s->batch.n || s->waiting.n);
+         && (s->write_state == c->chart.uncertain || s->batch.n
+             || s->waiting.n);
 }
 
 /* Calls. */
@@ -98,7 +99,7 @@
   struct clm_action *a = begin_call (c, s, op, now);
 
   bat_range (&s->range_key, &s->range_end, c->opt.prefix, s->no,
-             s->has_all ? s->head : 0);
+             s->has_all ? s->head_rev : 0);
   a->key = buf_str (&s->range_key);
   a->end = buf_str (&s->range_end);
   s->needs_read = false;
@@ -113,7 +114,8 @@
 
   apply_event (c, s, c->chart.ev_write);
   a = begin_call (c, s, OP_TXN, now);
-  s->compare = (struct store_compare){ buf_str (&s->head_key), s->name.base };
+  s->compare
+      = (struct store_compare){ buf_str (&s->head_key), s->batch_name.base };
   s->puts[0] = (struct store_put){ buf_str (&s->head_key),
                                    buf_str (&s->head_value), 0 };
   s->puts[1] = (struct store_put){ buf_str (&s->batch_key),
@@ -131,17 +133,19 @@
 static void
 add_to_batch (struct clm *c, struct shard *s, struct waiter *w, clk_ms now)
 {
-  struct bat_record r = { .kind = w->ask.kind };
-  struct tbl_rec *rec = tbl_find (&c->table, w->ask.key, w->ask.attempt);
+  struct bat_record r = { .kind = w->request.kind };
+  struct tbl_rec *rec
+      = tbl_find (&c->table, w->request.key, w->request.attempt);
 
-  memcpy (r.key, w->ask.key, 16);
-  memcpy (r.attempt, w->ask.attempt, 16);
-  memcpy (r.fingerprint, w->ask.fingerprint, 16);
+  memcpy (r.key, w->request.key, 16);
+  memcpy (r.attempt, w->request.attempt, 16);
+  memcpy (r.fingerprint, w->request.fingerprint, 16);
   bat_add (&s->value, &r);
   if (!rec)
-    rec = tbl_add (&c->table, w->ask.key, w->ask.attempt, w->ask.fingerprint,
-                   now, core_claim_expiry (c, now));
-  rec->pending = w->ask.kind == CLM_ACQUIRE ? TBL_PEND_TAKE : TBL_PEND_RELEASE;
+    rec = tbl_add (&c->table, w->request.key, w->request.attempt,
+                   w->request.fingerprint, now, core_claim_expiry (c, now));
+  rec->pending
+      = w->request.kind == CLM_ACQUIRE ? TBL_PEND_ACQUIRE : TBL_PEND_RELEASE;
   w->rec = rec;
   waiter_append (&s->batch, w);
 }
@@ -151,7 +155,7 @@
  * write is set, add those that need a write to the batch.
  */
 static void
-decide_waiting (struct clm *c, struct shard *s, clk_ms now, bool write)
+decide_waiting (struct clm *c, struct shard *s, clk_ms now, bool may_write)
 {
   struct waiter_list all = s->waiting;
 
@@ -168,7 +172,7 @@
           continue;
         }
       s->needs_read |= d.what == DECIDE_READ;
-      if (write && d.what == DECIDE_WRITE && s->batch.n < BAT_MAX_RECORDS)
+      if (may_write && d.what == DECIDE_WRITE && s->batch.n < BAT_MAX_RECORDS)
         add_to_batch (c, s, w, now);
       else
         waiter_append (&s->waiting, w);
@@ -184,12 +188,12 @@
     return;
   s->response_lost = false;
   s->formed_at = now;
-  s->write = chart_initial (c->chart.chart);
-  s->name = (struct bat_name){ s->head, c->opt.boot, ++c->last_seq };
-  bat_key (&s->batch_key, c->opt.prefix, s->no, &s->name);
+  s->write_state = chart_initial (c->chart.chart);
+  s->batch_name = (struct bat_name){ s->head_rev, c->opt.boot, ++c->last_seq };
+  bat_key (&s->batch_key, c->opt.prefix, s->no, &s->batch_name);
   buf_clear (&s->head_value);
   buf_addf (&s->head_value, "%016llx-%llu", (unsigned long long)c->opt.boot,
-            (unsigned long long)s->name.seq);
+            (unsigned long long)s->batch_name.seq);
   c->counts.batch_records += s->batch.n;
   c->counts.batch_bytes += s->value.len;
 }
@@ -199,11 +203,11 @@
 {
   if (!shard_has_work (c, s) || !core_may_call (c, now))
     return;
-  if (s->write == c->chart.uncertain || (!s->batch.n && !s->has_all))
+  if (s->write_state == c->chart.uncertain || (!s->batch.n && !s->has_all))
     {
       if (now < s->next_read)
         return;
-      if (s->write == c->chart.uncertain)
+      if (s->write_state == c->chart.uncertain)
         apply_event (c, s, c->chart.ev_read);
       begin_read (c, s, now);
       return;
@@ -228,17 +232,17 @@
 void
 shard_probe (struct clm *c, struct shard *s, clk_ms now)
 {
-  if (s->op == OP_NONE && s->write != c->chart.uncertain && !s->batch.n)
+  if (s->op == OP_NONE && s->write_state != c->chart.uncertain && !s->batch.n)
     begin_read (c, s, now);
 }
 
 /* Outcome of a batch. */
 
 static void
-finish_take (struct clm *c, struct shard *s, struct waiter *w, clk_ms now)
+finish_acquire (struct clm *c, struct shard *s, struct waiter *w, clk_ms now)
 {
   if (w->rec->state == TBL_NONE)
-    w->rec->state = TBL_TAKEN;
+    w->rec->state = TBL_ACQUIRED;
   w->rec->written_at = s->formed_at;
   if (w->replied)
     return;
@@ -255,9 +259,9 @@
     {
       w->rec->pending = TBL_PEND_NONE;
       tbl_refresh (&c->table, w->rec, now, core_claim_expiry (c, now));
-      if (w->ask.kind == CLM_ACQUIRE)
+      if (w->request.kind == CLM_ACQUIRE)
         {
-          finish_take (c, s, w, now);
+          finish_acquire (c, s, w, now);
           continue;
         }
       w->rec->state = TBL_RELEASED;
@@ -268,7 +272,7 @@
 
 /** The batch can never be applied: its requests wait again. */
 static void
-void_batch (struct clm *c, struct shard *s)
+requeue_batch (struct clm *c, struct shard *s)
 {
   struct waiter_list later = s->waiting;
 
@@ -279,7 +283,7 @@
       if (w->rec->state == TBL_NONE)
         tbl_remove (&c->table, w->rec);
       w->rec = NULL;
-      if (w->replied && w->ask.kind == CLM_ACQUIRE)
+      if (w->replied && w->request.kind == CLM_ACQUIRE)
         free (w);
       else
         waiter_append (&s->waiting, w);
@@ -303,13 +307,13 @@
   if (b->kind == CLM_RELEASE)
     r->state = TBL_RELEASED;
   else if (r->state == TBL_NONE)
-    r->state = TBL_TAKEN;
+    r->state = TBL_ACQUIRED;
 }
 
 struct range_result
 {
-  int64_t head;
-  bool own;      /**< the batch of this write was found */
+  int64_t head_rev;
+  bool has_own_batch; /**< the batch of this write was found */
   bool chained;  /**< no batch is missing between the old and the new head */
   bool readable; /**< every value could be decoded */
 };
@@ -320,7 +324,7 @@
              clk_ms now)
 {
   struct range_result found = { .chained = true, .readable = true };
-  int64_t at = s->head;
+  int64_t next_base = s->head_rev;
 
   for (size_t i = 0; i < r->nkvs; i++)
     {
@@ -329,14 +333,15 @@
       struct bat_record rec;
       size_t n;
       if (str_eq (kv->key, buf_str (&s->head_key)))
-        found.head = kv->mod_rev;
+        found.head_rev = kv->mod_rev;
       if (!bat_parse_key (kv->key, &name))
         continue;
-      found.chained &= name.base == at;
-      at = kv->mod_rev;
-      if (s->batch.n && name.boot == s->name.boot && name.seq == s->name.seq)
+      found.chained &= name.base == next_base;
+      next_base = kv->mod_rev;
+      if (s->batch.n && name.boot == s->batch_name.boot
+          && name.seq == s->batch_name.seq)
         {
-          found.own = true;
+          found.has_own_batch = true;
           continue;
         }
       if (!bat_count (kv->value, &n))
@@ -350,7 +355,7 @@
           merge_record (c, &rec, now);
         }
     }
-  found.chained &= at == found.head;
+  found.chained &= next_base == found.head_rev;
   return found;
 }
 
@@ -358,29 +363,29 @@
 resolve_by_read (struct clm *c, struct shard *s,
                  const struct range_result *found, clk_ms now)
 {
-  if (found->own)
+  if (found->has_own_batch)
     {
       apply_event (c, s, c->chart.ev_found);
-      c->counts.settled_found += s->response_lost;
+      c->counts.resolved_applied += s->response_lost;
       finish_batch (c, s, now);
     }
-  else if (found->head == s->name.base)
+  else if (found->head_rev == s->batch_name.base)
     {
       apply_event (c, s, c->chart.ev_absent);
-      c->counts.settled_absent++;
+      c->counts.resolved_absent++;
     }
   else
     {
       apply_event (c, s, c->chart.ev_moved);
-      void_batch (c, s);
+      requeue_batch (c, s);
     }
 }
 
 static void
-read_answer (struct clm *c, struct shard *s, enum shard_op op, clk_ms now,
-             const struct store_result *r)
+on_read_response (struct clm *c, struct shard *s, enum shard_op op, clk_ms now,
+                  const struct store_result *r)
 {
-  bool settling = s->write == c->chart.settling;
+  bool settling = s->write_state == c->chart.settling;
   struct range_result found;
 
   if (r->status == STORE_OVER_BUDGET)
@@ -406,22 +411,22 @@
       return;
     }
   s->has_all = op == OP_READ_ALL || found.chained;
-  s->head = found.head;
+  s->head_rev = found.head_rev;
   s->confirmed_at = s->sent_at;
   if (settling)
     resolve_by_read (c, s, &found, now);
 }
 
 static void
-txn_answer (struct clm *c, struct shard *s, clk_ms now,
-            const struct store_result *r)
+on_txn_response (struct clm *c, struct shard *s, clk_ms now,
+                 const struct store_result *r)
 {
   switch (r->status)
     {
     case STORE_OK:
       core_call_succeeded (c);
       apply_event (c, s, c->chart.ev_applied);
-      s->head = r->revision;
+      s->head_rev = r->revision;
       s->confirmed_at = s->sent_at;
       finish_batch (c, s, now);
       return;
@@ -449,20 +454,20 @@
   apply_event (c, s, c->chart.ev_unsent);
   /* This copy was not applied; an earlier one may still be in flight. */
   if (!s->response_lost)
-    void_batch (c, s);
+    requeue_batch (c, s);
 }
 
 void
-shard_answer (struct clm *c, struct shard *s, clk_ms now,
-              const struct store_result *r)
+shard_on_response (struct clm *c, struct shard *s, clk_ms now,
+                   const struct store_result *r)
 {
   enum shard_op op = s->op;
 
   s->op = OP_NONE;
   if (op == OP_TXN)
-    txn_answer (c, s, now, r);
+    on_txn_response (c, s, now, r);
   else
-    read_answer (c, s, op, now, r);
+    on_read_response (c, s, op, now, r);
   if (s->waiting.n)
     decide_waiting (c, s, now, false);
 }
--- a/claim/table.c
+++ b/claim/table.c
@@ -53,7 +53,7 @@
 
   for (struct tbl_rec *r = t->buckets[bucket_of (t, key)]; r; r = r->chain)
     if (same_id (r->key, key) && !same_id (r->attempt, attempt)
-        && r->state == TBL_TAKEN && (!found || r->response))
+        && r->state == TBL_ACQUIRED && (!found || r->response))
       found = r;
   return found;
 }
@@ -64,7 +64,7 @@
 {
   for (struct tbl_rec *r = t->buckets[bucket_of (t, key)]; r; r = r->chain)
     if (same_id (r->key, key) && !same_id (r->attempt, attempt)
-        && r->pending == TBL_PEND_TAKE)
+        && r->pending == TBL_PEND_ACQUIRE)
       return true;
   return false;
 }
--- a/claim/table.h
+++ b/claim/table.h
@@ -15,16 +15,16 @@
 /** State of an attempt in the store, as far as read or written. */
 enum tbl_state
 {
-  TBL_NONE,    /**< no record yet; only `pending` applies */
-  TBL_TAKEN,   /**< the call may have been sent */
-  TBL_RELEASED /**< certainly not executed and never will be */
+  TBL_NONE,     /**< no record yet; only `pending` applies */
+  TBL_ACQUIRED, /**< the call may have been sent */
+  TBL_RELEASED  /**< certainly not executed and never will be */
 };
 
 /** Pending write of an attempt. */
 enum tbl_pending
 {
   TBL_PEND_NONE,
-  TBL_PEND_TAKE,
+  TBL_PEND_ACQUIRE,
   TBL_PEND_RELEASE
 };
 
--- a/replica/budget.c
+++ b/replica/budget.c
@@ -5,21 +5,22 @@
 /* A load that exceeds its expected time by this factor loses its slot, so that
    one stuck VM does not block the whole domain. */
 #define SLOT_MAX_FACTOR 4
-#define SLOT_MIN_MS ((clk_ms)60000)
+#define SLOT_EXTRA_MS ((clk_ms)60000)
 
 void
-bud_set_live_count (struct rep *r, struct str model, unsigned live)
+bud_set_complete_count (struct rep *r, struct str model, unsigned ncomplete)
 {
-  for (size_t i = 0; i < r->nlive_counts; i++)
-    if (str_is (model, r->live_counts[i].model))
+  for (size_t i = 0; i < r->ncomplete_counts; i++)
+    if (str_is (model, r->complete_counts[i].model))
       {
-        r->live_counts[i].live = live;
+        r->complete_counts[i].live = ncomplete;
         return;
       }
-  r->live_counts = xrealloc (r->live_counts,
-                             (r->nlive_counts + 1) * sizeof *r->live_counts);
-  r->live_counts[r->nlive_counts++]
-      = (struct rep_live_count){ str_dup (model), live };
+  r->complete_counts
+      = xrealloc (r->complete_counts,
+                  (r->ncomplete_counts + 1) * sizeof *r->complete_counts);
+  r->complete_counts[r->ncomplete_counts++]
+      = (struct rep_complete_count){ str_dup (model), ncomplete };
 }
 
 clk_ms
@@ -33,7 +34,7 @@
 /* Complete replicas of the model, in all domains if the caller reported their
    number, plus those that are loading here, as they will be complete soon. */
 static unsigned
-count_live (const struct rep *r, const struct cfg_model *m)
+count_complete_or_loading (const struct rep *r, const struct cfg_model *m)
 {
   unsigned complete = 0, loading = 0;
 
@@ -43,9 +44,9 @@
         complete += r->replicas[i].complete;
         loading += r->replicas[i].has_slot;
       }
-  for (size_t i = 0; i < r->nlive_counts; i++)
-    if (str_is (m->name, r->live_counts[i].model))
-      complete = r->live_counts[i].live;
+  for (size_t i = 0; i < r->ncomplete_counts; i++)
+    if (str_is (m->name, r->complete_counts[i].model))
+      complete = r->complete_counts[i].live;
   return complete + loading;
 }
 
@@ -76,7 +77,7 @@
 static bool
 slot_expired (const struct rep *r, clk_ms now, const struct rep_replica *p)
 {
-  clk_ms limit_ms = SLOT_MIN_MS;
+  clk_ms limit_ms = SLOT_EXTRA_MS;
 
   if (!can_load (r, now, p))
     return true;
@@ -88,8 +89,8 @@
 loads_before (const struct rep *r, const struct rep_replica *a,
               const struct rep_replica *b)
 {
-  unsigned live_a = count_live (r, a->model);
-  unsigned live_b = count_live (r, b->model);
+  unsigned live_a = count_complete_or_loading (r, a->model);
+  unsigned live_b = count_complete_or_loading (r, b->model);
 
   if (live_a != live_b)
     return live_a < live_b;
@@ -101,7 +102,8 @@
 
 /* Expected time to load the weights that its members don't hold yet. */
 static clk_ms
-missing_load_ms (const struct rep *r, clk_ms now, const struct rep_replica *p)
+remaining_load_ms (const struct rep *r, clk_ms now,
+                   const struct rep_replica *p)
 {
   clk_ms all = bud_load_ms (r, p->model);
   size_t n = 0;
@@ -116,7 +118,7 @@
 {
   p->has_slot = true;
   p->slot_since = now;
-  p->expected_load_ms = missing_load_ms (r, now, p);
+  p->expected_load_ms = remaining_load_ms (r, now, p);
 }
 
 /*
--- a/replica/change.c
+++ b/replica/change.c
@@ -7,7 +7,7 @@
 {
   r->call = call;
   r->call_at = now;
-  r->call_token = ++r->tokens;
+  r->call_token = ++r->last_token;
   return r->call_token;
 }
 
@@ -21,25 +21,26 @@
 }
 
 void
-chg_set_doc (struct rep *r, clk_ms now, struct str value, int64_t mod_rev)
+chg_set_assignment (struct rep *r, clk_ms now, struct str value,
+                    int64_t mod_rev)
 {
-  struct asn doc = { 0 };
+  struct asn assignment = { 0 };
 
   r->read_at = now;
-  r->doc_fresh = true;
-  if (r->has_doc && mod_rev == r->mod_rev)
+  r->assignment_fresh = true;
+  if (r->has_assignment && mod_rev == r->mod_rev)
     return;
   /* A document that can't be parsed or contains a VM twice is left for an
      operator: acting on part of it could assign a VM twice. */
-  r->doc_invalid = mod_rev && !asn_parse (value, &doc);
-  if (r->doc_invalid)
+  r->assignment_invalid = mod_rev && !asn_parse (value, &assignment);
+  if (r->assignment_invalid)
     {
-      r->has_doc = r->doc_fresh = false;
+      r->has_assignment = r->assignment_fresh = false;
       return;
     }
-  asn_free (&r->doc);
-  r->doc = doc;
-  r->has_doc = true;
+  asn_free (&r->assignment);
+  r->assignment = assignment;
+  r->has_assignment = true;
   r->mod_rev = mod_rev;
   rep_rebuild (r, now);
 }
@@ -50,9 +51,9 @@
   if (res->status != STORE_OK)
     r->read_at = now - REP_READ_MS + REP_STORE_RETRY_MS;
   else if (res->nkvs)
-    chg_set_doc (r, now, res->kvs[0].value, res->kvs[0].mod_rev);
+    chg_set_assignment (r, now, res->kvs[0].value, res->kvs[0].mod_rev);
   else
-    chg_set_doc (r, now, STR_EMPTY, 0);
+    chg_set_assignment (r, now, STR_EMPTY, 0);
 }
 
 /* Without a delay, an owner that lost its key would write on every tick. */
@@ -69,9 +70,9 @@
   switch (res->status)
     {
     case STORE_OK:
-      asn_free (&r->doc);
-      r->doc = r->next;
-      r->next = (struct asn){ 0 };
+      asn_free (&r->assignment);
+      r->assignment = r->proposed;
+      r->proposed = (struct asn){ 0 };
       r->mod_rev = res->revision;
       r->read_at = now;
       rep_rebuild (r, now);
@@ -82,14 +83,14 @@
          read the current document.  A lost write that is applied later
          compares the same revision as the next write of this node, so only one
          of the two can take effect. */
-      r->doc_fresh = false;
+      r->assignment_fresh = false;
       chg_read (r, now);
       delay_next_change (r, now);
       break;
     default:
       delay_next_change (r, now);
     }
-  asn_free (&r->next);
+  asn_free (&r->proposed);
   for (size_t i = 0; i < r->nreplicas; i++)
     if (r->replicas[i].state == RST_FORMING)
       evd_apply_event (r, &r->replicas[i], "refused");
@@ -113,7 +114,7 @@
 void
 chg_tick (struct rep *r, clk_ms now)
 {
-  clk_ms period = r->owner ? REP_READ_MS : REP_IDLE_READ_MS;
+  clk_ms period = r->owner ? REP_READ_MS : REP_NON_OWNER_READ_MS;
   struct store_result lost = { .status = STORE_UNCERTAIN };
 
   if (r->call != RCALL_NONE && now - r->call_at >= REP_CALL_TIMEOUT_MS)
@@ -133,13 +134,14 @@
 {
   struct rep_action *a;
 
-  asn_free (&r->next);
-  r->next = *next;
-  buf_clear (&r->next_text);
-  asn_print (&r->next, &r->next_text);
+  asn_free (&r->proposed);
+  r->proposed = *next;
+  buf_clear (&r->proposed_text);
+  asn_print (&r->proposed, &r->proposed_text);
   r->compares[0] = (struct store_compare){ buf_str (&r->key), r->mod_rev };
   r->compares[1] = (struct store_compare){ buf_str (&r->owner_key), r->fence };
-  r->put = (struct store_put){ buf_str (&r->key), buf_str (&r->next_text), 0 };
+  r->put = (struct store_put){ buf_str (&r->key), buf_str (&r->proposed_text),
+                               0 };
   a = rep_push (r, REP_STORE_TXN);
   a->token = new_call (r, now, RCALL_CHANGE);
   a->key = buf_str (&r->key);
@@ -165,9 +167,9 @@
   bool as_owner = false;
   bool changed;
 
-  if (!r->doc_fresh || r->call != RCALL_NONE || now < r->next_change)
+  if (!r->assignment_fresh || r->call != RCALL_NONE || now < r->next_change)
     return;
-  asn_copy (&r->doc, &next);
+  asn_copy (&r->assignment, &next);
   changed = drn_apply_requests (r, &next);
   if (!changed && r->owner && now >= r->settle_until)
     changed = as_owner = decide_as_owner (r, now, &next);
--- a/replica/core.h
+++ b/replica/core.h
@@ -32,7 +32,7 @@
 #define REP_ADOPT_MS ((clk_ms)60000)
 /** Interval of reading the assignment, on the owner and on other nodes. */
 #define REP_READ_MS ((clk_ms)2000)
-#define REP_IDLE_READ_MS ((clk_ms)10000)
+#define REP_NON_OWNER_READ_MS ((clk_ms)10000)
 #define REP_ORDER_RETRY_MS ((clk_ms)2000)
 #define REP_STORE_RETRY_MS ((clk_ms)1000)
 /** Timeout of a store call or an order. */
@@ -55,8 +55,8 @@
 struct rep_vm
 {
   const struct cfg_vm *cfg;
-  bool answered;
-  clk_ms answered_at;
+  bool responded;
+  clk_ms responded_at;
   unsigned failures;     /* consecutive */
   clk_ms missing_since;  /* first failed probe after a success; 0: none */
   clk_ms idle_since;     /* start of the period without load; 0: has load */
@@ -84,7 +84,7 @@
   clk_ms drain_since;
   clk_ms down_since;
   clk_ms probed_at;
-  uint32_t load;
+  uint32_t inflight_tokens;
   bool has_slot; /* may load weights (load budget) */
   clk_ms slot_since;
   clk_ms expected_load_ms;
@@ -96,7 +96,7 @@
   bool on;
 };
 
-struct rep_live_count
+struct rep_complete_count
 {
   char *model;
   unsigned live;
@@ -122,19 +122,20 @@
   struct rep_replica *replicas;
   size_t nreplicas;
 
-  struct asn doc;
-  bool has_doc;
-  bool doc_fresh;   /* read since this node became owner and since the last
-                       write with an unknown outcome; else it is not acted on */
-  bool doc_invalid; /* no change is written and no order sent */
+  struct asn assignment;
+  bool has_assignment;
+  bool
+      assignment_fresh; /* read since this node became owner and since the last
+                    write with an unknown outcome; else it is not acted on */
+  bool assignment_invalid; /* no change is written and no order sent */
   int64_t mod_rev;
   clk_ms read_at;
   enum rep_call call;
   uint64_t call_token;
   clk_ms call_at;
   clk_ms next_change;
-  struct asn next; /* proposed; valid until the store's response */
-  struct buf next_text;
+  struct asn proposed; /* proposed; valid until the store's response */
+  struct buf proposed_text;
   struct store_compare compares[2];
   struct store_put put;
 
@@ -147,14 +148,14 @@
 
   clk_ms outage_until; /* no repairs before: most VMs were missing */
   bool may_load;
-  struct rep_live_count *live_counts;
-  size_t nlive_counts;
+  struct rep_complete_count *complete_counts;
+  size_t ncomplete_counts;
 
-  uint64_t tokens;
+  uint64_t last_token;
   struct rep_action *queue;
-  size_t head, count, cap;
+  size_t queue_read, queue_len, queue_cap;
   struct rep_view *views;
-  clk_ms measured_at;
+  clk_ms stats_at;
   double downtime, stranded;
 };
 
@@ -167,8 +168,8 @@
 struct rep_replica *rep_replica_by_name (const struct rep *r, struct str name);
 
 /* change.c */
-void chg_set_doc (struct rep *r, clk_ms now, struct str value,
-                  int64_t mod_rev);
+void chg_set_assignment (struct rep *r, clk_ms now, struct str value,
+                         int64_t mod_rev);
 void chg_read (struct rep *r, clk_ms now);
 void chg_on_response (struct rep *r, clk_ms now, uint64_t token,
                       const struct store_result *res);
@@ -205,8 +206,8 @@
 bool plc_repair (struct rep *r, clk_ms now, struct asn *next);
 bool plc_form (struct rep *r, clk_ms now, struct asn *next);
 /** A VM that can be assigned to a replica now, or NULL. */
-struct rep_vm *plc_find_spare (const struct rep *r, clk_ms now,
-                               const struct asn *doc);
+struct rep_vm *plc_find_free_vm (const struct rep *r, clk_ms now,
+                                 const struct asn *assignment);
 
 /* drain.c: each function returns whether it changed @p next. */
 bool drn_apply_requests (struct rep *r, struct asn *next);
@@ -218,7 +219,8 @@
 
 /* budget.c */
 void bud_tick (struct rep *r, clk_ms now);
-void bud_set_live_count (struct rep *r, struct str model, unsigned live);
+void bud_set_complete_count (struct rep *r, struct str model,
+                             unsigned ncomplete);
 /** Time to load all weights of a replica while no other replica loads. */
 clk_ms bud_load_ms (const struct rep *r, const struct cfg_model *m);
 
--- a/replica/drain.c
+++ b/replica/drain.c
@@ -67,7 +67,7 @@
 drn_update (struct rep *r, clk_ms now, struct rep_replica *p)
 {
   bool draining = is_drain_requested (r, p->name)
-                  || asn_is_drained (&r->doc, p->name)
+                  || asn_is_drained (&r->assignment, p->name)
                   || has_leaving_member (r, p) || !p->cfg;
 
   if (draining == p->draining)
@@ -84,15 +84,15 @@
 static bool
 is_idle (const struct rep *r, const struct rep_replica *p, clk_ms now)
 {
-  clk_ms informed_at = p->drain_since + REP_PROPAGATION_MS;
+  clk_ms propagated_at = p->drain_since + REP_PROPAGATION_MS;
 
   if (!p->complete)
-    return now >= informed_at || evd_member_missing (r, p, now);
+    return now >= propagated_at || evd_member_missing (r, p, now);
   for (size_t i = 0; i < p->nvms; i++)
     {
       const struct rep_vm *vm = &r->vms[p->vms[i]];
       clk_ms from
-          = vm->idle_since > informed_at ? vm->idle_since : informed_at;
+          = vm->idle_since > propagated_at ? vm->idle_since : propagated_at;
 
       if (!vm->idle_since || now - from < REP_IDLE_MS)
         return false;
@@ -203,7 +203,7 @@
             return true;
           continue;
         }
-      if (!old || !(spare = plc_find_spare (r, now, next)))
+      if (!old || !(spare = plc_find_free_vm (r, now, next)))
         continue;
       asn_set_joining (next, e, spare->cfg->name, str_from (old));
       return true;
--- a/replica/evidence.c
+++ b/replica/evidence.c
@@ -13,8 +13,8 @@
 bool
 evd_present (const struct rep_vm *vm, clk_ms now)
 {
-  return vm->answered && vm->failures < REP_MAX_FAILURES
-         && now - vm->answered_at < REP_PROBE_VALID_MS;
+  return vm->responded && vm->failures < REP_MAX_FAILURES
+         && now - vm->responded_at < REP_PROBE_VALID_MS;
 }
 
 bool
@@ -53,7 +53,7 @@
     {
       const struct rep_vm *vm = &r->vms[i];
 
-      if (!vm->answered || vm->reported.generation <= 0
+      if (!vm->responded || vm->reported.generation <= 0
           || vm->reported.generation < *generation
           || !evd_reports_ready (vm, now, replica, vm->reported.generation))
         continue;
@@ -121,15 +121,15 @@
 aggregate_members (const struct rep *r, struct rep_replica *p)
 {
   p->probed_at = p->nvms ? INT64_MAX : 0;
-  p->load = 0;
+  p->inflight_tokens = 0;
   for (size_t i = 0; i < p->nvms; i++)
     {
       const struct rep_vm *vm = &r->vms[p->vms[i]];
 
-      if (vm->answered_at < p->probed_at)
-        p->probed_at = vm->answered_at;
-      if (vm->reported.load > p->load)
-        p->load = vm->reported.load;
+      if (vm->responded_at < p->probed_at)
+        p->probed_at = vm->responded_at;
+      if (vm->reported.load > p->inflight_tokens)
+        p->inflight_tokens = vm->reported.load;
     }
 }
 
@@ -152,7 +152,7 @@
 static void
 apply_assignment (struct rep *r, struct rep_replica *p)
 {
-  const struct asn_entry *e = asn_find (&r->doc, p->name);
+  const struct asn_entry *e = asn_find (&r->assignment, p->name);
 
   if (!e)
     {
@@ -186,14 +186,14 @@
 {
   if (p->managed || !p->cfg)
     {
-      if (r->has_doc)
+      if (r->has_assignment)
         apply_assignment (r, p);
       else
         set_members_from_reports (r, now, p);
     }
   else if (p->nvms)
     p->generation = unmanaged_generation (r, p);
-  if (p->nvms && (!p->managed || !r->has_doc))
+  if (p->nvms && (!p->managed || !r->has_assignment))
     evd_apply_event (r, p, "assigned");
   aggregate_members (r, p);
   set_complete (r, now, p, all_members_ready (r, p, now));
--- a/replica/orders.c
+++ b/replica/orders.c
@@ -38,7 +38,8 @@
   p = rep_replica_by_name (r, vm->reported.replica);
   if (!p || !p->managed)
     return false;
-  if (!asn_find (&r->doc, p->name) && !asn_is_drained (&r->doc, p->name)
+  if (!asn_find (&r->assignment, p->name)
+      && !asn_is_drained (&r->assignment, p->name)
       && (now - r->owner_since < REP_ADOPT_MS || !p->model
           || evd_reporting (r, now, vm->reported.replica, vms, &generation)
                  >= p->model->vms))
@@ -103,7 +104,7 @@
 next_order_for (const struct rep *r, clk_ms now, const struct rep_vm *vm,
                 struct order *out)
 {
-  const struct asn_entry *e = asn_holder (&r->doc, vm->cfg->name);
+  const struct asn_entry *e = asn_holder (&r->assignment, vm->cfg->name);
   const struct rep_replica *p;
 
   if (!e)
@@ -120,7 +121,7 @@
 {
   struct rep_action *a = rep_push (r, REP_SEND_ORDER);
 
-  vm->order_token = ++r->tokens;
+  vm->order_token = ++r->last_token;
   vm->next_order = now + REP_CALL_TIMEOUT_MS;
   a->token = vm->order_token;
   a->vm = vm->cfg;
@@ -140,7 +141,7 @@
 {
   struct order o;
 
-  if (!r->owner || !r->doc_fresh || now < r->settle_until)
+  if (!r->owner || !r->assignment_fresh || now < r->settle_until)
     return;
   for (size_t i = 0; i < r->nvms; i++)
     {
--- a/replica/owner.c
+++ b/replica/owner.c
@@ -10,7 +10,7 @@
 
 /* Queue of actions until the caller fetches them.  One event adds at most
    three, so a full queue is a bug in the caller. */
-#define QUEUE 16
+#define QUEUE_SIZE 16
 
 /** Purpose of the store call in progress. */
 enum call
@@ -43,7 +43,7 @@
   clk_ms sent_at;
   struct store_compare compare;
   struct store_put put;
-  struct own_action queue[QUEUE];
+  struct own_action queue[QUEUE_SIZE];
   size_t head, count;
 };
 
@@ -77,9 +77,9 @@
 static struct own_action *
 push (struct own *o, enum own_action_kind kind)
 {
-  struct own_action *a = &o->queue[(o->head + o->count) % QUEUE];
+  struct own_action *a = &o->queue[(o->head + o->count) % QUEUE_SIZE];
 
-  if (o->count == QUEUE)
+  if (o->count == QUEUE_SIZE)
     abort ();
   o->count++;
   memset (a, 0, sizeof *a);
@@ -93,7 +93,7 @@
   if (!o->count)
     return false;
   *out = o->queue[o->head];
-  o->head = (o->head + 1) % QUEUE;
+  o->head = (o->head + 1) % QUEUE_SIZE;
   o->count--;
   return true;
 }
@@ -124,9 +124,9 @@
 static clk_ms
 retry_delay (struct own *o)
 {
-  clk_ms part = o->opt.ttl / RETRY_FRACTION;
+  clk_ms base = o->opt.ttl / RETRY_FRACTION;
 
-  return part + (clk_ms)rng_below (&o->rng, (uint64_t)part + 1);
+  return base + (clk_ms)rng_below (&o->rng, (uint64_t)base + 1);
 }
 
 static void
@@ -232,7 +232,7 @@
 }
 
 static bool
-is_ours (const struct own *o, const struct store_result *r)
+is_own_key (const struct own *o, const struct store_result *r)
 {
   return r->nkvs == 1 && r->kvs[0].lease == o->lease
          && str_eq (r->kvs[0].value, buf_str (&o->value));
@@ -285,7 +285,7 @@
 {
   if (r->status != STORE_OK)
     o->next_call = now + retry_delay (o);
-  else if (is_ours (o, r))
+  else if (is_own_key (o, r))
     on_acquired (o, now, r->kvs[0].create_rev);
   else if (r->nkvs)
     release (o, now, "failed");
@@ -322,7 +322,8 @@
 {
   if (r->status != STORE_OK)
     o->next_call = now + retry_delay (o);
-  else if (!is_ours (o, r) || (o->fence && r->kvs[0].create_rev != o->fence))
+  else if (!is_own_key (o, r)
+           || (o->fence && r->kvs[0].create_rev != o->fence))
     release (o, now, "gone");
   else
     on_acquired (o, now, r->kvs[0].create_rev);
--- a/replica/place.c
+++ b/replica/place.c
@@ -22,16 +22,16 @@
 {
   unsigned vms;
   unsigned missing;
-  unsigned spares; /* free VMs */
+  unsigned free_vms; /* free VMs */
   unsigned unloading;
   bool helps_another; /* its present VMs could repair another replica */
-  clk_ms absent_ms;   /* longest absence of a missing member */
+  clk_ms missing_ms;  /* longest absence of a missing member */
   bool no_return;
   clk_ms load_ms; /* time to load all weights */
 };
 
 static bool
-is_reserved (const struct rep *r, const struct rep_vm *vm)
+is_in_unmanaged_replica (const struct rep *r, const struct rep_vm *vm)
 {
   for (size_t i = 0; i < r->nreplicas; i++)
     {
@@ -48,15 +48,17 @@
    replicas.  It must also report that no weights are loaded, which completes
    its release from a previous replica. */
 static bool
-is_free (const struct rep *r, clk_ms now, const struct asn *doc,
+is_free (const struct rep *r, clk_ms now, const struct asn *assignment,
          const struct rep_vm *vm)
 {
   return evd_unloaded (vm, now) && !vm->leaving_platform
-         && !asn_holder (doc, vm->cfg->name) && !is_reserved (r, vm);
+         && !asn_holder (assignment, vm->cfg->name)
+         && !is_in_unmanaged_replica (r, vm);
 }
 
 struct rep_vm *
-plc_find_spare (const struct rep *r, clk_ms now, const struct asn *doc)
+plc_find_free_vm (const struct rep *r, clk_ms now,
+                  const struct asn *assignment)
 {
   struct rep_vm *found = NULL;
 
@@ -64,7 +66,7 @@
     {
       struct rep_vm *vm = &r->vms[i];
 
-      if (!is_free (r, now, doc, vm))
+      if (!is_free (r, now, assignment, vm))
         continue;
       if (vm->cfg->spare_only)
         return vm;
@@ -75,12 +77,12 @@
 }
 
 static unsigned
-count_free (const struct rep *r, clk_ms now, const struct asn *doc)
+count_free (const struct rep *r, clk_ms now, const struct asn *assignment)
 {
   unsigned n = 0;
 
   for (size_t i = 0; i < r->nvms; i++)
-    n += is_free (r, now, doc, &r->vms[i]);
+    n += is_free (r, now, assignment, &r->vms[i]);
   return n;
 }
 
@@ -90,11 +92,12 @@
 static double
 expected_return_s (const struct rep *r, const struct loss *l)
 {
-  clk_ms left = r->cfg->policy.vm_return_ms - l->absent_ms;
+  clk_ms remaining = r->cfg->policy.vm_return_ms - l->missing_ms;
 
   if (l->no_return)
     return (double)NO_RETURN_MS / 1000;
-  return (double)(left > l->absent_ms ? left : l->absent_ms) / 1000;
+  return (double)(remaining > l->missing_ms ? remaining : l->missing_ms)
+         / 1000;
 }
 
 /*
@@ -112,19 +115,19 @@
   double restart = (double)RESTART_MS / 1000;
   double reclaim = (double)RECLAIM_MS / 1000;
   double load = (double)l->load_ms / 1000;
-  double part = load * l->missing / l->vms + restart;
-  double left = l->vms - l->missing;
-  double wait = (return_s + part) * (down + held * left);
-  double replace = part * (down + held * l->vms);
+  double part_load = load * l->missing / l->vms + restart;
+  double present = l->vms - l->missing;
+  double wait = (return_s + part_load) * (down + held * present);
+  double replace = part_load * (down + held * l->vms);
   double reload = reclaim + load + restart;
   double dissolve = down * (return_s + reload) + held * l->vms * reload;
 
-  if (l->spares >= l->missing)
+  if (l->free_vms >= l->missing)
     return replace < wait ? REPAIR_REPLACE : REPAIR_WAIT;
-  if (l->spares + l->unloading >= l->missing)
+  if (l->free_vms + l->unloading >= l->missing)
     return REPAIR_WAIT;
   if (l->helps_another)
-    dissolve -= (return_s - part) * (down + held * left);
+    dissolve -= (return_s - part_load) * (down + held * present);
   return dissolve < wait ? REPAIR_DISSOLVE : REPAIR_WAIT;
 }
 
@@ -185,11 +188,11 @@
 }
 
 static struct loss
-assess (const struct rep *r, clk_ms now, const struct asn *next,
-        const struct asn_entry *e, const struct cfg_model *model)
+assess_loss (const struct rep *r, clk_ms now, const struct asn *next,
+             const struct asn_entry *e, const struct cfg_model *model)
 {
   struct loss l = { .vms = (unsigned)e->nvms,
-                    .spares = count_free (r, now, next),
+                    .free_vms = count_free (r, now, next),
                     .unloading = count_unloading (r, now, next),
                     .helps_another = another_degraded (r, now, next, e),
                     .load_ms = bud_load_ms (r, model) };
@@ -197,14 +200,15 @@
   for (size_t i = 0; i < e->nvms; i++)
     {
       const struct rep_vm *vm = rep_vm_find (r, str_from (e->vms[i]));
-      clk_ms absent = vm && vm->missing_since ? now - vm->missing_since : 0;
+      clk_ms missing_ms
+          = vm && vm->missing_since ? now - vm->missing_since : 0;
 
       if (!is_missing (r, now, e->vms[i]))
         continue;
       l.missing++;
       l.no_return = l.no_return || !vm || vm->leaving_platform;
-      if (absent > l.absent_ms)
-        l.absent_ms = absent;
+      if (missing_ms > l.missing_ms)
+        l.missing_ms = missing_ms;
     }
   return l;
 }
@@ -215,14 +219,14 @@
 {
   for (size_t i = 0; i < e->nvms; i++)
     {
-      struct rep_vm *spare;
+      struct rep_vm *vm;
 
       if (!is_missing (r, now, e->vms[i]))
         continue;
-      spare = plc_find_spare (r, now, next);
-      if (!spare)
+      vm = plc_find_free_vm (r, now, next);
+      if (!vm)
         return false;
-      asn_replace_vm (next, e, str_from (e->vms[i]), spare->cfg->name);
+      asn_replace_vm (next, e, str_from (e->vms[i]), vm->cfg->name);
     }
   return true;
 }
@@ -256,8 +260,8 @@
       if (!p->managed || !p->model || p->draining || e->joining.vm
           || !is_degraded (r, now, e))
         continue;
-      l = assess (r, now, next, e, p->model);
-      if (!l.no_return && l.absent_ms < REP_GRACE_MS)
+      l = assess_loss (r, now, next, e, p->model);
+      if (!l.no_return && l.missing_ms < REP_GRACE_MS)
         continue;
       switch (choose_by_policy (r, &l))
         {
@@ -290,7 +294,8 @@
                const struct rep_vm *vm, const char *name)
 {
   return evd_present (vm, now) && !vm->leaving_platform
-         && !asn_holder (next, vm->cfg->name) && !is_reserved (r, vm)
+         && !asn_holder (next, vm->cfg->name)
+         && !is_in_unmanaged_replica (r, vm)
          && (vm->reported.unloaded || !vm->reported.replica.len
              || str_is (vm->reported.replica, name));
 }
@@ -315,9 +320,9 @@
 add_free_vms (const struct rep *r, clk_ms now, const struct asn *next,
               size_t *vms, size_t n, size_t want)
 {
-  for (int spares = 0; spares < 2; spares++)
+  for (int spares_only = 0; spares_only < 2; spares_only++)
     for (size_t i = 0; i < r->nvms && n < want; i++)
-      if (r->vms[i].cfg->spare_only == (spares == 1)
+      if (r->vms[i].cfg->spare_only == (spares_only == 1)
           && is_free (r, now, next, &r->vms[i]))
         add_unique (vms, &n, i);
   return n;
@@ -333,7 +338,7 @@
 
   for (size_t i = 0; i < n; i++)
     if (asn_holder (next, r->vms[vms[i]].cfg->name)
-        || is_reserved (r, &r->vms[vms[i]]))
+        || is_in_unmanaged_replica (r, &r->vms[vms[i]]))
       return false;
   e = asn_add (next, str_from (p->name), p->model->name);
   e->generation = generation;
@@ -405,13 +410,14 @@
 bool
 plc_form (struct rep *r, clk_ms now, struct asn *next)
 {
-  for (unsigned live = 0; live <= r->nreplicas; live++)
+  for (unsigned ncomplete = 0; ncomplete <= r->nreplicas; ncomplete++)
     for (size_t i = 0; i < r->nreplicas; i++)
       {
         struct rep_replica *p = &r->replicas[i];
 
         if (!p->managed || !p->model || asn_find (next, p->name)
-            || asn_is_drained (next, p->name) || count_complete (r, p) != live)
+            || asn_is_drained (next, p->name)
+            || count_complete (r, p) != ncomplete)
           continue;
         if (!form_or_adopt (r, now, next, p))
           continue;
--- a/replica/replica.c
+++ b/replica/replica.c
@@ -35,20 +35,20 @@
     free (r->replicas[i].name);
   for (size_t i = 0; i < r->npending_drains; i++)
     free (r->pending_drains[i].name);
-  for (size_t i = 0; i < r->nlive_counts; i++)
-    free (r->live_counts[i].model);
+  for (size_t i = 0; i < r->ncomplete_counts; i++)
+    free (r->complete_counts[i].model);
   free_vms (r->vms, r->nvms);
-  asn_free (&r->doc);
-  asn_free (&r->next);
+  asn_free (&r->assignment);
+  asn_free (&r->proposed);
   if (r->cfg)
     cfg_unref (r->cfg);
   buf_free (&r->domain);
   buf_free (&r->key);
   buf_free (&r->owner_key);
-  buf_free (&r->next_text);
+  buf_free (&r->proposed_text);
   free (r->replicas);
   free (r->pending_drains);
-  free (r->live_counts);
+  free (r->complete_counts);
   free (r->queue);
   free (r->views);
   free (r);
@@ -59,14 +59,14 @@
 {
   struct rep_action *a;
 
-  if (r->head == r->count)
-    r->head = r->count = 0;
-  if (r->count == r->cap)
+  if (r->queue_read == r->queue_len)
+    r->queue_read = r->queue_len = 0;
+  if (r->queue_len == r->queue_cap)
     {
-      r->cap = r->cap ? 2 * r->cap : 64;
-      r->queue = xrealloc (r->queue, r->cap * sizeof *r->queue);
+      r->queue_cap = r->queue_cap ? 2 * r->queue_cap : 64;
+      r->queue = xrealloc (r->queue, r->queue_cap * sizeof *r->queue);
     }
-  a = &r->queue[r->count++];
+  a = &r->queue[r->queue_len++];
   memset (a, 0, sizeof *a);
   a->kind = kind;
   return a;
@@ -75,9 +75,9 @@
 bool
 rep_next (struct rep *r, struct rep_action *out)
 {
-  if (r->head == r->count)
+  if (r->queue_read == r->queue_len)
     return false;
-  *out = r->queue[r->head++];
+  *out = r->queue[r->queue_read++];
   return true;
 }
 
@@ -149,7 +149,7 @@
 set_members (struct rep *r, struct rep_replica *p)
 {
   const struct asn_entry *e
-      = p->managed || !p->cfg ? asn_find (&r->doc, p->name) : NULL;
+      = p->managed || !p->cfg ? asn_find (&r->assignment, p->name) : NULL;
 
   p->nvms = 0;
   p->has_all_vms = true;
@@ -209,10 +209,10 @@
       p->model = cfg_model (r->cfg, c->model);
       p->managed = c->mode == CFG_MANAGE;
     }
-  for (size_t i = 0; i < r->doc.n; i++)
-    ensure_replica (r, str_from (r->doc.entries[i].name), now);
+  for (size_t i = 0; i < r->assignment.n; i++)
+    ensure_replica (r, str_from (r->assignment.entries[i].name), now);
   for (size_t i = r->nreplicas; i-- > 0;)
-    if (!r->replicas[i].cfg && !asn_find (&r->doc, r->replicas[i].name))
+    if (!r->replicas[i].cfg && !asn_find (&r->assignment, r->replicas[i].name))
       remove_replica (r, i);
     else
       set_members (r, &r->replicas[i]);
@@ -241,11 +241,11 @@
   for (size_t i = 0; i < r->nreplicas; i++)
     {
       struct rep_replica *p = &r->replicas[i];
-      bool holds = p->managed && !r->has_doc;
+      bool affected = p->managed && !r->has_assignment;
 
       for (size_t v = 0; v < p->nvms; v++)
-        holds = holds || p->vms[v] == index;
-      if (holds)
+        affected = affected || p->vms[v] == index;
+      if (affected)
         evd_update (r, now, p);
     }
 }
@@ -254,8 +254,8 @@
 on_probed (struct rep *r, clk_ms now, struct rep_vm *vm,
            const struct rep_member_state *state)
 {
-  vm->answered = true;
-  vm->answered_at = now;
+  vm->responded = true;
+  vm->responded_at = now;
   vm->failures = 0;
   vm->missing_since = 0;
   buf_clear (&vm->replica);
@@ -279,7 +279,7 @@
 }
 
 static void
-on_platform (struct rep *r, clk_ms now, struct rep_vm *vm, bool live)
+on_vm_listed (struct rep *r, clk_ms now, struct rep_vm *vm, bool live)
 {
   if (vm->leaving_platform == !live)
     return;
@@ -299,7 +299,7 @@
   /* The previous owner's last write may not have been read, and a VM that was
      not probed yet looks like a missing one: read and probe before any
      decision. */
-  r->doc_fresh = false;
+  r->assignment_fresh = false;
   r->owner_since = now;
   r->settle_until = now + REP_PROBE_VALID_MS;
   chg_read (r, now);
@@ -308,9 +308,9 @@
 static void
 update_stats (struct rep *r, clk_ms now)
 {
-  double span = r->measured_at ? (double)(now - r->measured_at) : 0;
+  double span = r->stats_at ? (double)(now - r->stats_at) : 0;
 
-  r->measured_at = now;
+  r->stats_at = now;
   for (size_t i = 0; i < r->nreplicas; i++)
     {
       const struct rep_replica *p = &r->replicas[i];
@@ -367,7 +367,7 @@
       on_config (r, now, ev->cfg);
       break;
     case REP_ASSIGNMENT:
-      chg_set_doc (r, now, ev->value, ev->mod_rev);
+      chg_set_assignment (r, now, ev->value, ev->mod_rev);
       break;
     case REP_PROBED:
       if (vm)
@@ -379,7 +379,7 @@
       break;
     case REP_VM_LISTED:
       if (vm)
-        on_platform (r, now, vm, ev->on);
+        on_vm_listed (r, now, vm, ev->on);
       break;
     case REP_ORDER_RESPONSE:
       if (vm)
@@ -398,7 +398,7 @@
       r->may_load = ev->on;
       break;
     case REP_LIVE_COUNT:
-      bud_set_live_count (r, ev->model, ev->live);
+      bud_set_complete_count (r, ev->model, ev->live);
       break;
     }
 }
@@ -420,7 +420,7 @@
         .complete = p->complete && fresh,
         .draining = p->draining,
         .probed_at = p->probed_at,
-        .load = p->load,
+        .load = p->inflight_tokens,
         .leader = p->nvms ? r->vms[p->vms[0]].cfg : NULL,
         .members = p->nvms,
       };
--- a/t/lib-claim-walk.c
+++ b/t/lib-claim-walk.c
@@ -25,10 +25,10 @@
 static struct clm_request
 make_request (const struct cwk_req *q, enum clm_kind kind)
 {
-  struct clm_request a = { .id = q->ask, .kind = kind };
+  struct clm_request a = { .id = q->request_id, .kind = kind };
 
   key_bytes (q->key, a.key);
-  memcpy (a.attempt, &q->no, sizeof q->no);
+  memcpy (a.attempt, &q->attempt, sizeof q->attempt);
   a.fingerprint[0] = (uint8_t)q->key;
   return a;
 }
@@ -37,7 +37,7 @@
 find_req (struct cwk_run *k, uint64_t ask)
 {
   for (size_t i = 0; i < CWK_REQUESTS; i++)
-    if (k->reqs[i].state != REQ_FREE && k->reqs[i].ask == ask)
+    if (k->reqs[i].state != REQ_FREE && k->reqs[i].request_id == ask)
       return &k->reqs[i];
   return NULL;
 }
@@ -85,16 +85,17 @@
       return;
     case CLM_REQUESTER_SEND:
       a = make_request (q, CLM_ACQUIRE);
-      target = q->targets[q->asker.ntried - 1];
-      a.wait_ms = q->asker.deadline - k->w.now;
-      a.final = q->asker.ntargets == 1 || k->fault == CWK_FAULT_HOME_RELEASES
+      target = q->targets[q->requester.ntried - 1];
+      a.wait_ms = q->requester.deadline - k->w.now;
+      a.final = q->requester.ntargets == 1
+                || k->fault == CWK_FAULT_HOME_RELEASES
                 || (k->fault == CWK_FAULT_LOCAL_CORE_RELEASES
                     && target == q->gateway);
       if (target == q->gateway)
         core_request (k, target, a);
       else
         post_message (k, &(struct cwk_message){
-                             .from = q->gateway, .to = target, .ask = a });
+                             .from = q->gateway, .to = target, .request = a });
       return;
     case CLM_REQUESTER_REPLY:
       q->state = verdict == CLM_GRANTED ? REQ_GRANTED : REQ_DONE;
@@ -126,9 +127,10 @@
   struct cwk_req *q = find_req (k, no);
 
   if (q && k->fault == CWK_FAULT_RELEASES_GRANT)
-    q->asker.granted = false;
+    q->requester.granted = false;
   if (q)
-    run_action (k, q, clm_requester_on_verdict (&q->asker, k->w.now, verdict),
+    run_action (k, q,
+                clm_requester_on_verdict (&q->requester, k->w.now, verdict),
                 verdict);
 }
 
@@ -141,10 +143,10 @@
 
   if (!q || r->verdict == CLM_ACKNOWLEDGED)
     return;
-  post_message (k, &(struct cwk_message){ .is_answer = true,
+  post_message (k, &(struct cwk_message){ .is_response = true,
                                           .from = home,
                                           .to = q->gateway,
-                                          .ask = { .id = r->id },
+                                          .request = { .id = r->id },
                                           .verdict = r->verdict });
 }
 
@@ -158,7 +160,7 @@
 
   if (q->state == REQ_PENDING || q->state == REQ_GRANTED)
     return false;
-  *q = (struct cwk_req){ .state = REQ_PENDING, .no = ++k->last_req };
+  *q = (struct cwk_req){ .state = REQ_PENDING, .attempt = ++k->last_attempt };
   q->gateway = (int)random_below (k, CW_HOMES);
   if (k->suspended[q->gateway])
     {
@@ -166,7 +168,7 @@
       return false;
     }
   q->key = (int)random_below (k, CWK_KEYS);
-  q->ask = ++k->last_ask;
+  q->request_id = ++k->last_request_id;
   /* Nodes may disagree on the home: any order of homes, ending with the local
      one. */
   for (int h = (int)random_below (k, CW_HOMES); n < CLM_MAX_TARGETS; h++)
@@ -176,7 +178,7 @@
         break;
     }
   run_action (k, q,
-              clm_requester_start (&q->asker, k->w.now,
+              clm_requester_start (&q->requester, k->w.now,
                                    500 + random_below (k, 3000), (unsigned)n),
               CLM_UNAVAILABLE);
   return true;
@@ -186,13 +188,13 @@
 static void
 request_again (struct cwk_run *k, struct cwk_req *q)
 {
-  unsigned n = q->asker.ntargets;
+  unsigned n = q->requester.ntargets;
 
   q->state = REQ_PENDING;
-  q->ask = ++k->last_ask;
-  run_action (k, q,
-              clm_requester_start (&q->asker, k->w.now, CLM_MAX_WAIT_MS, n),
-              CLM_UNAVAILABLE);
+  q->request_id = ++k->last_request_id;
+  run_action (
+      k, q, clm_requester_start (&q->requester, k->w.now, CLM_MAX_WAIT_MS, n),
+      CLM_UNAVAILABLE);
 }
 
 static void
@@ -337,10 +339,10 @@
   k->messages[at].used = random_below (k, 40) == 0; /* some arrive twice */
   if (random_below (k, 12) == 0)
     return true;
-  if (m.is_answer)
-    deliver_verdict (k, m.ask.id, m.verdict);
+  if (m.is_response)
+    deliver_verdict (k, m.request.id, m.verdict);
   else
-    core_request (k, m.to, m.ask);
+    core_request (k, m.to, m.request);
   return true;
 }
 
@@ -357,7 +359,7 @@
     {
       struct cwk_req *q = &k->reqs[i];
       if (q->state == REQ_PENDING && !k->suspended[q->gateway])
-        run_action (k, q, clm_requester_tick (&q->asker, k->w.now),
+        run_action (k, q, clm_requester_tick (&q->requester, k->w.now),
                     CLM_UNAVAILABLE);
     }
 }
@@ -379,8 +381,8 @@
 static void
 restart (struct cwk_run *k, int home)
 {
-  k->opt.boot = ++k->boots;
-  cw_restart (&k->w, home, &k->opt, k->boots);
+  k->opt.boot = ++k->last_boot;
+  cw_restart (&k->w, home, &k->opt, k->last_boot);
   for (size_t i = 0; i < CWK_REQUESTS; i++)
     if (k->reqs[i].gateway == home)
       k->reqs[i].state = REQ_FREE;
@@ -432,7 +434,7 @@
   memset (k, 0, sizeof *k);
   rng_seed (&k->rng, seed);
   k->fault = fault;
-  k->boots = 1;
+  k->last_boot = 1;
   k->opt = (struct clm_options){ .prefix = STR ("/w/"),
                                  .window = CWK_WINDOW,
                                  .max_response_bytes = 1000,
@@ -470,10 +472,10 @@
         {
           struct cwk_message m = k->messages[i];
           k->messages[i].used = false;
-          if (m.used && m.is_answer)
-            deliver_verdict (k, m.ask.id, m.verdict);
+          if (m.used && m.is_response)
+            deliver_verdict (k, m.request.id, m.verdict);
           else if (m.used)
-            core_request (k, m.to, m.ask);
+            core_request (k, m.to, m.request);
         }
       tick_all (k);
     }
@@ -489,12 +491,12 @@
     {
       struct cwk_req *q = &k->reqs[key];
       *q = (struct cwk_req){ .state = REQ_PENDING,
-                             .no = ++k->last_req,
-                             .ask = ++k->last_ask,
+                             .attempt = ++k->last_attempt,
+                             .request_id = ++k->last_request_id,
                              .key = key,
                              .gateway = key % CW_HOMES };
       q->targets[0] = q->gateway;
-      run_action (k, q, clm_requester_start (&q->asker, k->w.now, 2000, 1),
+      run_action (k, q, clm_requester_start (&q->requester, k->w.now, 2000, 1),
                   CLM_UNAVAILABLE);
       end_faults (k, 1000);
       usable += q->state == REQ_GRANTED;
--- a/t/lib-claim-walk.h
+++ b/t/lib-claim-walk.h
@@ -43,22 +43,22 @@
 struct cwk_req
 {
   enum cwk_req_state state;
-  uint64_t no;  /**< its attempt */
-  uint64_t ask; /**< its last request, so that late responses to earlier ones
-                   match nothing */
+  uint64_t attempt;    /**< its attempt */
+  uint64_t request_id; /**< its last request, so that late responses to earlier
+                   ones match nothing */
   int gateway;
   int key;
   clk_ms granted;
-  struct clm_requester asker;
+  struct clm_requester requester;
   int targets[CLM_MAX_TARGETS];
 };
 
 struct cwk_message
 {
   bool used;
-  bool is_answer;
+  bool is_response;
   int from, to;
-  struct clm_request ask;
+  struct clm_request request;
   enum clm_verdict verdict;
 };
 
@@ -72,8 +72,8 @@
   struct cwk_message messages[CWK_MESSAGES];
   bool suspended[CW_HOMES];
   bool slow[CW_HOMES]; /**< the store responds rarely to this home */
-  uint64_t last_req, last_ask;
-  uint64_t boots;
+  uint64_t last_attempt, last_request_id;
+  uint64_t last_boot;
   clk_ms last_send[CWK_KEYS];
   uint64_t sends, refused, given_up, released, expired_grants;
   const char *violation;
--- a/t/lib-claim.c
+++ b/t/lib-claim.c
@@ -316,17 +316,17 @@
 }
 
 void
-cw_respond (struct cw *w, struct cw_call *c, enum store_status lost)
+cw_respond (struct cw *w, struct cw_call *c, enum store_status status)
 {
-  struct store_result none = { .status = lost };
-  struct store_result *r = lost == STORE_OK ? &c->result : &none;
+  struct store_result none = { .status = status };
+  struct store_result *r = status == STORE_OK ? &c->result : &none;
   int home = c->home;
   uint64_t token = c->token;
 
   c->responded = true;
   clm_on_store_response (w->homes[home], w->now, token, r);
   /* A write whose response was lost may still be applied. */
-  if (c->applied || lost != STORE_UNCERTAIN)
+  if (c->applied || status != STORE_UNCERTAIN)
     cw_drop_call (c);
   cw_fetch_actions (w, home);
 }
--- a/t/lib-claim.h
+++ b/t/lib-claim.h
@@ -97,7 +97,7 @@
 void cw_apply (struct cw *w, struct cw_call *c);
 
 /** Give the core the result; removes the call if it was applied. */
-void cw_respond (struct cw *w, struct cw_call *c, enum store_status lost);
+void cw_respond (struct cw *w, struct cw_call *c, enum store_status status);
 void cw_drop_call (struct cw_call *c);
 
 #endif
--- a/t/lib-domain.c
+++ b/t/lib-domain.c
@@ -288,8 +288,8 @@
 
 /* Handles orders first: their strings are valid only until the next event. */
 static void
-take_orders (struct dom *d, struct rep *rep, const struct rep_action *a,
-             size_t n)
+handle_orders (struct dom *d, struct rep *rep, const struct rep_action *a,
+               size_t n)
 {
   for (size_t i = 0; i < n; i++)
     if (a[i].kind == REP_SEND_ORDER)
@@ -297,14 +297,14 @@
 }
 
 static void
-pump_core (struct dom *d, struct rep *rep)
+run_core_actions (struct dom *d, struct rep *rep)
 {
   struct rep_action a[256];
   size_t n = 0;
 
   while (n < 256 && rep_next (rep, &a[n]))
     n++;
-  take_orders (d, rep, a, n);
+  handle_orders (d, rep, a, n);
   for (size_t i = 0; i < n; i++)
     if (a[i].kind == REP_PROBE)
       handle_probe (d, rep, a[i].vm->name);
@@ -313,14 +313,14 @@
     else if (a[i].kind == REP_STORE_READ)
       handle_read (d, rep, &a[i]);
   if (n)
-    pump_core (d, rep);
+    run_core_actions (d, rep);
 }
 
 static void
-pump (struct dom *d)
+run_actions (struct dom *d)
 {
   for (size_t i = 0; i < d->nreps; i++)
-    pump_core (d, d->reps[i]);
+    run_core_actions (d, d->reps[i]);
   log_views (d);
 }
 
@@ -334,7 +334,7 @@
       d->now += TICK_MS;
       for (size_t i = 0; i < d->nreps; i++)
         rep_event (d->reps[i], d->now, &tick);
-      pump (d);
+      run_actions (d);
     }
 }
 
@@ -433,7 +433,7 @@
     snprintf (d->store_mode, sizeof d->store_mode, "%s", args[0]);
   else if (strcmp (verb, "run"))
     change_vm (d, verb, args);
-  pump (d);
+  run_actions (d);
 }
 
 static const char *
@@ -468,7 +468,7 @@
 }
 
 unsigned
-dom_false_whole (struct dom *d)
+dom_false_complete (struct dom *d)
 {
   unsigned n = 0;
 
--- a/t/lib-domain.h
+++ b/t/lib-domain.h
@@ -64,7 +64,7 @@
  * Number of members, in replicas that a core shows as whole, that have not
  * been valid for longer than the evidence time.
  */
-unsigned dom_false_whole (struct dom *d);
+unsigned dom_false_complete (struct dom *d);
 
 /** Runs @p script in a new domain and compares the log with @p want. */
 void dom_check (const struct dom_options *opt, const char *script,
--- a/t/t4900-walk.c
+++ b/t/t4900-walk.c
@@ -24,8 +24,8 @@
       for (int h = 0; h < CW_HOMES; h++)
         {
           const struct clm_stats *n = clm_stats (k.w.homes[h]);
-          found += n->settled_found;
-          absent += n->settled_absent;
+          found += n->resolved_applied;
+          absent += n->resolved_absent;
           late += n->late_releases;
         }
       cw_clear (&k.w);
--- a/t/t6003-replica-walk.c
+++ b/t/t6003-replica-walk.c
@@ -31,7 +31,7 @@
 /** Totals over all seeds. */
 struct totals
 {
-  unsigned events, orders, wrong_loads, false_whole;
+  unsigned events, orders, wrong_loads, false_complete;
 };
 
 static const char *
@@ -113,7 +113,7 @@
     {
       random_event (d, &rng, &fence);
       dom_run_until (d, dom_now (d) + 100 + (clk_ms)rng_below (&rng, 4000));
-      s->false_whole += dom_false_whole (d);
+      s->false_complete += dom_false_complete (d);
     }
   s->events += EVENTS;
   s->orders += dom_orders (d);
@@ -137,7 +137,7 @@
   for (uint64_t seed = 1; seed <= SEEDS; seed++)
     run_seed (seed, seed % 4 < 2, &s);
   cr_expect_eq (s.wrong_loads, 0, "%u", s.wrong_loads);
-  cr_expect_eq (s.false_whole, 0, "%u", s.false_whole);
+  cr_expect_eq (s.false_complete, 0, "%u", s.false_complete);
   cr_expect_eq (s.events, SEEDS * EVENTS);
   cr_expect_gt (s.orders, 10000, "only %u orders were sent", s.orders);
 }
--- a/t/t6004-domains.c
+++ b/t/t6004-domains.c
@@ -90,7 +90,7 @@
 /* The backend server. */
 
 static void
-obey (struct str body)
+execute_order (struct str body)
 {
   char *text = str_dup (body);
   json_object *o = json_tokener_parse (text);
@@ -117,7 +117,7 @@
 
   if (str_is (httpd_get (req)->method, "POST"))
     {
-      obey (httpd_get (req)->body);
+      execute_order (httpd_get (req)->body);
       httpd_answer (req, 200, NULL, 0, STR ("{\"ok\":true}"));
       return;
     }
--- a/t/t6900-owner-walk.c
+++ b/t/t6900-owner-walk.c
@@ -38,7 +38,7 @@
   struct buf key, value;
   struct store_result result;
   struct store_kv kv;
-  struct buf seen;
+  struct buf range_value;
 };
 
 struct order
@@ -60,8 +60,8 @@
   struct call calls[CALLS];
   struct order orders[ORDERS];
   uint64_t boots;
-  int64_t highest; /**< highest fencing number that the VM obeyed */
-  uint64_t obeyed, refused, owners;
+  int64_t highest; /**< highest fencing number that the VM executed */
+  uint64_t executed, refused, owners;
   const char *violation;
 };
 
@@ -117,10 +117,10 @@
 
   if (!e)
     return;
-  buf_clear (&c->seen);
-  buf_add (&c->seen, buf_str (&e->value));
-  c->kv = (struct store_kv){ str_from ("o"), buf_str (&c->seen), e->mod_rev,
-                             e->create_rev, e->lease };
+  buf_clear (&c->range_value);
+  buf_add (&c->range_value, buf_str (&e->value));
+  c->kv = (struct store_kv){ str_from ("o"), buf_str (&c->range_value),
+                             e->mod_rev, e->create_rev, e->lease };
   c->result.kvs = &c->kv;
   c->result.nkvs = 1;
 }
@@ -154,14 +154,14 @@
 }
 
 static void
-respond (struct walk *k, struct call *c, enum store_status lost)
+respond (struct walk *k, struct call *c, enum store_status status)
 {
-  struct store_result none = { .status = lost };
+  struct store_result none = { .status = status };
 
   c->responded = true;
   own_on_store_response (k->nodes[c->node], k->now, c->action.token,
-                         lost == STORE_OK ? &c->result : &none);
-  c->used = lost == STORE_UNCERTAIN && !c->applied;
+                         status == STORE_OK ? &c->result : &none);
+  c->used = status == STORE_UNCERTAIN && !c->applied;
   fetch_actions (k, c->node);
 }
 
@@ -244,9 +244,9 @@
       return true;
     }
   if (o->fence < k->highest)
-    k->violation = "a VM obeyed an older owner after a newer one";
+    k->violation = "a VM executed an older owner after a newer one";
   k->highest = o->fence;
-  k->obeyed++;
+  k->executed++;
   return true;
 }
 
@@ -348,7 +348,7 @@
     {
       buf_free (&k->calls[i].key);
       buf_free (&k->calls[i].value);
-      buf_free (&k->calls[i].seen);
+      buf_free (&k->calls[i].range_value);
     }
   kv_clear (&k->kv);
 }
@@ -376,7 +376,7 @@
 expect_no_violation (bool checks_fence)
 {
   static struct walk k;
-  uint64_t obeyed = 0, refused = 0, owners = 0;
+  uint64_t executed = 0, refused = 0, owners = 0;
 
   for (uint64_t seed = 1; seed <= 10; seed++)
     {
@@ -384,16 +384,16 @@
       cr_expect_null (k.violation, "seed %llu, step %llu: %s",
                       (unsigned long long)seed, (unsigned long long)steps,
                       k.violation);
-      obeyed += k.obeyed;
+      executed += k.executed;
       refused += k.refused;
       owners += k.owners;
       clear (&k);
     }
-  cr_log_info ("owners %llu, orders obeyed %llu, refused %llu",
-               (unsigned long long)owners, (unsigned long long)obeyed,
+  cr_log_info ("owners %llu, orders executed %llu, refused %llu",
+               (unsigned long long)owners, (unsigned long long)executed,
                (unsigned long long)refused);
   cr_expect_gt (owners, 500);
-  cr_expect_gt (obeyed, 5000);
+  cr_expect_gt (executed, 5000);
   cr_expect (!checks_fence || refused > 0);
 }
 
@@ -433,7 +433,7 @@
   expect_violation (false, FAULT_NO_CLOCK_CHECK);
 }
 
-Test (owner_walk, finds_servers_ignoring_fencing_unannounced)
+Test (owner_walk, finds_fencing_ignored_despite_config)
 {
   expect_violation (true, FAULT_FENCE_IGNORED);
 }
