--- a/claim/asker.c
+++ b/claim/asker.c
@@ -72,7 +72,7 @@
                                                  : CLM_REQUESTER_NONE;
   if (now >= a->deadline && verdict == CLM_GRANTED)
     {
-      /* The claim is recorded, but the caller is told that it was refused. */
+      /* The claim is recorded, but the caller receives CLM_UNAVAILABLE. */
       a->done = true;
       return CLM_REQUESTER_GIVE_UP_AND_RELEASE;
     }
@@ -85,9 +85,9 @@
   a->granted = verdict == CLM_GRANTED;
   /* A suspended home that was tried before may resume and record the claim
      once the holder reported by this verdict has released the key.  No call
-     would be sent for that record, and callers would be told "running" for the
-     whole window.  A release in the store voids the record whichever of the
-     two is applied first. */
+     would be sent for that record, and callers would receive CLM_RUNNING for
+     the whole window.  A release in the store voids the record whichever of
+     the two is applied first. */
   return !a->granted && a->nended < a->ntried ? CLM_REQUESTER_REPLY_AND_RELEASE
                                               : CLM_REQUESTER_REPLY;
 }
--- a/claim/asker.h
+++ b/claim/asker.h
@@ -3,16 +3,17 @@
  * The requesting side of a claim: which node receives the request, when the
  * next node is tried and when the request ends (decision core of one request).
  *
- * The home node is tried first and, after each CLM_FAILOVER_MS without a
- * response, the next node, with the same attempt, which is recorded only once.
- * Any response is final, including CLM_UNAVAILABLE: otherwise each call that
- * is refused while the store is down would cost three requests.
+ * The request goes to the home node first and, after each CLM_FAILOVER_MS
+ * without a response, to the next node.  All use the same attempt, which is
+ * recorded only once.  Any response is final, including CLM_UNAVAILABLE:
+ * otherwise each call that is refused while the store is down would cost three
+ * requests.
  *
  * The core in this process is always the last target, and the only one if this
- * node is the home.  It is running, so a missing response of this core means
- * that the store is slow.  clm_request.final is set for it only if no other
- * node was tried before, which may have granted the claim that this core gives
- * up.
+ * node is the home.  As it runs in this process, a missing response from it
+ * means that the store is slow.  clm_request.final is set for this core only
+ * if no other node was tried before: another node may have granted the claim,
+ * and this core must not release it.
  *
  * Only the requester may release its attempt, once it is certain never to send
  * the call: a home that gave up can't know whether another node granted it.
@@ -32,7 +33,7 @@
 {
   unsigned ntargets;
   unsigned ntried; /**< targets tried so far */
-  unsigned nended; /**< number of those that responded */
+  unsigned nended; /**< targets that responded or couldn't be reached */
   clk_ms deadline;
   clk_ms failover_at;
   bool done;
@@ -42,10 +43,10 @@
 enum clm_requester_action
 {
   CLM_REQUESTER_NONE,
-  CLM_REQUESTER_SEND,  /**< send the request to target number asked - 1 */
+  CLM_REQUESTER_SEND,  /**< send the request to target number ntried - 1 */
   CLM_REQUESTER_REPLY, /**< the verdict received is the result */
-  CLM_REQUESTER_REPLY_AND_RELEASE, /**< the same, but an unused attempt may
-                           still be recorded: release it */
+  CLM_REQUESTER_REPLY_AND_RELEASE, /**< as CLM_REQUESTER_REPLY; also release
+                           the attempt, which may still be recorded unused */
   CLM_REQUESTER_GIVE_UP, /**< CLM_UNAVAILABLE; nothing can be recorded */
   CLM_REQUESTER_GIVE_UP_AND_RELEASE, /**< CLM_UNAVAILABLE; the attempt may
                              still be recorded: release it */
--- a/claim/batch.h
+++ b/claim/batch.h
@@ -17,7 +17,8 @@
 
 #include "claim/claim.h"
 
-/** Limit of records in a batch: a tenth of the store's largest value. */
+/** Maximum number of records in a batch.  A full batch has a tenth of the size
+    that the store allows for a value. */
 #define BAT_MAX_RECORDS ((size_t)2048)
 
 /** A change of one claim. */
--- a/claim/calls.c
+++ b/claim/calls.c
@@ -90,8 +90,9 @@
   return false;
 }
 
-/** A batch must outlive window + CLM_SLACK_MS, so a lease is used only while
-    one and a half windows remain, which is half a window for a new lease. */
+/** A batch must outlive window + CLM_SLACK_MS, which is at most one and a half
+    windows (see MIN_WINDOW_MS).  So a lease, which lasts two windows, is used
+    only for the first half of a window. */
 void
 core_on_lease_response (struct clm *c, clk_ms now,
                         const struct store_result *r)
--- a/claim/claim.c
+++ b/claim/claim.c
@@ -189,9 +189,9 @@
   if (w->request.kind != CLM_ACQUIRE || !w->request.final || !rec
       || rec->state == TBL_RELEASED || s->waiting.n >= CORE_MAX_WAITING)
     return;
-  /* The claim is or may become recorded in the store, although the requester
-     was told that it was refused.  Without a release, every retry would be
-     refused for the whole window.  The requester will not send the call. */
+  /* The claim is or may become recorded in the store, but the requester has
+     received CLM_UNAVAILABLE and will not send the call.  Without a release,
+     every retry would be refused for the whole window. */
   release = xcalloc (1, sizeof *release);
   release->request = w->request;
   release->request.kind = CLM_RELEASE;
--- a/claim/claim.h
+++ b/claim/claim.h
@@ -23,14 +23,16 @@
  * transaction per shard).  Batch keys are attached to store leases of twice
  * the window, so the store deletes them without further calls.
  *
- * Having one home node per shard (rendezvous hash) is only an optimization: it
- * holds the shard's claims in memory and needs no read before a write.  If two
- * nodes act as home, they can't both grant a key: the compare on the head
- * accepts one write, and the other node reads the records that it missed.
+ * Each shard has a home node (rendezvous hash), which holds the shard's claims
+ * in memory and needs no read before a write.  This is only an optimization:
+ * if two nodes act as home, they can't both grant a key, because the compare
+ * on the head accepts one write, and the other node reads the records that it
+ * missed.
  *
- * A claim is identified by (key, attempt).  Repeating a request with the same
- * attempt gives the same result, so a lost response is harmless, and any
- * number of nodes may receive the request for one attempt.
+ * A claim is identified by (key, attempt).  An attempt is a random number that
+ * the gateway draws for each client request.  Repeating a claim request with
+ * the same attempt gives the same result, so a lost response is harmless, and
+ * any number of nodes may receive the request for one attempt.
  *
  * Suspended processes.  A home that was suspended has an old head revision:
  * its next transaction conflicts, unless no node wrote in between and its
@@ -40,11 +42,11 @@
  * during suspension, and the requester checks it immediately before sending
  * (clm_grant_valid()).  At most CLM_MAX_WAIT_MS + CLM_GRANT_VALID_MS pass
  * between request and send.  A record is made after the request or at most
- * CLM_REUSE_MS before it and is held for window + CLM_SLACK_MS, where the
- * slack is the sum of the three.  So the next attempt on the key is sent at
- * least one window after the first one was sent.  The remaining gap is a
- * suspension between this check and the system call that sends, for longer
- * than the window.
+ * CLM_REUSE_MS before it and is held for window + CLM_SLACK_MS, where
+ * CLM_SLACK_MS is the sum of these three times.  So the next attempt on the
+ * key is sent at least one window after the first one was sent.  Not covered:
+ * a process that is suspended for longer than the window between
+ * clm_grant_valid() and the system call that sends.
  */
 #ifndef LAPISLINE_CLAIM_CLAIM_H
 #define LAPISLINE_CLAIM_CLAIM_H
@@ -67,8 +69,8 @@
 /** Maximum time that a requester waits for a grant. */
 #define CLM_MAX_WAIT_MS (3 * CLK_SECOND)
 
-/** A record of the same attempt is reused for this long.  An older one is
-    written again, as other nodes may be about to expire it. */
+/** A record of the same attempt is reused for this long.  An older one may be
+    about to expire on other nodes, so it is written again. */
 #define CLM_REUSE_MS (2 * CLK_SECOND)
 
 /** Time that a claim is held beyond the window. */
@@ -100,8 +102,8 @@
   CLM_COMPLETED,   /**< finished; the stored response is attached */
   CLM_UNKNOWN,     /**< claimed earlier; outcome unknown */
   CLM_MISMATCH,    /**< same key, different request (fingerprint differs) */
-  CLM_UNAVAILABLE, /**< not recorded, or the requester must not send in any
-                      case; retry later */
+  CLM_UNAVAILABLE, /**< not granted: the requester must not send the
+                      call; it may retry later */
   CLM_ACKNOWLEDGED /**< result of release and finish */
 };
 
@@ -116,10 +118,10 @@
   struct str response; /**< for CLM_FINISH; kept in memory only */
   clk_ms wait_ms;      /**< 0: CLM_DEFAULT_WAIT_MS */
   /**
-   * The requester tries no other node for this attempt, so CLM_UNAVAILABLE
-   * ends it.  If the record may still be applied, the core releases it.  A
-   * home must not do so for a request from another node, which may have
-   * received its grant from the next node in the meantime.
+   * Set if the requester tries no other node for this attempt.  After
+   * CLM_UNAVAILABLE, the core then releases a record that may still be
+   * applied. It must not be set for a request from another node, which may
+   * have received a grant from the next node in the meantime.
    */
   bool final;
 };
@@ -137,8 +139,8 @@
 {
   CLM_ACT_REPLY,
   CLM_ACT_TXN, /**< pass the response to clm_on_store_response(), with token */
-  CLM_ACT_RANGE,      /**< the same */
-  CLM_ACT_LEASE_GRANT /**< a store lease of ttl; the same */
+  CLM_ACT_RANGE,      /**< as CLM_ACT_TXN */
+  CLM_ACT_LEASE_GRANT /**< a store lease of ttl; as CLM_ACT_TXN */
 };
 
 struct clm_action
@@ -163,7 +165,8 @@
   size_t max_claims;         /**< 0: CLM_DEFAULT_MAX_CLAIMS */
 };
 
-/** Counters since the start, for metrics and benchmarks. */
+/** Counters since the start; late_releases counts the releases that the core
+    queued after CLM_UNAVAILABLE. */
 struct clm_stats
 {
   uint64_t txns, conflicts, uncertain, reads, whole_reads;
--- a/claim/core.h
+++ b/claim/core.h
@@ -17,7 +17,8 @@
 #include "claim/batch.h"
 #include "claim/table.h"
 
-/** A refusal from records confirmed longer ago is checked by a read first. */
+/** A request is not refused by records that were last confirmed longer ago:
+   the store is read first. */
 #define CORE_FRESH_MS CLK_SECOND
 
 /** Maximum number of waiting requests per shard; more are refused. */
@@ -44,16 +45,17 @@
   OP_NONE,
   OP_TXN,
   OP_READ_ALL,
-  OP_READ_NEW /**< from the last head that was read */
+  OP_READ_NEW /**< batches after head_rev */
 };
 
 struct shard
 {
   unsigned no;
   struct waiter_list waiting;
-  struct waiter_list batch; /**< of the write that is not settled */
-  int write_state;          /**< state of chart "store-write" */
-  bool response_lost;       /**< of this write, which may be applied later */
+  struct waiter_list batch; /**< of the write that is not resolved */
+  int write_state;          /**< of chart "store-write" */
+  bool response_lost;       /**< the response to this write, which may still be
+                               applied */
   clk_ms formed_at;
   struct bat_name batch_name;
   struct buf head_key, head_value, batch_key, value, range_key, range_end;
@@ -65,12 +67,12 @@
   clk_ms sent_at;
   bool is_probe; /**< the open call was started while the store was down */
 
-  bool has_all;        /**< the table holds every claim up to `head` */
+  bool has_all;        /**< the table holds every claim up to head_rev */
   int64_t head_rev;    /**< mod_revision of the head key, 0: none */
-  clk_ms confirmed_at; /**< `head` was current at this time or later */
-  bool needs_read;     /**< a request needs a newer read */
-  clk_ms next_write;
-  clk_ms next_read;
+  clk_ms confirmed_at; /**< head_rev was current at this time or later */
+  bool needs_read;     /**< a waiting request needs a newer read */
+  clk_ms next_write;   /**< earliest time of the next write */
+  clk_ms next_read;    /**< earliest time of the next read */
 };
 
 /** Events and states of chart "store-write". */
@@ -110,7 +112,8 @@
   uint64_t last_token, last_seq;
   unsigned nfailures; /**< consecutive failed store calls */
   clk_ms probe_at;    /**< earliest next call after a failed one */
-  int probe_shard;    /**< shard of a request refused while down, or -1 */
+  int probe_shard;    /**< shard to read, to check if the store is back; -1:
+                           none */
   clk_ms next_deadline;
   struct core_action *actions;
   size_t nactions, actions_cap, actions_read;
@@ -132,8 +135,8 @@
 
 /* calls.c */
 
-/** Consecutive failures after which the store is considered down.  A single
-    lost response is resolved without refusing requests. */
+/** Consecutive failures after which the store is considered down.  After a
+    single lost response, no request is refused. */
 #define CORE_DOWN_FAILURES 2
 
 /** Number of open calls; @p normal receives the number of those that were
@@ -162,8 +165,8 @@
 {
   DECIDE_REPLY, /**< `verdict`, `holder` */
   DECIDE_WRITE,
-  DECIDE_WAIT, /**< until the pending write has settled */
-  DECIDE_READ  /**< the recorded refusal is old: read the store first */
+  DECIDE_WAIT, /**< until the pending write is resolved */
+  DECIDE_READ  /**< the records are old: read the store first */
 };
 
 struct decision_result
--- a/claim/decide.c
+++ b/claim/decide.c
@@ -21,8 +21,8 @@
     return reply_with (CLM_ACKNOWLEDGED, NULL);
   if (own && own->pending != TBL_PEND_NONE)
     return without_verdict (DECIDE_WAIT);
-  /* Write the release even if no record is known: one may be on its way from
-     another home and must be voided when it is applied. */
+  /* Write the release even if there is no record of the attempt: a write by
+     another home may be in flight, and its record must not count. */
   return without_verdict (DECIDE_WRITE);
 }
 
--- a/claim/shard.c
+++ b/claim/shard.c
@@ -11,8 +11,8 @@
  *    until a read has resolved it.
  *  - If the read returns the batch key, the write was applied: grant.
  *  - If it returns a head other than BASE and not the batch key, the compare
- *    can never succeed, as mod_revisions only grow.  The batch is void, and
- *    its requests are decided again from the records that were read.
+ *    can never succeed, as mod_revisions only grow.  The batch is discarded,
+ *    and its requests are decided again from the records that were read.
  *  - If it returns the head still at BASE, the write may be applied until the
  *    head changes.  So the same write is sent again, byte for byte, to change
  *    the head.  At most one of the two copies can pass the compare, and both
@@ -318,7 +318,8 @@
   bool readable; /**< every value could be decoded */
 };
 
-/** Batches are ordered by BASE, which is the order of writing. */
+/** Merges the batches that were read into the table.  They are ordered by
+   BASE, which is the order of writing. */
 static struct range_result
 merge_range (struct clm *c, struct shard *s, const struct store_result *r,
              clk_ms now)
--- a/claim/table.h
+++ b/claim/table.h
@@ -5,7 +5,7 @@
  * in bytes.
  *
  * The order in which records are merged does not matter: a released attempt
- * stays released, whatever is read about it later.
+ * stays released, even if its acquisition is read later.
  */
 #ifndef LAPISLINE_CLAIM_TABLE_H
 #define LAPISLINE_CLAIM_TABLE_H
@@ -38,7 +38,9 @@
   bool finished; /**< the requester reported the outcome */
   int response_status;
   clk_ms recorded_at; /**< when the record was written or read */
-  clk_ms written_at;  /**< not written before this; far in the past if read */
+  clk_ms written_at;  /**< when the batch with this record was formed; far in
+                         the past if it was written by
+                         another process */
   clk_ms expires;
   char *response; /**< NULL: none stored */
   size_t response_len;
--- a/replica/assign.h
+++ b/replica/assign.h
@@ -39,7 +39,7 @@
   struct asn_joining joining;
 };
 
-/** Zero-initialized, it is the empty assignment. */
+/** A zero-initialized struct is an empty assignment. */
 struct asn
 {
   int64_t next_generation; /**< generations are never reused */
--- a/replica/budget.c
+++ b/replica/budget.c
@@ -2,8 +2,8 @@
 
 #include "replica/core.h"
 
-/* A load that exceeds its expected time by this factor loses its slot, so that
-   one stuck VM does not block the whole domain. */
+/* A replica loses its slot after SLOT_EXTRA_MS plus this multiple of its
+   expected load time, so that one stuck VM does not block the whole domain. */
 #define SLOT_MAX_FACTOR 4
 #define SLOT_EXTRA_MS ((clk_ms)60000)
 
@@ -32,7 +32,8 @@
 }
 
 /* Complete replicas of the model, in all domains if the caller reported their
-   number, plus those that are loading here, as they will be complete soon. */
+   number, plus those that are loading in this domain, which will be complete
+   soon. */
 static unsigned
 count_complete_or_loading (const struct rep *r, const struct cfg_model *m)
 {
@@ -100,7 +101,7 @@
   return a->down_since < b->down_since;
 }
 
-/* Expected time to load the weights that its members don't hold yet. */
+/* Expected time to load the weights that the members don't hold yet. */
 static clk_ms
 remaining_load_ms (const struct rep *r, clk_ms now,
                    const struct rep_replica *p)
--- a/replica/change.c
+++ b/replica/change.c
@@ -30,8 +30,8 @@
   r->assignment_fresh = true;
   if (r->has_assignment && mod_rev == r->mod_rev)
     return;
-  /* A document that can't be parsed or contains a VM twice is left for an
-     operator: acting on part of it could assign a VM twice. */
+  /* An assignment that can't be parsed or contains a VM twice must be repaired
+     by an operator: using part of it could assign a VM twice. */
   r->assignment_invalid = mod_rev && !asn_parse (value, &assignment);
   if (r->assignment_invalid)
     {
@@ -80,7 +80,7 @@
     case STORE_CONFLICT:
     case STORE_UNCERTAIN:
       /* Another node wrote first, or the response was lost.  In both cases
-         read the current document.  A lost write that is applied later
+         read the current assignment.  A lost write that is applied later
          compares the same revision as the next write of this node, so only one
          of the two can take effect. */
       r->assignment_fresh = false;
@@ -125,9 +125,9 @@
 
 /*
  * Writes the assignment of the whole domain in one transaction.  Comparing the
- * document's revision keeps a VM from being in two replicas, whichever node
- * writes.  Comparing the owner key's revision rejects the write of an owner
- * whose lease ended while the write was in flight.
+ * revision of the assignment keeps a VM from being in two replicas, whichever
+ * node writes.  Comparing the owner key's revision rejects the write of an
+ * owner whose lease ended while the write was in flight.
  */
 static void
 propose (struct rep *r, clk_ms now, struct asn *next, bool as_owner)
@@ -151,8 +151,8 @@
                                .nputs = 1 };
 }
 
-/* The first function with a change ends the decision; the others run on the
-   next tick, with the document that the store then holds. */
+/* Each decision makes at most one of these changes; the next one is made once
+   the store has accepted the first. */
 static bool
 decide_as_owner (struct rep *r, clk_ms now, struct asn *next)
 {
--- a/replica/core.h
+++ b/replica/core.h
@@ -5,9 +5,9 @@
  *   replica.c   event dispatch, action queue, configuration, views, statistics
  *   change.c    reading the assignment and changing it by compare-and-swap
  *   evidence.c  probe results: which replicas are complete; chart transitions
- *   orders.c    load and unload orders, repeated until the VM has obeyed them
- *   place.c     forming and adopting replicas, repair after a member was lost
- *   drain.c     drains by operators, replacement of leaving VMs, release
+ *   orders.c    load and unload orders, repeated until the VM reports the
+ * state place.c     forming and adopting replicas, repair after a member was
+ * lost drain.c     drains by operators, replacement of leaving VMs, release
  *   budget.c    limit on concurrent weight loads
  */
 #ifndef LAPISLINE_REPLICA_CORE_H
@@ -22,7 +22,7 @@
 #define REP_MAX_FAILURES 2
 /** A VM counts as drained after reporting zero load for this long. */
 #define REP_IDLE_MS ((clk_ms)3000)
-/** Time for all gateways to learn that a replica accepts no new requests. */
+/** Time after which all gateways have received that a replica is draining. */
 #define REP_PROPAGATION_MS ((clk_ms)3000)
 /** Time that a member may be missing before the assignment changes. */
 #define REP_GRACE_MS ((clk_ms)5000)
@@ -58,7 +58,7 @@
   bool responded;
   clk_ms responded_at;
   unsigned failures;     /* consecutive */
-  clk_ms missing_since;  /* first failed probe after a success; 0: none */
+  clk_ms missing_since;  /* first failed or overdue probe; 0: none */
   clk_ms idle_since;     /* start of the period without load; 0: has load */
   bool leaving_platform; /* absent from the platform's list */
   struct buf replica;
@@ -124,9 +124,9 @@
 
   struct asn assignment;
   bool has_assignment;
-  bool
-      assignment_fresh; /* read since this node became owner and since the last
-                    write with an unknown outcome; else it is not acted on */
+  bool assignment_fresh;   /* read since this node became owner and since the
+                              last write with an unknown outcome; only then used
+                              */
   bool assignment_invalid; /* no change is written and no order sent */
   int64_t mod_rev;
   clk_ms read_at;
@@ -134,7 +134,7 @@
   uint64_t call_token;
   clk_ms call_at;
   clk_ms next_change;
-  struct asn proposed; /* proposed; valid until the store's response */
+  struct asn proposed; /* valid until the store's response */
   struct buf proposed_text;
   struct store_compare compares[2];
   struct store_put put;
@@ -146,7 +146,7 @@
   struct rep_pending_drain *pending_drains;
   size_t npending_drains;
 
-  clk_ms outage_until; /* no repairs before: most VMs were missing */
+  clk_ms outage_until; /* no repairs until then, as most VMs were missing */
   bool may_load;
   struct rep_complete_count *complete_counts;
   size_t ncomplete_counts;
@@ -175,12 +175,14 @@
                       const struct store_result *res);
 /** Time out a pending call; start the next periodic read. */
 void chg_tick (struct rep *r, clk_ms now);
-/** Write a new assignment if any of the decisions requires one. */
+/** Decide on drains, releases, repairs and new replicas; write the assignment
+    if one of these changes it. */
 void chg_decide (struct rep *r, clk_ms now);
 
 /* evidence.c */
+/** Responded to a probe recently enough to count as running. */
 bool evd_present (const struct rep_vm *vm, clk_ms now);
-/** Present and reporting this replica and generation as ready. */
+/** Present, ready, and reporting this replica and generation. */
 bool evd_reports_ready (const struct rep_vm *vm, clk_ms now,
                         struct str replica, int64_t generation);
 /** Present without loaded weights. */
@@ -213,7 +215,7 @@
 bool drn_apply_requests (struct rep *r, struct asn *next);
 bool drn_release (struct rep *r, clk_ms now, struct asn *next);
 bool drn_replace_leaving (struct rep *r, clk_ms now, struct asn *next);
-/** Recompute r->draining of one replica. */
+/** Recompute p->draining. */
 void drn_update (struct rep *r, clk_ms now, struct rep_replica *p);
 void drn_request (struct rep *r, struct str replica, bool on);
 
--- a/replica/drain.c
+++ b/replica/drain.c
@@ -77,10 +77,11 @@
   rep_push (r, REP_VIEWS_CHANGED);
 }
 
-/* No request is in progress: all gateways had time to learn that the replica
-   accepts no new requests, and since then each member has reported zero load
-   for longer than its reports are delayed.  A replica with a missing member
-   can't finish any request, so there is nothing to wait for. */
+/* Whether no request is in progress: all gateways have received that the
+   replica accepts no new requests (REP_PROPAGATION_MS), and since then each
+   member has reported zero load for longer than its reports are delayed.  A
+   replica with a missing member can't finish any request, so nothing needs to
+   be waited for. */
 static bool
 is_idle (const struct rep *r, const struct rep_replica *p, clk_ms now)
 {
@@ -101,7 +102,7 @@
 }
 
 /* Whether every reachable VM of the entry reports no weights.  An unreachable
-   VM is not assigned again before it reports the same. */
+   VM is not assigned again before it reports this too. */
 static bool
 is_unloaded (const struct rep *r, const struct asn_entry *e, clk_ms now)
 {
@@ -115,8 +116,7 @@
   return true;
 }
 
-/* Returned to the scripts that managed it before: what runs is left
-   running. */
+/* The replica is managed by scripts again, so its servers are not changed. */
 static bool
 is_unmanaged (const struct rep_replica *p)
 {
--- a/replica/evidence.c
+++ b/replica/evidence.c
@@ -77,9 +77,9 @@
   rep_push (r, REP_VIEWS_CHANGED);
 }
 
-/* An unmanaged replica keeps the members that its scripts started.  A member
-   that reports no replica name counts, as only the configuration names its
-   replica.  A member that reports a name must report this one. */
+/* Scripts start the members of an unmanaged replica, possibly without a
+   replica name: then only the configuration names it.  A member that reports a
+   name must report this one. */
 static bool
 unmanaged_member_ready (const struct rep_vm *vm, clk_ms now,
                         const struct rep_replica *p, int64_t generation)
@@ -133,7 +133,7 @@
     }
 }
 
-/* While the assignment was never read (the store may be down for hours),
+/* Until the assignment is first read (the store may be down for hours),
    running replicas stay in service: VMs that report the same replica and
    generation form it if their number is the one that its model requires. */
 static void
--- a/replica/orders.c
+++ b/replica/orders.c
@@ -22,8 +22,8 @@
 /*
  * Unload a VM without an entry in the assignment that reports one of the
  * managed replicas: it returned after it was replaced, or a delayed order of a
- * previous owner reached it.  A replica that may still be adopted and
- * unmanaged replicas are left alone.
+ * previous owner reached it.  Unmanaged replicas and those that may still be
+ * adopted are not unloaded.
  */
 static bool
 unload_unassigned (const struct rep *r, clk_ms now, const struct rep_vm *vm,
--- a/replica/owner.c
+++ b/replica/owner.c
@@ -195,14 +195,15 @@
  * Backend servers that check fencing numbers reject orders of a previous owner
  * once they have seen one of the new owner, so orders may be sent at once.
  *
- * Servers that ignore them obey the last order that arrives.  The key could be
- * written only after the previous owner's lease had expired, or was revoked
- * once that owner had stopped; by its own clock it stopped at two thirds of
- * the lease.  What can still arrive is an order in flight, for at most
- * order_flight_ms, or one sent later because of clock skew, so the first order
- * waits for another ttl plus order_flight_ms.  Not covered: a previous owner
- * that is suspended for longer than that between its check and its write.  Its
- * order then reaches a VM that may belong to another replica.  The VM reports
+ * Servers that ignore them execute the last order that arrives.  This node
+ * could write the key only after the previous owner's lease had expired, or
+ * was revoked once that owner had stopped; the previous owner stopped when its
+ * clock reached two thirds of the lease.  Two kinds of its orders can still
+ * arrive: orders in flight, for at most order_flight_ms, and orders sent later
+ * because of clock skew.  So the first order waits for another ttl plus
+ * order_flight_ms.  Not covered: a previous owner that is suspended for longer
+ * than that between its check and its write.  Its order then reaches a VM that
+ * may belong to another replica.  The VM reports
  * replica and generation with every probe, so the mismatch makes that replica
  * incomplete within REP_PROBE_VALID_MS and the owner repeats its order: the
  * state is wrong for seconds, but no request is served with it.
@@ -266,7 +267,7 @@
       send_read (o, now, CALL_READ_BACK);
       return;
     case STORE_CONFLICT:
-      /* After a lost response, the existing key may be this node's. */
+      /* After a lost response, the existing key may be from this node. */
       if (o->uncertain)
         send_read (o, now, CALL_READ_BACK);
       else
--- a/replica/owner.h
+++ b/replica/owner.h
@@ -59,8 +59,8 @@
   struct str key;  /**< owner key of the domain */
   struct str node; /**< this node */
   uint64_t boot;
-  clk_ms ttl; /**< of the lease; 6000 by default */
-  bool checks_fence;
+  clk_ms ttl;             /**< of the lease; 6000 by default */
+  bool checks_fence;      /**< backend servers check fencing numbers */
   clk_ms order_flight_ms; /**< maximum time that an order can be in flight */
 };
 
@@ -77,7 +77,7 @@
 void own_tick (struct own *o, clk_ms now);
 
 /** Pass in the store's response, also STORE_UNCERTAIN, to the action with that
-    token.  A lease granted by a superseded action is revoked. */
+    token.  A lease granted by an abandoned call is revoked. */
 void own_on_store_response (struct own *o, clk_ms now, uint64_t token,
                             const struct store_result *r);
 
--- a/replica/place.c
+++ b/replica/place.c
@@ -3,9 +3,9 @@
 
 #include "replica/core.h"
 
-/* Restart of the replica's servers after all weights are loaded. */
+/* Time to restart the replica's servers after all weights are loaded. */
 #define RESTART_MS ((clk_ms)10000)
-/* Unloading, and reclaiming a VM that was lent to other work. */
+/* Time to unload a VM, and to reclaim it if it was lent to other work. */
 #define RECLAIM_MS ((clk_ms)15000)
 /* For a VM that is leaving or no longer configured: one day. */
 #define NO_RETURN_MS (24 * 60 * CLK_MINUTE)
@@ -22,10 +22,10 @@
 {
   unsigned vms;
   unsigned missing;
-  unsigned free_vms; /* free VMs */
+  unsigned free_vms;
   unsigned unloading;
   bool helps_another; /* its present VMs could repair another replica */
-  clk_ms missing_ms;  /* longest absence of a missing member */
+  clk_ms missing_ms;  /* longest time that a member is missing */
   bool no_return;
   clk_ms load_ms; /* time to load all weights */
 };
@@ -44,9 +44,8 @@
   return false;
 }
 
-/* A VM is free if it is in no managed replica and in none of the scripts'
-   replicas.  It must also report that no weights are loaded, which completes
-   its release from a previous replica. */
+/* A VM is free if it is in no replica and reports that no weights are loaded,
+   which completes its release from a previous replica. */
 static bool
 is_free (const struct rep *r, clk_ms now, const struct asn *assignment,
          const struct rep_vm *vm)
@@ -87,8 +86,8 @@
 }
 
 /* Outage durations are heavy-tailed: most VMs are restarted within the usual
-   time, and a VM that has been away for longer is likely to stay away for as
-   long again. */
+   time, and a VM that has been missing for longer is likely to stay missing
+   for as long again. */
 static double
 expected_return_s (const struct rep *r, const struct loss *l)
 {
@@ -126,6 +125,8 @@
     return replace < wait ? REPAIR_REPLACE : REPAIR_WAIT;
   if (l->free_vms + l->unloading >= l->missing)
     return REPAIR_WAIT;
+  /* The released VMs repair another replica before its missing VM returns:
+     subtract the cost of that wait. */
   if (l->helps_another)
     dissolve -= (return_s - part_load) * (down + held * present);
   return dissolve < wait ? REPAIR_DISSOLVE : REPAIR_WAIT;
@@ -371,8 +372,8 @@
   n = add_free_vms (r, now, next, vms, n, want);
   if (n < want)
     return false;
-  /* A generation that some VM has seen is never reused, even if the assignment
-     was lost. */
+  /* A generation that a VM reports is never reused, even if the assignment was
+     lost. */
   for (size_t i = 0; i < n; i++)
     if (r->vms[vms[i]].reported.generation > next->next_generation)
       next->next_generation = r->vms[vms[i]].reported.generation;
@@ -407,6 +408,7 @@
   return n;
 }
 
+/* Replicas of the model with the fewest complete replicas are formed first. */
 bool
 plc_form (struct rep *r, clk_ms now, struct asn *next)
 {
--- a/replica/replica.h
+++ b/replica/replica.h
@@ -10,10 +10,11 @@
  * caller supplies the assignment as read, the probe results, the platform's
  * list of VMs and the store's responses.
  *
- * A replica is complete while each member has answered a probe within
- * REP_PROBE_VALID_MS with this replica's name and generation and as ready. The
- * states are those of charts/replica.json: absent, forming, loading, whole
- * (complete), degraded, draining, releasing, gone.
+ * A replica is complete while each member has responded to a probe within the
+ * last REP_PROBE_VALID_MS and reported that it is ready, with the name and
+ * generation of this replica.  The states are those of charts/replica.json:
+ * absent, forming, loading, whole (complete), degraded, draining, releasing,
+ * gone.
  *
  * Callers: control/domains.c, with one core for each fabric domain whose home
  * is its node, and builtin/assign-world.c for `bench assign`.
@@ -101,7 +102,7 @@
   struct str replica;
   int64_t generation;
   unsigned rank;
-  unsigned world;
+  unsigned world; /**< number of ranks */
   int64_t fence;
   struct str key;
   struct store_txn txn; /**< owned by the core until the response */
--- a/t/lib-claim-walk.c
+++ b/t/lib-claim-walk.c
@@ -34,10 +34,10 @@
 }
 
 static struct cwk_req *
-find_req (struct cwk_run *k, uint64_t ask)
+find_req (struct cwk_run *k, uint64_t request_id)
 {
   for (size_t i = 0; i < CWK_REQUESTS; i++)
-    if (k->reqs[i].state != REQ_FREE && k->reqs[i].request_id == ask)
+    if (k->reqs[i].state != REQ_FREE && k->reqs[i].request_id == request_id)
       return &k->reqs[i];
   return NULL;
 }
@@ -122,9 +122,10 @@
 }
 
 static void
-deliver_verdict (struct cwk_run *k, uint64_t no, enum clm_verdict verdict)
+deliver_verdict (struct cwk_run *k, uint64_t request_id,
+                 enum clm_verdict verdict)
 {
-  struct cwk_req *q = find_req (k, no);
+  struct cwk_req *q = find_req (k, request_id);
 
   if (q && k->fault == CWK_FAULT_RELEASES_GRANT)
     q->requester.granted = false;
--- a/t/lib-claim-walk.h
+++ b/t/lib-claim-walk.h
@@ -5,9 +5,9 @@
  * responses.  Messages between gateways are lost and delayed, processes are
  * suspended and restarted, leases expire.  A seed determines the whole run.
  *
- * Checked: no key is sent twice within the window.  To detect a run that
- * proves nothing, sends, retries after a release and resolved writes are
- * counted too, and injected faults must be found.
+ * Checked: no key is sent twice within the window.  The counts of sends,
+ * expired grants and resolved writes show that a run reached these cases, and
+ * tests inject faults that the check must find.
  */
 #ifndef LAPISLINE_T_LIB_CLAIM_WALK_H
 #define LAPISLINE_T_LIB_CLAIM_WALK_H
@@ -43,9 +43,9 @@
 struct cwk_req
 {
   enum cwk_req_state state;
-  uint64_t attempt;    /**< its attempt */
-  uint64_t request_id; /**< its last request, so that late responses to earlier
-                   ones match nothing */
+  uint64_t attempt;
+  uint64_t request_id; /**< of the last claim request, so that late responses
+                           to earlier ones are ignored */
   int gateway;
   int key;
   clk_ms granted;
--- a/t/lib-claim.h
+++ b/t/lib-claim.h
@@ -66,6 +66,7 @@
   struct store_kv *kvs; /**< owned, with their strings */
 };
 
+/** The store, the cores and their open calls. */
 struct cw
 {
   struct kv kv;
--- a/t/lib-domain.c
+++ b/t/lib-domain.c
@@ -455,7 +455,8 @@
   return buf_c (&d->log);
 }
 
-/* Whether the VM is this member, or was within the evidence time. */
+/* Whether the VM is a ready member of the replica, or changed within the last
+   REP_PROBE_VALID_MS. */
 static bool
 was_member (const struct dom *d, const struct fake_vm *vm,
             const struct rep_replica *p)
--- a/t/lib-domain.h
+++ b/t/lib-domain.h
@@ -20,7 +20,7 @@
  *   store lost|race             the next write is applied without a response |
  *                               loses to another writer
  *   usurp FENCE                 another node wrote the owner key
- *   accept                      the later configuration comes into force
+ *   accept                      the next configuration is applied
  *   as 1|2                      selects the core that the next lines refer to
  *   run                         no event; only advances the time
  */
@@ -33,7 +33,7 @@
 {
   const char *config; /**< JSON; the domain is "d" */
   const char
-      *next_config; /**< later configuration with the same VMs, or NULL */
+      *next_config; /**< applied by "accept"; has the same VMs; or NULL */
   bool checks_fence;
   bool no_budget;
   clk_ms load_ms; /**< time that one VM takes to load */
@@ -61,8 +61,8 @@
 unsigned dom_wrong_loads (const struct dom *d);
 
 /**
- * Number of members, in replicas that a core shows as whole, that have not
- * been valid for longer than the evidence time.
+ * Counts the members of replicas that a core reports as complete although the
+ * VM stopped being a ready member more than REP_PROBE_VALID_MS ago.
  */
 unsigned dom_false_complete (struct dom *d);
 
--- a/t/t4001-claim.c
+++ b/t/t4001-claim.c
@@ -190,9 +190,9 @@
               "  h1 k/D granted\n");
 }
 
-/* The store is slow: the response to a write arrives after the requester was
-   told "not run".  If the claim stayed, a retry would be refused for the whole
-   window, so the core releases it. */
+/* The store is slow: the response to a write arrives after the requester
+   received "unavailable".  If the claim stayed, a retry would be refused for
+   the whole window, so the core releases it. */
 Test (claim, late_write_is_released)
 {
   csc_expect ("h1 final k A\n"
@@ -304,8 +304,8 @@
               "  h1 m/B granted\n");
 }
 
-/* A grant was not used in time, and its gateway repeats the request for the
-   same attempt.  If it were granted again, the record could expire while the
+/* A gateway does not use a grant in time and repeats the request for the same
+   attempt.  If it were granted again, the record could expire while the
    call is being sent, and a retry could run beside it; so the record is
    written again.  The attempt is refused once a retry holds the key. */
 Test (claim, old_record_is_written_again)
@@ -368,9 +368,9 @@
 }
 
 /* The response to a write is lost, the same write is sent again and that copy
-   is refused, but the first may still be applied.  The requester was told "not
-   run", so a release must follow: otherwise the key would stay taken for the
-   whole window once the first copy is applied. */
+   is refused, but the first may still be applied.  The requester received
+   "unavailable", so a release must follow: otherwise the key would be held for
+   the whole window once the first copy is applied. */
 Test (claim, retry_refused_while_first_copy_is_pending)
 {
   csc_expect ("h1 final k A\n"
--- a/t/t4002-asker.c
+++ b/t/t4002-asker.c
@@ -110,9 +110,9 @@
 
 /* The first node is suspended with the request, and the next one refuses
    because of a holder that releases the key right after.  The first node
-   resumes, finds the key free and records a claim that is never used; without
-   a release the key is refused for the rest of the window although nothing
-   ran. */
+   resumes, finds the key free and records a claim that is never used.  Without
+   a release the key would be refused for the rest of the window, although no
+   call was executed. */
 Test (requester, refusal_with_unresponsive_home)
 {
   expect (2, 2000, "+300 >send running >reply-and-release granted >release");
@@ -120,8 +120,8 @@
   expect (2, 2000, "running >reply");
 }
 
-/* A grant that arrives after the caller was told "not run" is released, also
-   if the process was suspended and finds the grant after the deadline. */
+/* A grant that arrives after the request was given up is released, also if the
+   process was suspended and finds the grant after the deadline. */
 Test (requester, late_grant_is_released)
 {
   expect (2, 500, "+300 >send +200 >give-up-and-release granted >release");
@@ -130,5 +130,5 @@
 }
 
 /* With a timeout longer than CLM_MAX_WAIT_MS, a grant could outlive its
- * record. */
+   record. */
 Test (requester, wait_is_bounded) { expect (1, 60000, "+2999 +1 >give-up"); }
--- a/t/t4003-bounds.c
+++ b/t/t4003-bounds.c
@@ -53,8 +53,8 @@
 
 /* A head key is deleted and another home creates it again.  The new batches
    carry a lower base than the head that home 1 last read, so a read from there
-   would miss them and a taken key would look free.  The broken chain of bases
-   reveals this, and the whole shard is read. */
+   would miss them and a taken key would look free.  The gap in the chain of
+   bases shows that batches are missing, and the whole shard is read. */
 Test (bounds, head_deleted)
 {
   struct csc run;
@@ -87,7 +87,7 @@
 
 /* The same, with a second batch in the shard.  A read from home 1's head
    returns only that batch, which is the last one before the new head.  Its
-   base differs from home 1's head, which reveals the missing batch. */
+   base differs from home 1's head, so a batch is missing. */
 Test (bounds, head_deleted_and_two_batches)
 {
   struct csc run;
--- a/t/t4900-walk.c
+++ b/t/t4900-walk.c
@@ -4,7 +4,8 @@
 #include "t/lib-claim-walk.h"
 
 /* Callers retry calls through three gateways with all kinds of faults, alone
-   and combined.  No call may run twice within the window. */
+   and combined.  No call may run twice within the
+   window. */
 Test (claim_walk, no_key_is_sent_twice)
 {
   static struct cwk_run k;
@@ -86,9 +87,9 @@
   expect_violation (CWK_FAULT_RELEASES_GRANT);
 }
 
-/* Gateways used the millisecond of their start to name their batches.  After a
-   deployment, two gateways may share it, and one takes the other's batch for
-   its own. */
+/* Gateways used their start time in milliseconds as boot number in the names
+   of batches.  After a deployment, two gateways may have the same number, and
+   one then treats the other's batch as one that it wrote. */
 Test (claim_walk, finds_shared_boot_number)
 {
   expect_violation (CWK_FAULT_SHARED_BOOT);
--- a/t/t6003-replica-walk.c
+++ b/t/t6003-replica-walk.c
@@ -125,10 +125,10 @@
  * VMs fail, return blank or with another replica, and are listed as leaving or
  * live; old orders arrive late; the store refuses writes, loses responses and
  * accepts competing writes; ownership moves between two cores.  In any order:
- * no written document contains a VM twice (the fake store parses each), no VM
- * obeys a load order for a replica that the document does not assign to it,
+ * no written assignment contains a VM twice (the fake store parses each), no
+ * VM executes a load order for a replica that the assignment does not give it,
  * and no replica is reported as complete for longer than REP_PROBE_VALID_MS
- * after a member became wrong.
+ * after a member stopped being a ready member of it.
  */
 Test (replica_walk, no_vm_in_two_replicas)
 {
--- a/t/t6004-domains.c
+++ b/t/t6004-domains.c
@@ -14,7 +14,8 @@
    store in memory.  Membership and peer links are stubbed.  Lines of the log
    end with the phase of the script in which they were written. */
 
-/* Two thirds of the lease, from a renewal, plus a margin. */
+/* Time after a renewal at which the owner must send no orders: two thirds of
+   the lease, plus a margin. */
 #define ORDER_TIME_MS ((clk_ms)4050)
 /* Time after a renewal: late enough that the owner's time for orders ends
    before an order's deadline, early enough for a probe and an order. */
@@ -327,6 +328,14 @@
     uv_run (&fixture->run.loop, UV_RUN_ONCE);
 }
 
+/*
+ * Steps: phase TEXT; store up|down; blank, ready (the VM has no weights, all
+ * weights); late: fail_renewals(); freeze: suspend this process at the next
+ * evidence that is not complete, until the owner's time for orders has passed;
+ * release: the store ends the lease; remote, elsewhere FENCE whole|broken:
+ * evidence from the owner of "d", of the other domains; short: remote_short();
+ * peer: a peer connects; pause: 4.5 s pass; show: log_replica().
+ */
 static void
 run_step (void *ctx, struct str word, struct str rest)
 {
@@ -469,9 +478,9 @@
 }
 
 /*
- * After an outage, five domains of other owners also wait for weights and come
- * first.  This owner has its lease and could load, but four of the others are
- * loading, so it waits until they are complete.
+ * After an outage, five domains of other owners also wait to load weights and
+ * precede this one.  This owner has its lease and could load, but four of the
+ * others are loading, so it waits until they are complete.
  */
 Test (domains, load_waits_for_other_domains)
 {
@@ -506,9 +515,9 @@
 }
 
 /*
- * A starting node links after the last full evidence and can't use the short
- * form.  Without full evidence its callers would get "no replica" for up to
- * five seconds, although address responses already list the node.
+ * A starting node connects after the last full evidence was sent and can't use
+ * the short form.  Without full evidence its callers would get "no replica"
+ * for up to five seconds, although address responses already list the node.
  */
 Test (domains, new_peer_receives_full_evidence)
 {
--- a/t/t6010-replica-processes.c
+++ b/t/t6010-replica-processes.c
@@ -93,14 +93,14 @@
   web_free (&a);
 }
 
-/* The state of the replica by a node, or of a VM by the VM. */
+/* Reads the replica's state from a node, or a VM's state from the VM. */
 static void
 get (const char *addr, const char *path, struct web_answer *a)
 {
   cr_assert (web_call (addr, "GET", path, AUTH, NULL, a));
 }
 
-/* Index of the node that owns the domain, by node 0. */
+/* Index of the node that owns the domain, as node 0 reports it. */
 static int
 owner_index (void)
 {
@@ -173,8 +173,8 @@
 /*
  * The owner is suspended past its lease and the other node takes the domain.
  * Then a VM loses its weights and the old owner resumes, so both have a reason
- * to send an order.  Only an order with a newer fencing number may reach the
- * VM, and none that the VM has to refuse.
+ * to send an order.  The VM must receive only orders with a newer fencing
+ * number and refuse none.
  */
 Test (replica_processes, suspended_owner_resumes)
 {
--- a/t/t6900-owner-walk.c
+++ b/t/t6900-owner-walk.c
@@ -4,9 +4,9 @@
  * responses, leases that expire, suspensions, restarts, and delayed orders to
  * a VM.  A seed determines the whole run.
  *
- * Checked at the VM: it never obeys an order of an older owner after one of a
- * newer owner.  Backend servers that check fencing numbers ensure this;
- * otherwise the owners' clocks and waiting times must.
+ * Checked at the VM: it never executes an order of an older owner after one of
+ * a newer owner.  Backend servers that check fencing numbers ensure this; with
+ * others, it depends on the owners' clocks and waiting times.
  */
 #include <criterion/criterion.h>
 #include <string.h>
@@ -25,7 +25,8 @@
   FAULT_NONE,
   FAULT_NO_CLOCK_CHECK, /**< sends orders in state OWN_HOLDING without
                      own_may_order() */
-  FAULT_FENCE_IGNORED   /**< servers don't check them as configured */
+  FAULT_FENCE_IGNORED   /**< servers ignore fencing numbers although the
+                          configuration says that they check them */
 };
 
 struct call
@@ -60,7 +61,7 @@
   struct call calls[CALLS];
   struct order orders[ORDERS];
   uint64_t boots;
-  int64_t highest; /**< highest fencing number that the VM executed */
+  int64_t highest; /**< highest fencing number of an executed order */
   uint64_t executed, refused, owners;
   const char *violation;
 };
@@ -78,7 +79,7 @@
 
   while (c < k->calls + CALLS && c->used)
     c++;
-  /* Full of lost writes: drop one of them, which is never applied. */
+  /* All entries hold lost writes: drop one, which is then never applied. */
   if (c == k->calls + CALLS)
     c = &k->calls[random_below (k, CALLS)];
   c->used = true;
@@ -244,7 +245,7 @@
       return true;
     }
   if (o->fence < k->highest)
-    k->violation = "a VM executed an older owner after a newer one";
+    k->violation = "a VM executed an older owner's order after a newer one's";
   k->highest = o->fence;
   k->executed++;
   return true;
@@ -404,8 +405,9 @@
   expect_no_violation (true);
 }
 
-/* The same with a VM that obeys the last order that arrives: the old owner's
-   clock must stop it, and the new owner must wait for orders in flight. */
+/* The same with a VM that executes the last order that arrives: the old
+   owner's clock must stop it, and the new owner must wait for orders in
+   flight. */
 Test (owner_walk, servers_ignore_fencing_numbers)
 {
   expect_no_violation (false);
