--- a/claim/asker.c
+++ b/claim/asker.c
@@ -86,7 +86,7 @@
   /* A suspended home that was tried before may resume and record the claim
      once the holder reported by this verdict has released the key.  No call
      would be sent for that record, and callers would receive CLM_RUNNING for
-     the whole window.  A release in the store voids the record whichever of
+     the whole window.  A release in the store cancels the record, whichever of
      the two is applied first. */
   return !a->granted && a->nended < a->ntried ? CLM_REQUESTER_REPLY_AND_RELEASE
                                               : CLM_REQUESTER_REPLY;
--- a/claim/asker.h
+++ b/claim/asker.h
@@ -16,7 +16,7 @@
  * and this core must not release it.
  *
  * Only the requester may release its attempt, once it is certain never to send
- * the call: a home that gave up can't know whether another node granted it.
+ * the call: another node may have granted it after a home gave up.
  */
 #ifndef LAPISLINE_CLAIM_ASKER_H
 #define LAPISLINE_CLAIM_ASKER_H
--- a/claim/batch.h
+++ b/claim/batch.h
@@ -6,7 +6,7 @@
  *   claim/SS/b/BASE-BOOT-SEQ  a batch of records
  *   claim/SS/head             the writer of the last batch
  * BASE is the head's mod_revision that the batch was compared with, so a range
- * that starts at a known head revision contains exactly the later batches
+ * that starts at a head revision contains exactly the batches after it
  * ("head" sorts after "b/", so the same range includes the head).
  *
  * The BASE of each batch is the mod_revision of the batch before it.  A reader
--- a/replica/assign.h
+++ b/replica/assign.h
@@ -2,7 +2,7 @@
  * @file
  * The assignment of one fabric domain: which VM belongs to which replica.
  *
- * The whole document is one store value, changed by compare-and-swap:
+ * The assignment is one store value, changed by compare-and-swap:
  *   {"next": 7, "drained": ["r2"], "replicas": [{"name": "r1", "model": "m",
  *    "generation": 6, "phase": "active", "vms": ["vm-1", "vm-2"],
  *    "joining": {"vm": "vm-3", "replaces": "vm-1", "generation": 7}}]}
--- a/replica/core.h
+++ b/replica/core.h
@@ -5,9 +5,9 @@
  *   replica.c   event dispatch, action queue, configuration, views, statistics
  *   change.c    reading the assignment and changing it by compare-and-swap
  *   evidence.c  probe results: which replicas are complete; chart transitions
- *   orders.c    load and unload orders, repeated until the VM reports the
- * state place.c     forming and adopting replicas, repair after a member was
- * lost drain.c     drains by operators, replacement of leaving VMs, release
+ *   orders.c    load and unload orders, repeated until they have taken effect
+ *   place.c     forming and adopting replicas, repair after a member was lost
+ *   drain.c     drains by operators, replacement of leaving VMs, release
  *   budget.c    limit on concurrent weight loads
  */
 #ifndef LAPISLINE_REPLICA_CORE_H
@@ -125,8 +125,7 @@
   struct asn assignment;
   bool has_assignment;
   bool assignment_fresh;   /* read since this node became owner and since the
-                              last write with an unknown outcome; only then used
-                              */
+                              last write with an unknown outcome */
   bool assignment_invalid; /* no change is written and no order sent */
   int64_t mod_rev;
   clk_ms read_at;
--- a/replica/evidence.c
+++ b/replica/evidence.c
@@ -135,7 +135,7 @@
 
 /* Until the assignment is first read (the store may be down for hours),
    running replicas stay in service: VMs that report the same replica and
-   generation form it if their number is the one that its model requires. */
+   generation form it if there are as many as its model requires. */
 static void
 set_members_from_reports (const struct rep *r, clk_ms now,
                           struct rep_replica *p)
--- a/replica/owner.h
+++ b/replica/owner.h
@@ -69,7 +69,8 @@
 struct own *own_new (const struct own_options *opt, uint64_t seed);
 void own_free (struct own *o);
 
-/** Whether this node should own the domain; an unneeded lease is released. */
+/** Set whether this node should own the domain.  If not, it releases its
+    lease. */
 void own_set_wanted (struct own *o, clk_ms now, bool want);
 
 /** Advance time.  A gap of more than ttl / 3 between two calls counts as a
--- a/replica/replica.h
+++ b/replica/replica.h
@@ -108,7 +108,6 @@
   struct store_txn txn; /**< owned by the core until the response */
 };
 
-/** State of one replica. */
 struct rep_view
 {
   struct str replica;
--- a/t/t6002-replica.c
+++ b/t/t6002-replica.c
@@ -310,8 +310,8 @@
 }
 
 /* The response to the first write is lost although it was applied; a later
-   write conflicts with another writer.  Both times the store is read, and its
-   document is used. */
+   write conflicts with another writer.  Both times the assignment is read
+   again and used. */
 Test (replica, lost_response_and_conflict_are_reread)
 {
   dom_check (&one_replica,
--- a/t/t6004-domains.c
+++ b/t/t6004-domains.c
@@ -328,14 +328,10 @@
     uv_run (&fixture->run.loop, UV_RUN_ONCE);
 }
 
-/*
- * Steps: phase TEXT; store up|down; blank, ready (the VM has no weights, all
- * weights); late: fail_renewals(); freeze: suspend this process at the next
- * evidence that is not complete, until the owner's time for orders has passed;
- * release: the store ends the lease; remote, elsewhere FENCE whole|broken:
- * evidence from the owner of "d", of the other domains; short: remote_short();
- * peer: a peer connects; pause: 4.5 s pass; show: log_replica().
- */
+/* Steps that need explanation: late: fail_renewals(); freeze: suspend this
+   process at the next incomplete evidence until the owner's time for orders is
+   over; release: the store ends the lease; elsewhere: remote evidence about
+   the other domains. */
 static void
 run_step (void *ctx, struct str word, struct str rest)
 {
