--- a/claim/asker.c
+++ b/claim/asker.c
@@ -34,7 +34,7 @@
   if (a->done)
     return CLM_REQUESTER_NONE;
   if (now >= a->deadline)
-    return give_up (a, a->nended < a->ntried);
+    return give_up (a, a->nfinished < a->ntried);
   if (now < a->failover_at)
     return CLM_REQUESTER_NONE;
   return send_to_next (a, now);
@@ -53,9 +53,9 @@
 {
   if (a->done)
     return CLM_REQUESTER_NONE;
-  a->nended++;
+  a->nfinished++;
   if (a->ntried == a->ntargets || now >= a->deadline)
-    return give_up (a, a->nended < a->ntried);
+    return give_up (a, a->nfinished < a->ntried);
   return send_to_next (a, now);
 }
 
@@ -63,7 +63,7 @@
 clm_requester_on_verdict (struct clm_requester *a, clk_ms now,
                           enum clm_verdict verdict)
 {
-  a->nended++;
+  a->nfinished++;
   /* Two nodes may grant the same attempt.  Once one grant was passed on, the
      second must not be released: the release would let a retry run beside the
      call that is being sent. */
@@ -77,7 +77,7 @@
       return CLM_REQUESTER_GIVE_UP_AND_RELEASE;
     }
   if (now >= a->deadline)
-    return give_up (a, a->nended < a->ntried);
+    return give_up (a, a->nfinished < a->ntried);
   /* A node does not report whether a write of the claim is pending. */
   if (verdict == CLM_UNAVAILABLE)
     return give_up (a, true);
@@ -88,6 +88,7 @@
      would be sent for that record, and callers would receive CLM_RUNNING for
      the whole window.  A release in the store cancels the record, whichever of
      the two is applied first. */
-  return !a->granted && a->nended < a->ntried ? CLM_REQUESTER_REPLY_AND_RELEASE
-                                              : CLM_REQUESTER_REPLY;
+  return !a->granted && a->nfinished < a->ntried
+             ? CLM_REQUESTER_REPLY_AND_RELEASE
+             : CLM_REQUESTER_REPLY;
 }
--- a/claim/asker.h
+++ b/claim/asker.h
@@ -32,8 +32,8 @@
 struct clm_requester
 {
   unsigned ntargets;
-  unsigned ntried; /**< targets tried so far */
-  unsigned nended; /**< targets that responded or couldn't be reached */
+  unsigned ntried;    /**< targets tried so far */
+  unsigned nfinished; /**< targets that responded or couldn't be reached */
   clk_ms deadline;
   clk_ms failover_at;
   bool done;
