--- a/replica/core.h
+++ b/replica/core.h
@@ -5,7 +5,7 @@
  *   replica.c   event dispatch, action queue, configuration, views, statistics
  *   change.c    reading the assignment and changing it by compare-and-swap
  *   evidence.c  probe results: which replicas are complete; chart transitions
- *   orders.c    load and unload orders, repeated until the VM has obeyed them
+ *   orders.c    load and unload orders, repeated until they have taken effect
  *   place.c     forming and adopting replicas, repair after a member was lost
  *   drain.c     drains by operators, replacement of leaving VMs, release
  *   budget.c    limit on concurrent weight loads
@@ -22,7 +22,7 @@
 #define REP_MAX_FAILURES 2
 /** A VM counts as drained after reporting zero load for this long. */
 #define REP_IDLE_MS ((clk_ms)3000)
-/** Time for all gateways to learn that a replica accepts no new requests. */
+/** Time after which all gateways have received that a replica is draining. */
 #define REP_PROPAGATION_MS ((clk_ms)3000)
 /** Time that a member may be missing before the assignment changes. */
 #define REP_GRACE_MS ((clk_ms)5000)
@@ -32,7 +32,7 @@
 #define REP_ADOPT_MS ((clk_ms)60000)
 /** Interval of reading the assignment, on the owner and on other nodes. */
 #define REP_READ_MS ((clk_ms)2000)
-#define REP_IDLE_READ_MS ((clk_ms)10000)
+#define REP_NON_OWNER_READ_MS ((clk_ms)10000)
 #define REP_ORDER_RETRY_MS ((clk_ms)2000)
 #define REP_STORE_RETRY_MS ((clk_ms)1000)
 /** Timeout of a store call or an order. */
@@ -55,10 +55,10 @@
 struct rep_vm
 {
   const struct cfg_vm *cfg;
-  bool answered;
-  clk_ms answered_at;
+  bool responded;
+  clk_ms responded_at;
   unsigned failures;     /* consecutive */
-  clk_ms missing_since;  /* first failed probe after a success; 0: none */
+  clk_ms missing_since;  /* first failed or overdue probe; 0: none */
   clk_ms idle_since;     /* start of the period without load; 0: has load */
   bool leaving_platform; /* absent from the platform's list */
   struct buf replica;
@@ -84,7 +84,7 @@
   clk_ms drain_since;
   clk_ms down_since;
   clk_ms probed_at;
-  uint32_t load;
+  uint32_t inflight_tokens;
   bool has_slot; /* may load weights (load budget) */
   clk_ms slot_since;
   clk_ms expected_load_ms;
@@ -96,7 +96,7 @@
   bool on;
 };
 
-struct rep_live_count
+struct rep_complete_count
 {
   char *model;
   unsigned live;
@@ -122,19 +122,19 @@
   struct rep_replica *replicas;
   size_t nreplicas;
 
-  struct asn doc;
-  bool has_doc;
-  bool doc_fresh;   /* read since this node became owner and since the last
-                       write with an unknown outcome; else it is not acted on */
-  bool doc_invalid; /* no change is written and no order sent */
+  struct asn assignment;
+  bool has_assignment;
+  bool assignment_fresh;   /* read since this node became owner and since the
+                              last write with an unknown outcome */
+  bool assignment_invalid; /* no change is written and no order sent */
   int64_t mod_rev;
   clk_ms read_at;
   enum rep_call call;
   uint64_t call_token;
   clk_ms call_at;
   clk_ms next_change;
-  struct asn next; /* proposed; valid until the store's response */
-  struct buf next_text;
+  struct asn proposed; /* valid until the store's response */
+  struct buf proposed_text;
   struct store_compare compares[2];
   struct store_put put;
 
@@ -145,16 +145,16 @@
   struct rep_pending_drain *pending_drains;
   size_t npending_drains;
 
-  clk_ms outage_until; /* no repairs before: most VMs were missing */
+  clk_ms outage_until; /* no repairs until then, as most VMs were missing */
   bool may_load;
-  struct rep_live_count *live_counts;
-  size_t nlive_counts;
+  struct rep_complete_count *complete_counts;
+  size_t ncomplete_counts;
 
-  uint64_t tokens;
+  uint64_t last_token;
   struct rep_action *queue;
-  size_t head, count, cap;
+  size_t queue_read, queue_len, queue_cap;
   struct rep_view *views;
-  clk_ms measured_at;
+  clk_ms stats_at;
   double downtime, stranded;
 };
 
@@ -167,19 +167,21 @@
 struct rep_replica *rep_replica_by_name (const struct rep *r, struct str name);
 
 /* change.c */
-void chg_set_doc (struct rep *r, clk_ms now, struct str value,
-                  int64_t mod_rev);
+void chg_set_assignment (struct rep *r, clk_ms now, struct str value,
+                         int64_t mod_rev);
 void chg_read (struct rep *r, clk_ms now);
 void chg_on_response (struct rep *r, clk_ms now, uint64_t token,
                       const struct store_result *res);
 /** Time out a pending call; start the next periodic read. */
 void chg_tick (struct rep *r, clk_ms now);
-/** Write a new assignment if any of the decisions requires one. */
+/** Decide on drains, releases, repairs and new replicas; write the assignment
+    if one of these changes it. */
 void chg_decide (struct rep *r, clk_ms now);
 
 /* evidence.c */
+/** Responded to a probe recently enough to count as running. */
 bool evd_present (const struct rep_vm *vm, clk_ms now);
-/** Present and reporting this replica and generation as ready. */
+/** Present, ready, and reporting this replica and generation. */
 bool evd_reports_ready (const struct rep_vm *vm, clk_ms now,
                         struct str replica, int64_t generation);
 /** Present without loaded weights. */
@@ -205,20 +207,21 @@
 bool plc_repair (struct rep *r, clk_ms now, struct asn *next);
 bool plc_form (struct rep *r, clk_ms now, struct asn *next);
 /** A VM that can be assigned to a replica now, or NULL. */
-struct rep_vm *plc_find_spare (const struct rep *r, clk_ms now,
-                               const struct asn *doc);
+struct rep_vm *plc_find_free_vm (const struct rep *r, clk_ms now,
+                                 const struct asn *assignment);
 
 /* drain.c: each function returns whether it changed @p next. */
 bool drn_apply_requests (struct rep *r, struct asn *next);
 bool drn_release (struct rep *r, clk_ms now, struct asn *next);
 bool drn_replace_leaving (struct rep *r, clk_ms now, struct asn *next);
-/** Recompute r->draining of one replica. */
+/** Recompute p->draining. */
 void drn_update (struct rep *r, clk_ms now, struct rep_replica *p);
 void drn_request (struct rep *r, struct str replica, bool on);
 
 /* budget.c */
 void bud_tick (struct rep *r, clk_ms now);
-void bud_set_live_count (struct rep *r, struct str model, unsigned live);
+void bud_set_complete_count (struct rep *r, struct str model,
+                             unsigned ncomplete);
 /** Time to load all weights of a replica while no other replica loads. */
 clk_ms bud_load_ms (const struct rep *r, const struct cfg_model *m);
 
--- a/replica/drain.c
+++ b/replica/drain.c
@@ -67,7 +67,7 @@
 drn_update (struct rep *r, clk_ms now, struct rep_replica *p)
 {
   bool draining = is_drain_requested (r, p->name)
-                  || asn_is_drained (&r->doc, p->name)
+                  || asn_is_drained (&r->assignment, p->name)
                   || has_leaving_member (r, p) || !p->cfg;
 
   if (draining == p->draining)
@@ -77,22 +77,23 @@
   rep_push (r, REP_VIEWS_CHANGED);
 }
 
-/* No request is in progress: all gateways had time to learn that the replica
-   accepts no new requests, and since then each member has reported zero load
-   for longer than its reports are delayed.  A replica with a missing member
-   can't finish any request, so there is nothing to wait for. */
+/* Whether no request is in progress: all gateways have received that the
+   replica accepts no new requests (REP_PROPAGATION_MS), and since then each
+   member has reported zero load for longer than its reports are delayed.  A
+   replica with a missing member can't finish any request, so nothing needs to
+   be waited for. */
 static bool
 is_idle (const struct rep *r, const struct rep_replica *p, clk_ms now)
 {
-  clk_ms informed_at = p->drain_since + REP_PROPAGATION_MS;
+  clk_ms propagated_at = p->drain_since + REP_PROPAGATION_MS;
 
   if (!p->complete)
-    return now >= informed_at || evd_member_missing (r, p, now);
+    return now >= propagated_at || evd_member_missing (r, p, now);
   for (size_t i = 0; i < p->nvms; i++)
     {
       const struct rep_vm *vm = &r->vms[p->vms[i]];
       clk_ms from
-          = vm->idle_since > informed_at ? vm->idle_since : informed_at;
+          = vm->idle_since > propagated_at ? vm->idle_since : propagated_at;
 
       if (!vm->idle_since || now - from < REP_IDLE_MS)
         return false;
@@ -101,7 +102,7 @@
 }
 
 /* Whether every reachable VM of the entry reports no weights.  An unreachable
-   VM is not assigned again before it reports the same. */
+   VM is not assigned again before it reports this too. */
 static bool
 is_unloaded (const struct rep *r, const struct asn_entry *e, clk_ms now)
 {
@@ -115,8 +116,7 @@
   return true;
 }
 
-/* Returned to the scripts that managed it before: what runs is left
-   running. */
+/* The replica is managed by scripts again, so its servers are not changed. */
 static bool
 is_unmanaged (const struct rep_replica *p)
 {
@@ -203,7 +203,7 @@
             return true;
           continue;
         }
-      if (!old || !(spare = plc_find_spare (r, now, next)))
+      if (!old || !(spare = plc_find_free_vm (r, now, next)))
         continue;
       asn_set_joining (next, e, spare->cfg->name, str_from (old));
       return true;
--- a/replica/evidence.c
+++ b/replica/evidence.c
@@ -13,8 +13,8 @@
 bool
 evd_present (const struct rep_vm *vm, clk_ms now)
 {
-  return vm->answered && vm->failures < REP_MAX_FAILURES
-         && now - vm->answered_at < REP_PROBE_VALID_MS;
+  return vm->responded && vm->failures < REP_MAX_FAILURES
+         && now - vm->responded_at < REP_PROBE_VALID_MS;
 }
 
 bool
@@ -53,7 +53,7 @@
     {
       const struct rep_vm *vm = &r->vms[i];
 
-      if (!vm->answered || vm->reported.generation <= 0
+      if (!vm->responded || vm->reported.generation <= 0
           || vm->reported.generation < *generation
           || !evd_reports_ready (vm, now, replica, vm->reported.generation))
         continue;
@@ -77,9 +77,9 @@
   rep_push (r, REP_VIEWS_CHANGED);
 }
 
-/* An unmanaged replica keeps the members that its scripts started.  A member
-   that reports no replica name counts, as only the configuration names its
-   replica.  A member that reports a name must report this one. */
+/* Scripts start the members of an unmanaged replica, possibly without a
+   replica name: then only the configuration names it.  A member that reports a
+   name must report this one. */
 static bool
 unmanaged_member_ready (const struct rep_vm *vm, clk_ms now,
                         const struct rep_replica *p, int64_t generation)
@@ -121,21 +121,21 @@
 aggregate_members (const struct rep *r, struct rep_replica *p)
 {
   p->probed_at = p->nvms ? INT64_MAX : 0;
-  p->load = 0;
+  p->inflight_tokens = 0;
   for (size_t i = 0; i < p->nvms; i++)
     {
       const struct rep_vm *vm = &r->vms[p->vms[i]];
 
-      if (vm->answered_at < p->probed_at)
-        p->probed_at = vm->answered_at;
-      if (vm->reported.load > p->load)
-        p->load = vm->reported.load;
+      if (vm->responded_at < p->probed_at)
+        p->probed_at = vm->responded_at;
+      if (vm->reported.load > p->inflight_tokens)
+        p->inflight_tokens = vm->reported.load;
     }
 }
 
-/* While the assignment was never read (the store may be down for hours),
+/* Until the assignment is first read (the store may be down for hours),
    running replicas stay in service: VMs that report the same replica and
-   generation form it if their number is the one that its model requires. */
+   generation form it if there are as many as its model requires. */
 static void
 set_members_from_reports (const struct rep *r, clk_ms now,
                           struct rep_replica *p)
@@ -152,7 +152,7 @@
 static void
 apply_assignment (struct rep *r, struct rep_replica *p)
 {
-  const struct asn_entry *e = asn_find (&r->doc, p->name);
+  const struct asn_entry *e = asn_find (&r->assignment, p->name);
 
   if (!e)
     {
@@ -186,14 +186,14 @@
 {
   if (p->managed || !p->cfg)
     {
-      if (r->has_doc)
+      if (r->has_assignment)
         apply_assignment (r, p);
       else
         set_members_from_reports (r, now, p);
     }
   else if (p->nvms)
     p->generation = unmanaged_generation (r, p);
-  if (p->nvms && (!p->managed || !r->has_doc))
+  if (p->nvms && (!p->managed || !r->has_assignment))
     evd_apply_event (r, p, "assigned");
   aggregate_members (r, p);
   set_complete (r, now, p, all_members_ready (r, p, now));
--- a/replica/owner.c
+++ b/replica/owner.c
@@ -10,7 +10,7 @@
 
 /* Queue of actions until the caller fetches them.  One event adds at most
    three, so a full queue is a bug in the caller. */
-#define QUEUE 16
+#define QUEUE_SIZE 16
 
 /** Purpose of the store call in progress. */
 enum call
@@ -43,7 +43,7 @@
   clk_ms sent_at;
   struct store_compare compare;
   struct store_put put;
-  struct own_action queue[QUEUE];
+  struct own_action queue[QUEUE_SIZE];
   size_t head, count;
 };
 
@@ -77,9 +77,9 @@
 static struct own_action *
 push (struct own *o, enum own_action_kind kind)
 {
-  struct own_action *a = &o->queue[(o->head + o->count) % QUEUE];
+  struct own_action *a = &o->queue[(o->head + o->count) % QUEUE_SIZE];
 
-  if (o->count == QUEUE)
+  if (o->count == QUEUE_SIZE)
     abort ();
   o->count++;
   memset (a, 0, sizeof *a);
@@ -93,7 +93,7 @@
   if (!o->count)
     return false;
   *out = o->queue[o->head];
-  o->head = (o->head + 1) % QUEUE;
+  o->head = (o->head + 1) % QUEUE_SIZE;
   o->count--;
   return true;
 }
@@ -124,9 +124,9 @@
 static clk_ms
 retry_delay (struct own *o)
 {
-  clk_ms part = o->opt.ttl / RETRY_FRACTION;
+  clk_ms base = o->opt.ttl / RETRY_FRACTION;
 
-  return part + (clk_ms)rng_below (&o->rng, (uint64_t)part + 1);
+  return base + (clk_ms)rng_below (&o->rng, (uint64_t)base + 1);
 }
 
 static void
@@ -195,14 +195,15 @@
  * Backend servers that check fencing numbers reject orders of a previous owner
  * once they have seen one of the new owner, so orders may be sent at once.
  *
- * Servers that ignore them obey the last order that arrives.  The key could be
- * written only after the previous owner's lease had expired, or was revoked
- * once that owner had stopped; by its own clock it stopped at two thirds of
- * the lease.  What can still arrive is an order in flight, for at most
- * order_flight_ms, or one sent later because of clock skew, so the first order
- * waits for another ttl plus order_flight_ms.  Not covered: a previous owner
- * that is suspended for longer than that between its check and its write.  Its
- * order then reaches a VM that may belong to another replica.  The VM reports
+ * Servers that ignore them execute the last order that arrives.  This node
+ * could write the key only after the previous owner's lease had expired, or
+ * was revoked once that owner had stopped; the previous owner stopped when its
+ * clock reached two thirds of the lease.  Two kinds of its orders can still
+ * arrive: orders in flight, for at most order_flight_ms, and orders sent later
+ * because of clock skew.  So the first order waits for another ttl plus
+ * order_flight_ms.  Not covered: a previous owner that is suspended for longer
+ * than that between its check and its write.  Its order then reaches a VM that
+ * may belong to another replica.  The VM reports
  * replica and generation with every probe, so the mismatch makes that replica
  * incomplete within REP_PROBE_VALID_MS and the owner repeats its order: the
  * state is wrong for seconds, but no request is served with it.
@@ -232,7 +233,7 @@
 }
 
 static bool
-is_ours (const struct own *o, const struct store_result *r)
+is_own_key (const struct own *o, const struct store_result *r)
 {
   return r->nkvs == 1 && r->kvs[0].lease == o->lease
          && str_eq (r->kvs[0].value, buf_str (&o->value));
@@ -266,7 +267,7 @@
       send_read (o, now, CALL_READ_BACK);
       return;
     case STORE_CONFLICT:
-      /* After a lost response, the existing key may be this node's. */
+      /* After a lost response, the existing key may be from this node. */
       if (o->uncertain)
         send_read (o, now, CALL_READ_BACK);
       else
@@ -285,7 +286,7 @@
 {
   if (r->status != STORE_OK)
     o->next_call = now + retry_delay (o);
-  else if (is_ours (o, r))
+  else if (is_own_key (o, r))
     on_acquired (o, now, r->kvs[0].create_rev);
   else if (r->nkvs)
     release (o, now, "failed");
@@ -322,7 +323,8 @@
 {
   if (r->status != STORE_OK)
     o->next_call = now + retry_delay (o);
-  else if (!is_ours (o, r) || (o->fence && r->kvs[0].create_rev != o->fence))
+  else if (!is_own_key (o, r)
+           || (o->fence && r->kvs[0].create_rev != o->fence))
     release (o, now, "gone");
   else
     on_acquired (o, now, r->kvs[0].create_rev);
--- a/replica/owner.h
+++ b/replica/owner.h
@@ -59,8 +59,8 @@
   struct str key;  /**< owner key of the domain */
   struct str node; /**< this node */
   uint64_t boot;
-  clk_ms ttl; /**< of the lease; 6000 by default */
-  bool checks_fence;
+  clk_ms ttl;             /**< of the lease; 6000 by default */
+  bool checks_fence;      /**< backend servers check fencing numbers */
   clk_ms order_flight_ms; /**< maximum time that an order can be in flight */
 };
 
@@ -69,7 +69,8 @@
 struct own *own_new (const struct own_options *opt, uint64_t seed);
 void own_free (struct own *o);
 
-/** Whether this node should own the domain; an unneeded lease is released. */
+/** Set whether this node should own the domain.  If not, it releases its
+    lease. */
 void own_set_wanted (struct own *o, clk_ms now, bool want);
 
 /** Advance time.  A gap of more than ttl / 3 between two calls counts as a
@@ -77,7 +78,7 @@
 void own_tick (struct own *o, clk_ms now);
 
 /** Pass in the store's response, also STORE_UNCERTAIN, to the action with that
-    token.  A lease granted by a superseded action is revoked. */
+    token.  A lease granted by an abandoned call is revoked. */
 void own_on_store_response (struct own *o, clk_ms now, uint64_t token,
                             const struct store_result *r);
 
--- a/t/t6900-owner-walk.c
+++ b/t/t6900-owner-walk.c
@@ -4,9 +4,9 @@
  * responses, leases that expire, suspensions, restarts, and delayed orders to
  * a VM.  A seed determines the whole run.
  *
- * Checked at the VM: it never obeys an order of an older owner after one of a
- * newer owner.  Backend servers that check fencing numbers ensure this;
- * otherwise the owners' clocks and waiting times must.
+ * Checked at the VM: it never executes an order of an older owner after one of
+ * a newer owner.  Backend servers that check fencing numbers ensure this; with
+ * others, it depends on the owners' clocks and waiting times.
  */
 #include <criterion/criterion.h>
 #include <string.h>
@@ -25,7 +25,8 @@
   FAULT_NONE,
   FAULT_NO_CLOCK_CHECK, /**< sends orders in state OWN_HOLDING without
                      own_may_order() */
-  FAULT_FENCE_IGNORED   /**< servers don't check them as configured */
+  FAULT_FENCE_IGNORED   /**< servers ignore fencing numbers although the
+                          configuration says that they check them */
 };
 
 struct call
@@ -38,7 +39,7 @@
   struct buf key, value;
   struct store_result result;
   struct store_kv kv;
-  struct buf seen;
+  struct buf range_value;
 };
 
 struct order
@@ -60,8 +61,8 @@
   struct call calls[CALLS];
   struct order orders[ORDERS];
   uint64_t boots;
-  int64_t highest; /**< highest fencing number that the VM obeyed */
-  uint64_t obeyed, refused, owners;
+  int64_t highest; /**< highest fencing number of an executed order */
+  uint64_t executed, refused, owners;
   const char *violation;
 };
 
@@ -78,7 +79,7 @@
 
   while (c < k->calls + CALLS && c->used)
     c++;
-  /* Full of lost writes: drop one of them, which is never applied. */
+  /* All entries hold lost writes: drop one, which is then never applied. */
   if (c == k->calls + CALLS)
     c = &k->calls[random_below (k, CALLS)];
   c->used = true;
@@ -117,10 +118,10 @@
 
   if (!e)
     return;
-  buf_clear (&c->seen);
-  buf_add (&c->seen, buf_str (&e->value));
-  c->kv = (struct store_kv){ str_from ("o"), buf_str (&c->seen), e->mod_rev,
-                             e->create_rev, e->lease };
+  buf_clear (&c->range_value);
+  buf_add (&c->range_value, buf_str (&e->value));
+  c->kv = (struct store_kv){ str_from ("o"), buf_str (&c->range_value),
+                             e->mod_rev, e->create_rev, e->lease };
   c->result.kvs = &c->kv;
   c->result.nkvs = 1;
 }
@@ -154,14 +155,14 @@
 }
 
 static void
-respond (struct walk *k, struct call *c, enum store_status lost)
+respond (struct walk *k, struct call *c, enum store_status status)
 {
-  struct store_result none = { .status = lost };
+  struct store_result none = { .status = status };
 
   c->responded = true;
   own_on_store_response (k->nodes[c->node], k->now, c->action.token,
-                         lost == STORE_OK ? &c->result : &none);
-  c->used = lost == STORE_UNCERTAIN && !c->applied;
+                         status == STORE_OK ? &c->result : &none);
+  c->used = status == STORE_UNCERTAIN && !c->applied;
   fetch_actions (k, c->node);
 }
 
@@ -244,9 +245,9 @@
       return true;
     }
   if (o->fence < k->highest)
-    k->violation = "a VM obeyed an older owner after a newer one";
+    k->violation = "a VM executed an older owner's order after a newer one's";
   k->highest = o->fence;
-  k->obeyed++;
+  k->executed++;
   return true;
 }
 
@@ -348,7 +349,7 @@
     {
       buf_free (&k->calls[i].key);
       buf_free (&k->calls[i].value);
-      buf_free (&k->calls[i].seen);
+      buf_free (&k->calls[i].range_value);
     }
   kv_clear (&k->kv);
 }
@@ -376,7 +377,7 @@
 expect_no_violation (bool checks_fence)
 {
   static struct walk k;
-  uint64_t obeyed = 0, refused = 0, owners = 0;
+  uint64_t executed = 0, refused = 0, owners = 0;
 
   for (uint64_t seed = 1; seed <= 10; seed++)
     {
@@ -384,16 +385,16 @@
       cr_expect_null (k.violation, "seed %llu, step %llu: %s",
                       (unsigned long long)seed, (unsigned long long)steps,
                       k.violation);
-      obeyed += k.obeyed;
+      executed += k.executed;
       refused += k.refused;
       owners += k.owners;
       clear (&k);
     }
-  cr_log_info ("owners %llu, orders obeyed %llu, refused %llu",
-               (unsigned long long)owners, (unsigned long long)obeyed,
+  cr_log_info ("owners %llu, orders executed %llu, refused %llu",
+               (unsigned long long)owners, (unsigned long long)executed,
                (unsigned long long)refused);
   cr_expect_gt (owners, 500);
-  cr_expect_gt (obeyed, 5000);
+  cr_expect_gt (executed, 5000);
   cr_expect (!checks_fence || refused > 0);
 }
 
@@ -404,8 +405,9 @@
   expect_no_violation (true);
 }
 
-/* The same with a VM that obeys the last order that arrives: the old owner's
-   clock must stop it, and the new owner must wait for orders in flight. */
+/* The same with a VM that executes the last order that arrives: the old
+   owner's clock must stop it, and the new owner must wait for orders in
+   flight. */
 Test (owner_walk, servers_ignore_fencing_numbers)
 {
   expect_no_violation (false);
@@ -433,7 +435,7 @@
   expect_violation (false, FAULT_NO_CLOCK_CHECK);
 }
 
-Test (owner_walk, finds_servers_ignoring_fencing_unannounced)
+Test (owner_walk, finds_fencing_ignored_despite_config)
 {
   expect_violation (true, FAULT_FENCE_IGNORED);
 }
