--- a/control/dom-calls.c
+++ b/control/dom-calls.c
@@ -83,7 +83,7 @@
     .generation = jsn_int (o, "generation"),
     .ready = json_object_get_boolean (jsn_get (o, "ready")),
     .unloaded = json_object_get_boolean (jsn_get (o, "unloaded")),
-    .load = (uint32_t)(load < 0 ? 0 : load),
+    .inflight_tokens = (uint32_t)(load < 0 ? 0 : load),
     .fence = jsn_int (o, "fence"),
   };
   return true;
--- a/control/dom-turn.c
+++ b/control/dom-turn.c
@@ -111,10 +111,10 @@
 {
   for (size_t i = 0; i < d->domains->cfg->nmodels; i++)
     {
-      struct rep_event ev = { .kind = REP_LIVE_COUNT };
+      struct rep_event ev = { .kind = REP_COMPLETE_COUNT };
 
       ev.model = d->domains->cfg->models[i].name;
-      ev.live = live[i];
+      ev.ncomplete = live[i];
       rep_event (d->rep, now, &ev);
     }
 }
--- a/control/dom-view.c
+++ b/control/dom-view.c
@@ -64,7 +64,7 @@
   out->draining = v->draining;
   out->age_ms = ms_since (now, v->probed_at);
   out->valid_ms = v->complete && left > 0 ? (uint32_t)left : 0;
-  out->load = v->load;
+  out->load = v->inflight_tokens;
   out->load_age_ms = out->age_ms;
   if (v->leader)
     {
@@ -133,7 +133,7 @@
   e.n_loads = n;
   for (size_t i = 0; i < n; i++)
     {
-      e.loads[i] = views[i].load;
+      e.loads[i] = views[i].inflight_tokens;
       if (views[i].complete && ms_since (now, views[i].probed_at) > e.age_ms)
         e.age_ms = ms_since (now, views[i].probed_at);
     }
@@ -272,7 +272,7 @@
   out->complete = v->complete;
   out->draining = v->draining;
   out->valid_until = v->probed_at + REP_PROBE_VALID_MS;
-  out->load = v->load;
+  out->load = v->inflight_tokens;
   out->load_at = v->probed_at;
   if (v->leader)
     out->leader = v->leader->addr;
--- a/replica/evidence.c
+++ b/replica/evidence.c
@@ -128,8 +128,8 @@
 
       if (vm->responded_at < p->probed_at)
         p->probed_at = vm->responded_at;
-      if (vm->reported.load > p->inflight_tokens)
-        p->inflight_tokens = vm->reported.load;
+      if (vm->reported.inflight_tokens > p->inflight_tokens)
+        p->inflight_tokens = vm->reported.inflight_tokens;
     }
 }
 
--- a/replica/replica.c
+++ b/replica/replica.c
@@ -262,7 +262,7 @@
   buf_add (&vm->replica, state->replica);
   vm->reported = *state;
   vm->reported.replica = buf_str (&vm->replica);
-  if (state->load)
+  if (state->inflight_tokens)
     vm->idle_since = 0;
   else if (!vm->idle_since)
     vm->idle_since = now;
@@ -397,8 +397,8 @@
     case REP_MAY_LOAD:
       r->may_load = ev->on;
       break;
-    case REP_LIVE_COUNT:
-      bud_set_complete_count (r, ev->model, ev->live);
+    case REP_COMPLETE_COUNT:
+      bud_set_complete_count (r, ev->model, ev->ncomplete);
       break;
     }
 }
@@ -420,7 +420,7 @@
         .complete = p->complete && fresh,
         .draining = p->draining,
         .probed_at = p->probed_at,
-        .load = p->inflight_tokens,
+        .inflight_tokens = p->inflight_tokens,
         .leader = p->nvms ? r->vms[p->vms[0]].cfg : NULL,
         .members = p->nvms,
       };
--- a/replica/replica.h
+++ b/replica/replica.h
@@ -36,8 +36,8 @@
   struct str replica; /**< empty: none */
   int64_t generation;
   bool ready;
-  bool unloaded; /**< no weights loaded */
-  uint32_t load; /**< tokens in flight */
+  bool unloaded;            /**< no weights loaded */
+  uint32_t inflight_tokens; /**< tokens in flight */
   int64_t fence; /**< highest fencing number seen; 0: the server ignores them
                   */
 };
@@ -54,8 +54,8 @@
   REP_STORE_RESPONSE, /**< token, result */
   REP_OWNER,          /**< on, fence: whether this node owns the domain */
   REP_DRAIN, /**< replica, on: an operator requested a drain; off: ended it */
-  REP_MAY_LOAD,  /**< on: this domain may load weights now */
-  REP_LIVE_COUNT /**< model, live: complete replicas of the model in all
+  REP_MAY_LOAD,      /**< on: this domain may load weights now */
+  REP_COMPLETE_COUNT /**< model, live: complete replicas of the model in all
                     domains */
 };
 
@@ -73,7 +73,7 @@
   bool on;
   int64_t fence;
   struct str model;
-  unsigned live;
+  unsigned ncomplete;
 };
 
 enum rep_order
@@ -117,7 +117,7 @@
   bool complete;
   bool draining;
   clk_ms probed_at; /**< oldest probe result among its members */
-  uint32_t load;
+  uint32_t inflight_tokens;
   const struct cfg_vm *leader;
   size_t members;
 };
--- a/t/lib-domain.c
+++ b/t/lib-domain.c
@@ -119,7 +119,7 @@
     .generation = vm->generation,
     .ready = !vm->unloaded && d->now >= vm->ready_at,
     .unloaded = vm->unloaded,
-    .load = vm->load,
+    .inflight_tokens = vm->load,
     .fence = vm->fence,
   };
   rep_event (rep, d->now, &ev);
