--- a/serve/backends.c
+++ b/serve/backends.c
@@ -417,13 +417,13 @@
                           clk_ms drain_ms)
 {
   clk_ms interval = bks_poll_interval (b, min_interval);
-  clk_ms max_interval = bks_fallback_poll_ms (drain_ms, false);
+  clk_ms max_interval = bks_direct_poll_ms (drain_ms, false);
 
   return interval < max_interval ? interval : max_interval;
 }
 
 clk_ms
-bks_fallback_poll_ms (clk_ms drain_ms, bool is_leaf)
+bks_direct_poll_ms (clk_ms drain_ms, bool is_leaf)
 {
   if (is_leaf)
     return (clk_ms)((double)drain_ms * LARGE_FLEET_DRAIN_PART);
--- a/serve/backends.h
+++ b/serve/backends.h
@@ -167,7 +167,7 @@
  * the leader.
  * @param is_leaf  the node is a leaf; see srv_is_leaf()
  */
-clk_ms bks_fallback_poll_ms (clk_ms drain_ms, bool is_leaf);
+clk_ms bks_direct_poll_ms (clk_ms drain_ms, bool is_leaf);
 
 bool bks_has_list (const struct bks *b);
 
--- a/serve/check.c
+++ b/serve/check.c
@@ -66,7 +66,7 @@
 }
 
 void
-srv_check_server (struct srv *s, const struct dsp_action *a)
+srv_check_server_process (struct srv *s, const struct dsp_action *a)
 {
   static const struct httpc_callbacks cb = { NULL, on_head, on_body, on_end };
   struct check *c = xcalloc (1, sizeof *c);
--- a/serve/dispatch-health.c
+++ b/serve/dispatch-health.c
@@ -122,17 +122,18 @@
   struct dsp_pool *p = s->pool;
 
   (void)d;
-  s->first_event_ms += (s->first_event_ms > 0 ? SMOOTHING : 1)
-                       * ((double)ms - s->first_event_ms);
-  p->first_event_ms
-      += (p->first_event_ms > 0 ? 0.05 : 1) * ((double)ms - p->first_event_ms);
+  s->mean_first_event_ms += (s->mean_first_event_ms > 0 ? SMOOTHING : 1)
+                            * ((double)ms - s->mean_first_event_ms);
+  p->mean_first_event_ms += (p->mean_first_event_ms > 0 ? 0.05 : 1)
+                            * ((double)ms - p->mean_first_event_ms);
 }
 
 bool
-dsp_health_usable (const struct dsp *d, const struct dsp_endpoint_state *s)
+dsp_health_allows_requests (const struct dsp *d,
+                            const struct dsp_endpoint_state *s)
 {
   return s->listed && s->accepting && !s->stalled && !s->ejected_until
-         && d->now >= s->no_room_until && !dsp_process_ended (d, s);
+         && d->now >= s->full_until && !dsp_process_ended (d, s);
 }
 
 bool
--- a/serve/dispatch-int.h
+++ b/serve/dispatch-int.h
@@ -51,7 +51,8 @@
   DSP_EVENTS
 };
 
-#define DSP_TRIED_MAX 8 /**< tried endpoints recorded for each request */
+#define DSP_FAILED_ENDPOINTS_MAX                                              \
+  8 /**< tried endpoints recorded for each request */
 
 struct dsp_pool;
 
@@ -65,9 +66,9 @@
                               generation */
   struct net_addr addr;
   bool same_zone;
-  bool listed;      /**< in the current list; else kept only until its requests
-                         end */
-  bool in_new_list; /**< named by the list that is being applied */
+  bool listed; /**< in the current list; else kept only until its requests
+                    end */
+  bool seen_in_list; /**< named by the list that is being applied */
   bool accepting;
   unsigned capacity;
   double prefill_per_ms;
@@ -85,8 +86,8 @@
   double peer_announced;   /**< tokens announced in notices that have not
                                 expired */
   clk_ms last_data_at;     /**< time of the last response bytes */
-  clk_ms no_room_until;    /**< end of the pause after the server reported that
-                                it had no room */
+  clk_ms full_until;       /**< end of the pause after the server reported that
+                                   it had no room */
   bool stalled;            /**< no response bytes arrive, though streams are
                                 open */
   clk_ms stalled_at;
@@ -97,8 +98,9 @@
                                     because another node reported that the
                                     process ended */
   unsigned failures_in_row;
-  double failure_rate;   /**< moving average of failures, 0 to 1 */
-  double first_event_ms; /**< moving average of the time to the first event */
+  double failure_rate;        /**< moving average of failures, 0 to 1 */
+  double mean_first_event_ms; /**< moving average of the time to the first
+                                 event */
   unsigned samples;
   clk_ms ejected_until; /**< 0: not ejected */
   unsigned ejections;   /**< consecutive ejections, for the backoff */
@@ -139,8 +141,8 @@
   struct dsp_req *queue_head, *queue_tail;
   size_t queue_length;
   /** moving average: from sending to the first event */
-  double first_event_ms;
-  double response_ms; /**< moving average: from sending to the end of the
+  double mean_first_event_ms;
+  double mean_response_ms; /**< moving average: from sending to the end of the
                            response */
   struct dsp_retry_budget
       *retry_budget; /**< shared by the pools of a service */
@@ -186,8 +188,8 @@
                                 `own_announced` */
   bool awaits_first_event; /**< sent, and no event received yet */
   bool error_response;     /**< the current attempt's response is an error */
-  uint64_t tried[DSP_TRIED_MAX];
-  unsigned ntried;
+  uint64_t failed_endpoints[DSP_FAILED_ENDPOINTS_MAX];
+  unsigned nfailed_endpoints;
 };
 
 /** Load last reported by a peer. */
@@ -307,8 +309,8 @@
 /* dispatch-place.c */
 struct dsp_pool *dsp_get_pool (struct dsp *d, struct str service,
                                struct str model);
-bool dsp_was_tried (const struct dsp_req *q,
-                    const struct dsp_endpoint_state *s);
+bool dsp_has_failed_at (const struct dsp_req *q,
+                        const struct dsp_endpoint_state *s);
 bool dsp_any_usable (const struct dsp *d, const struct dsp_pool *p);
 /** Endpoint to which @p q can be sent now, or NULL if it has to wait. */
 struct dsp_endpoint_state *dsp_choose_endpoint (struct dsp *d,
@@ -322,8 +324,8 @@
 void dsp_health_first_event (struct dsp *d, struct dsp_endpoint_state *s,
                              clk_ms ms);
 /** Whether requests other than trial requests may be sent to the endpoint. */
-bool dsp_health_usable (const struct dsp *d,
-                        const struct dsp_endpoint_state *s);
+bool dsp_health_allows_requests (const struct dsp *d,
+                                 const struct dsp_endpoint_state *s);
 bool dsp_health_trial_due (const struct dsp *d,
                            const struct dsp_endpoint_state *s);
 /** Whether the endpoint's streams have received nothing for so long that new
@@ -351,9 +353,9 @@
 void dsp_limit_count_request (const struct dsp *d, const struct dsp_req *q);
 /** Whether requests of higher priority need all of the permitted rate, so that
     @p q must wait. */
-bool dsp_limit_used_by_higher_priority (const struct dsp *d,
-                                        const struct dsp_pool *p,
-                                        const struct dsp_req *q);
+bool dsp_limit_needed_by_higher_priority (const struct dsp *d,
+                                          const struct dsp_pool *p,
+                                          const struct dsp_req *q);
 /** Whether all usable endpoints of the pool are rate-limited. */
 bool dsp_limit_on_all_endpoints (const struct dsp *d,
                                  const struct dsp_pool *p);
--- a/serve/dispatch-limit.c
+++ b/serve/dispatch-limit.c
@@ -81,8 +81,9 @@
   double rate, slots = s->capacity;
 
   if (d->opt.limits && lim_get_rate (d->opt.limits, s->process_hash, &rate)
-      && s->pool->response_ms > 0)
-    slots = fmin (slots, rate * s->pool->response_ms / (double)CLK_SECOND);
+      && s->pool->mean_response_ms > 0)
+    slots
+        = fmin (slots, rate * s->pool->mean_response_ms / (double)CLK_SECOND);
   return slots;
 }
 
@@ -132,7 +133,7 @@
   for (size_t i = 0; i < p->n; i++)
     {
       const struct dsp_endpoint_state *s = p->endpoints[i];
-      if (!dsp_health_usable (d, s))
+      if (!dsp_health_allows_requests (d, s))
         continue;
       if (!lim_get_rate (d->opt.limits, s->process_hash, &rate))
         return 0;
@@ -160,9 +161,9 @@
 }
 
 bool
-dsp_limit_used_by_higher_priority (const struct dsp *d,
-                                   const struct dsp_pool *p,
-                                   const struct dsp_req *q)
+dsp_limit_needed_by_higher_priority (const struct dsp *d,
+                                     const struct dsp_pool *p,
+                                     const struct dsp_req *q)
 {
   double higher_priority_rate = 0, sum;
   bool exhausted;
@@ -218,5 +219,5 @@
 dsp_limit_demand (const struct dsp *d, const struct dsp_pool *p)
 {
   return per_second (&p->rejection_rate, d->now) * d->node_count
-         * p->response_ms / (double)CLK_SECOND;
+         * p->mean_response_ms / (double)CLK_SECOND;
 }
--- a/serve/dispatch-load.c
+++ b/serve/dispatch-load.c
@@ -14,7 +14,7 @@
  * the other nodes when it is sent. Load reports are sent only every tenth of a
  * second. In that time two nodes could send their longest prompts to the same
  * replica, and while it processes both, all its streams pause for longer than
- * clients accept. Fleets of more than RLY_MESH_MAX nodes rely on the load
+ * clients accept. Fleets of more than RLY_FULL_MESH_MAX nodes rely on the load
  * reports alone.
  */
 #define NOTICE_MIN_PREFILL_MS 20.0
@@ -187,7 +187,7 @@
 {
   return s->prefill_per_ms > 0
          && prompt / s->prefill_per_ms >= NOTICE_MIN_PREFILL_MS
-         && d->node_count > 1 && d->node_count <= RLY_MESH_MAX
+         && d->node_count > 1 && d->node_count <= RLY_FULL_MESH_MAX
          && d->noutgoing < DSP_NOTICES_MAX;
 }
 
--- a/serve/dispatch-place.c
+++ b/serve/dispatch-place.c
@@ -107,12 +107,12 @@
   d->now = now;
   for (size_t i = 0; i < d->npools; i++)
     for (size_t k = 0; k < d->pools[i]->n; k++)
-      d->pools[i]->endpoints[k]->in_new_list = false;
+      d->pools[i]->endpoints[k]->seen_in_list = false;
   for (size_t i = 0; i < n; i++)
     {
       struct dsp_pool *p = dsp_get_pool (d, list[i].service, list[i].model);
       struct dsp_endpoint_state *s = get_endpoint (p, &list[i]);
-      s->in_new_list = true;
+      s->seen_in_list = true;
       s->addr = list[i].addr;
       s->same_zone = str_is (list[i].zone, d->zone);
       s->capacity = list[i].capacity;
@@ -123,7 +123,7 @@
     {
       struct dsp_pool *p = d->pools[i];
       for (size_t k = 0; k < p->n; k++)
-        p->endpoints[k]->listed = p->endpoints[k]->in_new_list;
+        p->endpoints[k]->listed = p->endpoints[k]->seen_in_list;
       remove_unlisted (p);
     }
   dsp_load_sum_peers (d);
@@ -133,10 +133,10 @@
 /* --- choice of an endpoint --------------------------------------------- */
 
 bool
-dsp_was_tried (const struct dsp_req *q, const struct dsp_endpoint_state *s)
+dsp_has_failed_at (const struct dsp_req *q, const struct dsp_endpoint_state *s)
 {
-  for (unsigned i = 0; i < q->ntried; i++)
-    if (q->tried[i] == s->hash)
+  for (unsigned i = 0; i < q->nfailed_endpoints; i++)
+    if (q->failed_endpoints[i] == s->hash)
       return true;
   return false;
 }
@@ -145,7 +145,7 @@
 dsp_any_usable (const struct dsp *d, const struct dsp_pool *p)
 {
   for (size_t i = 0; i < p->n; i++)
-    if (dsp_health_usable (d, p->endpoints[i]))
+    if (dsp_health_allows_requests (d, p->endpoints[i]))
       return true;
   return false;
 }
@@ -179,7 +179,7 @@
 is_candidate (const struct dsp *d, const struct dsp_endpoint_state *s,
               const struct dsp_req *q)
 {
-  return dsp_health_usable (d, s) && !dsp_was_tried (q, s)
+  return dsp_health_allows_requests (d, s) && !dsp_has_failed_at (q, s)
          && !dsp_health_streams_silent (d, s);
 }
 
@@ -224,11 +224,11 @@
           continue;
         }
       /* Reservoir sampling of two; all pairs are equally likely. */
-      uint64_t at = rng_below (&d->rng, ++n);
+      uint64_t slot = rng_below (&d->rng, ++n);
       if (n <= 2)
         drawn[n - 1] = s;
-      else if (at < 2)
-        drawn[at] = s;
+      else if (slot < 2)
+        drawn[slot] = s;
     }
   return less_loaded (permitted, less_loaded (drawn[0], drawn[1]));
 }
@@ -245,7 +245,7 @@
   for (size_t i = 0; i < p->n; i++)
     {
       *out = p->endpoints[i];
-      if (!dsp_was_tried (q, *out) && dsp_health_trial_due (d, *out)
+      if (!dsp_has_failed_at (q, *out) && dsp_health_trial_due (d, *out)
           && dsp_limit_allows_request (d, *out))
         return true;
     }
@@ -262,8 +262,8 @@
   for (size_t i = 0; i < p->n; i++)
     {
       struct dsp_endpoint_state *s = p->endpoints[i];
-      if (!s->listed || !s->accepting || s->stalled || dsp_was_tried (q, s)
-          || d->now < s->no_room_until || dsp_process_ended (d, s)
+      if (!s->listed || !s->accepting || s->stalled || dsp_has_failed_at (q, s)
+          || d->now < s->full_until || dsp_process_ended (d, s)
           || slots_taken (s) >= s->capacity
           || !dsp_limit_allows_request (d, s))
         continue;
@@ -286,14 +286,14 @@
 dsp_choose_endpoint (struct dsp *d, struct dsp_pool *p,
                      const struct dsp_req *q)
 {
-  bool late = d->now >= q->goal_at && !q->partly_forwarded;
+  bool goal_missed = d->now >= q->goal_at && !q->partly_forwarded;
   struct dsp_endpoint_state *s;
 
   dsp_load_expire_prompt_notices (d);
-  if (dsp_limit_used_by_higher_priority (d, p, q))
+  if (dsp_limit_needed_by_higher_priority (d, p, q))
     return NULL;
   if (find_trial_endpoint (d, p, q, &s))
     return s;
-  s = choose_of_two (d, p, q, late ? 0 : EXTRA_REQUESTS);
+  s = choose_of_two (d, p, q, goal_missed ? 0 : EXTRA_REQUESTS);
   return s || dsp_any_usable (d, p) ? s : choose_fallback (d, p, q);
 }
--- a/serve/dispatch-wait.c
+++ b/serve/dispatch-wait.c
@@ -47,9 +47,9 @@
 
 /** Whether the request would miss its latency goal if it were sent now. */
 static bool
-is_late (const struct dsp *d, const struct dsp_req *q)
+would_miss_goal (const struct dsp *d, const struct dsp_req *q)
 {
-  return d->now + (clk_ms)q->pool->first_event_ms >= q->goal_at;
+  return d->now + (clk_ms)q->pool->mean_first_event_ms >= q->goal_at;
 }
 
 /**
@@ -62,11 +62,11 @@
 comes_first (const struct dsp *d, const struct dsp_req *a,
              const struct dsp_req *b)
 {
-  bool late_a = is_late (d, a) && !a->partly_forwarded;
-  bool late_b = is_late (d, b) && !b->partly_forwarded;
+  bool misses_a = would_miss_goal (d, a) && !a->partly_forwarded;
+  bool misses_b = would_miss_goal (d, b) && !b->partly_forwarded;
 
-  if (late_a != late_b)
-    return !late_a;
+  if (misses_a != misses_b)
+    return !misses_a;
   if (a->partly_forwarded != b->partly_forwarded)
     return a->partly_forwarded;
   if (a->priority != b->priority)
@@ -75,14 +75,15 @@
 }
 
 /** The queued request that comes first.
-    @param untried_only skip requests that have failed at an endpoint before */
+    @param new_only skip requests that have failed at an endpoint before */
 static struct dsp_req *
-next_queued (const struct dsp *d, const struct dsp_pool *p, bool untried_only)
+next_queued (const struct dsp *d, const struct dsp_pool *p, bool new_only)
 {
   struct dsp_req *best = NULL;
 
   for (struct dsp_req *q = p->queue_head; q; q = q->queue_next)
-    if (!(untried_only && q->ntried) && (!best || comes_first (d, q, best)))
+    if (!(new_only && q->nfailed_endpoints)
+        && (!best || comes_first (d, q, best)))
       best = q;
   return best;
 }
@@ -128,17 +129,17 @@
 dsp_send_queued (struct dsp *d, struct dsp_pool *p)
 {
   struct dsp_req *q;
-  bool untried_only = false;
+  bool new_only = false;
 
-  while ((q = next_queued (d, p, untried_only)) != NULL)
+  while ((q = next_queued (d, p, new_only)) != NULL)
     {
       struct dsp_endpoint_state *s = dsp_choose_endpoint (d, p, q);
       if (s)
         start_attempt (d, q, s);
-      else if (q->ntried == 0 || untried_only)
+      else if (q->nfailed_endpoints == 0 || new_only)
         return;
       else
-        untried_only = true; /* requests that failed nowhere yet may use the
+        new_only = true; /* requests that failed nowhere yet may use the
                                 free endpoints */
     }
 }
--- a/serve/dispatch.c
+++ b/serve/dispatch.c
@@ -238,11 +238,12 @@
 }
 
 static void
-mark_tried (struct dsp_req *q)
+record_failed_endpoint (struct dsp_req *q)
 {
-  q->tried[q->ntried % DSP_TRIED_MAX] = q->endpoint->hash;
-  if (q->ntried < DSP_TRIED_MAX)
-    q->ntried++;
+  q->failed_endpoints[q->nfailed_endpoints % DSP_FAILED_ENDPOINTS_MAX]
+      = q->endpoint->hash;
+  if (q->nfailed_endpoints < DSP_FAILED_ENDPOINTS_MAX)
+    q->nfailed_endpoints++;
 }
 
 static void
@@ -268,7 +269,7 @@
   for (size_t i = 0; i < p->n; i++)
     if (p->endpoints[i]->listed)
       slots += dsp_limit_slots (d, p->endpoints[i]);
-  ms = p->response_ms * (double)(p->queue_length * d->node_count) / slots;
+  ms = p->mean_response_ms * (double)(p->queue_length * d->node_count) / slots;
   if (ms < (double)MIN_RETRY_MS)
     return MIN_RETRY_MS;
   return ms > (double)MAX_RETRY_MS ? MAX_RETRY_MS : (clk_ms)ms;
@@ -349,7 +350,7 @@
 {
   bool retry = q->retryable && !dsp_is_suspect (d, q) && take_retry (d, q);
 
-  mark_tried (q);
+  record_failed_endpoint (q);
   cancel_attempt (d, q);
   if (!retry)
     {
@@ -391,7 +392,7 @@
   /* Nothing was sent, so a retry is safe even for a request that must be
      executed at most once. */
   dsp_health_failure (d, q->endpoint);
-  mark_tried (q);
+  record_failed_endpoint (q);
   release_endpoint (q);
   dsp_transition (q, DSP_EVENT_UNRUN);
   if (++q->connect_failures >= MAX_CONNECT_FAILURES)
@@ -407,8 +408,8 @@
   struct dsp_endpoint_state *s = q->endpoint;
   bool retry = take_retry (d, q);
 
-  s->no_room_until = d->now + TICK_INTERVAL_MS;
-  mark_tried (q);
+  s->full_until = d->now + TICK_INTERVAL_MS;
+  record_failed_endpoint (q);
   cancel_attempt (d, q);
   dsp_transition (q, DSP_EVENT_UNRUN);
   if (retry)
@@ -502,8 +503,8 @@
   if (d->opt.poison && !q->error_response)
     psn_completed (d->opt.poison, now, q->digest);
   ms = (double)(now - q->sent_at);
-  q->pool->response_ms
-      += (q->pool->response_ms > 0 ? 0.05 : 1) * (ms - q->pool->response_ms);
+  q->pool->mean_response_ms += (q->pool->mean_response_ms > 0 ? 0.05 : 1)
+                               * (ms - q->pool->mean_response_ms);
   dsp_transition (q, DSP_EVENT_WHOLE);
   dsp_add_action (d, DSP_ACT_COMPLETE, q);
   finish_request (d, q);
@@ -564,7 +565,7 @@
   dsp_enqueue (d, q, false);
   dsp_send_queued (d, q->pool);
   if (q->queued
-      && (dsp_limit_used_by_higher_priority (d, q->pool, q)
+      && (dsp_limit_needed_by_higher_priority (d, q->pool, q)
           || now + dsp_limit_wait_ms (d, q->pool) > queue_deadline (q)))
     dsp_give_up (d, q, DSP_RATE_LIMITED, DSP_INTERRUPTED,
                  dsp_limit_reject (d, q->pool));
--- a/serve/duty-plan.c
+++ b/serve/duty-plan.c
@@ -41,17 +41,17 @@
 static void
 log_changes (const struct frm_model *m, struct plan_row *logged, clk_ms age_ms)
 {
-  if (logged->wanted == m->wanted && logged->formed == m->formed
+  if (logged->wanted == m->planned && logged->formed == m->open_or_forming
       && logged->reassigned == m->reassigned)
     return;
   LOG (plan_changed, LOG_S ("service", m->service), LOG_S ("model", m->name),
-       LOG_I ("wanted", m->wanted), LOG_I ("formed", m->formed),
+       LOG_I ("wanted", m->planned), LOG_I ("formed", m->open_or_forming),
        LOG_I ("wanted_before", logged->wanted),
        LOG_I ("formed_before", logged->formed),
        LOG_I ("requests", (long long)(m->requests + 0.5)),
        LOG_I ("yielded", m->reassigned), LOG_I ("servers_age_ms", age_ms));
-  logged->wanted = m->wanted;
-  logged->formed = m->formed;
+  logged->wanted = m->planned;
+  logged->formed = m->open_or_forming;
   logged->reassigned = m->reassigned;
 }
 
--- a/serve/form-demand.c
+++ b/serve/form-demand.c
@@ -81,14 +81,14 @@
 static void
 add_domain_to_rows (struct frm *f, struct frm_fabric_domain *d)
 {
-  frm_plan_domain (f, d);
+  frm_plan_and_count (f, d);
   for (size_t k = 0; k < d->s->nmodels && k < FRM_MAX_MODELS; k++)
     {
       struct frm_model *row = find_or_add_row (f, d, k);
       if (!row)
         return;
-      row->wanted += d->want[k];
-      row->formed += d->have[k];
+      row->planned += d->planned[k];
+      row->open_or_forming += d->open_or_forming[k];
     }
 }
 
--- a/serve/form-group.c
+++ b/serve/form-group.c
@@ -48,7 +48,7 @@
   if (!r->warm_spare && (r->size == 0 || r->nmembers < r->size))
     return false;
   for (size_t i = 0; i < r->nmembers; i++)
-    if (!r->members[i] || !frm_is_eligible (f, r->members[i]))
+    if (!r->members[i] || !frm_may_be_member (f, r->members[i]))
       return false;
   return true;
 }
@@ -103,7 +103,7 @@
 static void
 tick_joining (struct frm *f, struct frm_replica *r)
 {
-  if (!f->list_complete && !r->member_lost && has_missing_member (r))
+  if (!f->server_list_complete && !r->member_lost && has_missing_member (r))
     {
       r->phase_since = f->now;
       return;
@@ -122,8 +122,7 @@
         frm_enter_phase (f, r, FRM_PH_OPENING);
       return;
     }
-  if (f->list_requested_at - r->phase_since
-      > 3 * r->load_ms + FRM_STEP_TIMEOUT_MS)
+  if (f->list_read_at - r->phase_since > 3 * r->load_ms + FRM_STEP_TIMEOUT_MS)
     {
       frm_replica_end (f, r);
       return;
@@ -159,7 +158,7 @@
    * show the open replica yet.
    */
   if (!all_members_eligible (f, r)
-      || f->list_requested_at - r->phase_since > FRM_STEP_TIMEOUT_MS)
+      || f->list_read_at - r->phase_since > FRM_STEP_TIMEOUT_MS)
     {
       begin_close (f, r, true);
       return;
@@ -279,7 +278,7 @@
 
   if (frm_reports (leader, r, BKS_BROKEN))
     return true;
-  return r->close_accepted_at && f->list_requested_at > r->close_accepted_at
+  return r->close_accepted_at && f->list_read_at > r->close_accepted_at
          && leader->listed && !frm_reports (leader, r, BKS_OPEN);
 }
 
@@ -377,7 +376,7 @@
       tick_closing (f, r);
       break;
     case FRM_PH_LEADER_MISSING:
-      if (!f->list_complete)
+      if (!f->server_list_complete)
         r->phase_since = f->now;
       else if (f->now - r->phase_since > LEADER_MISSING_MS)
         frm_enter_phase (f, r, FRM_PH_FENCING);
--- a/serve/form-int.h
+++ b/serve/form-int.h
@@ -146,18 +146,18 @@
 {
   struct frm_options opt;
   bool leading;
-  bool adopted;       /**< the reported replicas have been adopted */
-  bool list_complete; /**< a server missing from the list is gone */
-  bool had_traffic;   /**< clients have sent requests */
+  bool adopted;              /**< the reported replicas have been adopted */
+  bool server_list_complete; /**< a server missing from the list is gone */
+  bool had_traffic;          /**< clients have sent requests */
   int64_t fence;
   int64_t generation; /**< last one assigned */
   clk_ms now;
   clk_ms last_arrival_at; /**< when the newest VM was first listed */
   /** When the read that first listed it was sent. */
-  clk_ms last_arrival_requested_at;
+  clk_ms last_arrival_read_at;
   clk_ms first_arrival_at; /**< when this node first listed any VM */
   /** When the read that returned the current list was sent. */
-  clk_ms list_requested_at;
+  clk_ms list_read_at;
   const struct bks *servers;
   struct tbl *config;
   struct frm_vm **vms;
@@ -192,7 +192,7 @@
  * Whether the VM may be a member: listed, responsive, not draining, not
  * excluded and not blocked by the replica of its previous incarnation.
  */
-bool frm_is_eligible (const struct frm *f, const struct frm_vm *vm);
+bool frm_may_be_member (const struct frm *f, const struct frm_vm *vm);
 /** Whether the VM reports that it is ready in its assigned replica. */
 bool frm_is_ready (const struct frm_vm *vm);
 /**
@@ -249,7 +249,7 @@
 /** Whether the rate limit lets @p n loads start now. */
 bool frm_may_load (const struct frm *f, const struct tbl_service *s,
                    unsigned n);
-void frm_count_loads (struct frm *f, unsigned n);
+void frm_record_loads (struct frm *f, unsigned n);
 /* form-stage.c */
 void frm_preload (struct frm *f);
 void frm_preload_done (struct frm *f, struct frm_vm *vm,
@@ -261,6 +261,6 @@
  * Whether the VM or its host's memory holds the weights of @p model, so that
  * no load from the weight store is needed.
  */
-bool frm_has_weights (const struct frm_vm *vm, struct str model);
+bool frm_has_weights_in_memory (const struct frm_vm *vm, struct str model);
 
 #endif
--- a/serve/form-order.c
+++ b/serve/form-order.c
@@ -56,7 +56,7 @@
                     enum frm_order_kind kind, const struct frm_replica *r)
 {
   return vm->accepted_generation == r->generation && vm->accepted_kind == kind
-         && f->list_requested_at < vm->accepted_at + FRM_REPORT_DELAY_MS;
+         && f->list_read_at < vm->accepted_at + FRM_REPORT_DELAY_MS;
 }
 
 bool
@@ -112,7 +112,7 @@
 }
 
 bool
-frm_has_weights (const struct frm_vm *vm, struct str model)
+frm_has_weights_in_memory (const struct frm_vm *vm, struct str model)
 {
   if (str_eq (frm_loaded_model (vm), model))
     return true;
@@ -142,7 +142,7 @@
 }
 
 void
-frm_count_loads (struct frm *f, unsigned n)
+frm_record_loads (struct frm *f, unsigned n)
 {
   for (unsigned i = 0; i < n; i++)
     f->load_times[f->nloads++ % FRM_LOAD_RING] = f->now;
--- a/serve/form-place.c
+++ b/serve/form-place.c
@@ -20,11 +20,11 @@
 
 /* --- forming a replica ------------------------------------------------- */
 
-struct choice
+struct selected_members
 {
   struct frm_vm *members[FRM_MAX_MEMBERS];
   unsigned n;
-  unsigned loads;
+  unsigned members_to_load;
 };
 
 /**
@@ -41,18 +41,18 @@
 static bool
 choose_members (const struct frm *f, const struct frm_fabric_domain *d,
                 const struct tbl_model *m, enum frm_cost max_cost,
-                struct choice *out)
+                struct selected_members *out)
 {
   memset (out, 0, sizeof *out);
   for (int cost = FRM_COST_LOADED; cost <= (int)max_cost; cost++)
     for (size_t i = 0; i < f->nvms && out->n < m->size; i++)
       {
         struct frm_vm *vm = f->vms[i];
-        if (!frm_in_domain (vm, d) || !frm_is_free (f, vm)
+        if (!frm_in_domain (vm, d) || !frm_is_assignable (f, vm)
             || frm_cost_of (vm, m->name) != (enum frm_cost)cost)
           continue;
         out->members[out->n++] = vm;
-        out->loads += cost >= FRM_COST_EMPTY;
+        out->members_to_load += cost >= FRM_COST_EMPTY;
       }
   return out->n == m->size;
 }
@@ -73,7 +73,7 @@
  */
 static clk_ms
 min_joining_ms (const struct frm *f, const struct tbl_model *m,
-                const struct choice *c)
+                const struct selected_members *c)
 {
   clk_ms ms = 0;
 
@@ -85,7 +85,7 @@
 
 static void
 form_replica (struct frm *f, const char *service, const struct tbl_model *m,
-              const struct choice *c, bool warm_spare)
+              const struct selected_members *c, bool warm_spare)
 {
   char text[32];
   struct str name = next_replica_name (f, warm_spare, text, sizeof text);
@@ -104,7 +104,7 @@
       vm->replica = r;
       vm->next_order_at = f->now;
     }
-  frm_count_loads (f, c->loads);
+  frm_record_loads (f, c->members_to_load);
 }
 
 /**
@@ -117,8 +117,7 @@
 is_settling (const struct frm *f)
 {
   return !f->had_traffic
-         && f->list_requested_at - f->last_arrival_requested_at
-                < SETTLE_WINDOW_MS
+         && f->list_read_at - f->last_arrival_read_at < SETTLE_WINDOW_MS
          && f->now - f->first_arrival_at < SETTLE_MAX_MS;
 }
 
@@ -137,12 +136,12 @@
 
   if (is_settling (f))
     return false;
-  frm_plan_domain (f, d);
+  frm_plan_and_count (f, d);
   for (size_t k = 0; k < d->s->nmodels && k < FRM_MAX_MODELS; k++)
     {
       const struct tbl_model *m = &d->s->models[k];
-      struct choice c;
-      if (d->have[k] >= d->want[k] || m->size > FRM_MAX_MEMBERS
+      struct selected_members c;
+      if (d->open_or_forming[k] >= d->planned[k] || m->size > FRM_MAX_MEMBERS
           || !choose_members (f, d, m, max_cost, &c))
         continue;
       form_replica (f, d->service, m, &c, false);
@@ -157,7 +156,9 @@
 static unsigned
 missing_vms (const struct frm_fabric_domain *d, size_t k)
 {
-  unsigned n = d->want[k] > d->have[k] ? d->want[k] - d->have[k] : 0;
+  unsigned n = d->planned[k] > d->open_or_forming[k]
+                   ? d->planned[k] - d->open_or_forming[k]
+                   : 0;
 
   return n * d->s->models[k].size;
 }
@@ -172,14 +173,14 @@
   for (size_t k = 0; k < d->s->nmodels && k < FRM_MAX_MODELS; k++)
     {
       unsigned need = missing_vms (d, k);
-      double part
-          = need > d->warm_or_loading[k]
-                ? (double)(need - d->warm_or_loading[k]) / d->s->models[k].size
-                : 0;
-      if (part <= max)
+      double missing_replicas = need > d->spares_with_model[k]
+                                    ? (double)(need - d->spares_with_model[k])
+                                          / d->s->models[k].size
+                                    : 0;
+      if (missing_replicas <= max)
         continue;
       best = k;
-      max = part;
+      max = missing_replicas;
     }
   return best;
 }
@@ -198,8 +199,8 @@
 
   for (size_t k = 0; k < d->s->nmodels && k < FRM_MAX_MODELS; k++)
     {
-      double members = (double)d->want[k] * d->s->models[k].size;
-      double surplus = (double)d->warm_or_loading[k] - missing_vms (d, k);
+      double members = (double)d->planned[k] * d->s->models[k].size;
+      double surplus = (double)d->spares_with_model[k] - missing_vms (d, k);
       double x = members > 0 ? surplus / members : 1e9;
       if (best < d->s->nmodels
           && (x > least || (x >= least && members <= members_best)))
@@ -219,40 +220,40 @@
 may_load_model (const struct frm_fabric_domain *d, const struct frm_vm *vm,
                 size_t k)
 {
-  size_t held = frm_loaded_model_index (vm, d->s);
+  size_t held = frm_held_or_loading_model (vm, d->s);
 
   if (held == d->s->nmodels)
     return true;
-  return held != k && d->warm_or_loading[held] > missing_vms (d, held) + 1
-         && d->warm_or_loading[k] <= missing_vms (d, k);
+  return held != k && d->spares_with_model[held] > missing_vms (d, held) + 1
+         && d->spares_with_model[k] <= missing_vms (d, k);
 }
 
 static void
 load_warm_spare (struct frm *f, struct frm_fabric_domain *d, struct frm_vm *vm)
 {
-  struct choice c = { .members = { vm }, .n = 1 };
+  struct selected_members c = { .members = { vm }, .n = 1 };
   size_t k = most_missing_model (d);
 
   if (k == d->s->nmodels)
     k = least_covered_model (d);
   if (k == d->s->nmodels || !may_load_model (d, vm, k)
-      || frm_has_weights (vm, d->s->models[k].name))
+      || frm_has_weights_in_memory (vm, d->s->models[k].name))
     return;
-  c.loads = !frm_has_weights (vm, d->s->models[k].name);
-  if (!frm_may_load (f, d->s, c.loads))
+  c.members_to_load = !frm_has_weights_in_memory (vm, d->s->models[k].name);
+  if (!frm_may_load (f, d->s, c.members_to_load))
     return;
   form_replica (f, d->service, &d->s->models[k], &c, true);
-  frm_plan_domain (f, d);
+  frm_plan_and_count (f, d);
 }
 
 static void
 load_domain_warm_spares (struct frm *f, struct frm_fabric_domain *d)
 {
-  frm_plan_domain (f, d);
+  frm_plan_and_count (f, d);
   for (size_t i = 0; i < f->nvms; i++)
     {
       struct frm_vm *vm = f->vms[i];
-      if (frm_in_domain (vm, d) && frm_is_free (f, vm)
+      if (frm_in_domain (vm, d) && frm_is_assignable (f, vm)
           && vm->entry.member_state != BKS_JOINING
           && (!vm->replica || frm_is_ready (vm)))
         load_warm_spare (f, d, vm);
@@ -272,7 +273,7 @@
 frm_assign_vms (struct frm *f)
 {
   frm_for_each_domain (f, form_domain_replicas);
-  if (f->list_complete && !is_settling (f)
+  if (f->server_list_complete && !is_settling (f)
       && f->now - f->last_arrival_at >= ARRIVAL_QUIET_MS)
     frm_for_each_domain (f, load_domain_warm_spares);
 }
--- a/serve/form-plan.c
+++ b/serve/form-plan.c
@@ -17,9 +17,9 @@
 }
 
 bool
-frm_is_free (const struct frm *f, const struct frm_vm *vm)
+frm_is_assignable (const struct frm *f, const struct frm_vm *vm)
 {
-  return frm_is_eligible (f, vm) && !vm->order_token
+  return frm_may_be_member (f, vm) && !vm->order_token
          && vm->entry.domain.len > 0 && vm->entry.member_state < BKS_OPEN
          && (!vm->replica || vm->replica->warm_spare);
 }
@@ -34,7 +34,7 @@
 
   if (str_eq (frm_loaded_model (vm), model) && !loading)
     return FRM_COST_LOADED;
-  if (frm_has_weights (vm, model) && !loading)
+  if (frm_has_weights_in_memory (vm, model) && !loading)
     return FRM_COST_HOST_MEMORY;
   return frm_loaded_model (vm).len ? FRM_COST_OTHER_MODEL : FRM_COST_EMPTY;
 }
@@ -64,12 +64,12 @@
 
   for (size_t i = 0; i < s->nmodels && i < FRM_MAX_MODELS; i++)
     {
-      double x = vms_per_share (d->want[i], &s->models[i]);
+      double x = vms_per_share (d->planned[i], &s->models[i]);
       if (s->models[i].size > room || s->models[i].size == 0)
         continue;
       if (best == s->nmodels
-          || x < vms_per_share (d->want[best], &s->models[best])
-          || (x <= vms_per_share (d->want[best], &s->models[best])
+          || x < vms_per_share (d->planned[best], &s->models[best])
+          || (x <= vms_per_share (d->planned[best], &s->models[best])
               && s->models[i].size > s->models[best].size))
         best = i;
     }
@@ -82,7 +82,7 @@
   unsigned n = 0;
 
   for (size_t i = 0; i < f->nvms; i++)
-    n += frm_in_domain (f->vms[i], d) && frm_is_eligible (f, f->vms[i]);
+    n += frm_in_domain (f->vms[i], d) && frm_may_be_member (f, f->vms[i]);
   return n;
 }
 
@@ -96,7 +96,7 @@
 static void
 plan_replica (struct frm_fabric_domain *d, size_t k, unsigned *room)
 {
-  d->want[k]++;
+  d->planned[k]++;
   *room -= d->s->models[k].size;
 }
 
@@ -138,12 +138,13 @@
           || !frm_replica_in_domain (r, d))
         continue;
       for (size_t k = 0; k < d->s->nmodels && k < FRM_MAX_MODELS; k++)
-        d->have[k] += str_is (d->s->models[k].name, r->model);
+        d->open_or_forming[k] += str_is (d->s->models[k].name, r->model);
     }
 }
 
 size_t
-frm_loaded_model_index (const struct frm_vm *vm, const struct tbl_service *s)
+frm_held_or_loading_model (const struct frm_vm *vm,
+                           const struct tbl_service *s)
 {
   struct str name
       = vm->replica ? str_from (vm->replica->model) : frm_loaded_model (vm);
@@ -160,24 +161,24 @@
   for (size_t i = 0; i < f->nvms; i++)
     {
       const struct frm_vm *vm = f->vms[i];
-      if (!frm_in_domain (vm, d) || !frm_is_eligible (f, vm)
+      if (!frm_in_domain (vm, d) || !frm_may_be_member (f, vm)
           || (vm->replica && !vm->replica->warm_spare))
         continue;
-      size_t held = frm_loaded_model_index (vm, d->s);
+      size_t held = frm_held_or_loading_model (vm, d->s);
       for (size_t k = 0; k < d->s->nmodels && k < FRM_MAX_MODELS; k++)
-        d->warm_or_loading[k]
+        d->spares_with_model[k]
             += k == held
                || (vm->entry.member_state != BKS_JOINING
-                   && frm_has_weights (vm, d->s->models[k].name));
+                   && frm_has_weights_in_memory (vm, d->s->models[k].name));
     }
 }
 
 void
-frm_plan_domain (const struct frm *f, struct frm_fabric_domain *d)
+frm_plan_and_count (const struct frm *f, struct frm_fabric_domain *d)
 {
-  memset (d->want, 0, sizeof d->want);
-  memset (d->have, 0, sizeof d->have);
-  memset (d->warm_or_loading, 0, sizeof d->warm_or_loading);
+  memset (d->planned, 0, sizeof d->planned);
+  memset (d->open_or_forming, 0, sizeof d->open_or_forming);
+  memset (d->spares_with_model, 0, sizeof d->spares_with_model);
   plan_replicas (f, d);
   count_replicas (f, d);
   count_warm_vms (f, d);
--- a/serve/form-plan.h
+++ b/serve/form-plan.h
@@ -29,12 +29,13 @@
 {
   const struct tbl_service *s;
   const char *service;
-  unsigned number;               /**< as in frm_vm.domain_number */
-  unsigned want[FRM_MAX_MODELS]; /**< planned replicas of each model */
-  unsigned have[FRM_MAX_MODELS]; /**< replicas that are open or being formed */
+  unsigned number;                  /**< as in frm_vm.domain_number */
+  unsigned planned[FRM_MAX_MODELS]; /**< planned replicas of each model */
+  unsigned open_or_forming[FRM_MAX_MODELS]; /**< replicas that are open or
+                                               being formed */
   /** VMs in no replica that load the model, or hold it in the VM or in host
       memory. */
-  unsigned warm_or_loading[FRM_MAX_MODELS];
+  unsigned spares_with_model[FRM_MAX_MODELS];
   /**
    * Model that the domain is dedicated to, if it is too small for a replica of
    * each model; otherwise the number of models.
@@ -51,14 +52,14 @@
  * Whether the VM may join a replica: it is in none (or only a warm spare), and
  * no order to it is in flight.
  */
-bool frm_is_free (const struct frm *f, const struct frm_vm *vm);
+bool frm_is_assignable (const struct frm *f, const struct frm_vm *vm);
 enum frm_cost frm_cost_of (const struct frm_vm *vm, struct str model);
 /** Index of the model that a free VM holds or loads, or nmodels. */
-size_t frm_loaded_model_index (const struct frm_vm *vm,
-                               const struct tbl_service *s);
+size_t frm_held_or_loading_model (const struct frm_vm *vm,
+                                  const struct tbl_service *s);
 
 /** Plans the domain and counts its replicas and warm VMs. */
-void frm_plan_domain (const struct frm *f, struct frm_fabric_domain *d);
+void frm_plan_and_count (const struct frm *f, struct frm_fabric_domain *d);
 
 /** Updates the highest number of VMs listed in each domain. */
 void frm_update_domain_sizes (struct frm *f);
--- a/serve/form-stage.c
+++ b/serve/form-stage.c
@@ -64,7 +64,7 @@
 static bool
 may_preload (const struct frm *f, const struct frm_vm *vm)
 {
-  return frm_is_eligible (f, vm) && !vm->order_token
+  return frm_may_be_member (f, vm) && !vm->order_token
          && f->now >= vm->preload_until && vm->entry.domain.len > 0
          && frm_loaded_model (vm).len > 0 && !has_preloaded_other (vm)
          && (vm->replica ? frm_is_ready (vm)
@@ -82,7 +82,7 @@
   unsigned kept[FRM_MAX_MODELS] = { 0 };
 
   for (size_t i = 0; i < f->nvms; i++)
-    if (frm_in_domain (f->vms[i], d) && frm_is_eligible (f, f->vms[i])
+    if (frm_in_domain (f->vms[i], d) && frm_may_be_member (f, f->vms[i])
         && frm_loaded_model (f->vms[i]).len > 0)
       {
         size_t k = model_to_preload (f->vms[i], d->s);
@@ -90,7 +90,7 @@
           kept[k]++;
       }
   for (size_t k = 0; k < d->s->nmodels && k < FRM_MAX_MODELS; k++)
-    if (d->want[k] > 0 && kept[k] < d->s->models[k].size)
+    if (d->planned[k] > 0 && kept[k] < d->s->models[k].size)
       return false;
   return true;
 }
@@ -135,7 +135,7 @@
 
   if (d->s->host_cache_models == 0 || d->s->nmodels < 2)
     return;
-  frm_plan_domain (f, d);
+  frm_plan_and_count (f, d);
   include_members = !f->had_traffic && survives_restart (f, d);
   for (size_t i = 0; i < f->nvms; i++)
     {
@@ -148,7 +148,7 @@
         return;
       m = &d->s->models[model_to_preload (vm, d->s)];
       frm_send_preload (f, vm, m->name);
-      frm_count_loads (f, 1);
+      frm_record_loads (f, 1);
       vm->preload_until = f->now + 2 * m->cold_load_ms;
     }
 }
@@ -156,7 +156,8 @@
 void
 frm_preload (struct frm *f)
 {
-  if (f->list_complete && f->now - f->last_arrival_at >= PRELOAD_DELAY_MS)
+  if (f->server_list_complete
+      && f->now - f->last_arrival_at >= PRELOAD_DELAY_MS)
     frm_for_each_domain (f, preload_domain);
 }
 
--- a/serve/form-yield.c
+++ b/serve/form-yield.c
@@ -66,7 +66,7 @@
 is_available_with_weights (const struct frm *f, const struct frm_vm *vm,
                            struct str model)
 {
-  if (!frm_is_eligible (f, vm) || !frm_has_weights (vm, model))
+  if (!frm_may_be_member (f, vm) || !frm_has_weights_in_memory (vm, model))
     return false;
   if (!vm->replica)
     return true;
@@ -94,8 +94,8 @@
   unsigned n = 0;
 
   for (size_t i = 0; i < r->nmembers; i++)
-    n += r->members[i] && frm_is_eligible (f, r->members[i])
-         && frm_has_weights (r->members[i], model);
+    n += r->members[i] && frm_may_be_member (f, r->members[i])
+         && frm_has_weights_in_memory (r->members[i], model);
   return n;
 }
 
@@ -141,10 +141,10 @@
        donor++)
     {
       unsigned closed;
-      if (donor == receiver || d->have[donor] <= d->want[donor])
+      if (donor == receiver || d->open_or_forming[donor] <= d->planned[donor])
         continue;
       closed = close_replicas_for (f, d, donor, receiver, true);
-      if (closed == 0 || closed > d->have[donor] - d->want[donor]
+      if (closed == 0 || closed > d->open_or_forming[donor] - d->planned[donor]
           || closed >= n[donor]
           || !lowers_peak_utilization (f, d->s, n, donor, closed, receiver))
         continue;
@@ -156,10 +156,10 @@
 static void
 reassign_in_domain (struct frm *f, struct frm_fabric_domain *d)
 {
-  frm_plan_domain (f, d);
+  frm_plan_and_count (f, d);
   for (size_t receiver = 0;
        receiver < d->s->nmodels && receiver < FRM_MAX_MODELS; receiver++)
-    if (d->have[receiver] < d->want[receiver]
+    if (d->open_or_forming[receiver] < d->planned[receiver]
         && count_available_with_weights (f, d, d->s->models[receiver].name)
                < d->s->models[receiver].size)
       {
@@ -171,6 +171,6 @@
 void
 frm_reassign (struct frm *f)
 {
-  if (f->had_traffic && f->list_complete)
+  if (f->had_traffic && f->server_list_complete)
     frm_for_each_domain (f, reassign_in_domain);
 }
--- a/serve/form.c
+++ b/serve/form.c
@@ -241,7 +241,7 @@
 }
 
 bool
-frm_is_eligible (const struct frm *f, const struct frm_vm *vm)
+frm_may_be_member (const struct frm *f, const struct frm_vm *vm)
 {
   return vm->listed && !vm->unresponsive && !vm->entry.draining
          && f->now >= vm->excluded_until && !is_blocked_by_old_replica (f, vm);
@@ -345,7 +345,7 @@
       f->vms = xrealloc (f->vms, (f->nvms + 1) * sizeof (*f->vms));
       f->vms[f->nvms++] = vm;
       f->last_arrival_at = f->now;
-      f->last_arrival_requested_at = f->list_requested_at;
+      f->last_arrival_read_at = f->list_read_at;
       if (f->nvms == 1)
         f->first_arrival_at = f->now;
     }
@@ -564,7 +564,7 @@
       if (r)
         attach_member (f, r, vm);
       else
-        adopt_replica (f, vm)->appeared_late = f->list_complete;
+        adopt_replica (f, vm)->appeared_late = f->server_list_complete;
     }
 }
 
@@ -599,7 +599,7 @@
   const struct bks_server *const *list = bks_list (servers, &n);
 
   f->now = now;
-  f->list_requested_at = bks_read_started_at (servers);
+  f->list_read_at = bks_read_started_at (servers);
   if (f->config != config)
     {
       tbl_unref (f->config);
@@ -615,7 +615,7 @@
         update_vm (f, list[i]);
     }
   remove_unlisted_vms (f);
-  f->list_complete = list_complete;
+  f->server_list_complete = list_complete;
   release_returned_members (f);
   if (f->leading && f->adopted)
     adopt_late_replicas (f);
--- a/serve/form.h
+++ b/serve/form.h
@@ -147,9 +147,9 @@
 struct frm_model
 {
   struct str service, name;
-  unsigned wanted;     /**< replicas that the plans of all domains contain */
-  unsigned formed;     /**< replicas that are open or being formed */
-  double requests;     /**< running or waiting, moving average */
+  unsigned planned; /**< replicas that the plans of all domains contain */
+  unsigned open_or_forming; /**< replicas that are open or being formed */
+  double requests;          /**< running or waiting, moving average */
   uint64_t reassigned; /**< replicas closed to free VMs for another model */
 };
 
--- a/serve/hubs.c
+++ b/serve/hubs.c
@@ -61,22 +61,22 @@
 rly_choose_links (const struct rly_node *self, bool is_leader,
                   struct rly_peer *list, size_t n)
 {
-  bool all = is_leader || n + 1 <= RLY_MESH_MAX;
+  bool all = is_leader || n + 1 <= RLY_FULL_MESH_MAX;
   struct rly_peer **sorted = sort_peers (list, n);
-  unsigned relays = 0;
+  unsigned reachable = 0;
 
   for (size_t i = 0; i < n; i++)
     {
       struct rly_peer *p = sorted[i];
-      p->wanted = all || relays < RLY_LINKS_PER_NODE || p->is_leader;
-      relays += p->up || !p->connect_failed;
+      p->link_wanted = all || reachable < RLY_LINKS_PER_NODE || p->is_leader;
+      reachable += p->up || !p->connect_failed;
     }
   free (sorted);
 }
 
 const struct rly_peer *
-rly_aggregator (const struct rly_node *self, bool is_leader,
-                const struct rly_peer *list, size_t n)
+rly_choose_aggregator (const struct rly_node *self, bool is_leader,
+                       const struct rly_peer *list, size_t n)
 {
   const struct rly_peer *first = NULL;
 
--- a/serve/hubs.h
+++ b/serve/hubs.h
@@ -2,8 +2,8 @@
  * @file
  * Which nodes are linked to which (decision core).
  *
- * Up to RLY_MESH_MAX nodes form a full mesh.  In a larger fleet a full mesh
- * would cost each node as many links and frames as there are nodes, which
+ * Up to RLY_FULL_MESH_MAX nodes form a full mesh.  In a larger fleet a full
+ * mesh would cost each node as many links and frames as there are nodes, which
  * takes all processor time of the smallest VMs.  There, each node is linked to
  * a few relays only: the first nodes in an order that is the same at all
  * nodes.  Relays add up loads and forward frames that all nodes need.  One of
@@ -27,7 +27,7 @@
  * the store for changes of all others, and the store calls would grow with the
  * square of the number of nodes.
  */
-#define RLY_MESH_MAX 15
+#define RLY_FULL_MESH_MAX 15
 /** Number of relays that each node is linked to.  If one is lost, the others
     remain, and the next leader is usually one of them. */
 #define RLY_LINKS_PER_NODE 4
@@ -54,7 +54,7 @@
   bool up;             /**< linked */
   bool connect_failed; /**< the last connection attempt failed */
   bool is_leader;
-  bool wanted; /**< out: connect to it, or keep the link */
+  bool link_wanted; /**< out: connect to it, or keep the link */
 };
 
 /**
@@ -74,8 +74,9 @@
  * or, without a leader, the first linked node in relay order.
  * @return  NULL: this node is the aggregator
  */
-const struct rly_peer *rly_aggregator (const struct rly_node *self,
-                                       bool is_leader,
-                                       const struct rly_peer *list, size_t n);
+const struct rly_peer *rly_choose_aggregator (const struct rly_node *self,
+                                              bool is_leader,
+                                              const struct rly_peer *list,
+                                              size_t n);
 
 #endif
--- a/serve/ingress.c
+++ b/serve/ingress.c
@@ -51,7 +51,7 @@
         LOG (place_stalled, LOG_S ("server", a.server),
              LOG_I ("silent_ms", a.duration_ms));
       else if (a.kind == DSP_ACT_CHECK_PROCESS)
-        srv_check_server (s, &a);
+        srv_check_server_process (s, &a);
       else if (ex)
         srv_exchange_run_action (ex, &a);
     }
--- a/serve/limit-grant.c
+++ b/serve/limit-grant.c
@@ -43,10 +43,10 @@
 static void
 compact (struct lim_server *r)
 {
-  if (2 * r->next_index < r->demands->len)
+  if (2 * r->first_unmet_demand < r->demands->len)
     return;
-  g_array_remove_range (r->demands, 0, r->next_index);
-  r->next_index = 0;
+  g_array_remove_range (r->demands, 0, r->first_unmet_demand);
+  r->first_unmet_demand = 0;
 }
 
 static void
@@ -73,7 +73,7 @@
   if (r && r->limited && r->rate == wanted->rate)
     return;
   if (!lim_apply_update (l, now, &update))
-    g_array_append_val (l->changed, wanted->server);
+    g_array_append_val (l->unreported_servers, wanted->server);
 }
 
 void
@@ -130,13 +130,13 @@
 lim_set_role (struct lim *l, clk_ms now, bool is_granting, unsigned nodes)
 {
   struct lim_server *r;
-  GHashTableIter at;
+  GHashTableIter iter;
 
-  l->nodes = nodes;
+  l->node_count = nodes;
   if (is_granting && !l->is_granting)
     {
-      g_hash_table_iter_init (&at, l->servers);
-      while (g_hash_table_iter_next (&at, NULL, (gpointer *)&r))
+      g_hash_table_iter_init (&iter, l->servers);
+      while (g_hash_table_iter_next (&iter, NULL, (gpointer *)&r))
         r->credit_at = now;
     }
   l->is_granting = is_granting;
@@ -151,7 +151,7 @@
 {
   double active = 1 + (double)lim_count_followers (l, now);
 
-  return l->nodes > active ? active / l->nodes : 1;
+  return l->node_count > active ? active / l->node_count : 1;
 }
 
 /** Maximum credit that accrues while there is no demand. */
@@ -217,10 +217,11 @@
 static struct lim_demand *
 next_demand (struct lim_server *r, clk_ms now)
 {
-  for (; r->demands && r->next_index < r->demands->len; r->next_index++)
+  for (; r->demands && r->first_unmet_demand < r->demands->len;
+       r->first_unmet_demand++)
     {
-      struct lim_demand *w
-          = &g_array_index (r->demands, struct lim_demand, r->next_index);
+      struct lim_demand *w = &g_array_index (r->demands, struct lim_demand,
+                                             r->first_unmet_demand);
       if (w->n > 0 && now < w->expires_at)
         return w;
     }
@@ -261,16 +262,17 @@
 }
 
 const struct lim_permits *
-lim_grant (struct lim *l, clk_ms now, bool all, size_t *n)
+lim_grant (struct lim *l, clk_ms now, bool all_servers, size_t *n)
 {
   double share = rate_share (l, now);
   struct lim_server *r;
-  GHashTableIter at;
+  GHashTableIter iter;
 
   g_array_set_size (l->permits, 0);
-  g_hash_table_iter_init (&at, l->servers);
-  while (l->is_granting && g_hash_table_iter_next (&at, NULL, (gpointer *)&r))
-    if (r->limited && (all || r->has_new_demand))
+  g_hash_table_iter_init (&iter, l->servers);
+  while (l->is_granting
+         && g_hash_table_iter_next (&iter, NULL, (gpointer *)&r))
+    if (r->limited && (all_servers || r->has_new_demand))
       {
         r->has_new_demand = false;
         grant_for_server (l, r, now, share);
--- a/serve/limit-int.h
+++ b/serve/limit-int.h
@@ -40,8 +40,9 @@
   clk_ms demand_since;  /**< start of demand without a grant; 0: no demand */
   bool repeated_demand; /**< more than one request needed a permit */
   /* The following are used while this node grants permits. */
-  GArray *demands;         /**< struct lim_demand in order of arrival */
-  guint next_index;        /**< first demand in the list not granted in full */
+  GArray *demands; /**< struct lim_demand in order of arrival */
+  guint
+      first_unmet_demand;  /**< first demand in the list not granted in full */
   clk_ms own_demand_until; /**< when this node's entry in `demands`
                                 expires */
   bool has_new_demand;     /**< demand was added since the last grant */
@@ -66,10 +67,10 @@
   struct rng rng;
   bool is_granting; /**< this node is a grantor; false: a follower */
   bool has_new_demand;
-  unsigned nodes;
+  unsigned node_count;
   struct lim_follower *followers;
   size_t nfollowers;
-  GArray *changed;     /**< uint64_t: servers with unreported changes */
+  GArray *unreported_servers; /**< uint64_t: servers with unreported changes */
   GArray *update_list; /**< struct lim_update: storage for returned lists */
   GArray *permits;     /**< struct lim_permits: storage for returned lists */
   uint64_t sent, granted;
--- a/serve/limit.c
+++ b/serve/limit.c
@@ -34,11 +34,11 @@
 
   l->servers
       = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, free_server);
-  l->changed = g_array_new (false, false, sizeof (uint64_t));
+  l->unreported_servers = g_array_new (false, false, sizeof (uint64_t));
   l->update_list = g_array_new (false, false, sizeof (struct lim_update));
   l->permits = g_array_new (false, false, sizeof (struct lim_permits));
   l->is_granting = true;
-  l->nodes = 1;
+  l->node_count = 1;
   rng_seed (&l->rng, seed);
   return l;
 }
@@ -49,7 +49,7 @@
   if (!l)
     return;
   free (l->followers);
-  g_array_free (l->changed, true);
+  g_array_free (l->unreported_servers, true);
   g_array_free (l->update_list, true);
   g_array_free (l->permits, true);
   g_hash_table_destroy (l->servers);
@@ -69,10 +69,10 @@
 evict_oldest (struct lim *l)
 {
   struct lim_server *r, *oldest = NULL;
-  GHashTableIter at;
+  GHashTableIter iter;
 
-  g_hash_table_iter_init (&at, l->servers);
-  while (g_hash_table_iter_next (&at, NULL, (gpointer *)&r))
+  g_hash_table_iter_init (&iter, l->servers);
+  while (g_hash_table_iter_next (&iter, NULL, (gpointer *)&r))
     if (!oldest || r->reported_at < oldest->reported_at)
       oldest = r;
   if (!oldest)
@@ -128,7 +128,7 @@
   r->limited = limited;
   r->rate = rate;
   r->reported_at = at;
-  g_array_append_val (l->changed, r->server);
+  g_array_append_val (l->unreported_servers, r->server);
   return limited ? LIM_SET : LIM_ENDED;
 }
 
@@ -227,17 +227,17 @@
 lim_updates (struct lim *l, clk_ms now, size_t *n)
 {
   g_array_set_size (l->update_list, 0);
-  for (guint i = 0; i < l->changed->len; i++)
+  for (guint i = 0; i < l->unreported_servers->len; i++)
     {
-      const struct lim_server *r
-          = lim_find_server (l, g_array_index (l->changed, uint64_t, i));
+      const struct lim_server *r = lim_find_server (
+          l, g_array_index (l->unreported_servers, uint64_t, i));
       struct lim_update update;
       if (!r)
         continue;
       update = make_update (r, now);
       g_array_append_val (l->update_list, update);
     }
-  g_array_set_size (l->changed, 0);
+  g_array_set_size (l->unreported_servers, 0);
   *n = l->update_list->len;
   return (const struct lim_update *)(void *)l->update_list->data;
 }
@@ -246,11 +246,11 @@
 lim_snapshot (struct lim *l, clk_ms now, size_t *n)
 {
   struct lim_server *r;
-  GHashTableIter at;
+  GHashTableIter iter;
 
   g_array_set_size (l->update_list, 0);
-  g_hash_table_iter_init (&at, l->servers);
-  while (g_hash_table_iter_next (&at, NULL, (gpointer *)&r))
+  g_hash_table_iter_init (&iter, l->servers);
+  while (g_hash_table_iter_next (&iter, NULL, (gpointer *)&r))
     if (r->limited)
       {
         struct lim_update update = make_update (r, now);
@@ -368,11 +368,11 @@
 lim_get_demand (struct lim *l, clk_ms now, bool periodic, size_t *n)
 {
   struct lim_server *r;
-  GHashTableIter at;
+  GHashTableIter iter;
 
   g_array_set_size (l->permits, 0);
-  g_hash_table_iter_init (&at, l->servers);
-  while (g_hash_table_iter_next (&at, NULL, (gpointer *)&r))
+  g_hash_table_iter_init (&iter, l->servers);
+  while (g_hash_table_iter_next (&iter, NULL, (gpointer *)&r))
     {
       struct lim_permits p = { .server = r->server,
                                .n = lim_permits_needed (r, now),
--- a/serve/limit.h
+++ b/serve/limit.h
@@ -176,13 +176,13 @@
 
 /**
  * Grant all permits that are available.
- * @param all  process all servers; false: only those with new demand since the
- *             last call
+ * @param all_servers  process all servers; false: only those with new demand
+ * since the last call
  * @return  permits for other nodes; the list is valid until the next call that
  *          modifies @p l
  */
-const struct lim_permits *lim_grant (struct lim *l, clk_ms now, bool all,
-                                     size_t *n);
+const struct lim_permits *lim_grant (struct lim *l, clk_ms now,
+                                     bool all_servers, size_t *n);
 
 /** Current gauges, and counters since the start of the process. */
 struct lim_stats
--- a/serve/metrics.c
+++ b/serve/metrics.c
@@ -172,10 +172,10 @@
                 STR_ARG (list[i].service), STR_ARG (list[i].name));
       gauge (s, PREFIX "replicas_wanted",
              "Replicas that the plans of all domains have, by model.", labels,
-             list[i].wanted);
+             list[i].planned);
       gauge (s, PREFIX "replicas_formed",
              "Replicas that are open or on their way, by model.", labels,
-             list[i].formed);
+             list[i].open_or_forming);
       gauge (s, PREFIX "requests_asked",
              "Requests under way or waiting at all nodes, averaged, by model.",
              labels, list[i].requests);
--- a/serve/node-int.h
+++ b/serve/node-int.h
@@ -109,7 +109,7 @@
 void srv_sync_tick (struct srv *s, clk_ms now);
 /** Another node has reported that the list of this node still equalled the
     store's list at @p current_at. */
-void srv_sync_list_reported (struct srv *s, clk_ms current_at);
+void srv_sync_list_confirmed (struct srv *s, clk_ms current_at);
 /** Age of the list of backend servers, whether this or another node read it;
     -1: there is no list. */
 clk_ms srv_sync_list_age (const struct srv *s, clk_ms now);
@@ -246,7 +246,7 @@
 /* check.c */
 /** Probe the backend server of a DSP_ACT_CHECK_PROCESS to find out whether its
     process is alive. */
-void srv_check_server (struct srv *s, const struct dsp_action *a);
+void srv_check_server_process (struct srv *s, const struct dsp_action *a);
 
 /* metrics.c */
 /** Path of the metrics, on the listener for readiness. */
--- a/serve/peers-config.c
+++ b/serve/peers-config.c
@@ -81,7 +81,7 @@
   else if (!x->config_behind_since)
     x->config_behind_since = now;
   return x->config_behind_since
-         && (prs_exceeds_mesh (x->p)
+         && (prs_exceeds_full_mesh (x->p)
              || now - x->config_behind_since >= SMALL_FLEET_DELAY_MS);
 }
 
--- a/serve/peers-int.h
+++ b/serve/peers-int.h
@@ -54,12 +54,12 @@
   clk_ms server_list_current_at; /* read time of the newest list that it has
                                     completely */
   clk_ms received_at;
-  clk_ms next_connect;
-  bool initiated;           /**< this node opened the link */
-  bool connect_failed;      /**< the last connection attempt failed */
-  bool wanted;              /**< this node wants the link; the peer may want it
-                                 even if this node does not */
-  clk_ms wanted_changed_at; /**< when `wanted` last changed */
+  clk_ms next_connect_at;
+  bool initiated;      /**< this node opened the link */
+  bool connect_failed; /**< the last connection attempt failed */
+  bool link_wanted;    /**< this node wants the link; the peer may want it
+                       even if this node does not */
+  clk_ms link_wanted_changed_at; /**< when `link_wanted` last changed */
   clk_ms node_list_sent_at;
   /* Configuration of the peer. */
   bool has_timestamp; /* a NodeLoad frame has arrived on this link */
@@ -86,13 +86,13 @@
   struct link_secret secret;
   struct link_server *server;
   struct peer *peers;
-  clk_ms next_send;
+  clk_ms next_send_at;
   struct dsp_endpoint_load *own_load; /* this node's load as last sent */
   size_t nown_load;
   clk_ms sum_received_at;        /* when the last sum of all loads arrived */
   struct svl_budget list_budget; /* limits the rate at which the server list
                                     is sent */
-  clk_ms next_sum;
+  clk_ms next_sum_at;
   struct net_addr fronts[PRS_FRONTS_MAX]; /* ready nodes, from the last
                                              NodeList */
   size_t nfronts;
@@ -171,19 +171,19 @@
 void prs_on_permit_grants (struct peer *x, const Lapis__PermitGrants *grants);
 /**
  * Grant permits, if this node is the grantor.
- * @param all  true (once each PRS_SEND_INTERVAL_MS): grant for all servers;
- *   false: only for servers with new demand since the last call
+ * @param all_servers  true (once each PRS_SEND_INTERVAL_MS): grant for all
+ * servers; false: only for servers with new demand since the last call
  */
-void prs_grant_permits (struct srv_peers *p, clk_ms now, bool all);
+void prs_grant_permits (struct srv_peers *p, clk_ms now, bool all_servers);
 
 /* peers-load.c */
 /** Whether there are too many nodes for a full mesh. */
-bool prs_exceeds_mesh (const struct srv_peers *p);
+bool prs_exceeds_full_mesh (const struct srv_peers *p);
 /** Whether the last sum of all loads is recent enough to be used. */
 bool prs_is_sum_fresh (const struct srv_peers *p, clk_ms now);
 /** Pass the peer's load to the dispatch core; pass no load while the sum of
     all loads is used instead. */
-void prs_update_dispatch (struct peer *x, clk_ms now);
+void prs_pass_load_to_dispatch (struct peer *x, clk_ms now);
 /** Process a load of the peer. */
 void prs_on_load (struct peer *x, const Lapis__NodeLoad *load);
 /** Process a sum of all loads from the peer. */
--- a/serve/peers-limit.c
+++ b/serve/peers-limit.c
@@ -253,7 +253,7 @@
 }
 
 void
-prs_grant_permits (struct srv_peers *p, clk_ms now, bool all)
+prs_grant_permits (struct srv_peers *p, clk_ms now, bool all_servers)
 {
   struct srv *s = p->s;
   unsigned listed = (unsigned)p->nlisted_peers + 1,
@@ -266,7 +266,7 @@
   lim_set_role (s->limits, now,
                 !p->aggregator || !is_grantor (p->aggregator, now),
                 listed > announced ? listed : announced);
-  list = lim_grant (s->limits, now, all, &n);
+  list = lim_grant (s->limits, now, all_servers, &n);
   send_permits (p, list, n);
   dsp_permits_granted (s->dispatch, now);
   srv_run_actions (s);
--- a/serve/peers-load.c
+++ b/serve/peers-load.c
@@ -29,7 +29,7 @@
 }
 
 void
-prs_update_dispatch (struct peer *x, clk_ms now)
+prs_pass_load_to_dispatch (struct peer *x, clk_ms now)
 {
   bool direct = x->up && !prs_is_sum_fresh (x->p, now);
 
@@ -38,10 +38,10 @@
 }
 
 static void
-update_dispatch_all (struct srv_peers *p, clk_ms now)
+pass_all_loads_to_dispatch (struct srv_peers *p, clk_ms now)
 {
   for (struct peer *x = p->peers; x; x = x->next)
-    prs_update_dispatch (x, now);
+    prs_pass_load_to_dispatch (x, now);
 }
 
 /** If the sum has become too old, use the loads received from each peer again.
@@ -53,7 +53,7 @@
     return;
   p->sum_received_at = 0;
   dsp_set_peer_load (p->s->dispatch, now, SUM_OF_OTHERS, NULL, 0);
-  update_dispatch_all (p, now);
+  pass_all_loads_to_dispatch (p, now);
 }
 
 static size_t
@@ -93,11 +93,11 @@
   x->ready = load->ready;
   x->is_leader = load->leads;
   if (load->leads && x->server_list_received)
-    srv_sync_list_reported (s, prs_sent_at (x, x->received_at)
-                                   - load->list_age_ms);
+    srv_sync_list_confirmed (s, prs_sent_at (x, x->received_at)
+                                    - load->list_age_ms);
   s->had_traffic = s->had_traffic || load->traffic;
   prs_on_permits_wanted (x, load);
-  prs_update_dispatch (x, x->received_at);
+  prs_pass_load_to_dispatch (x, x->received_at);
   srv_run_actions (s);
 }
 
@@ -129,17 +129,17 @@
   struct srv_peers *p = x->p;
   struct dsp_endpoint_load *sum = NULL;
   clk_ms now = clk_now ();
-  bool first = !prs_is_sum_fresh (p, now);
+  bool was_stale = !prs_is_sum_fresh (p, now);
   size_t n = read_loads (p->s, load->places, load->n_places, &sum);
 
   x->received_at = now;
   prs_on_config_state (x, now, load->config);
   x->is_leader = load->leads;
   if (load->leads && x->server_list_received)
-    srv_sync_list_reported (p->s, prs_sent_at (x, now) - load->list_age_ms);
+    srv_sync_list_confirmed (p->s, prs_sent_at (x, now) - load->list_age_ms);
   p->sum_received_at = now;
-  if (first)
-    update_dispatch_all (p, now);
+  if (was_stale)
+    pass_all_loads_to_dispatch (p, now);
   subtract_own_load (p, sum, n);
   dsp_set_peer_load (p->s->dispatch, now, SUM_OF_OTHERS, sum, n);
   free (sum);
@@ -199,11 +199,12 @@
 }
 
 bool
-prs_exceeds_mesh (const struct srv_peers *p)
+prs_exceeds_full_mesh (const struct srv_peers *p)
 {
   size_t up = prs_count_up (p);
 
-  return (p->nlisted_peers > up ? p->nlisted_peers : up) + 1 > RLY_MESH_MAX;
+  return (p->nlisted_peers > up ? p->nlisted_peers : up) + 1
+         > RLY_FULL_MESH_MAX;
 }
 
 /** Whether this node's load is due to be sent to the peer. */
@@ -224,16 +225,16 @@
 
   if (!srv_is_leader (s))
     return 0;
-  return svl_list_age (&x->server_list_current_at, x->server_list_version,
-                       bks_version (s->backends),
-                       now - srv_sync_read_age (s, now), now);
+  return svl_update_list_age (
+      &x->server_list_current_at, x->server_list_version,
+      bks_version (s->backends), now - srv_sync_read_age (s, now), now);
 }
 
 static void
 send_load (struct srv_peers *p, clk_ms now)
 {
   struct srv *s = p->s;
-  bool full_mesh = !prs_exceeds_mesh (p);
+  bool full_mesh = !prs_exceeds_full_mesh (p);
   const struct dsp_endpoint_load *own
       = dsp_own_load (s->dispatch, &p->nown_load);
   Lapis__NodeLoad load = LAPIS__NODE_LOAD__INIT;
@@ -344,7 +345,7 @@
   struct sum sum = { 0 };
   struct load_rows rows;
 
-  if (p->aggregator || !prs_exceeds_mesh (p) || now < p->next_sum)
+  if (p->aggregator || !prs_exceeds_full_mesh (p) || now < p->next_sum_at)
     return;
   add_loads (&sum, p->own_load, p->nown_load);
   for (struct peer *x = p->peers; x; x = x->next)
@@ -364,10 +365,11 @@
         prs_fill_config_state (x, now, &config);
         link_send (x->link, &f);
       }
-  p->next_sum = now
-                + svl_sum_interval (p->s->settings.link_bytes_per_s,
-                                    lapis__fleet_load__get_packed_size (&load),
-                                    prs_count_up (p));
+  p->next_sum_at
+      = now
+        + svl_sum_interval (p->s->settings.link_bytes_per_s,
+                            lapis__fleet_load__get_packed_size (&load),
+                            prs_count_up (p));
   free_rows (&rows);
   free (sum.list);
 }
@@ -379,6 +381,6 @@
   send_load (p, now);
   send_sum (p, now);
   prs_push_config (p, now);
-  if (!p->aggregator && p->nlisted_peers + 1 > RLY_MESH_MAX)
+  if (!p->aggregator && p->nlisted_peers + 1 > RLY_FULL_MESH_MAX)
     prs_send_node_lists (p, now);
 }
--- a/serve/peers-poison.c
+++ b/serve/peers-poison.c
@@ -59,7 +59,7 @@
   const struct peer *relay = NULL;
   unsigned relays = 0;
 
-  if (!prs_exceeds_mesh (x->p))
+  if (!prs_exceeds_full_mesh (x->p))
     return true;
   while (relays < RLY_LINKS_PER_NODE
          && (relay = prs_next_relay (x->p, relay ? &relay->spec : NULL))
--- a/serve/peers.c
+++ b/serve/peers.c
@@ -94,8 +94,8 @@
   x->config_version = x->config_version_sent = 0;
   x->nloads = 0;
   lim_remove_follower (s->limits, x->hash);
-  x->next_connect = clk_now () + RECONNECT_MS;
-  prs_update_dispatch (x, clk_now ());
+  x->next_connect_at = clk_now () + RECONNECT_MS;
+  prs_pass_load_to_dispatch (x, clk_now ());
   srv_run_actions (s);
   prs_update_node_count (x->p);
 }
@@ -155,7 +155,7 @@
      replacing the entries caused a use after free. */
   if (srv_is_leader (s))
     return;
-  srv_sync_list_reported (s, prs_sent_at (x, now) - list->age_ms);
+  srv_sync_list_confirmed (s, prs_sent_at (x, now) - list->age_ms);
   if (svl_apply (s->backends, now, prs_sent_at (x, now), list))
     srv_endpoints_changed (s);
 }
@@ -250,13 +250,13 @@
       }
   p->nlisted_peers = n;
   rly_choose_links (&p->spec, is_leader, list, n);
-  aggregator = rly_aggregator (&p->spec, is_leader, list, n);
+  aggregator = rly_choose_aggregator (&p->spec, is_leader, list, n);
   p->aggregator = aggregator ? peers[aggregator - list] : NULL;
   for (size_t i = 0; i < n; i++)
     {
-      if (peers[i]->wanted != list[i].wanted)
-        peers[i]->wanted_changed_at = now;
-      peers[i]->wanted = list[i].wanted;
+      if (peers[i]->link_wanted != list[i].link_wanted)
+        peers[i]->link_wanted_changed_at = now;
+      peers[i]->link_wanted = list[i].link_wanted;
     }
   free (list);
   free (peers);
@@ -270,12 +270,12 @@
 static bool
 may_connect (const struct peer *x, clk_ms now)
 {
-  if (x->link || !x->listed || !x->wanted || now < x->next_connect)
+  if (x->link || !x->listed || !x->link_wanted || now < x->next_connect_at)
     return false;
   if (rly_cmp (&x->spec, &x->p->spec) < 0)
     return true;
-  return srv_is_leader (x->p->s) && x->p->nlisted_peers + 1 > RLY_MESH_MAX
-         && now - x->wanted_changed_at >= LEADER_CONNECT_DELAY_MS;
+  return srv_is_leader (x->p->s) && x->p->nlisted_peers + 1 > RLY_FULL_MESH_MAX
+         && now - x->link_wanted_changed_at >= LEADER_CONNECT_DELAY_MS;
 }
 
 static void
@@ -283,7 +283,7 @@
 {
   if (!may_connect (x, now))
     return;
-  x->next_connect = now + RECONNECT_MS;
+  x->next_connect_at = now + RECONNECT_MS;
   x->initiated = true;
   x->link = link_connect (&x->p->s->loop, &x->addr, &x->p->secret, &callbacks,
                           x->p);
@@ -293,8 +293,8 @@
 check_peer (struct peer *x, clk_ms now)
 {
   bool timed_out = x->up && now - x->received_at > LINK_TIMEOUT_MS;
-  bool unwanted = x->up && x->initiated && !x->wanted
-                  && now - x->wanted_changed_at > UNWANTED_LINK_MS;
+  bool unwanted = x->up && x->initiated && !x->link_wanted
+                  && now - x->link_wanted_changed_at > UNWANTED_LINK_MS;
 
   if (timed_out || unwanted)
     {
@@ -313,9 +313,9 @@
     return;
   for (struct peer *x = p->peers; x; x = x->next)
     check_peer (x, now);
-  if (now < p->next_send)
+  if (now < p->next_send_at)
     return;
-  p->next_send = now + PRS_SEND_INTERVAL_MS;
+  p->next_send_at = now + PRS_SEND_INTERVAL_MS;
   choose_links (p, now);
   srv_peers_send_servers (s);
   prs_send_due (p, now);
@@ -329,7 +329,7 @@
 
   if (!p || prs_count_up (p) == 0)
     return false;
-  return srv_is_leader (s) || (prs_exceeds_mesh (p) && !p->aggregator);
+  return srv_is_leader (s) || (prs_exceeds_full_mesh (p) && !p->aggregator);
 }
 
 /**
@@ -442,7 +442,7 @@
 {
   return p->node_list_received_at
          && now - p->node_list_received_at < NODE_LIST_VALID_MS
-         && p->nlisted_peers + 1 > RLY_MESH_MAX && p->aggregator != NULL;
+         && p->nlisted_peers + 1 > RLY_FULL_MESH_MAX && p->aggregator != NULL;
 }
 
 unsigned
--- a/serve/poison-int.h
+++ b/serve/poison-int.h
@@ -20,7 +20,7 @@
 enum psn_state
 {
   PSN_S_OBSERVED,
-  PSN_S_PENDING, /**< blocked when the pending time ends */
+  PSN_S_BLOCK_PENDING, /**< blocked when the pending time ends */
   PSN_S_BLOCKED,
   PSN_S_CLEARED /**< delayed updates about the request are ignored */
 };
@@ -30,7 +30,7 @@
 {
   uint64_t endpoint; /**< 0: placeholder for a crash before the last block */
   clk_ms ran_ms;
-  bool attributed; /**< the crash is attributed to another request */
+  bool attributed_to_other; /**< the crash is attributed to another request */
 };
 
 struct psn_suspect
@@ -38,8 +38,8 @@
   uint64_t digest;
   enum psn_state state;
   clk_ms state_ends_at;
-  clk_ms due_at; /**< when the observed request becomes pending; CLK_NEVER: not
-                      enough evidence */
+  clk_ms pending_at; /**< when the observed request becomes pending; CLK_NEVER:
+                      not enough evidence */
   struct psn_crashed_run crashed_runs[PSN_MAX_CRASHED_RUNS];
   size_t ncrashed_runs;
 };
@@ -56,9 +56,9 @@
   size_t n, capacity;
   struct psn_completion completed[PSN_MAX_COMPLETED]; /**< a ring */
   size_t next_completed;
-  uint64_t attributed[PSN_MAX_ATTRIBUTED]; /**< endpoints, a ring */
+  uint64_t attributed_endpoints[PSN_MAX_ATTRIBUTED]; /**< endpoints, a ring */
   size_t next_attributed;
-  bool collects;
+  bool is_collector;
   struct psn_update *updates;
   size_t nupdates, updates_capacity;
   bool fetched; /**< the list was returned; the next update starts a new one */
@@ -89,11 +89,12 @@
 /** Whether the crashes of @p a are a proper subset of those of @p b. */
 bool psn_crashes_are_subset (const struct psn_suspect *a,
                              struct psn_suspect *b);
-/** Update `due_at` from the evidence. */
-void psn_update_due_time (const struct psn *p, clk_ms now,
-                          struct psn_suspect *s);
-/** The observed request to be set pending now: among those with a `due_at`,
-    the one with the most evidence.  NULL: none of these times has passed. */
-struct psn_suspect *psn_next_due (const struct psn *p, clk_ms now);
+/** Update `pending_at` from the evidence. */
+void psn_update_pending_time (const struct psn *p, clk_ms now,
+                              struct psn_suspect *s);
+/** The observed request to be set pending now: among those with a
+   `pending_at`, the one with the most evidence.  NULL: none of these times has
+   passed. */
+struct psn_suspect *psn_next_pending (const struct psn *p, clk_ms now);
 
 #endif
--- a/serve/poison-node.c
+++ b/serve/poison-node.c
@@ -25,7 +25,7 @@
       srv_poison_changed (s, now, update->digest, false);
       break;
     case PSN_CRASH:
-    case PSN_PENDING:
+    case PSN_BLOCK_PENDING:
       break;
     }
 }
--- a/serve/poison-suspect.c
+++ b/serve/poison-suspect.c
@@ -12,8 +12,8 @@
 #define WEIGHT_EARLY 3
 #define WEIGHT_LONG 2
 #define EARLY_MS ((clk_ms)500)
-#define WEIGHT_BLOCK ((PSN_CRASHES - 1) * WEIGHT_NO_EVENT + WEIGHT_EARLY)
-#define WEIGHT_NEAR_BLOCK (WEIGHT_BLOCK - WEIGHT_NO_EVENT)
+#define MIN_BLOCK_WEIGHT ((PSN_CRASHES - 1) * WEIGHT_NO_EVENT + WEIGHT_EARLY)
+#define MIN_NEAR_BLOCK_WEIGHT (MIN_BLOCK_WEIGHT - WEIGHT_NO_EVENT)
 
 /** Delay between the crash that completes the evidence and the decision.
     Other nodes need this time to report which of their requests were running
@@ -57,7 +57,7 @@
 
   for (size_t i = 0; i < s->ncrashed_runs; i++)
     w += crash_weight (&s->crashed_runs[i])
-         / (s->crashed_runs[i].attributed ? 2 : 1);
+         / (s->crashed_runs[i].attributed_to_other ? 2 : 1);
   return w;
 }
 
@@ -108,7 +108,7 @@
     }
   memset (s, 0, sizeof *s);
   s->digest = digest;
-  s->due_at = CLK_NEVER;
+  s->pending_at = CLK_NEVER;
   s->state_ends_at = now + PSN_HOLD_MS;
   return s;
 }
@@ -133,13 +133,13 @@
 bool
 psn_is_pending_or_blocked (const struct psn_suspect *s)
 {
-  return s->state == PSN_S_PENDING || s->state == PSN_S_BLOCKED;
+  return s->state == PSN_S_BLOCK_PENDING || s->state == PSN_S_BLOCKED;
 }
 
 bool
 psn_is_near_block (const struct psn_suspect *s)
 {
-  return weight (s) >= WEIGHT_NEAR_BLOCK;
+  return weight (s) >= MIN_NEAR_BLOCK_WEIGHT;
 }
 
 bool
@@ -154,7 +154,7 @@
 /** Whether @p s was running in all crashes of a pending or blocked request and
     in further ones, so that the other request is probably not the cause. */
 static bool
-crashes_continue (const struct psn *p, struct psn_suspect *s)
+explains_more_crashes (const struct psn *p, struct psn_suspect *s)
 {
   for (size_t i = 0; i < p->n; i++)
     if (psn_is_pending_or_blocked (&p->suspects[i])
@@ -164,28 +164,29 @@
 }
 
 static bool
-is_block_due (const struct psn *p, struct psn_suspect *s)
+has_enough_evidence (const struct psn *p, struct psn_suspect *s)
 {
-  if (!p->collects || s->state != PSN_S_OBSERVED
-      || total_weight (s) < WEIGHT_BLOCK)
+  if (!p->is_collector || s->state != PSN_S_OBSERVED
+      || total_weight (s) < MIN_BLOCK_WEIGHT)
     return false;
-  return weight (s) >= WEIGHT_BLOCK || crashes_continue (p, s);
+  return weight (s) >= MIN_BLOCK_WEIGHT || explains_more_crashes (p, s);
 }
 
 void
-psn_update_due_time (const struct psn *p, clk_ms now, struct psn_suspect *s)
+psn_update_pending_time (const struct psn *p, clk_ms now,
+                         struct psn_suspect *s)
 {
-  if (!is_block_due (p, s))
-    s->due_at = CLK_NEVER;
-  else if (s->due_at == CLK_NEVER)
-    s->due_at = now + SETTLE_MS;
+  if (!has_enough_evidence (p, s))
+    s->pending_at = CLK_NEVER;
+  else if (s->pending_at == CLK_NEVER)
+    s->pending_at = now + SETTLE_MS;
 }
 
 bool
 psn_is_attributed (const struct psn *p, uint64_t endpoint)
 {
   for (size_t i = 0; i < PSN_MAX_ATTRIBUTED; i++)
-    if (p->attributed[i] == endpoint)
+    if (p->attributed_endpoints[i] == endpoint)
       return true;
   return false;
 }
@@ -195,15 +196,16 @@
 {
   if (endpoint == 0 || psn_is_attributed (p, endpoint))
     return;
-  p->attributed[p->next_attributed++ % PSN_MAX_ATTRIBUTED] = endpoint;
+  p->attributed_endpoints[p->next_attributed++ % PSN_MAX_ATTRIBUTED]
+      = endpoint;
   for (size_t i = 0; i < p->n; i++)
     {
       struct psn_suspect *s = &p->suspects[i];
       struct psn_crashed_run *r = psn_find_crashed_run (s, endpoint);
       if (s->state != PSN_S_OBSERVED || !r)
         continue;
-      r->attributed = true;
-      psn_update_due_time (p, now, s);
+      r->attributed_to_other = true;
+      psn_update_pending_time (p, now, s);
     }
 }
 
@@ -234,19 +236,19 @@
 }
 
 struct psn_suspect *
-psn_next_due (const struct psn *p, clk_ms now)
+psn_next_pending (const struct psn *p, clk_ms now)
 {
   struct psn_suspect *most = NULL;
-  bool settled = false;
+  bool any_reached = false;
 
   for (size_t i = 0; i < p->n; i++)
     {
       struct psn_suspect *s = &p->suspects[i];
-      if (s->state != PSN_S_OBSERVED || s->due_at == CLK_NEVER)
+      if (s->state != PSN_S_OBSERVED || s->pending_at == CLK_NEVER)
         continue;
-      settled = settled || now >= s->due_at;
+      any_reached = any_reached || now >= s->pending_at;
       if (!most || is_more_suspect (s, most))
         most = s;
     }
-  return settled ? most : NULL;
+  return any_reached ? most : NULL;
 }
--- a/serve/poison.c
+++ b/serve/poison.c
@@ -20,7 +20,7 @@
 {
   struct psn *p = xcalloc (1, sizeof *p);
 
-  p->collects = true;
+  p->is_collector = true;
   return p;
 }
 
@@ -63,11 +63,11 @@
 void
 psn_set_collecting (struct psn *p, clk_ms now, bool collects)
 {
-  if (collects == p->collects)
+  if (collects == p->is_collector)
     return;
-  p->collects = collects;
+  p->is_collector = collects;
   for (size_t i = 0; i < p->n; i++)
-    psn_update_due_time (p, now, &p->suspects[i]);
+    psn_update_pending_time (p, now, &p->suspects[i]);
 }
 
 /* --- pending, blocked, cleared ----------------------------------------- */
@@ -82,7 +82,7 @@
 
   s->state = PSN_S_CLEARED;
   s->state_ends_at = now + CLEARED_TTL_MS;
-  s->due_at = CLK_NEVER;
+  s->pending_at = CLK_NEVER;
   s->ncrashed_runs = 0;
   add_update (p, &update);
 }
@@ -117,16 +117,16 @@
 set_pending (struct psn *p, clk_ms now, struct psn_suspect *s)
 {
   struct psn_update update
-      = { .kind = PSN_PENDING, .digest = s->digest, .broadcast = true };
+      = { .kind = PSN_BLOCK_PENDING, .digest = s->digest, .broadcast = true };
 
   if (has_completed (p, now, s->digest))
     {
       clear (p, now, s, true);
       return;
     }
-  s->state = PSN_S_PENDING;
+  s->state = PSN_S_BLOCK_PENDING;
   s->state_ends_at = now + PENDING_MS;
-  s->due_at = CLK_NEVER;
+  s->pending_at = CLK_NEVER;
   add_update (p, &update);
   psn_attribute_crashes (p, now, s);
   clear_subsets (p, now, s);
@@ -142,7 +142,7 @@
 
   s->state = PSN_S_BLOCKED;
   s->state_ends_at = now + hold_ms;
-  s->due_at = CLK_NEVER;
+  s->pending_at = CLK_NEVER;
   add_update (p, &update);
   psn_attribute_crashes (p, now, s);
 }
@@ -156,7 +156,7 @@
 {
   s->state = PSN_S_OBSERVED;
   s->state_ends_at = now + PSN_HOLD_MS;
-  s->due_at = CLK_NEVER;
+  s->pending_at = CLK_NEVER;
   s->ncrashed_runs = 0;
   for (unsigned i = 1; i < PSN_CRASHES; i++)
     s->crashed_runs[s->ncrashed_runs++]
@@ -194,7 +194,7 @@
       return;
     }
   s->state_ends_at = now + PSN_HOLD_MS;
-  psn_update_due_time (p, now, s);
+  psn_update_pending_time (p, now, s);
 }
 
 static void
@@ -239,7 +239,7 @@
     case PSN_CRASH:
       apply_crash (p, now, update);
       break;
-    case PSN_PENDING:
+    case PSN_BLOCK_PENDING:
       apply_pending (p, now, update);
       break;
     case PSN_BLOCKED:
@@ -279,7 +279,7 @@
       return true;
     }
   *retry_ms = PENDING_RETRY_MS;
-  return s->state == PSN_S_PENDING || s->due_at != CLK_NEVER;
+  return s->state == PSN_S_BLOCK_PENDING || s->pending_at != CLK_NEVER;
 }
 
 bool
@@ -300,7 +300,7 @@
       struct psn_suspect *s = &p->suspects[i];
       if (now < s->state_ends_at)
         i++;
-      else if (s->state == PSN_S_PENDING)
+      else if (s->state == PSN_S_BLOCK_PENDING)
         block (p, now, s, PSN_HOLD_MS);
       else if (s->state == PSN_S_BLOCKED)
         end_block (s, now);
@@ -314,7 +314,7 @@
 {
   struct psn_suspect *s;
 
-  while ((s = psn_next_due (p, now)) != NULL)
+  while ((s = psn_next_pending (p, now)) != NULL)
     set_pending (p, now, s);
   expire (p, now);
 }
@@ -329,8 +329,8 @@
       const struct psn_suspect *s = &p->suspects[i];
       if (s->state_ends_at < wake)
         wake = s->state_ends_at;
-      if (s->due_at < wake)
-        wake = s->due_at;
+      if (s->pending_at < wake)
+        wake = s->pending_at;
     }
   return wake;
 }
@@ -350,8 +350,8 @@
                                    .digest = s->digest,
                                    .hold_ms = s->state_ends_at - now,
                                    .broadcast = true };
-      else if (s->state == PSN_S_PENDING)
-        p->snapshot[(*n)++] = (struct psn_update){ .kind = PSN_PENDING,
+      else if (s->state == PSN_S_BLOCK_PENDING)
+        p->snapshot[(*n)++] = (struct psn_update){ .kind = PSN_BLOCK_PENDING,
                                                    .digest = s->digest,
                                                    .broadcast = true };
       for (size_t k = 0; k < s->ncrashed_runs; k++)
--- a/serve/poison.h
+++ b/serve/poison.h
@@ -45,10 +45,10 @@
 
 enum psn_kind
 {
-  PSN_CRASH,   /**< place, ran_ms: the request was running there in a crash */
-  PSN_PENDING, /**< to be blocked soon, unless a node clears it */
-  PSN_BLOCKED, /**< hold_ms: remaining duration of the block */
-  PSN_CLEARED  /**< a run of the request completed */
+  PSN_CRASH, /**< place, ran_ms: the request was running there in a crash */
+  PSN_BLOCK_PENDING, /**< to be blocked soon, unless a node clears it */
+  PSN_BLOCKED,       /**< hold_ms: remaining duration of the block */
+  PSN_CLEARED        /**< a run of the request completed */
 };
 
 /** Evidence about a request or a change of its state. */
--- a/serve/register.c
+++ b/serve/register.c
@@ -213,7 +213,7 @@
 srv_is_leaf (const struct srv *s)
 {
   /* A node that is starting has not read the entries of other nodes yet. */
-  return s->registration && s->registration->nnodes > RLY_MESH_MAX
+  return s->registration && s->registration->nnodes > RLY_FULL_MESH_MAX
          && srv_node_rank (s) >= RLY_LINKS_PER_NODE;
 }
 
@@ -354,7 +354,7 @@
       g->next_watch = clk_now () + SETTLE_MS;
       g->secret_due_at = g->next_watch + SECRET_STAGGER_MS;
     }
-  else if (g->nnodes > RLY_MESH_MAX)
+  else if (g->nnodes > RLY_FULL_MESH_MAX)
     g->next_watch = clk_now () + SETTLE_MS; /* the links are up by then */
   else
     begin_watch (g);
--- a/serve/server-list.c
+++ b/serve/server-list.c
@@ -213,8 +213,8 @@
  * is too old.
  */
 clk_ms
-svl_list_age (clk_ms *current_at, uint64_t version_sent, uint64_t version,
-              clk_ms read_at, clk_ms now)
+svl_update_list_age (clk_ms *current_at, uint64_t version_sent,
+                     uint64_t version, clk_ms read_at, clk_ms now)
 {
   if (version_sent == version)
     *current_at = read_at;
--- a/serve/server-list.h
+++ b/serve/server-list.h
@@ -63,8 +63,8 @@
  * @param read_at       when this node last read the list and found version
  *   @p version
  */
-clk_ms svl_list_age (clk_ms *current_at, uint64_t version_sent,
-                     uint64_t version, clk_ms read_at, clk_ms now);
+clk_ms svl_update_list_age (clk_ms *current_at, uint64_t version_sent,
+                            uint64_t version, clk_ms read_at, clk_ms now);
 
 /**
  * Apply a ServerList message.
--- a/serve/sync.c
+++ b/serve/sync.c
@@ -89,7 +89,7 @@
 static clk_ms
 poll_ms (const struct srv *s)
 {
-  clk_ms ms = bks_fallback_poll_ms (s->settings.drain_ms, srv_is_leaf (s));
+  clk_ms ms = bks_direct_poll_ms (s->settings.drain_ms, srv_is_leaf (s));
 
   if (srv_is_leader (s))
     return bks_leader_poll_interval (
@@ -97,13 +97,12 @@
         srv_leader_is_forming (s) ? POLL_FORMING_MS : POLL_LEADER_MS,
         s->settings.drain_ms);
   if (s->settings.first_start && !s->had_traffic)
-    ms = bks_fallback_poll_ms (s->settings.drain_ms, false)
-         * START_POLL_FACTOR;
+    ms = bks_direct_poll_ms (s->settings.drain_ms, false) * START_POLL_FACTOR;
   return ms > POLL_RETRY_MS ? ms : POLL_RETRY_MS;
 }
 
 void
-srv_sync_list_reported (struct srv *s, clk_ms current_at)
+srv_sync_list_confirmed (struct srv *s, clk_ms current_at)
 {
   struct srv_sync *y = s->sync;
   clk_ms next = current_at + poll_ms (s);
@@ -211,9 +210,9 @@
 srv_sync_read_soon (struct srv *s, clk_ms now)
 {
   struct srv_sync *y = s->sync;
-  clk_ms stretch
+  clk_ms extra_delay
       = bks_poll_interval (s->backends, POLL_SOON_MS) - POLL_SOON_MS;
-  clk_ms next = y->read_sent_at + stretch;
+  clk_ms next = y->read_sent_at + extra_delay;
 
   if (next < now)
     next = now;
--- a/t/lib-form.c
+++ b/t/lib-form.c
@@ -453,7 +453,7 @@
   for (size_t i = 0; i < n; i++)
     buf_addf (&w->log,
               "%.*s: wanted %u, formed %u, requests %.0f, reassigned %u\n",
-              STR_ARG (list[i].name), list[i].wanted, list[i].formed,
+              STR_ARG (list[i].name), list[i].planned, list[i].open_or_forming,
               list[i].requests, (unsigned)list[i].reassigned);
 }
 
--- a/t/t9202-views.c
+++ b/t/t9202-views.c
@@ -279,13 +279,13 @@
  */
 Test (backends, draining_server_is_read_in_time)
 {
-  cr_expect_leq (3 * bks_fallback_poll_ms (2000, false), 2000);
-  cr_expect_leq (3 * bks_fallback_poll_ms (3000, false), 3000);
-  cr_expect_leq (bks_fallback_poll_ms (3000, true) + 1000, 3000,
+  cr_expect_leq (3 * bks_direct_poll_ms (2000, false), 2000);
+  cr_expect_leq (3 * bks_direct_poll_ms (3000, false), 3000);
+  cr_expect_leq (bks_direct_poll_ms (3000, true) + 1000, 3000,
                  "in a large fleet, a read that takes 1 s is in time");
-  cr_expect_geq (bks_fallback_poll_ms (3000, true), 1500,
+  cr_expect_geq (bks_direct_poll_ms (3000, true), 1500,
                  "the next leader has had time to send the list");
-  cr_expect_gt (bks_fallback_poll_ms (2000, false), 300,
+  cr_expect_gt (bks_direct_poll_ms (2000, false), 300,
                 "each read is a billed call");
 }
 
@@ -407,10 +407,10 @@
 {
   clk_ms current_at = 0;
 
-  cr_expect_eq (svl_list_age (&current_at, 7, 7, 1000, 1050), 50);
-  cr_expect_eq (svl_list_age (&current_at, 7, 8, 1300, 1350), 350);
-  cr_expect_eq (svl_list_age (&current_at, 7, 9, 4000, 4050), 3050);
-  cr_expect_eq (svl_list_age (&current_at, 9, 9, 4300, 4310), 10);
+  cr_expect_eq (svl_update_list_age (&current_at, 7, 7, 1000, 1050), 50);
+  cr_expect_eq (svl_update_list_age (&current_at, 7, 8, 1300, 1350), 350);
+  cr_expect_eq (svl_update_list_age (&current_at, 7, 9, 4000, 4050), 3050);
+  cr_expect_eq (svl_update_list_age (&current_at, 9, 9, 4300, 4310), 10);
 }
 
 /* Orders in the format that the platform's servers read. */
--- a/t/t9206-hubs.c
+++ b/t/t9206-hubs.c
@@ -69,7 +69,7 @@
 
   rly_choose_links (&f->node[self], false, list, n);
   for (size_t i = 0; i < n; i++)
-    if (list[i].wanted && !f->failed[indices[i]])
+    if (list[i].link_wanted && !f->failed[indices[i]])
       {
         wanted[indices[i]]++;
         links++;
@@ -160,13 +160,13 @@
   n = list_peers (&f, last, list, indices);
   rly_choose_links (&f.node[last], true, list, n);
   for (size_t i = 0; i < n; i++)
-    cr_expect (list[i].wanted, "no link to node %zu", indices[i]);
+    cr_expect (list[i].link_wanted, "no link to node %zu", indices[i]);
   n = list_peers (&f, 5, list, indices);
   for (size_t i = 0; i < n; i++)
     list[i].is_leader = indices[i] == last;
   rly_choose_links (&f.node[5], false, list, n);
   for (size_t i = 0; i < n; i++)
-    cr_expect (indices[i] != last || list[i].wanted);
+    cr_expect (indices[i] != last || list[i].link_wanted);
 }
 
 /*
@@ -185,7 +185,7 @@
   for (size_t i = 0; i < f.n; i++)
     {
       size_t n = list_peers (&f, i, list, indices);
-      sums += !rly_aggregator (&f.node[i], false, list, n);
+      sums += !rly_choose_aggregator (&f.node[i], false, list, n);
     }
   cr_expect_eq (sums, 1, "%zu", sums);
   sums = 0;
@@ -194,7 +194,7 @@
       size_t n = list_peers (&f, i, list, indices);
       for (size_t k = 0; k < n; k++)
         list[k].is_leader = indices[k] == 3;
-      sums += !rly_aggregator (&f.node[i], i == 3, list, n);
+      sums += !rly_choose_aggregator (&f.node[i], i == 3, list, n);
     }
   cr_expect_eq (sums, 1, "%zu", sums);
 }
@@ -207,7 +207,7 @@
   unsigned wanted[NODES_MAX] = { 0 };
   struct rly_node limited = { 1, MBIT, 1 }, unlimited = { 2, 0, 0 };
 
-  fleet_init (&f, RLY_MESH_MAX, 9);
+  fleet_init (&f, RLY_FULL_MESH_MAX, 9);
   for (size_t i = 0; i < f.n; i++)
     cr_expect_eq (count_links (&f, i, wanted), f.n - 1, "node %zu", i);
   cr_expect_lt (rly_cmp (&unlimited, &limited), 0);
