--- a/serve/dispatch-int.h
+++ b/serve/dispatch-int.h
@@ -51,8 +51,8 @@
   DSP_EVENTS
 };
 
-#define DSP_FAILED_ENDPOINTS_MAX                                              \
-  8 /**< tried endpoints recorded for each request */
+/** Failed endpoints recorded for each request. */
+#define DSP_FAILED_ENDPOINTS_MAX 8
 
 struct dsp_pool;
 
@@ -68,7 +68,8 @@
   bool same_zone;
   bool listed; /**< in the current list; else kept only until its requests
                     end */
-  bool seen_in_list; /**< named by the list that is being applied */
+  /** in the list that is being applied; becomes `listed` */
+  bool seen_in_list;
   bool accepting;
   unsigned capacity;
   double prefill_per_ms;
@@ -188,6 +189,7 @@
                                 `own_announced` */
   bool awaits_first_event; /**< sent, and no event received yet */
   bool error_response;     /**< the current attempt's response is an error */
+  /** hashes of the endpoints at which an attempt failed or was rejected */
   uint64_t failed_endpoints[DSP_FAILED_ENDPOINTS_MAX];
   unsigned nfailed_endpoints;
 };
@@ -298,6 +300,8 @@
 /** Prompt tokens of all nodes' requests that the endpoint has not processed
     yet. */
 double dsp_load_pending_prefill (const struct dsp_endpoint_state *s);
+/** Removes expired prompt notices: another node announces with a notice that
+    it has sent a long prompt to an endpoint. */
 void dsp_load_expire_prompt_notices (struct dsp *d);
 /** Adds the prompt of @p q to the pending tokens of its endpoint. */
 void dsp_load_prompt_sent (struct dsp *d, struct dsp_req *q);
@@ -311,6 +315,7 @@
                                struct str model);
 bool dsp_has_failed_at (const struct dsp_req *q,
                         const struct dsp_endpoint_state *s);
+/** Whether dsp_health_allows_requests() holds for any endpoint of the pool. */
 bool dsp_any_usable (const struct dsp *d, const struct dsp_pool *p);
 /** Endpoint to which @p q can be sent now, or NULL if it has to wait. */
 struct dsp_endpoint_state *dsp_choose_endpoint (struct dsp *d,
@@ -329,7 +334,7 @@
 bool dsp_health_trial_due (const struct dsp *d,
                            const struct dsp_endpoint_state *s);
 /** Whether the endpoint's streams have received nothing for so long that new
-    requests should avoid it. */
+    requests should avoid it, although that is too short for a stall. */
 bool dsp_health_streams_silent (const struct dsp *d,
                                 const struct dsp_endpoint_state *s);
 /** Detects stalled endpoints and moves their requests. */
--- a/serve/dispatch-place.c
+++ b/serve/dispatch-place.c
@@ -5,16 +5,16 @@
 /**
  * Number of requests that may be sent to an endpoint in addition to its slots,
  * if they can still meet their latency goal. A slot becomes free there about
- * every 60 ms, and the goals leave time for little more than that.
+ * every 60 ms, and a goal leaves time to wait for little more than one slot.
  */
 #define EXTRA_REQUESTS 1
 
 /**
- * Processing time of pending prompts, in ms, that adds as much load as all
- * slots of an endpoint in use. Long prompts that arrive together delay all
- * streams of the replica, whereas all slots are seldom in use. In tests over
- * 20 days with failures each, 20, 25, 40 and 80 ms gave the same served share
- * within 0.003, and 170 ms gave 0.005 less.
+ * Weight of pending prompts in load_of(): prompts that take this many ms to
+ * process count as much as all slots of the endpoint. Long prompts that arrive
+ * together delay all streams of the replica, whereas all slots are seldom in
+ * use. In tests over 20 days with failures each, 20, 25, 40 and 80 ms gave the
+ * same served share within 0.003, and 170 ms gave 0.005 less.
  */
 #define PREFILL_WEIGHT_MS 25.0
 
@@ -160,8 +160,8 @@
 /**
  * Load of an endpoint as a fraction of its capacity: the slots taken, plus the
  * processing time of the pending prompts. A replica processes all new prompts
- * in one pass, and all its streams pause meanwhile. Half a dozen long prompts
- * take 200 ms, which makes each of these streams late.
+ * in one pass, and all its running streams pause meanwhile.  Half a dozen long
+ * prompts take 200 ms, which makes each of the paused streams late.
  */
 static double
 load_of (const struct dsp_endpoint_state *s)
@@ -197,9 +197,9 @@
  * loaded endpoint, all of them would choose the same one until the next
  * report, and the requests sent in that time would queue there.
  *
- * Rate-limited endpoints for which this node has a permit are compared in
- * addition, because the permit is valid for this node only and expires if it
- * is not used.
+ * Rate-limited endpoints for which this node has a permit are not drawn: the
+ * least loaded of them is always compared with the two. The permit is valid
+ * for this node only and expires if it is not used.
  */
 static struct dsp_endpoint_state *
 choose_of_two (struct dsp *d, struct dsp_pool *p, const struct dsp_req *q,
@@ -275,12 +275,13 @@
 
 /*
  * If all slots are taken, the request stays in this node's queue for an eighth
- * of its latency goal and is then rejected as not executed; its client retries
- * it when a slot is free. A backend server would queue the request behind all
- * others. Under overload it would not be served there in time, and would take
- * a slot just when a request arrives that could still meet its goal. Queueing
- * at the servers lowered the served share by 1.4 percentage points (20 days
- * with failures and high load; 1.2 and 1.7 on 10 days of two other workloads).
+ * of its latency goal and is then rejected. The response states that the
+ * request was not executed, and its client retries it when a slot is free. A
+ * backend server would queue the request behind all others. Under overload it
+ * would not be served there in time, and would later occupy a slot that a
+ * newer request needs to meet its goal. Queueing at the servers lowered the
+ * served share by 1.4 percentage points (20 days with failures and high load;
+ * 1.2 and 1.7 on 10 days of two other workloads).
  */
 struct dsp_endpoint_state *
 dsp_choose_endpoint (struct dsp *d, struct dsp_pool *p,
--- a/serve/dispatch-wait.c
+++ b/serve/dispatch-wait.c
@@ -53,10 +53,11 @@
 }
 
 /**
- * Order of the queue. Requests that can still meet their latency goal come
- * first: a late response loses little value by waiting longer, whereas a
- * request that becomes late loses most of it. Then come resumed streams, then
- * requests by priority, then by arrival.
+ * Order of the queue. Resumed streams and requests that can still meet their
+ * latency goal come before requests that would miss it: a response that is
+ * late already loses little value by waiting longer, whereas one that becomes
+ * late loses most of it. Within the first group, resumed streams come first.
+ * Otherwise the order is by priority, then by arrival.
  */
 static bool
 comes_first (const struct dsp *d, const struct dsp_req *a,
@@ -75,7 +76,7 @@
 }
 
 /** The queued request that comes first.
-    @param new_only skip requests that have failed at an endpoint before */
+    @param new_only skip requests with a failed attempt */
 static struct dsp_req *
 next_queued (const struct dsp *d, const struct dsp_pool *p, bool new_only)
 {
@@ -139,7 +140,7 @@
       else if (q->nfailed_endpoints == 0 || new_only)
         return;
       else
-        new_only = true; /* requests that failed nowhere yet may use the
-                                free endpoints */
+        new_only = true; /* q has failed at the free endpoints; requests
+                            without a failed attempt may use these */
     }
 }
--- a/serve/dispatch.c
+++ b/serve/dispatch.c
@@ -645,7 +645,7 @@
   if (skip_late_tick (d, now))
     return;
   dsp_health_tick (d);
-  /* This may free q and dispatch other requests, but it frees no other
+  /* check_timeouts() may free q and send other requests, but it frees no other
      request. */
   for (struct dsp_req *q = d->open_list; q; q = next)
     {
--- a/serve/form-int.h
+++ b/serve/form-int.h
@@ -57,7 +57,7 @@
   uint64_t probe_token; /**< probe in flight; 0: none */
   uint64_t order_token; /**< order in flight; 0: none */
   enum frm_order_kind order_kind;
-  clk_ms next_order_at;
+  clk_ms next_order_at; /**< no order is sent to the VM before this */
   /** Kind of the last order that it accepted. */
   enum frm_order_kind accepted_kind;
   /** Fencing token of the last order that it accepted. */
@@ -76,7 +76,8 @@
   struct frm_replica *replica; /**< replica that it is assigned to, or NULL */
 };
 
-/** State of a replica.  The order matters: comparisons use it. */
+/** State of a replica.  Comparisons use the order: up to FRM_PH_OPEN a replica
+    is being formed or is open, after it the replica is being ended. */
 enum frm_phase
 {
   FRM_PH_JOINING, /**< members become ready */
@@ -147,7 +148,8 @@
   struct frm_options opt;
   bool leading;
   bool adopted;              /**< the reported replicas have been adopted */
-  bool server_list_complete; /**< a server missing from the list is gone */
+  bool server_list_complete; /**< the server list is complete: a server missing
+                                from it is gone */
   bool had_traffic;          /**< clients have sent requests */
   int64_t fence;
   int64_t generation; /**< last one assigned */
@@ -249,6 +251,7 @@
 /** Whether the rate limit lets @p n loads start now. */
 bool frm_may_load (const struct frm *f, const struct tbl_service *s,
                    unsigned n);
+/** Counts @p n loads that start now against the rate limit. */
 void frm_record_loads (struct frm *f, unsigned n);
 /* form-stage.c */
 void frm_preload (struct frm *f);
--- a/serve/form-place.c
+++ b/serve/form-place.c
@@ -11,8 +11,9 @@
 
 /**
  * Settle window at startup.  Servers that start together appear between some
- * milliseconds and a tenth of a second apart.  All have appeared once a list
- * without a new VM was requested this long after the last list with one.
+ * milliseconds and a tenth of a second apart.  The window ends when
+ * a list shows no new VM, and the read of that list was sent this long after
+ * the read of the last list that showed one.
  */
 #define SETTLE_WINDOW_MS ((clk_ms)200)
 /** Upper limit of that wait, if VMs keep appearing. */
@@ -20,11 +21,12 @@
 
 /* --- forming a replica ------------------------------------------------- */
 
+/** VMs selected for one replica. */
 struct selected_members
 {
   struct frm_vm *members[FRM_MAX_MEMBERS];
   unsigned n;
-  unsigned members_to_load;
+  unsigned members_to_load; /**< members that must load the model */
 };
 
 /**
@@ -32,11 +34,11 @@
  *
  * All members come from one domain.  VMs that can't complete a replica within
  * their domain stay idle until another VM of the domain has loaded the model.
- * Replicas across domains communicate over a slower network.  Without them
- * revenue was higher by 0.005 of the possible revenue (20 days with failures;
- * by 0.008 on 10 days of another workload), and lower by at most 0.009 on any
- * day.  At a quarter of the speed each request to these replicas is late, and
- * their VMs are not available when their own domain could use them.
+ * A replica across domains would communicate over a slower network.  At a
+ * quarter of the network speed each of its requests is late, and its VMs are
+ * not available when their own domain could use them.  Without these replicas
+ * revenue rose by 0.005 of the possible revenue (20 days with failures; by
+ * 0.008 on 10 days of another workload).  It fell by at most 0.009 on any day.
  */
 static bool
 choose_members (const struct frm *f, const struct frm_fabric_domain *d,
@@ -52,6 +54,7 @@
             || frm_cost_of (vm, m->name) != (enum frm_cost)cost)
           continue;
         out->members[out->n++] = vm;
+        /* From FRM_COST_EMPTY on, the VM must load the model. */
         out->members_to_load += cost >= FRM_COST_EMPTY;
       }
   return out->n == m->size;
@@ -67,9 +70,10 @@
 }
 
 /**
- * Minimum time until the members of @p c are ready.  The list is polled at the
- * fast interval only after that: each read is a paid call, and on a day with
- * constant server crashes some replica is joining half of the time.
+ * Minimum time until the members of @p c are ready.  Until then the server
+ * list is not polled at the fast interval.  Each read is a paid call to the
+ * store, and on a day with constant server crashes some replica is joining
+ * half of the time.
  */
 static clk_ms
 min_joining_ms (const struct frm *f, const struct tbl_model *m,
@@ -99,7 +103,8 @@
     {
       struct frm_vm *vm = c->members[i];
       if (vm->replica)
-        frm_replica_release (f, vm->replica); /* its warm spare */
+        /* This VM's replica is a warm spare, with no other member. */
+        frm_replica_release (f, vm->replica);
       r->members[i] = vm;
       vm->replica = r;
       vm->next_order_at = f->now;
@@ -163,7 +168,7 @@
   return n * d->s->models[k].size;
 }
 
-/** Model that lacks the most VMs, in multiples of its replica size. */
+/** Model with the most missing VMs, divided by the VMs of one replica. */
 static size_t
 most_missing_model (const struct frm_fabric_domain *d)
 {
@@ -186,10 +191,10 @@
 }
 
 /**
- * Model with the fewest surplus VMs, relative to the members of its planned
- * replicas, any of which may fail.  Surplus VMs hold or load the model and are
- * not needed for a missing replica.  Of two equal models, the one with more
- * members.
+ * Model with the smallest ratio of surplus VMs to members of its planned
+ * replicas; any member may fail.  A surplus VM is a spare that holds or loads
+ * the model and is not needed for a missing replica.  Of two models with an
+ * equal ratio, the one with more members is returned.
  */
 static size_t
 least_covered_model (const struct frm_fabric_domain *d)
--- a/serve/form-plan.h
+++ b/serve/form-plan.h
@@ -31,10 +31,10 @@
   const char *service;
   unsigned number;                  /**< as in frm_vm.domain_number */
   unsigned planned[FRM_MAX_MODELS]; /**< planned replicas of each model */
-  unsigned open_or_forming[FRM_MAX_MODELS]; /**< replicas that are open or
-                                               being formed */
-  /** VMs in no replica that load the model, or hold it in the VM or in host
-      memory. */
+  /** Replicas of each model that are open or being formed. */
+  unsigned open_or_forming[FRM_MAX_MODELS];
+  /** Spares (VMs in no replica) that load the model, or hold it in the VM or
+      in host memory. */
   unsigned spares_with_model[FRM_MAX_MODELS];
   /**
    * Model that the domain is dedicated to, if it is too small for a replica of
@@ -58,7 +58,7 @@
 size_t frm_held_or_loading_model (const struct frm_vm *vm,
                                   const struct tbl_service *s);
 
-/** Plans the domain and counts its replicas and warm VMs. */
+/** Fills in `planned`, `open_or_forming` and `spares_with_model`. */
 void frm_plan_and_count (const struct frm *f, struct frm_fabric_domain *d);
 
 /** Updates the highest number of VMs listed in each domain. */
--- a/serve/form-yield.c
+++ b/serve/form-yield.c
@@ -1,11 +1,11 @@
 #include "serve/form-plan.h"
 
 /*
- * A domain that has lost more VMs than its reserve can't hold all its replicas
- * any more.  The remaining VMs of a large replica would wait many seconds
- * until other VMs have loaded the weights, while smaller replicas of another
- * model in the domain may have unused slots.  These smaller replicas are
- * closed.  Their VMs, whose hosts hold the weights of the large model,
+ * A domain that has lost more VMs than it had spares can't hold all its
+ * replicas any more.  The remaining VMs of a large replica would wait many
+ * seconds until other VMs have loaded the weights, while smaller replicas of
+ * another model in the domain may have unused slots.  Smaller replicas are
+ * closed if their VMs' hosts hold the weights of the large model: these VMs
  * complete the large replica within seconds.
  *
  * A replica is closed for another model only if this clearly lowers the
@@ -20,7 +20,8 @@
  */
 #define MAX_UTILIZATION_RATIO 0.85
 
-/** Counts the replicas of each model over all domains of a service. */
+/** Counts the replicas of each model that are being formed or are open, over
+    all domains of a service. */
 static void
 count_replicas_by_model (const struct frm *f, const struct tbl_service *s,
                          unsigned *n)
@@ -59,8 +60,8 @@
 }
 
 /**
- * Whether the VM can join a replica of @p model without a load, now or after
- * its current replica has closed.
+ * Whether the VM can join a replica of @p model without loading its weights:
+ * now, or once its current replica, which is being closed, has ended.
  */
 static bool
 is_available_with_weights (const struct frm *f, const struct frm_vm *vm,
@@ -103,8 +104,8 @@
  * Closes replicas of model @p donor until enough VMs are available for one
  * more replica of model @p receiver.
  * @param dry_run only count the replicas that would be closed
- * @return number of replicas closed; 0: the VMs don't suffice, or suffice with
- *        none closed
+ * @return number of replicas closed; 0: none needs to be closed, or closing
+ *        all of them would not free enough VMs
  */
 static unsigned
 close_replicas_for (struct frm *f, const struct frm_fabric_domain *d,
--- a/serve/form.c
+++ b/serve/form.c
@@ -7,7 +7,7 @@
 /**
  * The generations of one leader node start at its fencing token times this, so
  * that they are greater than those of all earlier leader nodes.  No leader
- * node assigns more than that during its lease.
+ * node assigns more generations than this during its lease.
  */
 #define GENERATIONS_PER_FENCE 1000
 
@@ -28,8 +28,8 @@
 /**
  * Interval between the probes of a member that is not listed.  A repair takes
  * a second or more, so that starting it half a second later matters little.  A
- * disconnection from the store lasts some seconds, which makes ten probes for
- * each member.
+ * disconnection from the store lasts some seconds, so each member gets about
+ * ten probes.
  */
 #define PROBE_UNLISTED_MS ((clk_ms)500)
 /** Interval between the probes of an unresponsive VM. */
--- a/serve/hubs.h
+++ b/serve/hubs.h
@@ -54,7 +54,8 @@
   bool up;             /**< linked */
   bool connect_failed; /**< the last connection attempt failed */
   bool is_leader;
-  bool link_wanted; /**< out: connect to it, or keep the link */
+  /** out: this node should connect to it, or keep the link */
+  bool link_wanted;
 };
 
 /**
--- a/serve/ingress.c
+++ b/serve/ingress.c
@@ -16,7 +16,8 @@
 #define CONFIRM_RETRY_MS ((clk_ms)1000)
 
 /** File descriptors reserved for files, links, the store, and connections to
-    backend servers; the others are for connections of clients. */
+    backend servers.  At most half of the others are used for client
+    connections. */
 #define FDS_RESERVED 1000
 
 /** Limit on the time between two requests of a connection, and on the time to
@@ -116,10 +117,10 @@
 /**
  * Time that the client has spent on earlier attempts.
  *
- * A client that retries sends its remaining time; earlier attempts took the
- * rest of the route's timeout.  This time counts against the latency goal.  A
- * request that has missed its goal is served after those that can still meet
- * theirs.
+ * A client that retries sends the time that remains of the route's timeout;
+ * the difference was spent on its earlier attempts and counts against the
+ * latency goal.  A request that has missed its goal is served after those that
+ * can still meet theirs.
  */
 static clk_ms
 earlier_wait (const struct srv_exchange *ex)
--- a/serve/limit-grant.c
+++ b/serve/limit-grant.c
@@ -7,14 +7,15 @@
 /** A follower that has sent nothing for this long is not counted any more.  A
     follower reports every 100 ms. */
 #define FOLLOWER_TIMEOUT_MS ((clk_ms)350)
-/** How long the demand of a follower is valid: until its next periodic report,
-    or as long as the request waits at the follower. */
+/** How long demand in a periodic report is valid: until the next report. */
 #define PERIODIC_DEMAND_TTL_MS ((clk_ms)120)
+/** How long demand that is sent for a waiting request is valid: as long as the
+    request waits at the follower. */
 #define URGENT_DEMAND_TTL_MS ((clk_ms)20)
 /** A server without any demand for this long is idle. */
 #define IDLE_MS ((clk_ms)1000)
-/** While there is no demand, the credit is at most this node's share of the
-    permits of this many seconds plus one. */
+/** Limits the credit that accrues while there is no demand: to the permits of
+    this many seconds plus one, times this node's share.  See max_credit(). */
 #define BURST_S 0.5
 
 static struct lim_follower *
@@ -60,7 +61,8 @@
 }
 
 /** If the follower has recorded another limit, the newer one of the two
-    applies.  If that is this node's limit, queue it as an update. */
+    applies.  If this node's limit is the newer one, send it to the other nodes
+    with the next update. */
 static void
 reconcile (struct lim *l, clk_ms now, const struct lim_permits *wanted)
 {
@@ -178,10 +180,11 @@
 /**
  * Deduct up to @p n permits from the credit.  If the maximum credit is less
  * than one permit, one permit is granted when the credit reaches a random
- * threshold between 0 and 1; the credit is negative afterwards.  With many
- * nodes that grant to themselves, a threshold of 1 would let all of them send
- * at the same time, and a maximum of 1 would let each keep a whole permit
- * while idle.
+ * threshold between 0 and 1, and the credit is negative afterwards.
+ *
+ * The threshold is random because many nodes may grant to themselves: with a
+ * threshold of 1, all of them would send at the same time.  Raising the
+ * maximum to 1 instead would let each node keep a whole permit while idle.
  * @return  number of permits
  */
 static unsigned
--- a/serve/limit-int.h
+++ b/serve/limit-int.h
@@ -67,7 +67,7 @@
   struct rng rng;
   bool is_granting; /**< this node is a grantor; false: a follower */
   bool has_new_demand;
-  unsigned node_count;
+  unsigned node_count; /**< nodes that this node has recorded */
   struct lim_follower *followers;
   size_t nfollowers;
   GArray *unreported_servers; /**< uint64_t: servers with unreported changes */
@@ -78,7 +78,8 @@
 
 struct lim_server *lim_find_server (const struct lim *l, uint64_t server);
 
-/** Requests per second at which permits are granted. */
+/** Requests per second at which permits are granted: the limit, but at least
+    LIM_MIN_RATE. */
 double lim_permit_rate (const struct lim_server *r);
 
 /** Maximum number of permits that a node requests at once. */
--- a/serve/node-int.h
+++ b/serve/node-int.h
@@ -76,7 +76,8 @@
 void srv_check_pause (struct srv *s, clk_ms now);
 /** Whether clients may be sent to this node. */
 bool srv_is_ready (const struct srv *s);
-/** The configuration or the list of backend servers has changed. */
+/** Pass the endpoints to the dispatch core: the configuration or the list of
+    backend servers has changed. */
 void srv_endpoints_changed (struct srv *s);
 
 /* config.c: the configuration in force */
@@ -107,11 +108,11 @@
 /* sync.c: list of backend servers in the store */
 void srv_sync_start (struct srv *s);
 void srv_sync_tick (struct srv *s, clk_ms now);
-/** Another node has reported that the list of this node still equalled the
+/** The leader has reported that the list of this node still equalled the
     store's list at @p current_at. */
 void srv_sync_list_confirmed (struct srv *s, clk_ms current_at);
-/** Age of the list of backend servers, whether this or another node read it;
-    -1: there is no list. */
+/** Time since the list of backend servers was last found to equal the store's
+    list, from a read by this or another node; -1: there is no list. */
 clk_ms srv_sync_list_age (const struct srv *s, clk_ms now);
 void srv_sync_resumed (struct srv *s, clk_ms now);
 /** Whether requests are deferred: the list is outdated since the last pause of
@@ -157,7 +158,8 @@
     named in the key */
 void srv_leader_key_changed (struct srv *s, bool held, struct str holder);
 void srv_leader_servers_changed (struct srv *s);
-/** A node observes no progress at the endpoint with this hash. */
+/** A node reports that the endpoint with this hash is stalled, or that its
+    process has ended. */
 void srv_leader_endpoint_stalled (struct srv *s, uint64_t endpoint);
 bool srv_is_leader (const struct srv *s);
 const struct frm_stats *srv_leader_stats (const struct srv *s);
--- a/serve/peers-load.c
+++ b/serve/peers-load.c
@@ -8,9 +8,10 @@
  * sends its load to all others.  In a large fleet the number of these frames
  * would grow with the square of the number of nodes, so each node sends its
  * load to one aggregator, which adds the loads up and sends the sum to all.
- * The aggregator is the leader or, without a leader, the first linked node in
- * relay order.  A node also sends its load to its other peers, once every
- * SLOW_SEND_INTERVAL_MS.  These loads are used while no aggregator sends sums.
+ * The aggregator is the leader or, without a leader, the linked node that
+ * comes first by rly_cmp().  A node also sends its load to its other peers,
+ * once every SLOW_SEND_INTERVAL_MS.  These loads are used while no aggregator
+ * sends sums.
  */
 
 /** Interval at which, in a large fleet, a node sends its load to peers
--- a/serve/peers.c
+++ b/serve/peers.c
@@ -16,7 +16,7 @@
 #define RECONNECT_MS ((clk_ms)300)
 /**
  * Delay before the leader connects to a node that should have connected to the
- * leader: the node may not have received that there is a new leader.
+ * leader: the node may not have been notified of the new leader yet.
  */
 #define LEADER_CONNECT_DELAY_MS ((clk_ms)1000)
 /**
@@ -31,8 +31,8 @@
  * (listed, loading, open), and no node needs the states in between.
  */
 #define IDLE_LIST_INTERVAL_MS ((clk_ms)1000)
-/** How long a NodeList is used: longer than two consecutive changes of leader
-    of some 2 s each. */
+/** How long a NodeList is used: longer than two changes of the leader in a
+    row, which take some 2 s each. */
 #define NODE_LIST_VALID_MS ((clk_ms)5000)
 
 static struct peer *
@@ -263,8 +263,8 @@
 }
 
 /**
- * Of two nodes the one later in relay order connects to the other.  The leader
- * of a large fleet connects to later nodes as well, after
+ * Of two nodes, the one that is later by rly_cmp() connects to the other.  The
+ * leader of a large fleet also connects to nodes later than itself, after
  * LEADER_CONNECT_DELAY_MS.
  */
 static bool
--- a/serve/poison-int.h
+++ b/serve/poison-int.h
@@ -19,8 +19,9 @@
 
 enum psn_state
 {
-  PSN_S_OBSERVED,
-  PSN_S_BLOCK_PENDING, /**< blocked when the pending time ends */
+  PSN_S_OBSERVED,      /**< its crashes are recorded; it isn't blocked */
+  PSN_S_BLOCK_PENDING, /**< blocked when the pending time ends, unless a
+                            node clears it */
   PSN_S_BLOCKED,
   PSN_S_CLEARED /**< delayed updates about the request are ignored */
 };
@@ -56,9 +57,10 @@
   size_t n, capacity;
   struct psn_completion completed[PSN_MAX_COMPLETED]; /**< a ring */
   size_t next_completed;
-  uint64_t attributed_endpoints[PSN_MAX_ATTRIBUTED]; /**< endpoints, a ring */
+  /** Endpoints whose crash is attributed to any request; a ring. */
+  uint64_t attributed_endpoints[PSN_MAX_ATTRIBUTED];
   size_t next_attributed;
-  bool is_collector;
+  bool is_collector; /**< see psn_set_collecting() */
   struct psn_update *updates;
   size_t nupdates, updates_capacity;
   bool fetched; /**< the list was returned; the next update starts a new one */
--- a/serve/poison-suspect.c
+++ b/serve/poison-suspect.c
@@ -8,14 +8,17 @@
 /** Weights of a crash as evidence.  A poison request crashes its server soon
     after it starts to run, so the weight is higher for short runs.  It is
     halved if the crash is attributed to another request. */
-#define WEIGHT_NO_EVENT 4
+#define WEIGHT_NO_EVENT 4 /* the run had produced no event */
 #define WEIGHT_EARLY 3
 #define WEIGHT_LONG 2
 #define EARLY_MS ((clk_ms)500)
+/** Weights from which a request is blocked, or would be blocked after one more
+    crash. */
 #define MIN_BLOCK_WEIGHT ((PSN_CRASHES - 1) * WEIGHT_NO_EVENT + WEIGHT_EARLY)
 #define MIN_NEAR_BLOCK_WEIGHT (MIN_BLOCK_WEIGHT - WEIGHT_NO_EVENT)
 
-/** Delay between the crash that completes the evidence and the decision.
+/** Delay between the crash after which the evidence suffices for a block and
+    the decision.
     Other nodes need this time to report which of their requests were running
     when the same server crashed. */
 #define SETTLE_MS ((clk_ms)100)
@@ -151,8 +154,9 @@
   return a->ncrashed_runs > 0 && a->ncrashed_runs < b->ncrashed_runs;
 }
 
-/** Whether @p s was running in all crashes of a pending or blocked request and
-    in further ones, so that the other request is probably not the cause. */
+/** Whether @p s was running in all crashes of another request, which is
+    pending or blocked, and in further crashes.  The other request is then
+    probably not the cause. */
 static bool
 explains_more_crashes (const struct psn *p, struct psn_suspect *s)
 {
--- a/serve/server-list.h
+++ b/serve/server-list.h
@@ -56,7 +56,8 @@
 clk_ms svl_sum_interval (double link_bytes_per_s, size_t bytes, size_t n);
 
 /**
- * Age of the copy of the list that a node has received from this one.
+ * Update @p current_at, and return the age of the copy of the list that a node
+ * has received from this one.
  * @param current_at    state kept for that node: read time of the newest list
  *   that it has completely
  * @param version_sent  version last sent to it
--- a/serve/sync.c
+++ b/serve/sync.c
@@ -4,20 +4,22 @@
 #include <stdlib.h>
 
 /**
- * Poll intervals of the leader: normally, and while a replica is being formed,
- * when each step waits for a server's report.  Other nodes receive the list
- * from the leader and poll less often.
+ * Poll interval of the leader.  Other nodes receive the list from the leader
+ * and poll less often.
  */
 #define POLL_LEADER_MS ((clk_ms)300)
+/** Poll interval of the leader while a replica is being formed: each step of
+    the formation waits for a server's report. */
 #define POLL_FORMING_MS ((clk_ms)100)
 /** When an order has ended, the list is read at once, because the next step of
-    a repair depends on it.  With a long list, bks_poll_interval() makes this
-    interval longer; the read is delayed by the difference. */
+    a repair depends on it.  bks_poll_interval() lengthens this interval if the
+    list is long, and srv_sync_read_soon() delays the read by the added
+    time. */
 #define POLL_SOON_MS ((clk_ms)50)
 
-/** Factor on the interval of nodes other than the leader, from the start of
-    the whole system until the first request: the leader sends them the list
-    long before the first replica opens. */
+/** Factor on the interval of nodes other than the leader, after the first
+    start of the whole system (settings.first_start) until the first request:
+    the leader sends them the list long before the first replica opens. */
 #define START_POLL_FACTOR 4
 
 /** Delay after a failed read, and the shortest interval of nodes other than
@@ -40,8 +42,8 @@
                                  leader */
   clk_ms resumed_at;   /* end of the last pause of this process; 0: none */
   clk_ms last_read_at; /* when this node's last successful read was sent */
-  int64_t store_era;   /* restore counter at that read; see struct
-                          store_result */
+  int64_t store_era; /* restore counter of the store, from the last successful
+                        read; see struct store_result */
   bool store_ok;
 };
 
