--- a/serve/duty.c
+++ b/serve/duty.c
@@ -377,7 +377,7 @@
 }
 
 void
-srv_leader_endpoint_stalled (struct srv *s, uint64_t endpoint)
+srv_leader_endpoint_stalled_or_ended (struct srv *s, uint64_t endpoint)
 {
   if (srv_is_leader (s))
     frm_stalled (s->leader->form, clk_now (), endpoint);
--- a/serve/node-int.h
+++ b/serve/node-int.h
@@ -160,7 +160,7 @@
 void srv_leader_servers_changed (struct srv *s);
 /** A node reports that the endpoint with this hash is stalled, or that its
     process has ended. */
-void srv_leader_endpoint_stalled (struct srv *s, uint64_t endpoint);
+void srv_leader_endpoint_stalled_or_ended (struct srv *s, uint64_t endpoint);
 bool srv_is_leader (const struct srv *s);
 const struct frm_stats *srv_leader_stats (const struct srv *s);
 /** As frm_models(); returns 0 unless this node is leader. */
--- a/serve/peers-load.c
+++ b/serve/peers-load.c
@@ -77,7 +77,7 @@
                                         .stalled = pl->stalled,
                                         .process_ended = pl->ended };
       if (pl->stalled || pl->ended)
-        srv_leader_endpoint_stalled (s, pl->place);
+        srv_leader_endpoint_stalled_or_ended (s, pl->place);
     }
   return n;
 }
@@ -269,7 +269,7 @@
     }
   for (size_t i = 0; i < p->nown_load; i++)
     if (own[i].stalled || own[i].process_ended)
-      srv_leader_endpoint_stalled (s, own[i].endpoint);
+      srv_leader_endpoint_stalled_or_ended (s, own[i].endpoint);
   free_rows (&rows);
   prs_permit_rows_free (&wanted);
 }
