--- a/serve/dispatch-int.h
+++ b/serve/dispatch-int.h
@@ -245,12 +245,12 @@
   size_t nbudgets;
   struct dsp_peer *peers;
   size_t npeers;
-  struct dsp_req **by_id;
-  size_t by_id_size;
+  struct dsp_req **buckets;
+  size_t nbuckets;
   struct dsp_req *open_list;
   size_t open_count;
   struct dsp_action *actions;
-  size_t act_head, act_n, act_cap;
+  size_t action_head, action_count, action_capacity;
   struct dsp_endpoint_load *own_loads;
   /** ring buffer */
   struct dsp_received_notice received_notices[DSP_NOTICES_MAX];
--- a/serve/dispatch.c
+++ b/serve/dispatch.c
@@ -93,19 +93,20 @@
 dsp_add_action (struct dsp *d, enum dsp_action_kind kind,
                 const struct dsp_req *q)
 {
-  if (d->act_n == d->act_cap)
+  if (d->action_count == d->action_capacity)
     {
-      size_t cap = d->act_cap ? 2 * d->act_cap : 64;
+      size_t cap = d->action_capacity ? 2 * d->action_capacity : 64;
       struct dsp_action *grown = xmalloc (cap * sizeof *grown);
-      for (size_t i = 0; i < d->act_n; i++)
-        grown[i] = d->actions[(d->act_head + i) % d->act_cap];
+      for (size_t i = 0; i < d->action_count; i++)
+        grown[i] = d->actions[(d->action_head + i) % d->action_capacity];
       free (d->actions);
       d->actions = grown;
-      d->act_cap = cap;
-      d->act_head = 0;
+      d->action_capacity = cap;
+      d->action_head = 0;
     }
-  struct dsp_action *a = &d->actions[(d->act_head + d->act_n) % d->act_cap];
-  d->act_n++;
+  struct dsp_action *a
+      = &d->actions[(d->action_head + d->action_count) % d->action_capacity];
+  d->action_count++;
   memset (a, 0, sizeof *a);
   a->kind = kind;
   if (q)
@@ -119,11 +120,11 @@
 bool
 dsp_next_action (struct dsp *d, struct dsp_action *out)
 {
-  if (d->act_n == 0)
+  if (d->action_count == 0)
     return false;
-  *out = d->actions[d->act_head];
-  d->act_head = (d->act_head + 1) % d->act_cap;
-  d->act_n--;
+  *out = d->actions[d->action_head];
+  d->action_head = (d->action_head + 1) % d->action_capacity;
+  d->action_count--;
   return true;
 }
 
@@ -132,7 +133,7 @@
 static struct dsp_req *
 find_request (const struct dsp *d, uint64_t id)
 {
-  struct dsp_req *q = d->by_id[id & (d->by_id_size - 1)];
+  struct dsp_req *q = d->buckets[id & (d->nbuckets - 1)];
 
   while (q && q->id != id)
     q = q->hash_next;
@@ -150,7 +151,7 @@
 static void
 grow_buckets (struct dsp *d)
 {
-  size_t size = 2 * d->by_id_size;
+  size_t size = 2 * d->nbuckets;
   struct dsp_req **grown = xcalloc (size, sizeof *grown);
 
   for (struct dsp_req *q = d->open_list; q; q = q->next)
@@ -158,9 +159,9 @@
       q->hash_next = grown[q->id & (size - 1)];
       grown[q->id & (size - 1)] = q;
     }
-  free (d->by_id);
-  d->by_id = grown;
-  d->by_id_size = size;
+  free (d->buckets);
+  d->buckets = grown;
+  d->nbuckets = size;
 }
 
 static struct dsp_req *
@@ -169,7 +170,7 @@
   struct dsp_req *q = xcalloc (1, sizeof *q);
   const struct tbl_route *r = in->route;
 
-  if (d->open_count >= d->by_id_size)
+  if (d->open_count >= d->nbuckets)
     grow_buckets (d);
   q->id = in->id;
   q->config = tbl_ref (in->config);
@@ -184,8 +185,8 @@
   q->retryable = tbl_is_retryable (r);
   q->state = DSP_S_RECEIVED;
   q->pool = dsp_get_pool (d, in->service->name, in->model);
-  q->hash_next = d->by_id[q->id & (d->by_id_size - 1)];
-  d->by_id[q->id & (d->by_id_size - 1)] = q;
+  q->hash_next = d->buckets[q->id & (d->nbuckets - 1)];
+  d->buckets[q->id & (d->nbuckets - 1)] = q;
   q->next = d->open_list;
   if (q->next)
     q->next->prev = q;
@@ -197,7 +198,7 @@
 static void
 free_request (struct dsp *d, struct dsp_req *q)
 {
-  struct dsp_req **at = &d->by_id[q->id & (d->by_id_size - 1)];
+  struct dsp_req **at = &d->buckets[q->id & (d->nbuckets - 1)];
 
   while (*at != q)
     at = &(*at)->hash_next;
@@ -657,7 +658,7 @@
 }
 
 clk_ms
-dsp_wake (const struct dsp *d)
+dsp_next_tick (const struct dsp *d)
 {
   /* Measured from the last tick, not from the last event: events are so
      frequent that a tick would never become due. */
@@ -678,8 +679,8 @@
   d->opt.zone = str_from (d->zone);
   d->node_count = 1;
   rng_seed (&d->rng, seed);
-  d->by_id_size = INITIAL_BUCKETS;
-  d->by_id = xcalloc (d->by_id_size, sizeof *d->by_id);
+  d->nbuckets = INITIAL_BUCKETS;
+  d->buckets = xcalloc (d->nbuckets, sizeof *d->buckets);
   return d;
 }
 
@@ -702,7 +703,7 @@
   free (d->pools);
   free (d->budgets);
   free (d->peers);
-  free (d->by_id);
+  free (d->buckets);
   free (d->actions);
   free (d->own_loads);
   free (d->zone);
--- a/serve/dispatch.h
+++ b/serve/dispatch.h
@@ -184,11 +184,11 @@
 void dsp_free (struct dsp *d);
 
 /** Advances the time and checks timeouts; must be called no later than
-    dsp_wake(). */
+    dsp_next_tick(). */
 void dsp_tick (struct dsp *d, clk_ms now);
 
 /** Earliest time at which dsp_tick() may have something to do. */
-clk_ms dsp_wake (const struct dsp *d);
+clk_ms dsp_next_tick (const struct dsp *d);
 
 void dsp_set_endpoints (struct dsp *d, clk_ms now,
                         const struct dsp_endpoint *list, size_t n);
--- a/serve/form.c
+++ b/serve/form.c
@@ -221,7 +221,7 @@
 
 /** Returns the number shared by all VMs of the same service and domain. */
 static unsigned
-domain_number (struct frm *f, const struct frm_vm *vm)
+domain_number_of (struct frm *f, const struct frm_vm *vm)
 {
   for (size_t i = 0; i < f->nvms; i++)
     if (strcmp (f->vms[i]->domain, vm->domain) == 0
@@ -264,7 +264,7 @@
 
 /** Removes a VM that is gone from its replica. */
 static void
-leave_replica (struct frm_vm *vm)
+remove_from_replica (struct frm_vm *vm)
 {
   struct frm_replica *r = vm->replica;
 
@@ -280,7 +280,7 @@
 static void
 remove_vm (struct frm *f, struct frm_vm *vm)
 {
-  leave_replica (vm);
+  remove_from_replica (vm);
   g_hash_table_remove (f->by_id, vm->id);
   vm_free (vm);
 }
@@ -297,13 +297,13 @@
 reset_restarted_vm (struct frm *f, struct frm_vm *vm)
 {
   struct frm_replica *r = vm->replica;
-  bool led = r && r->members[0] == vm;
-  int64_t blocked_by = r && !led ? r->generation : vm->blocked_by;
+  bool was_leader = r && r->members[0] == vm;
+  int64_t blocked_by = r && !was_leader ? r->generation : vm->blocked_by;
 
-  if (led)
+  if (was_leader)
     frm_replica_release (f, r);
   else
-    leave_replica (vm);
+    remove_from_replica (vm);
   free (vm->loaded_model);
   *vm = (struct frm_vm){ .id = vm->id,
                          .service = vm->service,
@@ -339,7 +339,7 @@
       vm->id = str_dup (s->e.id);
       vm->service = str_dup (s->e.service);
       vm->domain = str_dup (s->e.domain);
-      vm->domain_number = domain_number (f, vm);
+      vm->domain_number = domain_number_of (f, vm);
       vm->started_at = s->e.start_time;
       g_hash_table_insert (f->by_id, vm->id, vm);
       f->vms = xrealloc (f->vms, (f->nvms + 1) * sizeof (*f->vms));
--- a/serve/node.c
+++ b/serve/node.c
@@ -163,7 +163,7 @@
 
   srv_check_pause (s, now);
   s->last_tick_at = now;
-  if (now >= dsp_wake (s->dispatch))
+  if (now >= dsp_next_tick (s->dispatch))
     {
       dsp_tick (s->dispatch, now);
       srv_run_actions (s);
--- a/serve/peers.c
+++ b/serve/peers.c
@@ -142,7 +142,7 @@
 }
 
 static void
-on_servers (struct peer *x, const Lapis__ServerList *list)
+on_server_list (struct peer *x, const Lapis__ServerList *list)
 {
   struct srv *s = x->p->s;
   clk_ms now = clk_now ();
@@ -171,7 +171,7 @@
   else if (x && f->body_case == LAPIS__FRAME__BODY_NODE_LOAD)
     prs_on_load (x, f->node_load);
   else if (x && f->body_case == LAPIS__FRAME__BODY_SERVER_LIST)
-    on_servers (x, f->server_list);
+    on_server_list (x, f->server_list);
   else if (x && f->body_case == LAPIS__FRAME__BODY_FLEET_LOAD)
     prs_on_sum (x, f->fleet_load);
   else if (x && f->body_case == LAPIS__FRAME__BODY_PROMPT_NOTICE)
@@ -438,7 +438,7 @@
 
 /** Whether a NodeList of an aggregator is recent enough to be used. */
 static bool
-has_node_list (const struct srv_peers *p, clk_ms now)
+has_recent_node_list (const struct srv_peers *p, clk_ms now)
 {
   return p->node_list_received_at
          && now - p->node_list_received_at < NODE_LIST_VALID_MS
@@ -451,7 +451,7 @@
   const struct srv_peers *p = s->peers;
   unsigned up = p ? (unsigned)prs_count_up (p) + 1 : 1;
 
-  return p && has_node_list (p, clk_now ()) && p->announced_nodes > up
+  return p && has_recent_node_list (p, clk_now ()) && p->announced_nodes > up
              ? p->announced_nodes
              : up;
 }
@@ -519,7 +519,7 @@
     out[n++] = s->settings.front;
   if (!p)
     return n;
-  if (has_node_list (p, now))
+  if (has_recent_node_list (p, now))
     return n + copy_announced_fronts (p, out + n, max - n);
   ready_peers = count_ready_peers (p, now);
   if (ready_peers <= max - n)
--- a/t/lib-dispatch.c
+++ b/t/lib-dispatch.c
@@ -286,7 +286,7 @@
     {
       b->now += 10;
       dsp_data_received (b->d, b->now, id, b->attempt[id], true);
-      if (b->now >= dsp_wake (b->d))
+      if (b->now >= dsp_next_tick (b->d))
         dsp_tick (b->d, b->now);
       take_actions (b);
     }
--- a/t/lib-dispatch.h
+++ b/t/lib-dispatch.h
@@ -23,10 +23,10 @@
  *                              result of the check of the server's process
  *   block DIGEST               the request is blocked, as it crashes servers
  *   run MS                     advances the time in steps of 20 ms
- *   run-events MS ID           advances the time, with ticks at dsp_wake() and
- *                              an event of the stream every 10 ms
- *   suspend MS                 the process is suspended, then a tick comes
- *   shutdown                   the node shuts down
+ *   run-events MS ID           advances the time, with ticks at
+ * dsp_next_tick() and an event of the stream every 10 ms suspend MS the
+ * process is suspended, then a tick comes shutdown                   the node
+ * shuts down
  *
  * The log has a line for each action: "send ID SERVER [resume] [pN]", with the
  * priority if it is not 1, "cancel ID", "forward ID", "complete ID", "truncate
