--- a/serve/dispatch.c
+++ b/serve/dispatch.c
@@ -20,7 +20,7 @@
     before sockets are read. */
 #define LATE_TICK_MS ((clk_ms)100)
 
-/** Failed connections after which a request is given up. If a third endpoint
+/** Failed connections after which a request is given up: if three endpoints
     can't be reached, the cause is on this node. */
 #define MAX_CONNECT_FAILURES 3
 
@@ -40,7 +40,7 @@
 
 /** An idempotent request without a response is retried at another endpoint
     after this multiple of its latency goal. Its response arrives in one piece,
-    so there is no other way to tell a hung endpoint from a working one. */
+    so a hung endpoint can't be distinguished from a working one before. */
 #define RESPONSE_TIMEOUT_FACTOR 1.0
 
 static const char *const state_names[DSP_STATES]
--- a/serve/node-int.h
+++ b/serve/node-int.h
@@ -168,11 +168,12 @@
 bool srv_leader_is_forming (const struct srv *s);
 
 /* peers.c: links to the other nodes */
+/** Entry of a node in the store. */
 struct srv_node_entry
 {
   struct str node;
-  struct net_addr front;
-  struct net_addr peer;
+  struct net_addr front; /**< listens for client requests */
+  struct net_addr peer;  /**< listens for links of other nodes */
   struct rly_node spec;
 };
 
@@ -189,8 +190,8 @@
 /** Send the other nodes a notice of each long prompt that was sent to a
     backend server since the last call. */
 void srv_peers_send_prompts (struct srv *s);
-/** Whether this node is leader, or is linked to the leader and receives its
-    messages. */
+/** Whether this node is leader, or has recently received a frame on its link
+    to the leader. */
 bool srv_peers_has_leader (const struct srv *s, clk_ms now);
 /** Number of running nodes, including this one: the linked ones, or the number
     that a relay reports. */
--- a/serve/peers-int.h
+++ b/serve/peers-int.h
@@ -34,7 +34,8 @@
   struct peer *next;
   char *node;
   uint64_t hash;
-  struct net_addr front, addr;
+  struct net_addr front; /* listens for client requests */
+  struct net_addr addr;  /* listens for links of other nodes */
   struct rly_node spec;
   bool listed; /* in the last entries or a NodeList; kept while the link is
                   up */
@@ -181,8 +182,8 @@
 bool prs_exceeds_full_mesh (const struct srv_peers *p);
 /** Whether the last sum of all loads is recent enough to be used. */
 bool prs_is_sum_fresh (const struct srv_peers *p, clk_ms now);
-/** Pass the peer's load to the dispatch core; pass no load while the sum of
-    all loads is used instead. */
+/** Pass the loads last received from the peer to the dispatch core; pass none
+    while the peer is not linked, or while the sum of all loads is used. */
 void prs_pass_load_to_dispatch (struct peer *x, clk_ms now);
 /** Process a load of the peer. */
 void prs_on_load (struct peer *x, const Lapis__NodeLoad *load);
