--- a/serve/dispatch-place.c
+++ b/serve/dispatch-place.c
@@ -5,16 +5,16 @@
 /**
  * Number of requests that may be sent to an endpoint in addition to its slots,
  * if they can still meet their latency goal. A slot becomes free there about
- * every 60 ms, and the goals leave time for little more than that.
+ * every 60 ms, and a goal leaves time to wait for little more than one slot.
  */
 #define EXTRA_REQUESTS 1
 
 /**
- * Processing time of pending prompts, in ms, that adds as much load as all
- * slots of an endpoint in use. Long prompts that arrive together delay all
- * streams of the replica, whereas all slots are seldom in use. In tests over
- * 20 days with failures each, 20, 25, 40 and 80 ms gave the same served share
- * within 0.003, and 170 ms gave 0.005 less.
+ * Weight of pending prompts in load_of(): prompts that take this many ms to
+ * process count as much as all slots of the endpoint. Long prompts that arrive
+ * together delay all streams of the replica, whereas all slots are seldom in
+ * use. In tests over 20 days with failures each, 20, 25, 40 and 80 ms gave the
+ * same served share within 0.003, and 170 ms gave 0.005 less.
  */
 #define PREFILL_WEIGHT_MS 25.0
 
@@ -107,12 +107,12 @@
   d->now = now;
   for (size_t i = 0; i < d->npools; i++)
     for (size_t k = 0; k < d->pools[i]->n; k++)
-      d->pools[i]->endpoints[k]->in_new_list = false;
+      d->pools[i]->endpoints[k]->seen_in_list = false;
   for (size_t i = 0; i < n; i++)
     {
       struct dsp_pool *p = dsp_get_pool (d, list[i].service, list[i].model);
       struct dsp_endpoint_state *s = get_endpoint (p, &list[i]);
-      s->in_new_list = true;
+      s->seen_in_list = true;
       s->addr = list[i].addr;
       s->same_zone = str_is (list[i].zone, d->zone);
       s->capacity = list[i].capacity;
@@ -123,7 +123,7 @@
     {
       struct dsp_pool *p = d->pools[i];
       for (size_t k = 0; k < p->n; k++)
-        p->endpoints[k]->listed = p->endpoints[k]->in_new_list;
+        p->endpoints[k]->listed = p->endpoints[k]->seen_in_list;
       remove_unlisted (p);
     }
   dsp_load_sum_peers (d);
@@ -133,10 +133,10 @@
 /* --- choice of an endpoint --------------------------------------------- */
 
 bool
-dsp_was_tried (const struct dsp_req *q, const struct dsp_endpoint_state *s)
+dsp_has_failed_at (const struct dsp_req *q, const struct dsp_endpoint_state *s)
 {
-  for (unsigned i = 0; i < q->ntried; i++)
-    if (q->tried[i] == s->hash)
+  for (unsigned i = 0; i < q->nfailed_endpoints; i++)
+    if (q->failed_endpoints[i] == s->hash)
       return true;
   return false;
 }
@@ -145,7 +145,7 @@
 dsp_any_usable (const struct dsp *d, const struct dsp_pool *p)
 {
   for (size_t i = 0; i < p->n; i++)
-    if (dsp_health_usable (d, p->endpoints[i]))
+    if (dsp_health_allows_requests (d, p->endpoints[i]))
       return true;
   return false;
 }
@@ -160,8 +160,8 @@
 /**
  * Load of an endpoint as a fraction of its capacity: the slots taken, plus the
  * processing time of the pending prompts. A replica processes all new prompts
- * in one pass, and all its streams pause meanwhile. Half a dozen long prompts
- * take 200 ms, which makes each of these streams late.
+ * in one pass, and all its running streams pause meanwhile.  Half a dozen long
+ * prompts take 200 ms, which makes each of the paused streams late.
  */
 static double
 load_of (const struct dsp_endpoint_state *s)
@@ -179,7 +179,7 @@
 is_candidate (const struct dsp *d, const struct dsp_endpoint_state *s,
               const struct dsp_req *q)
 {
-  return dsp_health_usable (d, s) && !dsp_was_tried (q, s)
+  return dsp_health_allows_requests (d, s) && !dsp_has_failed_at (q, s)
          && !dsp_health_streams_silent (d, s);
 }
 
@@ -197,9 +197,9 @@
  * loaded endpoint, all of them would choose the same one until the next
  * report, and the requests sent in that time would queue there.
  *
- * Rate-limited endpoints for which this node has a permit are compared in
- * addition, because the permit is valid for this node only and expires if it
- * is not used.
+ * Rate-limited endpoints for which this node has a permit are not drawn: the
+ * least loaded of them is always compared with the two. The permit is valid
+ * for this node only and expires if it is not used.
  */
 static struct dsp_endpoint_state *
 choose_of_two (struct dsp *d, struct dsp_pool *p, const struct dsp_req *q,
@@ -224,11 +224,11 @@
           continue;
         }
       /* Reservoir sampling of two; all pairs are equally likely. */
-      uint64_t at = rng_below (&d->rng, ++n);
+      uint64_t slot = rng_below (&d->rng, ++n);
       if (n <= 2)
         drawn[n - 1] = s;
-      else if (at < 2)
-        drawn[at] = s;
+      else if (slot < 2)
+        drawn[slot] = s;
     }
   return less_loaded (permitted, less_loaded (drawn[0], drawn[1]));
 }
@@ -245,7 +245,7 @@
   for (size_t i = 0; i < p->n; i++)
     {
       *out = p->endpoints[i];
-      if (!dsp_was_tried (q, *out) && dsp_health_trial_due (d, *out)
+      if (!dsp_has_failed_at (q, *out) && dsp_health_trial_due (d, *out)
           && dsp_limit_allows_request (d, *out))
         return true;
     }
@@ -262,8 +262,8 @@
   for (size_t i = 0; i < p->n; i++)
     {
       struct dsp_endpoint_state *s = p->endpoints[i];
-      if (!s->listed || !s->accepting || s->stalled || dsp_was_tried (q, s)
-          || d->now < s->no_room_until || dsp_process_ended (d, s)
+      if (!s->listed || !s->accepting || s->stalled || dsp_has_failed_at (q, s)
+          || d->now < s->full_until || dsp_process_ended (d, s)
           || slots_taken (s) >= s->capacity
           || !dsp_limit_allows_request (d, s))
         continue;
@@ -275,25 +275,26 @@
 
 /*
  * If all slots are taken, the request stays in this node's queue for an eighth
- * of its latency goal and is then rejected as not executed; its client retries
- * it when a slot is free. A backend server would queue the request behind all
- * others. Under overload it would not be served there in time, and would take
- * a slot just when a request arrives that could still meet its goal. Queueing
- * at the servers lowered the served share by 1.4 percentage points (20 days
- * with failures and high load; 1.2 and 1.7 on 10 days of two other workloads).
+ * of its latency goal and is then rejected. The response states that the
+ * request was not executed, and its client retries it when a slot is free. A
+ * backend server would queue the request behind all others. Under overload it
+ * would not be served there in time, and would later occupy a slot that a
+ * newer request needs to meet its goal. Queueing at the servers lowered the
+ * served share by 1.4 percentage points (20 days with failures and high load;
+ * 1.2 and 1.7 on 10 days of two other workloads).
  */
 struct dsp_endpoint_state *
 dsp_choose_endpoint (struct dsp *d, struct dsp_pool *p,
                      const struct dsp_req *q)
 {
-  bool late = d->now >= q->goal_at && !q->partly_forwarded;
+  bool goal_missed = d->now >= q->goal_at && !q->partly_forwarded;
   struct dsp_endpoint_state *s;
 
   dsp_load_expire_prompt_notices (d);
-  if (dsp_limit_used_by_higher_priority (d, p, q))
+  if (dsp_limit_needed_by_higher_priority (d, p, q))
     return NULL;
   if (find_trial_endpoint (d, p, q, &s))
     return s;
-  s = choose_of_two (d, p, q, late ? 0 : EXTRA_REQUESTS);
+  s = choose_of_two (d, p, q, goal_missed ? 0 : EXTRA_REQUESTS);
   return s || dsp_any_usable (d, p) ? s : choose_fallback (d, p, q);
 }
--- a/serve/form-place.c
+++ b/serve/form-place.c
@@ -11,8 +11,9 @@
 
 /**
  * Settle window at startup.  Servers that start together appear between some
- * milliseconds and a tenth of a second apart.  All have appeared once a list
- * without a new VM was requested this long after the last list with one.
+ * milliseconds and a tenth of a second apart.  The window ends when
+ * a list shows no new VM, and the read of that list was sent this long after
+ * the read of the last list that showed one.
  */
 #define SETTLE_WINDOW_MS ((clk_ms)200)
 /** Upper limit of that wait, if VMs keep appearing. */
@@ -20,11 +21,12 @@
 
 /* --- forming a replica ------------------------------------------------- */
 
-struct choice
+/** VMs selected for one replica. */
+struct selected_members
 {
   struct frm_vm *members[FRM_MAX_MEMBERS];
   unsigned n;
-  unsigned loads;
+  unsigned members_to_load; /**< members that must load the model */
 };
 
 /**
@@ -32,27 +34,28 @@
  *
  * All members come from one domain.  VMs that can't complete a replica within
  * their domain stay idle until another VM of the domain has loaded the model.
- * Replicas across domains communicate over a slower network.  Without them
- * revenue was higher by 0.005 of the possible revenue (20 days with failures;
- * by 0.008 on 10 days of another workload), and lower by at most 0.009 on any
- * day.  At a quarter of the speed each request to these replicas is late, and
- * their VMs are not available when their own domain could use them.
+ * A replica across domains would communicate over a slower network.  At a
+ * quarter of the network speed each of its requests is late, and its VMs are
+ * not available when their own domain could use them.  Without these replicas
+ * revenue rose by 0.005 of the possible revenue (20 days with failures; by
+ * 0.008 on 10 days of another workload).  It fell by at most 0.009 on any day.
  */
 static bool
 choose_members (const struct frm *f, const struct frm_fabric_domain *d,
                 const struct tbl_model *m, enum frm_cost max_cost,
-                struct choice *out)
+                struct selected_members *out)
 {
   memset (out, 0, sizeof *out);
   for (int cost = FRM_COST_LOADED; cost <= (int)max_cost; cost++)
     for (size_t i = 0; i < f->nvms && out->n < m->size; i++)
       {
         struct frm_vm *vm = f->vms[i];
-        if (!frm_in_domain (vm, d) || !frm_is_free (f, vm)
+        if (!frm_in_domain (vm, d) || !frm_is_assignable (f, vm)
             || frm_cost_of (vm, m->name) != (enum frm_cost)cost)
           continue;
         out->members[out->n++] = vm;
-        out->loads += cost >= FRM_COST_EMPTY;
+        /* From FRM_COST_EMPTY on, the VM must load the model. */
+        out->members_to_load += cost >= FRM_COST_EMPTY;
       }
   return out->n == m->size;
 }
@@ -67,13 +70,14 @@
 }
 
 /**
- * Minimum time until the members of @p c are ready.  The list is polled at the
- * fast interval only after that: each read is a paid call, and on a day with
- * constant server crashes some replica is joining half of the time.
+ * Minimum time until the members of @p c are ready.  Until then the server
+ * list is not polled at the fast interval.  Each read is a paid call to the
+ * store, and on a day with constant server crashes some replica is joining
+ * half of the time.
  */
 static clk_ms
 min_joining_ms (const struct frm *f, const struct tbl_model *m,
-                const struct choice *c)
+                const struct selected_members *c)
 {
   clk_ms ms = 0;
 
@@ -85,7 +89,7 @@
 
 static void
 form_replica (struct frm *f, const char *service, const struct tbl_model *m,
-              const struct choice *c, bool warm_spare)
+              const struct selected_members *c, bool warm_spare)
 {
   char text[32];
   struct str name = next_replica_name (f, warm_spare, text, sizeof text);
@@ -99,12 +103,13 @@
     {
       struct frm_vm *vm = c->members[i];
       if (vm->replica)
-        frm_replica_release (f, vm->replica); /* its warm spare */
+        /* This VM's replica is a warm spare, with no other member. */
+        frm_replica_release (f, vm->replica);
       r->members[i] = vm;
       vm->replica = r;
       vm->next_order_at = f->now;
     }
-  frm_count_loads (f, c->loads);
+  frm_record_loads (f, c->members_to_load);
 }
 
 /**
@@ -117,8 +122,7 @@
 is_settling (const struct frm *f)
 {
   return !f->had_traffic
-         && f->list_requested_at - f->last_arrival_requested_at
-                < SETTLE_WINDOW_MS
+         && f->list_read_at - f->last_arrival_read_at < SETTLE_WINDOW_MS
          && f->now - f->first_arrival_at < SETTLE_MAX_MS;
 }
 
@@ -137,12 +141,12 @@
 
   if (is_settling (f))
     return false;
-  frm_plan_domain (f, d);
+  frm_plan_and_count (f, d);
   for (size_t k = 0; k < d->s->nmodels && k < FRM_MAX_MODELS; k++)
     {
       const struct tbl_model *m = &d->s->models[k];
-      struct choice c;
-      if (d->have[k] >= d->want[k] || m->size > FRM_MAX_MEMBERS
+      struct selected_members c;
+      if (d->open_or_forming[k] >= d->planned[k] || m->size > FRM_MAX_MEMBERS
           || !choose_members (f, d, m, max_cost, &c))
         continue;
       form_replica (f, d->service, m, &c, false);
@@ -157,12 +161,14 @@
 static unsigned
 missing_vms (const struct frm_fabric_domain *d, size_t k)
 {
-  unsigned n = d->want[k] > d->have[k] ? d->want[k] - d->have[k] : 0;
+  unsigned n = d->planned[k] > d->open_or_forming[k]
+                   ? d->planned[k] - d->open_or_forming[k]
+                   : 0;
 
   return n * d->s->models[k].size;
 }
 
-/** Model that lacks the most VMs, in multiples of its replica size. */
+/** Model with the most missing VMs, divided by the VMs of one replica. */
 static size_t
 most_missing_model (const struct frm_fabric_domain *d)
 {
@@ -172,23 +178,23 @@
   for (size_t k = 0; k < d->s->nmodels && k < FRM_MAX_MODELS; k++)
     {
       unsigned need = missing_vms (d, k);
-      double part
-          = need > d->warm_or_loading[k]
-                ? (double)(need - d->warm_or_loading[k]) / d->s->models[k].size
-                : 0;
-      if (part <= max)
+      double missing_replicas = need > d->spares_with_model[k]
+                                    ? (double)(need - d->spares_with_model[k])
+                                          / d->s->models[k].size
+                                    : 0;
+      if (missing_replicas <= max)
         continue;
       best = k;
-      max = part;
+      max = missing_replicas;
     }
   return best;
 }
 
 /**
- * Model with the fewest surplus VMs, relative to the members of its planned
- * replicas, any of which may fail.  Surplus VMs hold or load the model and are
- * not needed for a missing replica.  Of two equal models, the one with more
- * members.
+ * Model with the smallest ratio of surplus VMs to members of its planned
+ * replicas; any member may fail.  A surplus VM is a spare that holds or loads
+ * the model and is not needed for a missing replica.  Of two models with an
+ * equal ratio, the one with more members is returned.
  */
 static size_t
 least_covered_model (const struct frm_fabric_domain *d)
@@ -198,8 +204,8 @@
 
   for (size_t k = 0; k < d->s->nmodels && k < FRM_MAX_MODELS; k++)
     {
-      double members = (double)d->want[k] * d->s->models[k].size;
-      double surplus = (double)d->warm_or_loading[k] - missing_vms (d, k);
+      double members = (double)d->planned[k] * d->s->models[k].size;
+      double surplus = (double)d->spares_with_model[k] - missing_vms (d, k);
       double x = members > 0 ? surplus / members : 1e9;
       if (best < d->s->nmodels
           && (x > least || (x >= least && members <= members_best)))
@@ -219,40 +225,40 @@
 may_load_model (const struct frm_fabric_domain *d, const struct frm_vm *vm,
                 size_t k)
 {
-  size_t held = frm_loaded_model_index (vm, d->s);
+  size_t held = frm_held_or_loading_model (vm, d->s);
 
   if (held == d->s->nmodels)
     return true;
-  return held != k && d->warm_or_loading[held] > missing_vms (d, held) + 1
-         && d->warm_or_loading[k] <= missing_vms (d, k);
+  return held != k && d->spares_with_model[held] > missing_vms (d, held) + 1
+         && d->spares_with_model[k] <= missing_vms (d, k);
 }
 
 static void
 load_warm_spare (struct frm *f, struct frm_fabric_domain *d, struct frm_vm *vm)
 {
-  struct choice c = { .members = { vm }, .n = 1 };
+  struct selected_members c = { .members = { vm }, .n = 1 };
   size_t k = most_missing_model (d);
 
   if (k == d->s->nmodels)
     k = least_covered_model (d);
   if (k == d->s->nmodels || !may_load_model (d, vm, k)
-      || frm_has_weights (vm, d->s->models[k].name))
+      || frm_has_weights_in_memory (vm, d->s->models[k].name))
     return;
-  c.loads = !frm_has_weights (vm, d->s->models[k].name);
-  if (!frm_may_load (f, d->s, c.loads))
+  c.members_to_load = !frm_has_weights_in_memory (vm, d->s->models[k].name);
+  if (!frm_may_load (f, d->s, c.members_to_load))
     return;
   form_replica (f, d->service, &d->s->models[k], &c, true);
-  frm_plan_domain (f, d);
+  frm_plan_and_count (f, d);
 }
 
 static void
 load_domain_warm_spares (struct frm *f, struct frm_fabric_domain *d)
 {
-  frm_plan_domain (f, d);
+  frm_plan_and_count (f, d);
   for (size_t i = 0; i < f->nvms; i++)
     {
       struct frm_vm *vm = f->vms[i];
-      if (frm_in_domain (vm, d) && frm_is_free (f, vm)
+      if (frm_in_domain (vm, d) && frm_is_assignable (f, vm)
           && vm->entry.member_state != BKS_JOINING
           && (!vm->replica || frm_is_ready (vm)))
         load_warm_spare (f, d, vm);
@@ -272,7 +278,7 @@
 frm_assign_vms (struct frm *f)
 {
   frm_for_each_domain (f, form_domain_replicas);
-  if (f->list_complete && !is_settling (f)
+  if (f->server_list_complete && !is_settling (f)
       && f->now - f->last_arrival_at >= ARRIVAL_QUIET_MS)
     frm_for_each_domain (f, load_domain_warm_spares);
 }
--- a/serve/form-yield.c
+++ b/serve/form-yield.c
@@ -1,11 +1,11 @@
 #include "serve/form-plan.h"
 
 /*
- * A domain that has lost more VMs than its reserve can't hold all its replicas
- * any more.  The remaining VMs of a large replica would wait many seconds
- * until other VMs have loaded the weights, while smaller replicas of another
- * model in the domain may have unused slots.  These smaller replicas are
- * closed.  Their VMs, whose hosts hold the weights of the large model,
+ * A domain that has lost more VMs than it had spares can't hold all its
+ * replicas any more.  The remaining VMs of a large replica would wait many
+ * seconds until other VMs have loaded the weights, while smaller replicas of
+ * another model in the domain may have unused slots.  Smaller replicas are
+ * closed if their VMs' hosts hold the weights of the large model: these VMs
  * complete the large replica within seconds.
  *
  * A replica is closed for another model only if this clearly lowers the
@@ -20,7 +20,8 @@
  */
 #define MAX_UTILIZATION_RATIO 0.85
 
-/** Counts the replicas of each model over all domains of a service. */
+/** Counts the replicas of each model that are being formed or are open, over
+    all domains of a service. */
 static void
 count_replicas_by_model (const struct frm *f, const struct tbl_service *s,
                          unsigned *n)
@@ -59,14 +60,14 @@
 }
 
 /**
- * Whether the VM can join a replica of @p model without a load, now or after
- * its current replica has closed.
+ * Whether the VM can join a replica of @p model without loading its weights:
+ * now, or once its current replica, which is being closed, has ended.
  */
 static bool
 is_available_with_weights (const struct frm *f, const struct frm_vm *vm,
                            struct str model)
 {
-  if (!frm_is_eligible (f, vm) || !frm_has_weights (vm, model))
+  if (!frm_may_be_member (f, vm) || !frm_has_weights_in_memory (vm, model))
     return false;
   if (!vm->replica)
     return true;
@@ -94,8 +95,8 @@
   unsigned n = 0;
 
   for (size_t i = 0; i < r->nmembers; i++)
-    n += r->members[i] && frm_is_eligible (f, r->members[i])
-         && frm_has_weights (r->members[i], model);
+    n += r->members[i] && frm_may_be_member (f, r->members[i])
+         && frm_has_weights_in_memory (r->members[i], model);
   return n;
 }
 
@@ -103,8 +104,8 @@
  * Closes replicas of model @p donor until enough VMs are available for one
  * more replica of model @p receiver.
  * @param dry_run only count the replicas that would be closed
- * @return number of replicas closed; 0: the VMs don't suffice, or suffice with
- *        none closed
+ * @return number of replicas closed; 0: none needs to be closed, or closing
+ *        all of them would not free enough VMs
  */
 static unsigned
 close_replicas_for (struct frm *f, const struct frm_fabric_domain *d,
@@ -141,10 +142,10 @@
        donor++)
     {
       unsigned closed;
-      if (donor == receiver || d->have[donor] <= d->want[donor])
+      if (donor == receiver || d->open_or_forming[donor] <= d->planned[donor])
         continue;
       closed = close_replicas_for (f, d, donor, receiver, true);
-      if (closed == 0 || closed > d->have[donor] - d->want[donor]
+      if (closed == 0 || closed > d->open_or_forming[donor] - d->planned[donor]
           || closed >= n[donor]
           || !lowers_peak_utilization (f, d->s, n, donor, closed, receiver))
         continue;
@@ -156,10 +157,10 @@
 static void
 reassign_in_domain (struct frm *f, struct frm_fabric_domain *d)
 {
-  frm_plan_domain (f, d);
+  frm_plan_and_count (f, d);
   for (size_t receiver = 0;
        receiver < d->s->nmodels && receiver < FRM_MAX_MODELS; receiver++)
-    if (d->have[receiver] < d->want[receiver]
+    if (d->open_or_forming[receiver] < d->planned[receiver]
         && count_available_with_weights (f, d, d->s->models[receiver].name)
                < d->s->models[receiver].size)
       {
@@ -171,6 +172,6 @@
 void
 frm_reassign (struct frm *f)
 {
-  if (f->had_traffic && f->list_complete)
+  if (f->had_traffic && f->server_list_complete)
     frm_for_each_domain (f, reassign_in_domain);
 }
--- a/serve/form.c
+++ b/serve/form.c
@@ -7,7 +7,7 @@
 /**
  * The generations of one leader node start at its fencing token times this, so
  * that they are greater than those of all earlier leader nodes.  No leader
- * node assigns more than that during its lease.
+ * node assigns more generations than this during its lease.
  */
 #define GENERATIONS_PER_FENCE 1000
 
@@ -28,8 +28,8 @@
 /**
  * Interval between the probes of a member that is not listed.  A repair takes
  * a second or more, so that starting it half a second later matters little.  A
- * disconnection from the store lasts some seconds, which makes ten probes for
- * each member.
+ * disconnection from the store lasts some seconds, so each member gets about
+ * ten probes.
  */
 #define PROBE_UNLISTED_MS ((clk_ms)500)
 /** Interval between the probes of an unresponsive VM. */
@@ -221,7 +221,7 @@
 
 /** Returns the number shared by all VMs of the same service and domain. */
 static unsigned
-domain_number (struct frm *f, const struct frm_vm *vm)
+domain_number_of (struct frm *f, const struct frm_vm *vm)
 {
   for (size_t i = 0; i < f->nvms; i++)
     if (strcmp (f->vms[i]->domain, vm->domain) == 0
@@ -241,7 +241,7 @@
 }
 
 bool
-frm_is_eligible (const struct frm *f, const struct frm_vm *vm)
+frm_may_be_member (const struct frm *f, const struct frm_vm *vm)
 {
   return vm->listed && !vm->unresponsive && !vm->entry.draining
          && f->now >= vm->excluded_until && !is_blocked_by_old_replica (f, vm);
@@ -264,7 +264,7 @@
 
 /** Removes a VM that is gone from its replica. */
 static void
-leave_replica (struct frm_vm *vm)
+remove_from_replica (struct frm_vm *vm)
 {
   struct frm_replica *r = vm->replica;
 
@@ -280,7 +280,7 @@
 static void
 remove_vm (struct frm *f, struct frm_vm *vm)
 {
-  leave_replica (vm);
+  remove_from_replica (vm);
   g_hash_table_remove (f->by_id, vm->id);
   vm_free (vm);
 }
@@ -297,13 +297,13 @@
 reset_restarted_vm (struct frm *f, struct frm_vm *vm)
 {
   struct frm_replica *r = vm->replica;
-  bool led = r && r->members[0] == vm;
-  int64_t blocked_by = r && !led ? r->generation : vm->blocked_by;
+  bool was_leader = r && r->members[0] == vm;
+  int64_t blocked_by = r && !was_leader ? r->generation : vm->blocked_by;
 
-  if (led)
+  if (was_leader)
     frm_replica_release (f, r);
   else
-    leave_replica (vm);
+    remove_from_replica (vm);
   free (vm->loaded_model);
   *vm = (struct frm_vm){ .id = vm->id,
                          .service = vm->service,
@@ -339,13 +339,13 @@
       vm->id = str_dup (s->e.id);
       vm->service = str_dup (s->e.service);
       vm->domain = str_dup (s->e.domain);
-      vm->domain_number = domain_number (f, vm);
+      vm->domain_number = domain_number_of (f, vm);
       vm->started_at = s->e.start_time;
       g_hash_table_insert (f->by_id, vm->id, vm);
       f->vms = xrealloc (f->vms, (f->nvms + 1) * sizeof (*f->vms));
       f->vms[f->nvms++] = vm;
       f->last_arrival_at = f->now;
-      f->last_arrival_requested_at = f->list_requested_at;
+      f->last_arrival_read_at = f->list_read_at;
       if (f->nvms == 1)
         f->first_arrival_at = f->now;
     }
@@ -564,7 +564,7 @@
       if (r)
         attach_member (f, r, vm);
       else
-        adopt_replica (f, vm)->appeared_late = f->list_complete;
+        adopt_replica (f, vm)->appeared_late = f->server_list_complete;
     }
 }
 
@@ -599,7 +599,7 @@
   const struct bks_server *const *list = bks_list (servers, &n);
 
   f->now = now;
-  f->list_requested_at = bks_read_started_at (servers);
+  f->list_read_at = bks_read_started_at (servers);
   if (f->config != config)
     {
       tbl_unref (f->config);
@@ -615,7 +615,7 @@
         update_vm (f, list[i]);
     }
   remove_unlisted_vms (f);
-  f->list_complete = list_complete;
+  f->server_list_complete = list_complete;
   release_returned_members (f);
   if (f->leading && f->adopted)
     adopt_late_replicas (f);
--- a/serve/limit-grant.c
+++ b/serve/limit-grant.c
@@ -7,14 +7,15 @@
 /** A follower that has sent nothing for this long is not counted any more.  A
     follower reports every 100 ms. */
 #define FOLLOWER_TIMEOUT_MS ((clk_ms)350)
-/** How long the demand of a follower is valid: until its next periodic report,
-    or as long as the request waits at the follower. */
+/** How long demand in a periodic report is valid: until the next report. */
 #define PERIODIC_DEMAND_TTL_MS ((clk_ms)120)
+/** How long demand that is sent for a waiting request is valid: as long as the
+    request waits at the follower. */
 #define URGENT_DEMAND_TTL_MS ((clk_ms)20)
 /** A server without any demand for this long is idle. */
 #define IDLE_MS ((clk_ms)1000)
-/** While there is no demand, the credit is at most this node's share of the
-    permits of this many seconds plus one. */
+/** Limits the credit that accrues while there is no demand: to the permits of
+    this many seconds plus one, times this node's share.  See max_credit(). */
 #define BURST_S 0.5
 
 static struct lim_follower *
@@ -43,10 +44,10 @@
 static void
 compact (struct lim_server *r)
 {
-  if (2 * r->next_index < r->demands->len)
+  if (2 * r->first_unmet_demand < r->demands->len)
     return;
-  g_array_remove_range (r->demands, 0, r->next_index);
-  r->next_index = 0;
+  g_array_remove_range (r->demands, 0, r->first_unmet_demand);
+  r->first_unmet_demand = 0;
 }
 
 static void
@@ -60,7 +61,8 @@
 }
 
 /** If the follower has recorded another limit, the newer one of the two
-    applies.  If that is this node's limit, queue it as an update. */
+    applies.  If this node's limit is the newer one, send it to the other nodes
+    with the next update. */
 static void
 reconcile (struct lim *l, clk_ms now, const struct lim_permits *wanted)
 {
@@ -73,7 +75,7 @@
   if (r && r->limited && r->rate == wanted->rate)
     return;
   if (!lim_apply_update (l, now, &update))
-    g_array_append_val (l->changed, wanted->server);
+    g_array_append_val (l->unreported_servers, wanted->server);
 }
 
 void
@@ -130,13 +132,13 @@
 lim_set_role (struct lim *l, clk_ms now, bool is_granting, unsigned nodes)
 {
   struct lim_server *r;
-  GHashTableIter at;
+  GHashTableIter iter;
 
-  l->nodes = nodes;
+  l->node_count = nodes;
   if (is_granting && !l->is_granting)
     {
-      g_hash_table_iter_init (&at, l->servers);
-      while (g_hash_table_iter_next (&at, NULL, (gpointer *)&r))
+      g_hash_table_iter_init (&iter, l->servers);
+      while (g_hash_table_iter_next (&iter, NULL, (gpointer *)&r))
         r->credit_at = now;
     }
   l->is_granting = is_granting;
@@ -151,7 +153,7 @@
 {
   double active = 1 + (double)lim_count_followers (l, now);
 
-  return l->nodes > active ? active / l->nodes : 1;
+  return l->node_count > active ? active / l->node_count : 1;
 }
 
 /** Maximum credit that accrues while there is no demand. */
@@ -178,10 +180,11 @@
 /**
  * Deduct up to @p n permits from the credit.  If the maximum credit is less
  * than one permit, one permit is granted when the credit reaches a random
- * threshold between 0 and 1; the credit is negative afterwards.  With many
- * nodes that grant to themselves, a threshold of 1 would let all of them send
- * at the same time, and a maximum of 1 would let each keep a whole permit
- * while idle.
+ * threshold between 0 and 1, and the credit is negative afterwards.
+ *
+ * The threshold is random because many nodes may grant to themselves: with a
+ * threshold of 1, all of them would send at the same time.  Raising the
+ * maximum to 1 instead would let each node keep a whole permit while idle.
  * @return  number of permits
  */
 static unsigned
@@ -217,10 +220,11 @@
 static struct lim_demand *
 next_demand (struct lim_server *r, clk_ms now)
 {
-  for (; r->demands && r->next_index < r->demands->len; r->next_index++)
+  for (; r->demands && r->first_unmet_demand < r->demands->len;
+       r->first_unmet_demand++)
     {
-      struct lim_demand *w
-          = &g_array_index (r->demands, struct lim_demand, r->next_index);
+      struct lim_demand *w = &g_array_index (r->demands, struct lim_demand,
+                                             r->first_unmet_demand);
       if (w->n > 0 && now < w->expires_at)
         return w;
     }
@@ -261,16 +265,17 @@
 }
 
 const struct lim_permits *
-lim_grant (struct lim *l, clk_ms now, bool all, size_t *n)
+lim_grant (struct lim *l, clk_ms now, bool all_servers, size_t *n)
 {
   double share = rate_share (l, now);
   struct lim_server *r;
-  GHashTableIter at;
+  GHashTableIter iter;
 
   g_array_set_size (l->permits, 0);
-  g_hash_table_iter_init (&at, l->servers);
-  while (l->is_granting && g_hash_table_iter_next (&at, NULL, (gpointer *)&r))
-    if (r->limited && (all || r->has_new_demand))
+  g_hash_table_iter_init (&iter, l->servers);
+  while (l->is_granting
+         && g_hash_table_iter_next (&iter, NULL, (gpointer *)&r))
+    if (r->limited && (all_servers || r->has_new_demand))
       {
         r->has_new_demand = false;
         grant_for_server (l, r, now, share);
--- a/serve/node-int.h
+++ b/serve/node-int.h
@@ -76,7 +76,8 @@
 void srv_check_pause (struct srv *s, clk_ms now);
 /** Whether clients may be sent to this node. */
 bool srv_is_ready (const struct srv *s);
-/** The configuration or the list of backend servers has changed. */
+/** Pass the endpoints to the dispatch core: the configuration or the list of
+    backend servers has changed. */
 void srv_endpoints_changed (struct srv *s);
 
 /* config.c: the configuration in force */
@@ -107,11 +108,11 @@
 /* sync.c: list of backend servers in the store */
 void srv_sync_start (struct srv *s);
 void srv_sync_tick (struct srv *s, clk_ms now);
-/** Another node has reported that the list of this node still equalled the
+/** The leader has reported that the list of this node still equalled the
     store's list at @p current_at. */
-void srv_sync_list_reported (struct srv *s, clk_ms current_at);
-/** Age of the list of backend servers, whether this or another node read it;
-    -1: there is no list. */
+void srv_sync_list_confirmed (struct srv *s, clk_ms current_at);
+/** Time since the list of backend servers was last found to equal the store's
+    list, from a read by this or another node; -1: there is no list. */
 clk_ms srv_sync_list_age (const struct srv *s, clk_ms now);
 void srv_sync_resumed (struct srv *s, clk_ms now);
 /** Whether requests are deferred: the list is outdated since the last pause of
@@ -157,8 +158,9 @@
     named in the key */
 void srv_leader_key_changed (struct srv *s, bool held, struct str holder);
 void srv_leader_servers_changed (struct srv *s);
-/** A node observes no progress at the endpoint with this hash. */
-void srv_leader_endpoint_stalled (struct srv *s, uint64_t endpoint);
+/** A node reports that the endpoint with this hash is stalled, or that its
+    process has ended. */
+void srv_leader_endpoint_stalled_or_ended (struct srv *s, uint64_t endpoint);
 bool srv_is_leader (const struct srv *s);
 const struct frm_stats *srv_leader_stats (const struct srv *s);
 /** As frm_models(); returns 0 unless this node is leader. */
@@ -166,11 +168,12 @@
 bool srv_leader_is_forming (const struct srv *s);
 
 /* peers.c: links to the other nodes */
+/** Entry of a node in the store. */
 struct srv_node_entry
 {
   struct str node;
-  struct net_addr front;
-  struct net_addr peer;
+  struct net_addr front; /**< listens for client requests */
+  struct net_addr peer;  /**< listens for links of other nodes */
   struct rly_node spec;
 };
 
@@ -187,8 +190,8 @@
 /** Send the other nodes a notice of each long prompt that was sent to a
     backend server since the last call. */
 void srv_peers_send_prompts (struct srv *s);
-/** Whether this node is leader, or is linked to the leader and receives its
-    messages. */
+/** Whether this node is leader, or has recently received a frame on its link
+    to the leader. */
 bool srv_peers_has_leader (const struct srv *s, clk_ms now);
 /** Number of running nodes, including this one: the linked ones, or the number
     that a relay reports. */
@@ -246,7 +249,7 @@
 /* check.c */
 /** Probe the backend server of a DSP_ACT_CHECK_PROCESS to find out whether its
     process is alive. */
-void srv_check_server (struct srv *s, const struct dsp_action *a);
+void srv_check_server_process (struct srv *s, const struct dsp_action *a);
 
 /* metrics.c */
 /** Path of the metrics, on the listener for readiness. */
--- a/serve/peers.c
+++ b/serve/peers.c
@@ -16,7 +16,7 @@
 #define RECONNECT_MS ((clk_ms)300)
 /**
  * Delay before the leader connects to a node that should have connected to the
- * leader: the node may not have received that there is a new leader.
+ * leader: the node may not have been notified of the new leader yet.
  */
 #define LEADER_CONNECT_DELAY_MS ((clk_ms)1000)
 /**
@@ -31,8 +31,8 @@
  * (listed, loading, open), and no node needs the states in between.
  */
 #define IDLE_LIST_INTERVAL_MS ((clk_ms)1000)
-/** How long a NodeList is used: longer than two consecutive changes of leader
-    of some 2 s each. */
+/** How long a NodeList is used: longer than two changes of the leader in a
+    row, which take some 2 s each. */
 #define NODE_LIST_VALID_MS ((clk_ms)5000)
 
 static struct peer *
@@ -94,8 +94,8 @@
   x->config_version = x->config_version_sent = 0;
   x->nloads = 0;
   lim_remove_follower (s->limits, x->hash);
-  x->next_connect = clk_now () + RECONNECT_MS;
-  prs_update_dispatch (x, clk_now ());
+  x->next_connect_at = clk_now () + RECONNECT_MS;
+  prs_pass_load_to_dispatch (x, clk_now ());
   srv_run_actions (s);
   prs_update_node_count (x->p);
 }
@@ -142,7 +142,7 @@
 }
 
 static void
-on_servers (struct peer *x, const Lapis__ServerList *list)
+on_server_list (struct peer *x, const Lapis__ServerList *list)
 {
   struct srv *s = x->p->s;
   clk_ms now = clk_now ();
@@ -155,7 +155,7 @@
      replacing the entries caused a use after free. */
   if (srv_is_leader (s))
     return;
-  srv_sync_list_reported (s, prs_sent_at (x, now) - list->age_ms);
+  srv_sync_list_confirmed (s, prs_sent_at (x, now) - list->age_ms);
   if (svl_apply (s->backends, now, prs_sent_at (x, now), list))
     srv_endpoints_changed (s);
 }
@@ -171,7 +171,7 @@
   else if (x && f->body_case == LAPIS__FRAME__BODY_NODE_LOAD)
     prs_on_load (x, f->node_load);
   else if (x && f->body_case == LAPIS__FRAME__BODY_SERVER_LIST)
-    on_servers (x, f->server_list);
+    on_server_list (x, f->server_list);
   else if (x && f->body_case == LAPIS__FRAME__BODY_FLEET_LOAD)
     prs_on_sum (x, f->fleet_load);
   else if (x && f->body_case == LAPIS__FRAME__BODY_PROMPT_NOTICE)
@@ -250,32 +250,32 @@
       }
   p->nlisted_peers = n;
   rly_choose_links (&p->spec, is_leader, list, n);
-  aggregator = rly_aggregator (&p->spec, is_leader, list, n);
+  aggregator = rly_choose_aggregator (&p->spec, is_leader, list, n);
   p->aggregator = aggregator ? peers[aggregator - list] : NULL;
   for (size_t i = 0; i < n; i++)
     {
-      if (peers[i]->wanted != list[i].wanted)
-        peers[i]->wanted_changed_at = now;
-      peers[i]->wanted = list[i].wanted;
+      if (peers[i]->link_wanted != list[i].link_wanted)
+        peers[i]->link_wanted_changed_at = now;
+      peers[i]->link_wanted = list[i].link_wanted;
     }
   free (list);
   free (peers);
 }
 
 /**
- * Of two nodes the one later in relay order connects to the other.  The leader
- * of a large fleet connects to later nodes as well, after
+ * Of two nodes, the one that is later by rly_cmp() connects to the other.  The
+ * leader of a large fleet also connects to nodes later than itself, after
  * LEADER_CONNECT_DELAY_MS.
  */
 static bool
 may_connect (const struct peer *x, clk_ms now)
 {
-  if (x->link || !x->listed || !x->wanted || now < x->next_connect)
+  if (x->link || !x->listed || !x->link_wanted || now < x->next_connect_at)
     return false;
   if (rly_cmp (&x->spec, &x->p->spec) < 0)
     return true;
-  return srv_is_leader (x->p->s) && x->p->nlisted_peers + 1 > RLY_MESH_MAX
-         && now - x->wanted_changed_at >= LEADER_CONNECT_DELAY_MS;
+  return srv_is_leader (x->p->s) && x->p->nlisted_peers + 1 > RLY_FULL_MESH_MAX
+         && now - x->link_wanted_changed_at >= LEADER_CONNECT_DELAY_MS;
 }
 
 static void
@@ -283,7 +283,7 @@
 {
   if (!may_connect (x, now))
     return;
-  x->next_connect = now + RECONNECT_MS;
+  x->next_connect_at = now + RECONNECT_MS;
   x->initiated = true;
   x->link = link_connect (&x->p->s->loop, &x->addr, &x->p->secret, &callbacks,
                           x->p);
@@ -293,8 +293,8 @@
 check_peer (struct peer *x, clk_ms now)
 {
   bool timed_out = x->up && now - x->received_at > LINK_TIMEOUT_MS;
-  bool unwanted = x->up && x->initiated && !x->wanted
-                  && now - x->wanted_changed_at > UNWANTED_LINK_MS;
+  bool unwanted = x->up && x->initiated && !x->link_wanted
+                  && now - x->link_wanted_changed_at > UNWANTED_LINK_MS;
 
   if (timed_out || unwanted)
     {
@@ -313,9 +313,9 @@
     return;
   for (struct peer *x = p->peers; x; x = x->next)
     check_peer (x, now);
-  if (now < p->next_send)
+  if (now < p->next_send_at)
     return;
-  p->next_send = now + PRS_SEND_INTERVAL_MS;
+  p->next_send_at = now + PRS_SEND_INTERVAL_MS;
   choose_links (p, now);
   srv_peers_send_servers (s);
   prs_send_due (p, now);
@@ -329,7 +329,7 @@
 
   if (!p || prs_count_up (p) == 0)
     return false;
-  return srv_is_leader (s) || (prs_exceeds_mesh (p) && !p->aggregator);
+  return srv_is_leader (s) || (prs_exceeds_full_mesh (p) && !p->aggregator);
 }
 
 /**
@@ -438,11 +438,11 @@
 
 /** Whether a NodeList of an aggregator is recent enough to be used. */
 static bool
-has_node_list (const struct srv_peers *p, clk_ms now)
+has_recent_node_list (const struct srv_peers *p, clk_ms now)
 {
   return p->node_list_received_at
          && now - p->node_list_received_at < NODE_LIST_VALID_MS
-         && p->nlisted_peers + 1 > RLY_MESH_MAX && p->aggregator != NULL;
+         && p->nlisted_peers + 1 > RLY_FULL_MESH_MAX && p->aggregator != NULL;
 }
 
 unsigned
@@ -451,7 +451,7 @@
   const struct srv_peers *p = s->peers;
   unsigned up = p ? (unsigned)prs_count_up (p) + 1 : 1;
 
-  return p && has_node_list (p, clk_now ()) && p->announced_nodes > up
+  return p && has_recent_node_list (p, clk_now ()) && p->announced_nodes > up
              ? p->announced_nodes
              : up;
 }
@@ -519,7 +519,7 @@
     out[n++] = s->settings.front;
   if (!p)
     return n;
-  if (has_node_list (p, now))
+  if (has_recent_node_list (p, now))
     return n + copy_announced_fronts (p, out + n, max - n);
   ready_peers = count_ready_peers (p, now);
   if (ready_peers <= max - n)
--- a/serve/server-list.h
+++ b/serve/server-list.h
@@ -56,15 +56,16 @@
 clk_ms svl_sum_interval (double link_bytes_per_s, size_t bytes, size_t n);
 
 /**
- * Age of the copy of the list that a node has received from this one.
+ * Update @p current_at, and return the age of the copy of the list that a node
+ * has received from this one.
  * @param current_at    state kept for that node: read time of the newest list
  *   that it has completely
  * @param version_sent  version last sent to it
  * @param read_at       when this node last read the list and found version
  *   @p version
  */
-clk_ms svl_list_age (clk_ms *current_at, uint64_t version_sent,
-                     uint64_t version, clk_ms read_at, clk_ms now);
+clk_ms svl_update_list_age (clk_ms *current_at, uint64_t version_sent,
+                            uint64_t version, clk_ms read_at, clk_ms now);
 
 /**
  * Apply a ServerList message.
