--- a/control/admin-ask.c
+++ b/control/admin-ask.c
@@ -12,7 +12,7 @@
   buf_free (&p->spans);
   free (p->operator_name);
   free (p->target_name);
-  free (p->node);
+  free (p->forwarded_to);
   free (p);
 }
 
@@ -20,8 +20,8 @@
 adm_pending_end (struct adm_pending *p)
 {
   if (p->next)
-    p->next->prev = p->prev;
-  *p->prev = p->next;
+    p->next->prev_next = p->prev_next;
+  *p->prev_next = p->next;
   p->http = NULL;
   uv_close ((uv_handle_t *)&p->timer, free_pending);
 }
@@ -53,9 +53,9 @@
   p->id = ++a->last_id;
   p->http = http;
   p->next = a->pending;
-  p->prev = &a->pending;
+  p->prev_next = &a->pending;
   if (p->next)
-    p->next->prev = &p->next;
+    p->next->prev_next = &p->next;
   a->pending = p;
   if (http)
     httpd_on_gone (http, on_client_disconnect, p);
--- a/control/admin-drain.c
+++ b/control/admin-drain.c
@@ -28,13 +28,13 @@
 }
 
 static void
-respond_done (struct httpd_req *http, struct str name, const char *by)
+respond_done (struct httpd_req *http, struct str name, const char *node)
 {
   struct buf out = BUF_INIT;
   buf_add_c (&out, "{\"done\":true,\"name\":");
   buf_add_json (&out, name);
   buf_add_c (&out, ",\"node\":");
-  buf_add_json (&out, str_from (by));
+  buf_add_json (&out, str_from (node));
   buf_add_c (&out, "}\n");
   adm_respond (http, 200, buf_str (&out));
   buf_free (&out);
@@ -67,7 +67,7 @@
     }
   p->operator_name = str_dup (r->operator->name);
   p->target_name = str_dup (r->name);
-  p->node = str_dup (node);
+  p->forwarded_to = str_dup (node);
   ask.id = p->id;
   ask.who = p->operator_name;
   ask.config_revision = (uint64_t)c->cfg->revision;
@@ -187,12 +187,12 @@
   struct str operator_name = str_from (ask->who);
   Lapis__DrainAnswer answer = LAPIS__DRAIN_ANSWER__INIT;
   Lapis__Frame f = LAPIS__FRAME__INIT;
-  bool node = strcmp (ask->node, c->set.node) == 0;
+  bool drains_node = strcmp (ask->node, c->set.node) == 0;
   const struct ctl_replica *r = adm_find_replica (c, str_from (ask->replica));
   answer.id = ask->id;
-  if (node)
+  if (drains_node)
     log_change (c, operator_name, "node", str_from (ask->node), true);
-  answer.done = node
+  answer.done = drains_node
                 || (r && str_is (r->owner, c->set.node)
                     && drain_local (c, str_from (ask->replica), ask->on,
                                     operator_name));
@@ -200,7 +200,7 @@
   f.body_case = LAPIS__FRAME__BODY_DRAIN_ANSWER;
   f.drain_answer = &answer;
   ctl_peers_send (c->peers, peer, &f);
-  if (node)
+  if (drains_node)
     ctl_leave (c);
 }
 
@@ -211,7 +211,7 @@
   if (!p)
     return;
   if (p->http && answer->done)
-    respond_done (p->http, str_from (p->target_name), p->node);
+    respond_done (p->http, str_from (p->target_name), p->forwarded_to);
   else if (p->http)
     adm_error (p->http, 409, "not-drained", answer->reason);
   adm_pending_end (p);
--- a/control/admin.h
+++ b/control/admin.h
@@ -31,7 +31,7 @@
 {
   struct ctl_admin *a;
   struct adm_pending *next;
-  struct adm_pending **prev;
+  struct adm_pending **prev_next;
   uint64_t id;
   uv_timer_t timer;
   struct httpd_req *http; /**< NULL once the client has disconnected */
@@ -40,7 +40,7 @@
   /* Of a drain. */
   char *operator_name;
   char *target_name;
-  char *node; /**< that the drain was forwarded to */
+  char *forwarded_to; /**< that the drain was forwarded to */
   /* Of a trace. */
   bool is_trace;
   uint8_t trace[16];
--- a/control/dom-calls.c
+++ b/control/dom-calls.c
@@ -245,9 +245,9 @@
 /* ---- the platform's list of VMs ---- */
 
 static void
-set_vm_listed (struct ctl_domains *domains, struct str vm, bool live)
+set_vm_listed (struct ctl_domains *domains, struct str vm, bool in_service)
 {
-  struct rep_event ev = { .kind = REP_VM_LISTED, .vm = vm, .on = live };
+  struct rep_event ev = { .kind = REP_VM_LISTED, .vm = vm, .on = in_service };
 
   for (size_t i = 0; i < domains->n; i++)
     if (domains->list[i]->rep)
--- a/control/dom-store.c
+++ b/control/dom-store.c
@@ -3,7 +3,7 @@
 #include "control/domains.h"
 
 static void
-on_owner_answer (void *ctx, const struct store_result *r)
+on_owner_response (void *ctx, const struct store_result *r)
 {
   struct dom_call *call = ctx;
   struct dom *d = call->dom;
@@ -14,7 +14,7 @@
 }
 
 static void
-on_replica_answer (void *ctx, const struct store_result *r)
+on_assignment_response (void *ctx, const struct store_result *r)
 {
   struct dom_call *call = ctx;
   struct dom *d = call->dom;
@@ -42,7 +42,7 @@
 }
 
 void
-dom_own_action (struct dom *d, const struct own_action *a)
+dom_store_owner (struct dom *d, const struct own_action *a)
 {
   struct store *s = d->domains->c->store;
   struct dom_call *call;
@@ -56,29 +56,29 @@
   switch (a->kind)
     {
     case OWN_GRANT:
-      store_lease_grant (s, a->ttl, on_owner_answer, call);
+      store_lease_grant (s, a->ttl, on_owner_response, call);
       break;
     case OWN_TXN:
-      store_txn (s, STORE_OWNERSHIP, &a->txn, on_owner_answer, call);
+      store_txn (s, STORE_OWNERSHIP, &a->txn, on_owner_response, call);
       break;
     case OWN_RANGE:
-      store_range (s, STORE_OWNERSHIP, a->key, STR_EMPTY, on_owner_answer,
+      store_range (s, STORE_OWNERSHIP, a->key, STR_EMPTY, on_owner_response,
                    call);
       break;
     default:
-      store_lease_keep (s, a->lease, on_owner_answer, call);
+      store_lease_keep (s, a->lease, on_owner_response, call);
     }
 }
 
 void
-dom_rep_store (struct dom *d, const struct rep_action *a)
+dom_store_assignment (struct dom *d, const struct rep_action *a)
 {
   struct store *s = d->domains->c->store;
-  struct dom_call *call = new_call (d, DCALL_STORE_REPLICA, a->token);
+  struct dom_call *call = new_call (d, DCALL_STORE_ASSIGNMENT, a->token);
 
   if (a->kind == REP_STORE_TXN)
-    store_txn (s, STORE_ASSIGNMENT, &a->txn, on_replica_answer, call);
+    store_txn (s, STORE_ASSIGNMENT, &a->txn, on_assignment_response, call);
   else
-    store_range (s, STORE_ASSIGNMENT, a->key, STR_EMPTY, on_replica_answer,
-                 call);
+    store_range (s, STORE_ASSIGNMENT, a->key, STR_EMPTY,
+                 on_assignment_response, call);
 }
--- a/control/dom-turn.c
+++ b/control/dom-turn.c
@@ -6,7 +6,8 @@
 struct load_priority
 {
   bool waiting;
-  unsigned live; /* serving replicas of its model that has the fewest */
+  unsigned
+      fewest_serving; /* serving replicas of its model that has the fewest */
   uint64_t tie_break;
 };
 
@@ -25,30 +26,31 @@
 /* Counts the serving replicas of each model, indexed as in the
    configuration. */
 static unsigned *
-count_live (const struct cfg *cfg, const struct ctl_replica *list, size_t n,
-            clk_ms now)
+count_serving (const struct cfg *cfg, const struct ctl_replica *list, size_t n,
+               clk_ms now)
 {
-  unsigned *live = xcalloc (cfg->nmodels + 1, sizeof *live);
+  unsigned *serving = xcalloc (cfg->nmodels + 1, sizeof *serving);
 
   for (size_t i = 0; i < n; i++)
     if (is_serving (&list[i], now))
-      live[model_index (cfg, list[i].model)]++;
-  return live;
+      serving[model_index (cfg, list[i].model)]++;
+  return serving;
 }
 
 static void
 add_waiting_replica (const struct ctl_domains *domains,
                      const struct ctl_replica *r, size_t index,
-                     const unsigned *live, clk_ms now, struct load_priority *u)
+                     const unsigned *serving, clk_ms now,
+                     struct load_priority *p)
 {
-  unsigned live_of_model = live[model_index (domains->cfg, r->model)];
+  unsigned serving_of_model = serving[model_index (domains->cfg, r->model)];
 
   if (domains->cfg->replicas[index].mode != CFG_MANAGE || r->draining
       || is_serving (r, now))
     return;
-  u->waiting = true;
-  if (live_of_model < u->live)
-    u->live = live_of_model;
+  p->waiting = true;
+  if (serving_of_model < p->fewest_serving)
+    p->fewest_serving = serving_of_model;
 }
 
 static size_t
@@ -64,25 +66,25 @@
 static struct load_priority *
 compute_priorities (const struct ctl_domains *domains,
                     const struct ctl_replica *list, size_t n,
-                    const unsigned *live, clk_ms now)
+                    const unsigned *serving, clk_ms now)
 {
-  struct load_priority *u = xcalloc (domains->n + 1, sizeof *u);
+  struct load_priority *p = xcalloc (domains->n + 1, sizeof *p);
 
   for (size_t i = 0; i < domains->n; i++)
-    u[i] = (struct load_priority){ .live = UINT32_MAX,
+    p[i] = (struct load_priority){ .fewest_serving = UINT32_MAX,
                                    .tie_break = str_hash (
                                        buf_str (&domains->list[i]->name), 0) };
   for (size_t i = 0; i < n; i++)
-    add_waiting_replica (domains, &list[i], i, live, now,
-                         &u[dom_index (domains, domains->dom_by_replica[i])]);
-  return u;
+    add_waiting_replica (domains, &list[i], i, serving, now,
+                         &p[dom_index (domains, domains->dom_by_replica[i])]);
+  return p;
 }
 
 static bool
 loads_before (const struct load_priority *a, const struct load_priority *b)
 {
-  if (!a->waiting || a->live != b->live)
-    return a->waiting && a->live < b->live;
+  if (!a->waiting || a->fewest_serving != b->fewest_serving)
+    return a->waiting && a->fewest_serving < b->fewest_serving;
   return a->tie_break < b->tie_break;
 }
 
@@ -107,14 +109,14 @@
 }
 
 static void
-update_live_counts (struct dom *d, const unsigned *live, clk_ms now)
+update_live_counts (struct dom *d, const unsigned *serving, clk_ms now)
 {
   for (size_t i = 0; i < d->domains->cfg->nmodels; i++)
     {
       struct rep_event ev = { .kind = REP_LIVE_COUNT };
 
       ev.model = d->domains->cfg->models[i].name;
-      ev.live = live[i];
+      ev.live = serving[i];
       rep_event (d->rep, now, &ev);
     }
 }
@@ -123,25 +125,25 @@
    evidence received.  Where it differs for a second, one domain more or less
    loads at a time, which only affects the speed. */
 void
-dom_update_load_order (struct ctl_domains *domains, clk_ms now)
+dom_schedule_loads (struct ctl_domains *domains, clk_ms now)
 {
   const struct ctl_replica *list;
   struct load_priority *priorities;
-  unsigned *live;
+  unsigned *serving;
   size_t n;
 
-  if (!domains->cfg || now < domains->next_load_order)
+  if (!domains->cfg || now < domains->next_load_schedule)
     return;
-  domains->next_load_order = now + DOM_LOAD_ORDER_INTERVAL_MS;
+  domains->next_load_schedule = now + DOM_LOAD_SCHEDULE_INTERVAL_MS;
   list = ctl_domains_replicas (domains, &n);
-  live = count_live (domains->cfg, list, n, now);
-  priorities = compute_priorities (domains, list, n, live, now);
+  serving = count_serving (domains->cfg, list, n, now);
+  priorities = compute_priorities (domains, list, n, serving, now);
   for (size_t i = 0; i < domains->n; i++)
     if (domains->list[i]->rep && domains->list[i]->managed)
       {
         update_may_load (domains->list[i], priorities, domains->n, i, now);
-        update_live_counts (domains->list[i], live, now);
+        update_live_counts (domains->list[i], serving, now);
       }
   free (priorities);
-  free (live);
+  free (serving);
 }
--- a/control/dom-view.c
+++ b/control/dom-view.c
@@ -390,7 +390,7 @@
 char *const *
 ctl_domains_leaving (struct ctl_domains *domains, size_t *n)
 {
-  GPtrArray *names = domains->merged_leaving;
+  GPtrArray *names = domains->all_leaving;
 
   g_ptr_array_set_size (names, 0);
   for (guint i = 0; i < domains->leaving->len; i++)
--- a/control/domains.c
+++ b/control/domains.c
@@ -98,7 +98,7 @@
       set_owner (d, false, 0);
       break;
     default:
-      dom_own_action (d, a);
+      dom_store_owner (d, a);
     }
 }
 
@@ -115,7 +115,7 @@
       break;
     case REP_STORE_TXN:
     case REP_STORE_READ:
-      dom_rep_store (d, a);
+      dom_store_assignment (d, a);
       break;
     case REP_VIEWS_CHANGED:
       d->changed = true;
@@ -339,7 +339,7 @@
   clk_ms now = clk_now ();
   bool changed = false;
 
-  dom_update_load_order (domains, now);
+  dom_schedule_loads (domains, now);
   for (size_t i = 0; i < domains->n; i++)
     if (domains->list[i]->rep)
       {
@@ -374,7 +374,7 @@
   uv_timer_start (&domains->timer, on_timer, (uint64_t)DOM_TICK_MS,
                   (uint64_t)DOM_TICK_MS);
   domains->leaving = g_ptr_array_new_with_free_func (free);
-  domains->merged_leaving = g_ptr_array_new ();
+  domains->all_leaving = g_ptr_array_new ();
   if (c->cfg)
     ctl_domains_on_config (domains);
   return domains;
@@ -397,7 +397,7 @@
   free (domains->dom_by_replica);
   free (domains->merged);
   g_ptr_array_free (domains->leaving, TRUE);
-  g_ptr_array_free (domains->merged_leaving, TRUE);
+  g_ptr_array_free (domains->all_leaving, TRUE);
   if (domains->cfg)
     cfg_unref (domains->cfg);
   uv_close ((uv_handle_t *)&domains->timer, on_closed);
--- a/control/domains.h
+++ b/control/domains.h
@@ -34,7 +34,7 @@
 /** Limit of domains that load weights at once, and of a domain's wait. */
 #define DOM_MAX_LOADING 4
 #define DOM_MAX_LOAD_WAIT_MS (10 * CLK_MINUTE)
-#define DOM_LOAD_ORDER_INTERVAL_MS ((clk_ms)1000)
+#define DOM_LOAD_SCHEDULE_INTERVAL_MS ((clk_ms)1000)
 /** Evidence from a home without the lease is accepted once no owner has sent
     any for this long.  Shorter than REP_PROBE_VALID_MS, so that replica states
     don't expire in between. */
@@ -50,7 +50,7 @@
   DCALL_PROBE,
   DCALL_ORDER,
   DCALL_STORE_OWNER,
-  DCALL_STORE_REPLICA
+  DCALL_STORE_ASSIGNMENT
 };
 
 /** A probe, an order or a store call in progress for a domain. */
@@ -109,12 +109,12 @@
   struct dom **dom_by_replica; /* in the order of the configuration's
                                   replicas */
   clk_ms next_platform_read;
-  clk_ms next_load_order;
+  clk_ms next_load_schedule;
   struct httpc_call *platform;
   struct buf platform_body;
   int platform_status;
   GPtrArray *leaving; /* backend servers that leave, from the list read here */
-  GPtrArray *merged_leaving; /* also from other nodes; not owned */
+  GPtrArray *all_leaving; /* also from other nodes; not owned */
   clk_ms platform_deadline;
   struct ctl_replica *merged;
   size_t nmerged;
@@ -140,8 +140,8 @@
 bool dom_list_contains (const GPtrArray *names, const char *name);
 
 /* dom-store.c */
-void dom_own_action (struct dom *d, const struct own_action *a);
-void dom_rep_store (struct dom *d, const struct rep_action *a);
+void dom_store_owner (struct dom *d, const struct own_action *a);
+void dom_store_assignment (struct dom *d, const struct rep_action *a);
 
 /* dom-view.c */
 void dom_broadcast (struct dom *d, clk_ms now);
@@ -152,6 +152,6 @@
 /* dom-turn.c */
 /** Sets for each core whether it may load weights, and how many replicas of
     each model serve. */
-void dom_update_load_order (struct ctl_domains *domains, clk_ms now);
+void dom_schedule_loads (struct ctl_domains *domains, clk_ms now);
 
 #endif
--- a/control/peer-policy.c
+++ b/control/peer-policy.c
@@ -103,7 +103,7 @@
   const struct mbr_node *const *nodes;
   size_t n;
   size_t region_nodes; /**< nodes of this region that are not dead */
-  bool owns_domain;
+  bool is_home;
   struct str picked_names[PRS_LINKS_PER_NODE];
   size_t npicked;
 };
@@ -121,7 +121,7 @@
 }
 
 static bool
-owns_a_domain (const struct ctl_peers *p)
+is_home_of_any_domain (const struct ctl_peers *p)
 {
   size_t n;
   const struct ctl_replica *all;
@@ -166,7 +166,7 @@
         += in_own_region (p, s->nodes[i]) && s->nodes[i]->status != MBR_DEAD;
   if (s->region_nodes <= PRS_MAX_FULL_MESH)
     return;
-  s->owns_domain = owns_a_domain (p);
+  s->is_home = is_home_of_any_domain (p);
   pick_links (p, s);
 }
 
@@ -181,18 +181,18 @@
                   const struct mbr_node *node, const struct target *t,
                   clk_ms now)
 {
-  bool smaller = str_cmp (str_from (p->c->set.node), node->name) < 0;
+  bool own_is_smaller = str_cmp (str_from (p->c->set.node), node->name) < 0;
 
   if (t->requested_at + ON_DEMAND_KEEP_MS > now)
     return true;
   if (!in_own_region (p, node))
     return ctl_swim_is_bridge (p->c->swim, node->region);
   if (s->region_nodes <= PRS_MAX_FULL_MESH)
-    return smaller || now - t->last_linked_at >= SMALLER_NAME_OPENS_MS;
+    return own_is_smaller || now - t->last_linked_at >= SMALLER_NAME_OPENS_MS;
   for (size_t i = 0; i < s->npicked; i++)
     if (str_eq (s->picked_names[i], node->name))
       return true;
-  return s->owns_domain;
+  return s->is_home;
 }
 
 static void
@@ -241,7 +241,7 @@
 
 /** The node at an address of the settings is unknown until its hello. */
 static void
-update_seed_link (struct ctl_peers *p, struct target *t, clk_ms now)
+update_settings_link (struct ctl_peers *p, struct target *t, clk_ms now)
 {
   if (t->node == NULL || prs_find (p, str_from (t->node)) == NULL)
     try_open (p, t, now);
@@ -282,6 +282,6 @@
       update_member_link (p, &s, s.nodes[i], now);
   for (struct target *t = p->targets; t != NULL; t = t->next)
     if (t->from_settings)
-      update_seed_link (p, t, now);
+      update_settings_link (p, t, now);
   drop_stale_targets (p, &s);
 }
--- a/control/peers.c
+++ b/control/peers.c
@@ -98,7 +98,7 @@
   hello.role = "control";
   hello.zone = c->set.zone;
   hello.region = c->set.region;
-  hello.peer_addr = format_addr (&peer->p->self);
+  hello.peer_addr = format_addr (&peer->p->own_addr);
   hello.swim_addr = format_addr (&swim);
   f.body_case = LAPIS__FRAME__BODY_HELLO;
   f.hello = &hello;
@@ -128,11 +128,11 @@
 keeps_old_link (const struct peer *old, const struct peer *peer)
 {
   bool own_is_smaller = strcmp (peer->p->c->set.node, peer->node) < 0;
-  bool old_is_ours = old->target != NULL;
+  bool old_opened_here = old->target != NULL;
 
-  if (old_is_ours == (peer->target != NULL))
+  if (old_opened_here == (peer->target != NULL))
     return false;
-  return old_is_ours == own_is_smaller;
+  return old_opened_here == own_is_smaller;
 }
 
 /** Whether to keep the link; closes an older one to the same node. */
@@ -382,13 +382,13 @@
       free (p);
       return NULL;
     }
-  p->self = c->set.control_peer;
-  p->self.port = link_server_port (p->server);
+  p->own_addr = c->set.control_peer;
+  p->own_addr.port = link_server_port (p->server);
   uv_timer_init (c->loop, &p->timer);
   p->timer.data = p;
   uv_timer_start (&p->timer, on_tick, 0, (uint64_t)TICK_MS);
   prs_policy_start (p);
-  ctl_swim_set_peer_addr (c->swim, &p->self);
+  ctl_swim_set_peer_addr (c->swim, &p->own_addr);
   return p;
 }
 
@@ -415,7 +415,7 @@
 uint16_t
 ctl_peers_port (const struct ctl_peers *p)
 {
-  return p->self.port;
+  return p->own_addr.port;
 }
 
 size_t
--- a/control/peers.h
+++ b/control/peers.h
@@ -58,7 +58,7 @@
   struct ctl *c;
   struct link_server *server;
   struct link_secret secret;
-  struct net_addr self;
+  struct net_addr own_addr;
   uv_timer_t timer;
   struct peer *peers;
   struct target *targets;
--- a/control/shares.c
+++ b/control/shares.c
@@ -84,13 +84,13 @@
   struct ctl_shares *s = t->data;
   struct shr_grant grant;
   clk_ms now = clk_now ();
-  size_t all, n;
+  size_t nall, n;
   struct str *names;
 
-  ctl_swim_nodes (s->c->swim, &all);
-  names = xcalloc (all + 1, sizeof *names);
+  ctl_swim_nodes (s->c->swim, &nall);
+  names = xcalloc (nall + 1, sizeof *names);
   n = list_region_nodes (s->c, false, names);
-  shr_set_nodes (s->core, names, n, all);
+  shr_set_nodes (s->core, names, n, nall);
   n = list_region_nodes (s->c, true, names);
   update_accounts (s, now, names, n);
   shr_tick (s->core, now);
--- a/control/spread.c
+++ b/control/spread.c
@@ -75,9 +75,10 @@
 }
 
 static void
-handle_manifest (struct ctl_spread *s, const struct store_kv *kv, int64_t seen)
+handle_manifest (struct ctl_spread *s, const struct store_kv *kv,
+                 int64_t store_revision)
 {
-  struct spr_event ev = { .kind = SPR_STORE_MANIFEST, .seen = seen };
+  struct spr_event ev = { .kind = SPR_STORE_MANIFEST, .seen = store_revision };
 
   if (kv && !read_manifest (s, kv, &ev))
     {
@@ -402,7 +403,7 @@
 /* --- start and stop ----------------------------------------------------- */
 
 static void
-start_metrics (struct ctl_spread *s)
+register_metrics (struct ctl_spread *s)
 {
   struct met_reg *met = s->c->met;
 
@@ -426,7 +427,7 @@
   buf_free (&key);
   s->members_changed = true;
   s->reader_allowed_at = clk_now () + READER_DELAY_MS;
-  start_metrics (s);
+  register_metrics (s);
   s->timer = xcalloc (1, sizeof *s->timer);
   uv_timer_init (c->loop, s->timer);
   s->timer->data = s;
--- a/control/swim.c
+++ b/control/swim.c
@@ -23,7 +23,7 @@
   struct ctl *c;
   uv_udp_t udp;
   uv_timer_t timer;
-  int handles; /* not yet closed */
+  int open_handles; /* not yet closed */
   uint16_t port;
   struct mbr *core;
   struct mbr_node self; /* its strings belong to the settings */
@@ -31,7 +31,7 @@
   struct net_addr seeds[MAX_SEEDS];
   size_t nseeds;
   clk_ms next_join;
-  uint64_t pauses;
+  uint64_t logged_pauses;
   struct ctl_roster *roster;
 };
 
@@ -84,9 +84,9 @@
         }
     }
   s->running_actions = false;
-  if (mbr_counts (s->core)->pauses != s->pauses)
+  if (mbr_counts (s->core)->pauses != s->logged_pauses)
     LOG (paused, LOG_I ("times", mbr_counts (s->core)->pauses));
-  s->pauses = mbr_counts (s->core)->pauses;
+  s->logged_pauses = mbr_counts (s->core)->pauses;
 }
 
 /* --- joining ------------------------------------------------------------ */
@@ -253,7 +253,7 @@
   struct ctl_swim *s = xcalloc (1, sizeof *s);
 
   s->c = c;
-  s->handles = 2;
+  s->open_handles = 2;
   uv_udp_init (c->loop, &s->udp);
   uv_timer_init (c->loop, &s->timer);
   s->udp.data = s->timer.data = s;
@@ -275,7 +275,7 @@
 {
   struct ctl_swim *s = h->data;
 
-  if (--s->handles > 0)
+  if (--s->open_handles > 0)
     return;
   mbr_free (s->core);
   free (s);
--- a/control/views.c
+++ b/control/views.c
@@ -174,11 +174,11 @@
   v->link = l;
   v->gateway_boot = hello->boot;
   v->gateway_revision = 0;
-  parse_addr (hello->http_addr, &v->http);
-  parse_addr (hello->peer_addr, &v->peer);
+  parse_addr (hello->http_addr, &v->gateway_http);
+  parse_addr (hello->peer_addr, &v->gateway_peer);
   memset (v->sent_hash, 0, sizeof v->sent_hash);
   LOG (gateway_linked, LOG_C ("http", hello->http_addr));
-  ctl_swim_set_gateway (v->c->swim, &v->http, &v->peer, 0);
+  ctl_swim_set_gateway (v->c->swim, &v->gateway_http, &v->gateway_peer, 0);
   ctl_views_on_config (v);
 }
 
@@ -206,8 +206,8 @@
   static const struct net_addr none;
   /* A leaving gateway completes its requests, but no address response may name
      it. */
-  ctl_swim_set_gateway (v->c->swim, r->leaving ? &none : &v->http, &v->peer,
-                        r->open_requests);
+  ctl_swim_set_gateway (v->c->swim, r->leaving ? &none : &v->gateway_http,
+                        &v->gateway_peer, r->open_requests);
   v->gateway_revision = (int64_t)r->config_revision;
   announce_revision (v);
   for (size_t i = 0; i < r->n_demand; i++)
--- a/control/views.h
+++ b/control/views.h
@@ -28,8 +28,8 @@
   uv_timer_t send_timer;   /**< one shot, started when something changed */
   uv_timer_t repeat_timer; /**< sends an unchanged view again */
   struct link *link;       /**< NULL: no gateway */
-  struct net_addr http;    /**< of the gateway */
-  struct net_addr peer;
+  struct net_addr gateway_http; /**< of the gateway */
+  struct net_addr gateway_peer;
   uint64_t gateway_boot;
   int64_t gateway_revision; /**< in force at the gateway */
   uint64_t seq;
--- a/t/lib-site.c
+++ b/t/lib-site.c
@@ -216,17 +216,16 @@
 
 /** The number after @p word in a response. */
 static long
-number_at (const char *addr, const char *path, const char *word)
+number_at (const char *addr, const char *path, const char *key)
 {
   struct web_answer a = { 0 };
   const char *at;
   long n;
 
   cr_assert (web_call (addr, "GET", path, SITE_ADMIN, NULL, &a));
-  at = strstr (buf_c (&a.body), word);
-  cr_assert_not_null (at, "no %s in %s", word, path);
-  n = strtol (at + strlen (word) + strspn (at + strlen (word), ": "), NULL,
-              10);
+  at = strstr (buf_c (&a.body), key);
+  cr_assert_not_null (at, "no %s in %s", key, path);
+  n = strtol (at + strlen (key) + strspn (at + strlen (key), ": "), NULL, 10);
   web_free (&a);
   return n;
 }
