--- a/control/admin-drain.c
+++ b/control/admin-drain.c
@@ -16,7 +16,7 @@
        LOG_I ("revision", c->cfg ? c->cfg->revision : 0));
 }
 
-/* Drains a replica of a domain that this node owns. */
+/* Drains a replica that this node probes. */
 static bool
 drain_local (struct ctl *c, struct str replica, bool on,
              struct str operator_name)
--- a/control/admin.h
+++ b/control/admin.h
@@ -18,7 +18,7 @@
 {
   struct ctl *c;
   struct httpd *httpd;
-  struct adm_pending *pending; /**< that wait for responses of other nodes */
+  struct adm_pending *pending; /**< list of waiting requests */
   uint64_t last_id;
 };
 
@@ -35,13 +35,13 @@
   uint64_t id;
   uv_timer_t timer;
   struct httpd_req *http; /**< NULL once the client has disconnected */
-  uint64_t requester;     /**< link of the control process */
+  uint64_t requester;     /**< peer id of the control process */
   uint64_t requester_id;  /**< its request id; 0: an operator */
-  /* Of a drain. */
+  /* Only for a drain. */
   char *operator_name;
   char *target_name;
-  char *forwarded_to; /**< that the drain was forwarded to */
-  /* Of a trace. */
+  char *forwarded_to; /**< node that runs the drain */
+  /* Only for a trace. */
   bool is_trace;
   uint8_t trace[16];
   struct buf spans;       /**< elements of a JSON array, separated by commas */
--- a/control/control.h
+++ b/control/control.h
@@ -1,6 +1,7 @@
 /**
  * @file
- * The control process of a node, which does the I/O of the decision cores.
+ * The control process of a node: event loop and I/O for the cores, the state
+ * machines without I/O in fleet/, config/, replica/ and route/.
  *
  * control.c owns the event loop and starts the modules below in this order.
  * All run in one thread and call each other only through the functions
@@ -11,13 +12,13 @@
  *   spread.c   configuration from store and peers (config/spread.h)
  *   domains.c  fabric domains: probes, orders, evidence (domains.h, replica/)
  *   shares.c   division of account limits (route/share.h)
- *   views.c    the link to this node's gateway (views.h)
+ *   views.c    views: the state that is sent to this node's gateway (views.h)
  *   admin.c    administration API and metrics over HTTP (admin.h)
  *
- * SIGTERM or an operator's drain makes the process leave, once: `leaving` is
- * set, membership announces it and owned domains are released.  The process
- * exits when its gateway has closed the link or the address response with the
- * longest lifetime has expired.
+ * On the first SIGTERM or operator's drain the process starts to leave:
+ * `leaving` is set, membership announces it and owned domains are released.
+ * The process exits when its gateway has closed the link, or when the last
+ * response of the gateway's address API has expired.
  *
  * Each module has a start function, which returns NULL and sets @p err on
  * failure, and a stop function, after which its handles close asynchronously.
@@ -68,11 +69,12 @@
 
 /* control.c: notifications between modules. */
 
-/** A newer configuration is in force (from spread.c); adds a reference. */
+/** A newer configuration is in force (called by spread.c); keeps a reference
+    to @p cfg. */
 void ctl_config_changed (struct ctl *c, struct cfg *cfg, struct str text);
 /** A member joined or its state changed (called by swim.c). */
 void ctl_member_changed (struct ctl *c, const struct mbr_node *node);
-/** The state of a replica changed (called by domains.c). */
+/** Evidence, the state of replicas, changed (called by domains.c). */
 void ctl_evidence_changed (struct ctl *c);
 /** Starts to leave: the gateway drains, then the process exits. */
 void ctl_leave (struct ctl *c);
@@ -102,13 +104,14 @@
 void ctl_swim_leave (struct ctl_swim *s);
 const struct mbr_counts *ctl_swim_counts (const struct ctl_swim *s);
 
-/* peers.c: links to control processes of this region (and bridges). */
+/* peers.c: links to control processes of this region and, from bridges, of
+   other regions. */
 struct ctl_peers *ctl_peers_start (struct ctl *c, struct buf *err);
 void ctl_peers_stop (struct ctl_peers *p);
 uint16_t ctl_peers_port (const struct ctl_peers *p);
 void ctl_peers_on_member_changed (struct ctl_peers *p,
                                   const struct mbr_node *node);
-/** Send to the peer with that link number, or to all linked peers. */
+/** Send to the peer with that id (struct peer), or to all linked peers. */
 bool ctl_peers_send (struct ctl_peers *p, uint64_t peer,
                      const Lapis__Frame *f);
 void ctl_peers_broadcast (struct ctl_peers *p, const Lapis__Frame *f);
@@ -137,24 +140,26 @@
 void ctl_domains_stop (struct ctl_domains *d);
 void ctl_domains_on_config (struct ctl_domains *d);
 void ctl_domains_on_members_changed (struct ctl_domains *d);
-/** Returns the backend servers of plain services that leave, as read from the
-    platform's list here or by other homes; valid until the next event. */
+/** Returns the leaving backend servers of plain services, read from the
+    platform's list or received with evidence; valid until the next event. */
 char *const *ctl_domains_leaving (struct ctl_domains *d, size_t *n);
 /** A control process has linked; the next evidence is sent to it in full. */
 void ctl_domains_on_peer_linked (struct ctl_domains *d);
-/** Handles evidence received from another node. */
 void ctl_domains_on_evidence (struct ctl_domains *d, const Lapis__Evidence *e);
 /** Last state of a replica, from own probes or received evidence. */
 struct ctl_replica
 {
-  struct str name, model, domain, owner;
-  int64_t generation, fence;
+  struct str name, model, domain;
+  struct str owner; /**< home of the domain, with or without its lease */
+  int64_t generation;
+  int64_t fence; /**< of the domain's owner; 0: no lease */
   const char *state;
-  bool complete, draining;
+  bool complete; /**< every member is up */
+  bool draining;
   clk_ms valid_until;
   uint32_t load;
-  clk_ms load_at;
-  struct net_addr leader;
+  clk_ms load_at;         /**< when the load was probed */
+  struct net_addr leader; /**< VM that accepts the replica's requests */
 };
 const struct ctl_replica *ctl_domains_replicas (struct ctl_domains *d,
                                                 size_t *n);
@@ -177,12 +182,10 @@
 void ctl_views_on_gateway_down (struct ctl_views *v, struct link *l);
 void ctl_views_on_frame (struct ctl_views *v, struct link *l,
                          const Lapis__Frame *f);
-/** Schedules a view, because its content changed. */
+/** Schedules sending a view, because its content changed. */
 void ctl_views_schedule (struct ctl_views *v);
-/** A newer configuration is in force in this process. */
 void ctl_views_on_config (struct ctl_views *v);
 void ctl_views_on_grant (struct ctl_views *v, const Lapis__ShareGrant *g);
-/** Whether a gateway is linked. */
 bool ctl_views_linked (const struct ctl_views *v);
 /** Requests the gateway's spans of one trace; false when none is linked. */
 bool ctl_views_request_spans (struct ctl_views *v, uint64_t id,
--- a/control/dom-calls.c
+++ b/control/dom-calls.c
@@ -283,8 +283,8 @@
   return same;
 }
 
-/* A plain service has no owner that could drain its backend server, so all
-   gateways are notified and send it no new requests. */
+/* A plain service has no owner that could drain a leaving backend server, so
+   the list is sent to all gateways, which send it no new requests. */
 static void
 set_leaving (struct ctl_domains *domains, GPtrArray *names)
 {
@@ -339,8 +339,8 @@
     buf_add (&domains->platform_body, bytes);
 }
 
-/* The list is never current and its server may be down, so a failed read keeps
-   the last result. */
+/* The list lags behind in any case and its server may be down, so a failed
+   read keeps the last result. */
 static void
 on_platform_end (void *ctx, enum httpc_end end)
 {
@@ -386,7 +386,7 @@
     return;
   if (!should_read_list (domains))
     {
-      /* No longer a home: the list read here is out of date. */
+      /* This node is no longer a home, so its copy is out of date. */
       if (domains->leaving->len)
         set_leaving (domains, g_ptr_array_new_with_free_func (free));
       return;
--- a/control/dom-store.c
+++ b/control/dom-store.c
@@ -26,7 +26,7 @@
   dom_run_actions (d);
 }
 
-/* If the call failed, the lease expires by itself. */
+/* Ignores failures: a lease that was not revoked expires. */
 static void
 on_revoked (void *ctx, const struct store_result *r)
 {
--- a/control/dom-turn.c
+++ b/control/dom-turn.c
@@ -6,8 +6,8 @@
 struct load_priority
 {
   bool waiting;
-  unsigned
-      fewest_serving; /* serving replicas of its model that has the fewest */
+  /* Lowest number of serving replicas among the models that it would load. */
+  unsigned fewest_serving;
   uint64_t tie_break;
 };
 
@@ -101,7 +101,7 @@
     d->load_wait_since = 0;
   else if (!d->load_wait_since)
     d->load_wait_since = now;
-  /* A domain that cannot load must not block the others for ever. */
+  /* A domain ahead of this one that cannot load must not block it for ever. */
   may_load.on = before < DOM_MAX_LOADING
                 || (d->load_wait_since
                     && now - d->load_wait_since >= DOM_MAX_LOAD_WAIT_MS);
@@ -121,9 +121,9 @@
     }
 }
 
-/* Owners agree without messages: each sorts the waiting domains by the
-   evidence received.  Where it differs for a second, one domain more or less
-   loads at a time, which only affects the speed. */
+/* No messages are needed: each home sorts the waiting domains by the evidence
+   it has received.  While that differs between homes, for a second, one domain
+   more or less loads at a time, which only affects the speed. */
 void
 dom_schedule_loads (struct ctl_domains *domains, clk_ms now)
 {
--- a/control/dom-view.c
+++ b/control/dom-view.c
@@ -88,7 +88,7 @@
   Lapis__Frame frame = LAPIS__FRAME__INIT;
 
   e->domain = (char *)buf_c (&d->name);
-  /* Without a valid lease, 0 marks evidence that is not the owner's. */
+  /* 0: this node has no valid lease, so it is not the owner. */
   e->fence = is_owner (d) ? (uint64_t)own_fence (d->own) : 0;
   e->seq = ++d->seq;
   frame.body_case = LAPIS__FRAME__BODY_EVIDENCE;
@@ -142,11 +142,11 @@
 }
 
 /* Names and addresses are most of the size, so full messages are sent only
-   after a change (d->changed: chart transitions, completeness, ownership), at
-   an interval for nodes that missed one, and after a node has linked.  That
-   node cannot use the short form, and its clients would get "no replica" for
-   seconds.  It gets several full ones, because it drops evidence until it has
-   received the configuration, which may be shortly after the link. */
+   after a change (d->changed: state, completeness or ownership), at an
+   interval for nodes that missed one, and after a node has linked.  A new node
+   cannot use short messages, and its clients would get "no replica" for
+   seconds.  Several full ones are sent, because the new node drops evidence
+   until it has the configuration, which may arrive shortly after the link. */
 void
 dom_broadcast (struct dom *d, clk_ms now)
 {
@@ -203,8 +203,8 @@
   return out;
 }
 
-/* Applies a short message to the full one that it refers to, in whose order
-   its loads are. */
+/* Applies a short message to the full one that it refers to; both list the
+   replicas in the same order. */
 static bool
 apply_short (struct dom_remote *r, const Lapis__Evidence *e)
 {
--- a/control/domains.c
+++ b/control/domains.c
@@ -173,8 +173,8 @@
 }
 
 /* A domain's home is picked by hashing among the live nodes of its zone, or of
-   the region when the zone has none.  Two nodes may both pick themselves for a
-   time; only the one with the lease sends orders. */
+   the region when the zone has none.  While membership differs between nodes,
+   two may pick themselves; only the lease holder sends orders. */
 static bool
 is_home (struct dom *d)
 {
@@ -266,7 +266,8 @@
 apply_config (struct dom *d, const struct cfg_domain *cfg, clk_ms now)
 {
   struct rep_event ev = { .kind = REP_CONFIG, .cfg = d->domains->cfg };
-  /* The time that a new owner waits was set under the old value. */
+  /* A new owner waits before its first order unless checks_fence is set, so
+     the cores start again when that changes. */
   bool fencing_changed
       = d->cfg && d->rep && d->cfg->checks_fence != cfg->checks_fence;
 
--- a/control/domains.h
+++ b/control/domains.h
@@ -2,16 +2,17 @@
  * @file
  * Internal interface of the fabric domains.
  *
- *   domains.c    which domains this node is home of; actions of the cores
+ *   domains.c    which domains this node is home of; runs the cores' actions
  *   dom-calls.c  probes, orders and the platform's list over HTTP
- *   dom-store.c  store calls of the cores
+ *   dom-store.c  store calls for the cores
  *   dom-view.c   evidence to and from other nodes, and the merged list
  *   dom-turn.c   which domains may load weights at the same time
  *
  * The home of a domain is the node that hashing picks to probe its VMs.  The
  * owner is the home that holds the domain's lease; only it sends orders.
  * Evidence is the state of a domain's replicas that its home sends to the
- * other nodes.
+ * other nodes.  The cores of a domain are the state machines of
+ * replica/owner.h and replica/replica.h.
  */
 #ifndef LAPISLINE_CONTROL_DOMAINS_H
 #define LAPISLINE_CONTROL_DOMAINS_H
@@ -31,8 +32,9 @@
 /** Number of full broadcasts after a peer has linked. */
 #define DOM_FULL_AFTER_LINK 3
 #define DOM_PLATFORM_INTERVAL_MS ((clk_ms)1000)
-/** Limit of domains that load weights at once, and of a domain's wait. */
+/** Number of domains that may load weights at once. */
 #define DOM_MAX_LOADING 4
+/** A domain that has waited this long may load in any case. */
 #define DOM_MAX_LOAD_WAIT_MS (10 * CLK_MINUTE)
 #define DOM_LOAD_SCHEDULE_INTERVAL_MS ((clk_ms)1000)
 /** Evidence from a home without the lease is accepted once no owner has sent
@@ -61,7 +63,7 @@
   struct httpc_call *http; /* NULL for store calls */
   struct buf vm;
   struct buf body;
-  uint64_t token;
+  uint64_t token; /* of the core's action */
   int status;
   clk_ms deadline;
   struct dom_call *next;
@@ -71,7 +73,7 @@
 struct dom_remote
 {
   int64_t fence;            /* highest received */
-  clk_ms owner_received_at; /* of the last evidence of that fence */
+  clk_ms owner_received_at; /* when an owner's evidence was last received */
   Lapis__Evidence *evidence;
   clk_ms received_at;
 };
@@ -86,16 +88,17 @@
   bool home;    /* this node probes it, and owns it if it gets the lease */
   struct buf home_node;
   bool changed;           /* evidence changed since the last tick */
-  clk_ms load_wait_since; /* to load weights; 0: not waiting */
+  clk_ms load_wait_since; /* start of its wait to load; 0: none */
   struct own *own;
   struct rep *rep;
   struct dom_call *calls;
-  uint64_t seq; /* random start, so that senders differ */
-  uint64_t full_seq;
-  size_t sent_replicas;
-  int full_remaining; /* upcoming broadcasts that must be full */
+  uint64_t seq; /* starts at random: a short message must not match a full one
+                   of another home */
+  uint64_t full_seq;    /* of the last full message */
+  size_t sent_replicas; /* their number in the last message */
+  int full_remaining;   /* upcoming broadcasts that must be full */
   clk_ms sent_at, full_sent_at;
-  clk_ms publish_after; /* 0: has started to publish */
+  clk_ms publish_after; /* 0: dom_may_publish() has returned true */
   struct dom_remote remote;
 };
 
@@ -114,7 +117,7 @@
   struct buf platform_body;
   int platform_status;
   GPtrArray *leaving; /* backend servers that leave, from the list read here */
-  GPtrArray *all_leaving; /* also from other nodes; not owned */
+  GPtrArray *all_leaving; /* and those from evidence; borrows strings */
   clk_ms platform_deadline;
   struct ctl_replica *merged;
   size_t nmerged;
@@ -145,7 +148,8 @@
 
 /* dom-view.c */
 void dom_broadcast (struct dom *d, clk_ms now);
-/** Whether this home has probed enough to send evidence. */
+/** Whether this home has probed enough for its evidence to be used, here and
+    by other nodes. */
 bool dom_may_publish (struct dom *d, clk_ms now);
 void dom_remote_free (struct dom_remote *r);
 
--- a/control/peer-policy.c
+++ b/control/peer-policy.c
@@ -8,7 +8,8 @@
 #define BACKOFF_MIN_MS ((clk_ms)250)
 #define BACKOFF_MAX_MS (10 * CLK_SECOND)
 
-/* The node with the larger name opens a link only after this long without. */
+/* The node with the larger name opens a link only after this long without
+   one. */
 #define SMALLER_NAME_OPENS_MS (3 * CLK_SECOND)
 
 /* A link opened on demand is kept for this long after the last failed send. */
@@ -172,9 +173,9 @@
 
 /**
  * Whether this node should open a link to @p node.  Small regions are a full
- * mesh.  In large ones evidence must reach every node from the owners, and
- * configuration spreads over a few links picked by hashing; other links are
- * opened on demand.
+ * mesh.  In large ones the homes of domains open links to every node, to send
+ * evidence; configuration is forwarded over a few links picked by hashing, and
+ * other links are opened on demand.
  */
 static bool
 should_open_link (const struct ctl_peers *p, const struct policy_input *s,
@@ -239,7 +240,7 @@
     prs_close (peer);
 }
 
-/** The node at an address of the settings is unknown until its hello. */
+/** The settings list addresses only; the hello contains the node's name. */
 static void
 update_settings_link (struct ctl_peers *p, struct target *t, clk_ms now)
 {
--- a/control/peers.c
+++ b/control/peers.c
@@ -149,8 +149,8 @@
         prs_on_target_self (peer->target);
       return false;
     }
-  /* A replaced VM or its link may last for a while; its evidence about domains
-     must not be used. */
+  /* A process on a replaced VM may still run, and its link be open; its
+     evidence must not be used. */
   old = prs_find (p, str_from (peer->node));
   if ((current != NULL && current->boot > peer->boot)
       || (old != NULL && old->boot > peer->boot))
--- a/control/peers.h
+++ b/control/peers.h
@@ -32,11 +32,11 @@
   struct net_addr addr;
   char *node;         /**< NULL until the first hello */
   bool from_settings; /**< from the settings: never dropped */
-  bool is_self;
-  struct peer *peer; /**< the link opened to it, or NULL */
+  bool is_self;       /**< the address is this process's own */
+  struct peer *peer;  /**< the link opened to it, or NULL */
   clk_ms next_try;
   clk_ms backoff;        /**< backoff after the next attempt */
-  clk_ms last_linked_at; /**< last tick with a link; at first, when added */
+  clk_ms last_linked_at; /**< last tick with a link, or when added */
   clk_ms requested_at;   /**< last time that a frame for it had no link */
 };
 
--- a/control/roster.c
+++ b/control/roster.c
@@ -15,7 +15,7 @@
   uv_timer_t timer;
   struct buf prefix; /* roster/ZONE/ */
   struct buf key;
-  struct buf value; /* of this node */
+  struct buf value; /* key and value are this node's record */
   clk_ms backoff;
   ctl_roster_seed seed;
   void *ctx;
--- a/control/shares.c
+++ b/control/shares.c
@@ -30,8 +30,8 @@
 
 /**
  * Picks the account's home by hashing.  During a partition, and shortly after
- * a membership change, two nodes may both be home; the core reserves enough
- * for nodes it receives nothing from that grants stay within the limit.
+ * a membership change, two nodes may both be home; to stay within the limit,
+ * the core reserves a part for nodes that it receives no demand from.
  */
 static struct str
 home_of (const struct ctl *c, struct str account, const struct str *live,
@@ -137,8 +137,8 @@
   ctl_peers_send_node (s->c->peers, home, &frame);
 }
 
-/** Without a limit there is nothing to grant; every node would send a frame
-    per second for nothing. */
+/** Demand without a limit is not sent: it would be a useless frame per second
+    from every node. */
 static bool
 account_has_limit (const struct ctl *c, struct str account)
 {
--- a/control/spread.c
+++ b/control/spread.c
@@ -7,6 +7,8 @@
 #include "control/control.h"
 #include "fleet/hash.h"
 
+/* Nodes that read the configuration from the store; others get it from
+   peers. */
 #define READERS_PER_ZONE 2
 
 /* Until membership lists the other nodes, each would pick itself as reader,
@@ -23,9 +25,9 @@
   bool reader;
   struct store_watch *watch;
   char *manifest_key;
-  struct buf doc_key;            /* of the document requested last... */
-  int64_t doc_revision;          /* ...and the manifest's revision */
-  int64_t logged_lower_revision; /* lower revision that was logged last */
+  struct buf doc_key;            /* of the document requested last */
+  int64_t doc_revision;          /* of the manifest that names doc_key */
+  int64_t logged_lower_revision; /* the last that log_if_lower() logged */
   int64_t revision;
   struct buf text; /* of the configuration in force */
   struct met_series *met_bad;
@@ -269,7 +271,7 @@
     handle_event (s, &ev);
 }
 
-/* --- in force ----------------------------------------------------------- */
+/* --- applying ----------------------------------------------------------- */
 
 static void
 apply_document (struct ctl_spread *s, const struct spr_action *a)
@@ -278,8 +280,8 @@
   struct cfg *cfg = cfg_parse (a->bytes, a->revision, &findings);
 
   if (!cfg)
-    /* From a newer release, with unknown keys: the previous configuration
-       stays in force, and peers can still fetch this one here. */
+    /* A newer release may have written it, with unknown keys.  The previous
+       configuration stays in force, and peers can still fetch this one. */
     LOG (config_unreadable, LOG_I ("revision", a->revision),
          LOG_C ("pointer", findings.items[0].pointer),
          LOG_C ("reason", findings.items[0].text));
@@ -382,8 +384,8 @@
   handle_event (s, &(struct spr_event){ .kind = SPR_READER, .on = reader });
 }
 
-/* Evaluated with the next tick: members change in bursts, and this may be
-   called while a configuration is forwarded. */
+/* update_reader() runs with the next tick: members change in bursts, and this
+   may be called while a configuration is forwarded. */
 void
 ctl_spread_on_members_changed (struct ctl_spread *s)
 {
--- a/control/swim.c
+++ b/control/swim.c
@@ -11,8 +11,8 @@
    detected. */
 #define MAX_PACKET 2048
 
-/* Join intervals without and with other members.  The latter reunites the
-   sides of a partition that have dropped each other as dead. */
+/* Join intervals without and with other members.  Nodes with members also
+   join, because after a partition each side lists the other as dead. */
 #define JOIN_ALONE_MS CLK_SECOND
 #define JOIN_MS (30 * CLK_SECOND)
 
@@ -23,7 +23,7 @@
   struct ctl *c;
   uv_udp_t udp;
   uv_timer_t timer;
-  int open_handles; /* not yet closed */
+  int open_handles; /* number of handles not yet closed */
   uint16_t port;
   struct mbr *core;
   struct mbr_node self; /* its strings belong to the settings */
@@ -31,7 +31,7 @@
   struct net_addr seeds[MAX_SEEDS];
   size_t nseeds;
   clk_ms next_join;
-  uint64_t logged_pauses;
+  uint64_t logged_pauses; /* count at the last log line */
   struct ctl_roster *roster;
 };
 
@@ -131,7 +131,7 @@
   for (size_t i = 0; i < s->nseeds; i++)
     if (net_addr_eq (&s->seeds[i], swim))
       return;
-  /* A full list replaces a random seed; seeds are only used to join. */
+  /* A random seed may be replaced: seeds are only used to join. */
   if (s->nseeds < MAX_SEEDS)
     s->seeds[s->nseeds++] = *swim;
   else
@@ -241,7 +241,8 @@
   s->self.swim = c->set.control_swim;
   s->self.swim.port = s->port;
   opt.self = s->self;
-  /* A separate key, so that bytes from a link are no valid packet. */
+  /* Derives a separate key, so that bytes sent over a link never form a valid
+     packet. */
   HMAC (EVP_sha256 (), c->set.secret, sizeof c->set.secret,
         (const uint8_t *)label, sizeof label - 1, opt.secret, NULL);
   s->core = mbr_new (&opt, rng_next (&c->rng));
--- a/control/views.c
+++ b/control/views.c
@@ -4,8 +4,8 @@
 #include "control/views.h"
 
 /*
- * Changes within this time share one view.  A reconfigured fleet makes many at
- * once, and each view is complete.
+ * Changes within this time are sent in one view, which contains the whole
+ * state.  A new configuration causes many changes at once.
  */
 #define VIEW_MIN_INTERVAL_MS ((clk_ms)50)
 
@@ -45,7 +45,7 @@
 /*
  * Sends the text if the gateway doesn't have it; false when the link refused a
  * frame.  A text longer than a chunk precedes the view in chunks: frames have
- * a size limit, and a view behind a megabyte of text would be late.
+ * a size limit, and other frames would wait behind a megabyte of text.
  */
 static bool
 add_config (struct ctl_views *v, struct vws_builder *b)
--- a/control/views.h
+++ b/control/views.h
@@ -28,15 +28,15 @@
   uv_timer_t send_timer;   /**< one shot, started when something changed */
   uv_timer_t repeat_timer; /**< sends an unchanged view again */
   struct link *link;       /**< NULL: no gateway */
-  struct net_addr gateway_http; /**< of the gateway */
-  struct net_addr gateway_peer;
+  struct net_addr gateway_http; /**< for clients */
+  struct net_addr gateway_peer; /**< for other gateways */
   uint64_t gateway_boot;
   int64_t gateway_revision; /**< in force at the gateway */
   uint64_t seq;
   clk_ms sent_at;
-  int64_t hash_revision; /**< that `hash` was computed for */
+  int64_t hash_revision; /**< of the text that `hash` was computed from */
   uint8_t hash[DIG_SIZE];
-  uint8_t sent_hash[DIG_SIZE];  /**< of the text sent to the gateway */
+  uint8_t sent_hash[DIG_SIZE];  /**< of the text last sent to the gateway */
   GPtrArray *shares;            /**< of struct vws_share */
   uint64_t store_failure_count; /**< at the last check */
   clk_ms store_failed_at;
