--- a/t/lib-control.h
+++ b/t/lib-control.h
@@ -1,7 +1,7 @@
 /**
  * @file
  * Starts control processes, all in zone "hall-a" of region "nairobi", and
- * links of a test that take the place of their gateways.
+ * opens links to them as their gateways would.
  */
 #ifndef LAPISLINE_T_LIB_CONTROL_H
 #define LAPISLINE_T_LIB_CONTROL_H
--- a/t/lib-site.c
+++ b/t/lib-site.c
@@ -214,7 +214,7 @@
   web_free (&a);
 }
 
-/** The number after @p word in a response. */
+/** Returns the number after a JSON key in a response. */
 static long
 number_at (const char *addr, const char *path, const char *key)
 {
--- a/t/lib-site.h
+++ b/t/lib-site.h
@@ -14,7 +14,8 @@
 #define SITE_VMS 3
 #define SITE_ADMIN "Authorization: Bearer site-token\r\n"
 
-/** Evidence is valid for 3 s and may take another to reach a busy gateway. */
+/** Evidence is valid for 3 s and may take another second to reach a
+    busy gateway. */
 #define SITE_EVIDENCE_MS 4000
 
 enum site_servers
--- a/t/t8001-admin.c
+++ b/t/t8001-admin.c
@@ -10,12 +10,13 @@
 /*
  * The administration API with stubs for the other modules.  Each test checks a
  * transcript of commands and their output:
- *   call TOKEN METHOD PATH [BODY]   until it has ended or waits for a node
- *   disconnect                      the client of the open call disconnects
+ *   call TOKEN METHOD PATH [BODY]   sends a request; returns when it has ended
+ *                                   or waits for another process
+ *   disconnect                      the client of the pending call disconnects
  *   answer done|refused             DrainAnswer of the other node
  *   ask node|replica NAME           DrainAsk of another node
  *   spans gateway|peer NAME         one span arrives
- *   wait                            until the open call has ended
+ *   wait                            until the pending call has ended
  */
 
 #define WAIT_MS 10000
@@ -31,7 +32,7 @@
   int status;
   bool linked; /* to entry-2 */
   bool gateway;
-  bool sent;
+  bool sent;           /* to another process, for the pending call */
   uint64_t request_id; /* of the last request sent */
 } fx;
 
@@ -195,7 +196,8 @@
   fx.call = NULL;
 }
 
-/* Runs the loop until the call has ended or, unless `until_end`, waits. */
+/* Runs the loop until the call has ended or, unless `until_end`, a request to
+   another process was sent. */
 static void
 run_loop (bool until_end)
 {
@@ -434,7 +436,7 @@
 Test (admin, drains_are_forwarded_to_the_owner)
 {
   /* Any node accepts the call and forwards it to the owner of the domain, or
-     to the node to drain, whose answer is passed on. */
+     to the node to drain, and forwards the answer. */
   fx.c.cfg = make_config ();
   check ("> call operate POST /admin/v1/replicas/mine/drain\n"
          "  drain mine on\n"
--- a/t/t8002-views.c
+++ b/t/t8002-views.c
@@ -305,8 +305,8 @@
 {
   /* The gateway was killed and restarted, and its old link is dead but not yet
      closed.  The new process must get views at once, and neither a late hello
-     on the old link nor its end may remove the new address.  A gateway with
-     another node's name is ignored. */
+     on the old link nor the old link's close may remove the new address.  A
+     gateway with another node's name is ignored. */
   check ("> gateway a entry-2 1 127.0.0.1:80\n"
          "> gateway a entry-1 1 127.0.0.1:80\n"
          "  membership: http port 80, load 0\n"
--- a/t/t8003-control.c
+++ b/t/t8003-control.c
@@ -43,7 +43,7 @@
 Test (control, starts_and_stops_without_a_store)
 {
   /* With the store down when the VM boots, the process must start, respond to
-     what it can and leave on SIGTERM. */
+     requests that need no store and leave on SIGTERM. */
   struct proc *p
       = control_up (control_settings ("entry-1", UNREACHABLE, "", ""));
   const char *admin = proc_addr (p, "admin");
@@ -187,9 +187,9 @@
 Test (control, exits_after_its_gateway)
 {
   /* SIGTERM while clients still use this node's address.  The gateway receives
-     a view that says leaving and completes its requests; control exits only
-     after it.  If it exited earlier, the evidence in the gateway's last view
-     would expire while the gateway still serves. */
+     a view with `leaving` set and completes its requests; control exits only
+     after the gateway.  If it exited earlier, the evidence in the gateway's
+     last view would expire while the gateway still serves. */
   struct proc *p = start_node (60000);
   cr_expect (!leaving);
   proc_signal (p, SIGTERM);
--- a/t/t8004-shares.c
+++ b/t/t8004-shares.c
@@ -84,8 +84,8 @@
 
 Test (shares, grants_reach_every_gateway)
 {
-  /* One of two nodes is home of the account.  The other node's demand must be
-     sent to it and the grant come back; otherwise that gateway would keep
+  /* One of two nodes is home of the account.  The other node must send its
+     demand there and receive the grant; otherwise that gateway would keep
      assuming an even share, whatever its demand. */
   struct proc *store = PROC_START_READY ("standin", "store");
   const char *at = proc_addr (store, "http");
--- a/t/t8101-peers.c
+++ b/t/t8101-peers.c
@@ -13,9 +13,9 @@
  *   store up|down|loses-answer      state of the store from now on
  *   start PROCESS [PEER...]         with the addresses of PEERs as settings
  *   stop PROCESS
- *   until CONDITION                 run the loop until it holds; it must
- *   send FROM TO                    evidence by name, which must be sent
- *   retry-send FROM TO              try to send it for two seconds
+ *   until CONDITION                 run the loop until it holds, or fail
+ *   send FROM TO                    send evidence; fails without a link
+ *   retry-send FROM TO              try to send evidence for two seconds
  * Conditions:
  *   alive PROCESS N                 number of live nodes that it lists
  *   links PROCESS MIN MAX           number of its links
@@ -391,8 +391,9 @@
 
 Test (peers, nodes_join_through_the_roster)
 {
-  /* Three nodes start with nothing but the store.  Each must list the others
-     and hold exactly one link to each, whichever end opened it first. */
+  /* Three nodes start with a store and no peers in their settings.  Each must
+     list the others and hold exactly one link to each, whichever end opened it
+     first. */
   run_scripted ("start n1\n"
                 "until record n1 1\n"
                 "start n2\n"
--- a/t/t8102-members.c
+++ b/t/t8102-members.c
@@ -67,8 +67,8 @@
 
 Test (members, killed_process_is_replaced)
 {
-  /* A node is killed and replaced under its name: the others must list it as
-     dead, then as alive, and link to the new process. */
+  /* A node is killed and replaced by one of the same name: the others must
+     list it as dead, then as alive, and link to the new process. */
   start_all ();
   proc_signal (nodes[3], SIGKILL);
   expect_metric_at_all_nodes ("nodes{status=\"dead\"}", "1", 3);
