--- a/control/control.h
+++ b/control/control.h
@@ -69,8 +69,7 @@
 
 /* control.c: notifications between modules. */
 
-/** A newer configuration is in force (called by spread.c); keeps a reference
-    to @p cfg. */
+/** A newer configuration is in force (from spread.c); references @p cfg. */
 void ctl_config_changed (struct ctl *c, struct cfg *cfg, struct str text);
 /** A member joined or its state changed (called by swim.c). */
 void ctl_member_changed (struct ctl *c, const struct mbr_node *node);
@@ -104,8 +103,7 @@
 void ctl_swim_leave (struct ctl_swim *s);
 const struct mbr_counts *ctl_swim_counts (const struct ctl_swim *s);
 
-/* peers.c: links to control processes of this region and, from bridges, of
-   other regions. */
+/* peers.c: links within this region and, from bridges, to other regions. */
 struct ctl_peers *ctl_peers_start (struct ctl *c, struct buf *err);
 void ctl_peers_stop (struct ctl_peers *p);
 uint16_t ctl_peers_port (const struct ctl_peers *p);
--- a/control/dom-turn.c
+++ b/control/dom-turn.c
@@ -23,8 +23,7 @@
   return (size_t)(cfg_model (cfg, name) - cfg->models);
 }
 
-/* Counts the serving replicas of each model, indexed as in the
-   configuration. */
+/* The result is indexed as the configuration's models. */
 static unsigned *
 count_serving (const struct cfg *cfg, const struct ctl_replica *list, size_t n,
                clk_ms now)
--- a/control/domains.h
+++ b/control/domains.h
@@ -92,9 +92,8 @@
   struct own *own;
   struct rep *rep;
   struct dom_call *calls;
-  uint64_t seq; /* starts at random: a short message must not match a full one
-                   of another home */
-  uint64_t full_seq;    /* of the last full message */
+  uint64_t seq;      /* random start: no match with another home's full_seq */
+  uint64_t full_seq; /* of the last full message */
   size_t sent_replicas; /* their number in the last message */
   int full_remaining;   /* upcoming broadcasts that must be full */
   clk_ms sent_at, full_sent_at;
@@ -125,7 +124,6 @@
 };
 
 /* domains.c */
-/** Runs the pending actions of the domain's cores. */
 void dom_run_actions (struct dom *d);
 struct dom *dom_find (const struct ctl_domains *domains, struct str name);
 
@@ -148,8 +146,7 @@
 
 /* dom-view.c */
 void dom_broadcast (struct dom *d, clk_ms now);
-/** Whether this home has probed enough for its evidence to be used, here and
-    by other nodes. */
+/** Whether this home has probed enough to use and send its evidence. */
 bool dom_may_publish (struct dom *d, clk_ms now);
 void dom_remote_free (struct dom_remote *r);
 
--- a/control/peer-policy.c
+++ b/control/peer-policy.c
@@ -8,8 +8,7 @@
 #define BACKOFF_MIN_MS ((clk_ms)250)
 #define BACKOFF_MAX_MS (10 * CLK_SECOND)
 
-/* The node with the larger name opens a link only after this long without
-   one. */
+/* Time without a link after which the node with the larger name opens it. */
 #define SMALLER_NAME_OPENS_MS (3 * CLK_SECOND)
 
 /* A link opened on demand is kept for this long after the last failed send. */
--- a/control/roster.c
+++ b/control/roster.c
@@ -40,7 +40,6 @@
     r->backoff = BACKOFF_MAX_MS;
 }
 
-/** Parses a record; false when it is malformed. */
 static bool
 parse_record (struct str value, uint64_t *boot, struct net_addr *swim)
 {
@@ -54,10 +53,7 @@
   return ok;
 }
 
-/*
- * After a write without a response, reading again shows whether it was
- * applied.
- */
+/* After a write without a response, a read shows whether it was applied. */
 static void
 on_written (void *ctx, const struct store_result *res)
 {
--- a/control/spread.c
+++ b/control/spread.c
@@ -7,8 +7,7 @@
 #include "control/control.h"
 #include "fleet/hash.h"
 
-/* Nodes that read the configuration from the store; others get it from
-   peers. */
+/* Nodes that read the store; others get the configuration from peers. */
 #define READERS_PER_ZONE 2
 
 /* Until membership lists the other nodes, each would pick itself as reader,
--- a/control/swim.c
+++ b/control/swim.c
@@ -23,7 +23,7 @@
   struct ctl *c;
   uv_udp_t udp;
   uv_timer_t timer;
-  int open_handles; /* number of handles not yet closed */
+  int open_handles; /* not yet closed */
   uint16_t port;
   struct mbr *core;
   struct mbr_node self; /* its strings belong to the settings */
@@ -241,8 +241,7 @@
   s->self.swim = c->set.control_swim;
   s->self.swim.port = s->port;
   opt.self = s->self;
-  /* Derives a separate key, so that bytes sent over a link never form a valid
-     packet. */
+  /* A separate key, so that bytes of a link never form a valid packet. */
   HMAC (EVP_sha256 (), c->set.secret, sizeof c->set.secret,
         (const uint8_t *)label, sizeof label - 1, opt.secret, NULL);
   s->core = mbr_new (&opt, rng_next (&c->rng));
