--- a/t/t8001-admin.c
+++ b/t/t8001-admin.c
@@ -10,8 +10,7 @@
 /*
  * The administration API with stubs for the other modules.  Each test checks a
  * transcript of commands and their output:
- *   call TOKEN METHOD PATH [BODY]   sends a request; returns when it has ended
- *                                   or waits for another process
+ *   call TOKEN METHOD PATH [BODY]   until it ends or waits for a process
  *   disconnect                      the client of the pending call disconnects
  *   answer done|refused             DrainAnswer of the other node
  *   ask node|replica NAME           DrainAsk of another node
