--- a/control/peers.c
+++ b/control/peers.c
@@ -348,7 +348,7 @@
   return false;
 }
 
-/* --- start, stop, figures ----------------------------------------------- */
+/* --- start, stop, traffic ----------------------------------------------- */
 
 void
 ctl_peers_on_member_changed (struct ctl_peers *p, const struct mbr_node *node)
