--- a/t/t8001-admin.c
+++ b/t/t8001-admin.c
@@ -25,7 +25,7 @@
   struct ctl c;
   uv_loop_t loop;
   struct buf log;
-  struct net_addr at;
+  struct net_addr admin_addr;
   struct httpc_call *call;
   struct buf body;
   int status;
@@ -225,7 +225,7 @@
   sscanf (rest, "%31s %7s %127s %63s", token, method, path, body);
   snprintf (bearer, sizeof bearer, "Bearer %s", token);
   struct http_header header = { STR ("authorization"), str_from (bearer) };
-  struct httpc_request req = { .to = fx.at,
+  struct httpc_request req = { .to = fx.admin_addr,
                                .method = str_from (method),
                                .path = str_from (path),
                                .headers = &header,
@@ -355,8 +355,8 @@
             "127.0.0.1");
   fx.c.admin = ctl_admin_start (&fx.c, &err);
   cr_assert_not_null (fx.c.admin, "%s", buf_c (&err));
-  fx.at = fx.c.set.control_admin;
-  fx.at.port = ctl_admin_port (fx.c.admin);
+  fx.admin_addr = fx.c.set.control_admin;
+  fx.admin_addr.port = ctl_admin_port (fx.c.admin);
   fx.linked = fx.gateway = true;
   log_setup (LOG_JSON, LOG_ERROR, STR ("entry-1"));
 }
