--- a/control/roster.c
+++ b/control/roster.c
@@ -15,7 +15,7 @@
   uv_timer_t timer;
   struct buf prefix; /* roster/ZONE/ */
   struct buf key;
-  struct buf value; /* of this node */
+  struct buf value; /* key and value are this node's record */
   clk_ms backoff;
   ctl_roster_seed seed;
   void *ctx;
@@ -40,7 +40,6 @@
     r->backoff = BACKOFF_MAX_MS;
 }
 
-/** Parses a record; false when it is malformed. */
 static bool
 parse_record (struct str value, uint64_t *boot, struct net_addr *swim)
 {
@@ -54,10 +53,7 @@
   return ok;
 }
 
-/*
- * After a write without a response, reading again shows whether it was
- * applied.
- */
+/* After a write without a response, a read shows whether it was applied. */
 static void
 on_written (void *ctx, const struct store_result *res)
 {
--- a/control/spread.c
+++ b/control/spread.c
@@ -7,6 +7,7 @@
 #include "control/control.h"
 #include "fleet/hash.h"
 
+/* Nodes that read the store; others get the configuration from peers. */
 #define READERS_PER_ZONE 2
 
 /* Until membership lists the other nodes, each would pick itself as reader,
@@ -23,9 +24,9 @@
   bool reader;
   struct store_watch *watch;
   char *manifest_key;
-  struct buf doc_key;            /* of the document requested last... */
-  int64_t doc_revision;          /* ...and the manifest's revision */
-  int64_t logged_lower_revision; /* lower revision that was logged last */
+  struct buf doc_key;            /* of the document requested last */
+  int64_t doc_revision;          /* of the manifest that names doc_key */
+  int64_t logged_lower_revision; /* the last that log_if_lower() logged */
   int64_t revision;
   struct buf text; /* of the configuration in force */
   struct met_series *met_bad;
@@ -75,9 +76,10 @@
 }
 
 static void
-handle_manifest (struct ctl_spread *s, const struct store_kv *kv, int64_t seen)
+handle_manifest (struct ctl_spread *s, const struct store_kv *kv,
+                 int64_t store_revision)
 {
-  struct spr_event ev = { .kind = SPR_STORE_MANIFEST, .seen = seen };
+  struct spr_event ev = { .kind = SPR_STORE_MANIFEST, .seen = store_revision };
 
   if (kv && !read_manifest (s, kv, &ev))
     {
@@ -268,7 +270,7 @@
     handle_event (s, &ev);
 }
 
-/* --- in force ----------------------------------------------------------- */
+/* --- applying ----------------------------------------------------------- */
 
 static void
 apply_document (struct ctl_spread *s, const struct spr_action *a)
@@ -277,8 +279,8 @@
   struct cfg *cfg = cfg_parse (a->bytes, a->revision, &findings);
 
   if (!cfg)
-    /* From a newer release, with unknown keys: the previous configuration
-       stays in force, and peers can still fetch this one here. */
+    /* A newer release may have written it, with unknown keys.  The previous
+       configuration stays in force, and peers can still fetch this one. */
     LOG (config_unreadable, LOG_I ("revision", a->revision),
          LOG_C ("pointer", findings.items[0].pointer),
          LOG_C ("reason", findings.items[0].text));
@@ -381,8 +383,8 @@
   handle_event (s, &(struct spr_event){ .kind = SPR_READER, .on = reader });
 }
 
-/* Evaluated with the next tick: members change in bursts, and this may be
-   called while a configuration is forwarded. */
+/* update_reader() runs with the next tick: members change in bursts, and this
+   may be called while a configuration is forwarded. */
 void
 ctl_spread_on_members_changed (struct ctl_spread *s)
 {
@@ -402,7 +404,7 @@
 /* --- start and stop ----------------------------------------------------- */
 
 static void
-start_metrics (struct ctl_spread *s)
+register_metrics (struct ctl_spread *s)
 {
   struct met_reg *met = s->c->met;
 
@@ -426,7 +428,7 @@
   buf_free (&key);
   s->members_changed = true;
   s->reader_allowed_at = clk_now () + READER_DELAY_MS;
-  start_metrics (s);
+  register_metrics (s);
   s->timer = xcalloc (1, sizeof *s->timer);
   uv_timer_init (c->loop, s->timer);
   s->timer->data = s;
--- a/t/t8001-admin.c
+++ b/t/t8001-admin.c
@@ -10,12 +10,12 @@
 /*
  * The administration API with stubs for the other modules.  Each test checks a
  * transcript of commands and their output:
- *   call TOKEN METHOD PATH [BODY]   until it has ended or waits for a node
- *   disconnect                      the client of the open call disconnects
+ *   call TOKEN METHOD PATH [BODY]   until it ends or waits for a process
+ *   disconnect                      the client of the pending call disconnects
  *   answer done|refused             DrainAnswer of the other node
  *   ask node|replica NAME           DrainAsk of another node
  *   spans gateway|peer NAME         one span arrives
- *   wait                            until the open call has ended
+ *   wait                            until the pending call has ended
  */
 
 #define WAIT_MS 10000
@@ -25,13 +25,13 @@
   struct ctl c;
   uv_loop_t loop;
   struct buf log;
-  struct net_addr at;
+  struct net_addr admin_addr;
   struct httpc_call *call;
   struct buf body;
   int status;
   bool linked; /* to entry-2 */
   bool gateway;
-  bool sent;
+  bool sent;           /* to another process, for the pending call */
   uint64_t request_id; /* of the last request sent */
 } fx;
 
@@ -195,7 +195,8 @@
   fx.call = NULL;
 }
 
-/* Runs the loop until the call has ended or, unless `until_end`, waits. */
+/* Runs the loop until the call has ended or, unless `until_end`, a request to
+   another process was sent. */
 static void
 run_loop (bool until_end)
 {
@@ -224,7 +225,7 @@
   sscanf (rest, "%31s %7s %127s %63s", token, method, path, body);
   snprintf (bearer, sizeof bearer, "Bearer %s", token);
   struct http_header header = { STR ("authorization"), str_from (bearer) };
-  struct httpc_request req = { .to = fx.at,
+  struct httpc_request req = { .to = fx.admin_addr,
                                .method = str_from (method),
                                .path = str_from (path),
                                .headers = &header,
@@ -354,8 +355,8 @@
             "127.0.0.1");
   fx.c.admin = ctl_admin_start (&fx.c, &err);
   cr_assert_not_null (fx.c.admin, "%s", buf_c (&err));
-  fx.at = fx.c.set.control_admin;
-  fx.at.port = ctl_admin_port (fx.c.admin);
+  fx.admin_addr = fx.c.set.control_admin;
+  fx.admin_addr.port = ctl_admin_port (fx.c.admin);
   fx.linked = fx.gateway = true;
   log_setup (LOG_JSON, LOG_ERROR, STR ("entry-1"));
 }
@@ -434,7 +435,7 @@
 Test (admin, drains_are_forwarded_to_the_owner)
 {
   /* Any node accepts the call and forwards it to the owner of the domain, or
-     to the node to drain, whose answer is passed on. */
+     to the node to drain, and forwards the answer. */
   fx.c.cfg = make_config ();
   check ("> call operate POST /admin/v1/replicas/mine/drain\n"
          "  drain mine on\n"
