--- a/standins/control.c
+++ b/standins/control.c
@@ -33,7 +33,8 @@
   json_object *view;
   uint64_t seq;
   json_object *hello, *report;
-  struct httpd_req *trace; /**< /control/trace request without answer yet */
+  struct httpd_req
+      *trace_req; /**< /control/trace request without answer yet */
 };
 
 /* ---- views ---- */
@@ -119,7 +120,7 @@
 static void
 send_chunks (struct control *c, const Lapis__View *v, struct str text)
 {
-  size_t half = text.len / 2, from[] = { 0, half, text.len };
+  size_t half = text.len / 2, offset[] = { 0, half, text.len };
 
   for (int i = 0; i < 2; i++)
     {
@@ -127,10 +128,10 @@
       Lapis__Frame f = LAPIS__FRAME__INIT;
       k.revision = v->config_revision;
       k.hash = v->config_hash;
-      k.offset = from[i];
+      k.offset = offset[i];
       k.size = text.len;
-      k.bytes.data = (uint8_t *)text.ptr + from[i];
-      k.bytes.len = from[i + 1] - from[i];
+      k.bytes.data = (uint8_t *)text.ptr + offset[i];
+      k.bytes.len = offset[i + 1] - offset[i];
       f.body_case = LAPIS__FRAME__BODY_CONFIG_CHUNK;
       f.config_chunk = &k;
       link_send (c->gateway, &f);
@@ -202,10 +203,10 @@
 static void
 handle_trace_answer (struct control *c, const Lapis__TraceAnswer *t)
 {
-  if (c->trace != NULL)
-    httpd_answer (c->trace, 200, NULL, 0,
+  if (c->trace_req != NULL)
+    httpd_answer (c->trace_req, 200, NULL, 0,
                   str_make (t->json.data, t->json.len));
-  c->trace = NULL;
+  c->trace_req = NULL;
 }
 
 static void
@@ -272,7 +273,7 @@
   ask.trace = (ProtobufCBinaryData){ sizeof trace, trace };
   f.body_case = LAPIS__FRAME__BODY_TRACE_ASK;
   f.trace_ask = &ask;
-  c->trace = req;
+  c->trace_req = req;
   link_send (c->gateway, &f);
 }
 
--- a/standins/fault.c
+++ b/standins/fault.c
@@ -103,8 +103,8 @@
   fault_set (&b->fault, o);
   if (json_flag (o, "clear_peak", false))
     b->peak = b->open;
-  if (b->set != NULL)
-    b->set (b->ctx, o);
+  if (b->on_set != NULL)
+    b->on_set (b->ctx, o);
   json_object_put (o);
   httpd_answer (req, 200, NULL, 0, STR ("{}\n"));
 }
@@ -145,7 +145,7 @@
       return false;
     }
   b->runs++;
-  if (b->keep_counts)
+  if (b->count_by_request)
     {
       increment_count (b->runs_by_request, httpd_header (req, "x-request-id"));
       increment_count (b->runs_by_key, httpd_header (req, "idempotency-key"));
--- a/standins/fault.h
+++ b/standins/fault.h
@@ -29,7 +29,7 @@
   uv_loop_t loop;
   struct httpd *httpd;
   struct fault fault;
-  bool keep_counts;
+  bool count_by_request;
   GHashTable *runs_by_request; /**< x-request-id -> number of executions */
   GHashTable *runs_by_key;     /**< Idempotency-Key -> number of executions */
   unsigned runs;
@@ -38,7 +38,7 @@
   unsigned open;
   unsigned peak; /**< maximum of open */
   /** Handles stand-in specific fields of /control/set; may be NULL. */
-  void (*set) (void *ctx, json_object *o);
+  void (*on_set) (void *ctx, json_object *o);
   void *ctx;
 };
 
--- a/standins/model.c
+++ b/standins/model.c
@@ -28,7 +28,7 @@
   int64_t rank; /**< rank in the replica; negative: omitted from the state */
   int64_t fence;
   clk_ms ready_at;
-  int64_t load;
+  int64_t extra_load;
   unsigned orders;
   unsigned stale_orders; /**< rejected because of a stale fencing token */
 };
@@ -50,7 +50,7 @@
   json_object_object_add (o, "unloaded",
                           json_object_new_boolean (m->unloaded));
   json_object_object_add (o, "load",
-                          json_object_new_int64 (m->load + m->b.open));
+                          json_object_new_int64 (m->extra_load + m->b.open));
   json_object_object_add (
       o, "fence", json_object_new_int64 (m->ignore_fence ? 0 : m->fence));
   json_object_object_add (o, "orders", json_object_new_int ((int)m->orders));
@@ -215,7 +215,7 @@
   char *text = str_dup (httpd_get (req)->body);
   json_object *o = json_tokener_parse (text);
   struct str id = httpd_header (req, "x-request-id");
-  struct str resumed = httpd_header (req, "x-resume-request");
+  struct str resumed_id = httpd_header (req, "x-resume-request");
   struct reply *r;
 
   free (text);
@@ -225,7 +225,7 @@
       return;
     }
   r = reply_new (&m->b, req);
-  struct completion a = { .id = resumed.len ? resumed : id,
+  struct completion a = { .id = resumed_id.len ? resumed_id : id,
                           .model = json_text (o, "model"),
                           .prompt = get_prompt (o),
                           .tokens = (int)json_num (o, "max_tokens", m->tokens),
@@ -276,7 +276,7 @@
   m->no_end_mark = json_flag (o, "no_end_mark", m->no_end_mark);
   m->generation = json_num (o, "generation", m->generation);
   m->rank = json_num (o, "rank", m->rank);
-  m->load = json_num (o, "load", m->load);
+  m->extra_load = json_num (o, "load", m->extra_load);
   m->tokens = (int)json_num (o, "tokens", m->tokens);
   m->token_ms = (int)json_num (o, "token_ms", m->token_ms);
   m->load_ms = (int)json_num (o, "load_ms", m->load_ms);
@@ -311,8 +311,8 @@
   if (!g_option_context_parse (oc, &argc, &argv, NULL))
     return 2;
   g_option_context_free (oc);
-  m.b.keep_counts = !m.no_counts;
-  m.b.set = on_set;
+  m.b.count_by_request = !m.no_counts;
+  m.b.on_set = on_set;
   m.b.ctx = &m;
   m.unloaded = unloaded;
   if (m.replica == NULL)
--- a/standins/platform.c
+++ b/standins/platform.c
@@ -84,8 +84,8 @@
   p.vms = json_object_new_object ();
   for (char **v = vms; v != NULL && *v != NULL; v++)
     json_object_object_add (p.vms, *v, json_object_new_string ("live"));
-  p.b.keep_counts = true;
-  p.b.set = on_set;
+  p.b.count_by_request = true;
+  p.b.on_set = on_set;
   p.b.ctx = &p;
   return backend_run (&p.b, "platform", listen ? listen : "127.0.0.1:0",
                       on_request);
--- a/standins/rack-limit.c
+++ b/standins/rack-limit.c
@@ -12,7 +12,7 @@
 rack_limit_set (struct rate_limit *l, const char *text)
 {
   memset (l, 0, sizeof *l);
-  snprintf (l->text, sizeof l->text, "%s", text);
+  snprintf (l->header_value, sizeof l->header_value, "%s", text);
 }
 
 static void
@@ -44,10 +44,10 @@
 bool
 rack_limit_header (struct rate_limit *l, struct http_header *out)
 {
-  if (!l->text[0])
+  if (!l->header_value[0])
     return false;
   if (!l->announced_at)
     l->announced_at = clk_now ();
-  *out = (struct http_header){ STR (PLT_H_RATE), str_from (l->text) };
+  *out = (struct http_header){ STR (PLT_H_RATE), str_from (l->header_value) };
   return true;
 }
--- a/standins/rack-server.c
+++ b/standins/rack-server.c
@@ -18,7 +18,7 @@
 struct server *
 rack_find_server (struct rack *r, const char *id)
 {
-  for (size_t i = 0; i < r->n; i++)
+  for (size_t i = 0; i < r->nservers; i++)
     if (strcmp (r->servers[i].id, id) == 0)
       return &r->servers[i];
   return NULL;
@@ -337,8 +337,8 @@
 
   if (!r->crash_body[0] || !str_is (httpd_get (req)->body, r->crash_body))
     return false;
-  if (!uv_is_active ((uv_handle_t *)&s->crash))
-    uv_timer_start (&s->crash, on_crash, (uint64_t)r->crash_ms, 0);
+  if (!uv_is_active ((uv_handle_t *)&s->crash_timer))
+    uv_timer_start (&s->crash_timer, on_crash, (uint64_t)r->crash_ms, 0);
   return true;
 }
 
@@ -408,8 +408,8 @@
   buf_free (&text);
   uv_timer_init (&s->rack->loop, &s->timer);
   s->timer.data = s;
-  uv_timer_init (&s->rack->loop, &s->crash);
-  s->crash.data = s;
+  uv_timer_init (&s->rack->loop, &s->crash_timer);
+  s->crash_timer.data = s;
   s->start_time = clk_wall ();
   rack_server_publish (s);
   return true;
--- a/standins/rack-store.c
+++ b/standins/rack-store.c
@@ -203,7 +203,7 @@
 }
 
 void
-rack_store_tick (struct rack *r)
+rack_answer_watches (struct rack *r)
 {
   for (struct watch_call **p = &r->watches; *p;)
     {
@@ -285,10 +285,10 @@
     {
       GBytes *key = to_bytes (str_from (
           json_object_get_string (json_object_array_get_idx (removed, i))));
-      GBytes *none = g_bytes_new ("", 0);
-      kv_delete (&r->kv, key, none, rev);
+      GBytes *no_end = g_bytes_new ("", 0);
+      kv_delete (&r->kv, key, no_end, rev);
       g_bytes_unref (key);
-      g_bytes_unref (none);
+      g_bytes_unref (no_end);
     }
 }
 
@@ -387,12 +387,12 @@
 void
 rack_store_remove (struct rack *r, const char *key)
 {
-  GBytes *k = g_bytes_new (key, strlen (key)), *none = g_bytes_new ("", 0);
+  GBytes *k = g_bytes_new (key, strlen (key)), *no_end = g_bytes_new ("", 0);
 
   if (kv_get (&r->kv, k))
-    kv_delete (&r->kv, k, none, ++r->kv.revision);
+    kv_delete (&r->kv, k, no_end, ++r->kv.revision);
   g_bytes_unref (k);
-  g_bytes_unref (none);
+  g_bytes_unref (no_end);
 }
 
 static int64_t
@@ -435,6 +435,6 @@
     }
   else
     answer_text (r, req, 404, STR_EMPTY);
-  rack_store_tick (r);
+  rack_answer_watches (r);
   return true;
 }
--- a/standins/rack.c
+++ b/standins/rack.c
@@ -52,7 +52,7 @@
 restore_backup (struct rack *r)
 {
   kv_restore (&r->kv, &r->backup);
-  for (size_t i = 0; i < r->n; i++)
+  for (size_t i = 0; i < r->nservers; i++)
     if (!r->servers[i].dead)
       rack_server_publish (&r->servers[i]);
 }
@@ -135,7 +135,7 @@
     s = rack_find_server (r, jsn_text (o, "server"));
   if (s)
     set_server (s, o);
-  rack_store_tick (r);
+  rack_answer_watches (r);
 }
 
 static void
@@ -159,7 +159,7 @@
   json_object *o = json_object_new_object ();
   json_object *repeated = json_object_new_object ();
 
-  for (size_t i = 0; i < r->n; i++)
+  for (size_t i = 0; i < r->nservers; i++)
     {
       const struct server *s = &r->servers[i];
       json_object *row = json_object_new_object ();
@@ -227,15 +227,15 @@
   struct rack *r = t->data;
 
   kv_expire (&r->kv, clk_now ());
-  rack_store_tick (r);
+  rack_answer_watches (r);
 }
 
 static bool
 add_servers (struct rack *r, int engines, int plain)
 {
-  for (int i = 0; i < engines + plain && r->n < RACK_SERVERS; i++)
+  for (int i = 0; i < engines + plain && r->nservers < RACK_SERVERS; i++)
     {
-      struct server *s = &r->servers[r->n++];
+      struct server *s = &r->servers[r->nservers++];
       s->rack = r;
       s->engine = i < engines;
       snprintf (s->id, sizeof s->id, "%c%d", s->engine ? 'e' : 'p',
--- a/standins/rack.h
+++ b/standins/rack.h
@@ -36,8 +36,8 @@
 /** Request rate limit that a server announces, and the arrivals since. */
 struct rate_limit
 {
-  char text[32];       /**< value of the response header; empty: no limit */
-  clk_ms announced_at; /**< time of the first announcement; 0: none yet */
+  char header_value[32]; /**< value of the response header; empty: no limit */
+  clk_ms announced_at;   /**< time of the first announcement; 0: none yet */
   clk_ms arrivals[LIMIT_ARRIVALS]; /**< ring buffer of the last window */
   unsigned first_arrival, narrivals;
   unsigned total_arrivals;
@@ -70,7 +70,8 @@
   enum member_state member_state;
   struct rate_limit limit;
   uv_timer_t timer; /**< end of joining, or expiry of the entry */
-  uv_timer_t crash; /**< delay between a crashing request and the crash */
+  uv_timer_t
+      crash_timer; /**< delay between a crashing request and the crash */
   struct stream *streams;
   unsigned runs, open, disconnects;
 };
@@ -97,7 +98,7 @@
   struct store_fault fault;
   struct watch_call *watches;
   struct server servers[RACK_SERVERS];
-  size_t n;
+  size_t nservers;
   int event_ms;        /**< delay between events of a stream, in ms */
   int events;          /**< per stream */
   char crash_body[64]; /**< request body that crashes the server */
@@ -113,7 +114,7 @@
 void rack_store_put (struct rack *r, const char *key, const char *value);
 void rack_store_remove (struct rack *r, const char *key);
 /** Answers the watches that have events or reached their timeout. */
-void rack_store_tick (struct rack *r);
+void rack_answer_watches (struct rack *r);
 
 /* rack-limit.c */
 /** Sets the announced limit and resets the counters. */
--- a/standins/service.c
+++ b/standins/service.c
@@ -107,8 +107,8 @@
   if (!g_option_context_parse (oc, &argc, &argv, NULL))
     return 2;
   g_option_context_free (oc);
-  s.b.keep_counts = true;
-  s.b.set = on_set;
+  s.b.count_by_request = true;
+  s.b.on_set = on_set;
   s.b.ctx = &s;
   if (s.name == NULL)
     s.name = xstrdup ("service");
--- a/standins/store-calls.c
+++ b/standins/store-calls.c
@@ -37,7 +37,7 @@
 }
 
 void
-store_add_header (struct server *s, struct buf *out)
+store_add_header (struct etcd_server *s, struct buf *out)
 {
   buf_addf (out, "\"header\":{\"cluster_id\":\"1\",\"revision\":\"%lld\"}",
             (long long)s->kv.revision);
@@ -86,7 +86,7 @@
 }
 
 static int
-do_range (struct server *s, json_object *o, struct buf *out)
+do_range (struct etcd_server *s, json_object *o, struct buf *out)
 {
   GBytes *from = store_json_bytes (o, "key"),
          *end = store_json_bytes (o, "range_end");
@@ -103,7 +103,7 @@
 }
 
 static bool
-compare_succeeds (struct server *s, json_object *c)
+compare_succeeds (struct etcd_server *s, json_object *c)
 {
   GBytes *key = store_json_bytes (c, "key");
   const struct kv_entry *e = kv_get (&s->kv, key);
@@ -113,7 +113,7 @@
 }
 
 static bool
-compares_succeed (struct server *s, json_object *list)
+compares_succeed (struct etcd_server *s, json_object *list)
 {
   size_t n = list != NULL ? json_object_array_length (list) : 0;
 
@@ -124,7 +124,7 @@
 }
 
 static bool
-leases_exist (struct server *s, json_object *ops)
+leases_exist (struct etcd_server *s, json_object *ops)
 {
   size_t n = ops != NULL ? json_object_array_length (ops) : 0;
 
@@ -160,7 +160,7 @@
 }
 
 static void
-apply_put (struct server *s, json_object *put, int64_t rev)
+apply_put (struct etcd_server *s, json_object *put, int64_t rev)
 {
   GBytes *key = store_json_bytes (put, "key"),
          *value = store_json_bytes (put, "value");
@@ -171,7 +171,7 @@
 }
 
 static void
-apply_delete (struct server *s, json_object *del, int64_t rev)
+apply_delete (struct etcd_server *s, json_object *del, int64_t rev)
 {
   GBytes *key = store_json_bytes (del, "key"),
          *end = store_json_bytes (del, "range_end");
@@ -182,7 +182,7 @@
 }
 
 static void
-apply (struct server *s, json_object *ops, struct buf *out)
+apply (struct etcd_server *s, json_object *ops, struct buf *out)
 {
   size_t n = ops != NULL ? json_object_array_length (ops) : 0;
   int64_t rev = s->kv.revision + 1;
@@ -216,7 +216,7 @@
 }
 
 static int
-do_txn (struct server *s, json_object *o, struct buf *out)
+do_txn (struct etcd_server *s, json_object *o, struct buf *out)
 {
   json_object *compare = store_json_field (o, "compare");
   bool ok = compares_succeed (s, compare);
@@ -243,7 +243,7 @@
 }
 
 static int
-do_put (struct server *s, json_object *o, struct buf *out)
+do_put (struct etcd_server *s, json_object *o, struct buf *out)
 {
   apply_put (s, o, s->kv.revision + 1);
   buf_add_char (out, '{');
@@ -253,7 +253,7 @@
 }
 
 static int
-do_grant (struct server *s, json_object *o, struct buf *out)
+do_grant (struct etcd_server *s, json_object *o, struct buf *out)
 {
   clk_ms ttl = store_json_int (o, "TTL") * CLK_SECOND;
   int64_t id = kv_grant (&s->kv, ttl, clk_now ());
@@ -266,7 +266,7 @@
 }
 
 static int
-do_keepalive (struct server *s, json_object *o, struct buf *out)
+do_keepalive (struct etcd_server *s, json_object *o, struct buf *out)
 {
   int64_t id = store_json_int (o, "ID");
   struct kv_lease *l = kv_find_lease (&s->kv, id);
@@ -284,7 +284,7 @@
 }
 
 static int
-do_revoke (struct server *s, json_object *o, struct buf *out)
+do_revoke (struct etcd_server *s, json_object *o, struct buf *out)
 {
   int64_t id = store_json_int (o, "ID");
 
--- a/standins/store-int.h
+++ b/standins/store-int.h
@@ -35,7 +35,7 @@
   int64_t next_revision; /**< first revision not yet sent */
 };
 
-struct server
+struct etcd_server
 {
   uv_loop_t loop;
   uv_timer_t tick;
@@ -54,7 +54,7 @@
 struct call
 {
   const char *path;
-  int (*run) (struct server *s, json_object *o, struct buf *out);
+  int (*run) (struct etcd_server *s, json_object *o, struct buf *out);
   size_t counter; /**< offset in struct counts */
   bool write;
 };
@@ -68,7 +68,7 @@
 /** Decodes a base64 field; empty if missing. */
 GBytes *store_json_bytes (json_object *o, const char *key);
 
-void store_add_header (struct server *s, struct buf *out);
+void store_add_header (struct etcd_server *s, struct buf *out);
 void store_add_kv (struct buf *out, const struct kv_entry *e);
 
 /** Replaces the content of @p out with an error body; returns @p status. */
@@ -77,13 +77,13 @@
 /** Looks up a call by its path; NULL if unknown. */
 const struct call *store_find_call (const char *path);
 
-void store_watch_open (struct server *s, struct httpd_req *req,
+void store_watch_open (struct etcd_server *s, struct httpd_req *req,
                        json_object *o);
 
 /** Sends each open watch the changes since its last event. */
-void store_notify_watches (struct server *s);
+void store_notify_watches (struct etcd_server *s);
 
 /** Breaks the connections of all watches. */
-void store_drop_watches (struct server *s);
+void store_drop_watches (struct etcd_server *s);
 
 #endif
--- a/standins/store-watch.c
+++ b/standins/store-watch.c
@@ -29,7 +29,7 @@
 /* Oldest change at or after `revision`; the history is searched from its
    tail, where the newest changes are. */
 static GList *
-first_change_since (struct server *s, int64_t revision)
+first_change_since (struct etcd_server *s, int64_t revision)
 {
   GList *first = NULL;
 
@@ -45,7 +45,7 @@
 /* Sends the changes from w->next_revision on in one message, so that the
    changes of a revision are never split. */
 static void
-send_changes (struct server *s, struct watch *w)
+send_changes (struct etcd_server *s, struct watch *w)
 {
   struct buf events = BUF_INIT, out = BUF_INIT;
 
@@ -69,7 +69,7 @@
 }
 
 void
-store_notify_watches (struct server *s)
+store_notify_watches (struct etcd_server *s)
 {
   for (guint i = 0; i < s->watches->len;)
     {
@@ -87,7 +87,7 @@
 }
 
 void
-store_drop_watches (struct server *s)
+store_drop_watches (struct etcd_server *s)
 {
   for (guint i = 0; i < s->watches->len; i++)
     {
@@ -100,7 +100,7 @@
 }
 
 static void
-reject_compacted (struct server *s, struct httpd_req *req)
+reject_compacted (struct etcd_server *s, struct httpd_req *req)
 {
   struct buf out = BUF_INIT;
 
@@ -114,7 +114,7 @@
 }
 
 void
-store_watch_open (struct server *s, struct httpd_req *req, json_object *o)
+store_watch_open (struct etcd_server *s, struct httpd_req *req, json_object *o)
 {
   json_object *create = store_json_field (o, "create_request");
   struct watch *w = g_new0 (struct watch, 1);
--- a/standins/store.c
+++ b/standins/store.c
@@ -33,7 +33,7 @@
 struct delayed_request
 {
   uv_timer_t timer;
-  struct server *s;
+  struct etcd_server *s;
   struct httpd_req *req; /* NULL after the client disconnected */
   char *path;
   struct buf body;
@@ -100,7 +100,7 @@
 on_apply_time (uv_timer_t *t)
 {
   struct delayed_request *p = t->data;
-  struct server *s = p->s;
+  struct etcd_server *s = p->s;
   const struct call *c = store_find_call (p->path);
   json_object *o = json_tokener_parse (buf_c (&p->body));
 
@@ -132,7 +132,7 @@
 }
 
 static void
-accept_call (struct server *s, struct httpd_req *req, const char *path)
+accept_call (struct etcd_server *s, struct httpd_req *req, const char *path)
 {
   struct delayed_request *p = xcalloc (1, sizeof *p);
 
@@ -153,7 +153,7 @@
 }
 
 static void
-accept_watch (struct server *s, struct httpd_req *req)
+accept_watch (struct etcd_server *s, struct httpd_req *req)
 {
   char *text = str_dup (httpd_get (req)->body);
   json_object *o = json_tokener_parse (text);
@@ -172,7 +172,7 @@
 }
 
 static void
-handle_api (struct server *s, struct httpd_req *req)
+handle_api (struct etcd_server *s, struct httpd_req *req)
 {
   struct buf out = BUF_INIT;
   char *path = str_dup (httpd_get (req)->path);
@@ -207,7 +207,7 @@
 static void on_request (void *ctx, struct httpd_req *req);
 
 static void
-set_down (struct server *s, enum down_mode mode)
+set_down (struct etcd_server *s, enum down_mode mode)
 {
   s->down = mode;
   if (mode == DOWN_REFUSE && s->api != NULL)
@@ -236,7 +236,7 @@
 }
 
 static void
-expire_leases (struct server *s, json_object *which)
+expire_leases (struct etcd_server *s, json_object *which)
 {
   GList *ids = g_hash_table_get_keys (s->kv.leases);
   bool all = json_object_is_type (which, json_type_string)
@@ -253,7 +253,7 @@
 }
 
 static void
-clear_faults (struct server *s)
+clear_faults (struct etcd_server *s)
 {
   s->delay_ms = s->answer_delay_ms = 0;
   s->lose_next_writes = s->lose_next_reads = s->fail_write = 0;
@@ -262,7 +262,7 @@
 }
 
 static void
-apply_faults (struct server *s, json_object *o)
+apply_faults (struct etcd_server *s, json_object *o)
 {
   json_object *which;
 
@@ -285,7 +285,7 @@
 }
 
 static void
-apply_json (struct server *s, json_object *o)
+apply_json (struct etcd_server *s, json_object *o)
 {
   json_object *down = NULL;
 
@@ -300,7 +300,8 @@
  * connection too.
  */
 static void
-control_set (struct server *s, struct httpd_req *req, bool on_service_port)
+control_set (struct etcd_server *s, struct httpd_req *req,
+             bool on_service_port)
 {
   char *text = str_dup (httpd_get (req)->body);
   json_object *o = json_tokener_parse (text);
@@ -320,7 +321,7 @@
 }
 
 static void
-control_counts (struct server *s, struct httpd_req *req)
+control_counts (struct etcd_server *s, struct httpd_req *req)
 {
   const struct counts *n = &s->counts;
   struct buf out = BUF_INIT;
@@ -356,7 +357,7 @@
 }
 
 static void
-control_dump (struct server *s, struct httpd_req *req)
+control_dump (struct etcd_server *s, struct httpd_req *req)
 {
   struct buf out = BUF_INIT;
   GHashTableIter it;
@@ -381,7 +382,8 @@
 }
 
 static void
-handle_request (struct server *s, struct httpd_req *req, bool on_service_port)
+handle_request (struct etcd_server *s, struct httpd_req *req,
+                bool on_service_port)
 {
   struct str path = httpd_get (req)->path;
 
@@ -412,14 +414,14 @@
 static void
 on_tick (uv_timer_t *t)
 {
-  struct server *s = t->data;
+  struct etcd_server *s = t->data;
 
   if (kv_expire (&s->kv, clk_now ()))
     store_notify_watches (s);
 }
 
 static bool
-serve (struct server *s, struct httpd **d, struct net_addr *at,
+serve (struct etcd_server *s, struct httpd **d, struct net_addr *at,
        httpd_handler handler)
 {
   struct buf err = BUF_INIT;
@@ -435,7 +437,7 @@
 }
 
 static int
-run (struct server *s, const char *listen)
+run (struct etcd_server *s, const char *listen)
 {
   struct net_addr control;
 
@@ -464,7 +466,7 @@
 int
 standin_store (int argc, char **argv)
 {
-  static struct server s;
+  static struct etcd_server s;
   char *listen = NULL;
   GOptionEntry entries[]
       = { { "listen", 0, 0, G_OPTION_ARG_STRING, &listen, "address", "ADDR" },
