--- a/standins/control.c
+++ b/standins/control.c
@@ -1,4 +1,4 @@
-/* Stand-in for a node's control process, as its gateway sees it.
+/* Stand-in for a node's control process at the link to its gateway.
 
    POST /control/view sets the view, which is sent at once and then every
    second:
@@ -33,8 +33,7 @@
   json_object *view;
   uint64_t seq;
   json_object *hello, *report;
-  struct httpd_req
-      *trace_req; /**< /control/trace request without answer yet */
+  struct httpd_req *trace_req; /**< pending /control/trace request */
 };
 
 /* ---- views ---- */
@@ -115,8 +114,8 @@
   free (v->replicas);
 }
 
-/** Sends the configuration text in two chunks, as the control process does
-    for a text that exceeds the size of a frame. */
+/** Sends the configuration in two chunks, as the control process does with a
+    text that exceeds a frame. */
 static void
 send_chunks (struct control *c, const Lapis__View *v, struct str text)
 {
--- a/standins/fault.h
+++ b/standins/fault.h
@@ -29,7 +29,7 @@
   uv_loop_t loop;
   struct httpd *httpd;
   struct fault fault;
-  bool count_by_request;
+  bool count_by_request;       /**< maintain the two tables below */
   GHashTable *runs_by_request; /**< x-request-id -> number of executions */
   GHashTable *runs_by_key;     /**< Idempotency-Key -> number of executions */
   unsigned runs;
@@ -48,7 +48,7 @@
   struct backend *b;
   struct httpd_req *req;
   uv_timer_t timer;
-  bool timed; /**< the timer is initialised */
+  bool timed; /**< unused */
   int status;
   const char *type; /**< content-type */
   struct buf body;
@@ -70,7 +70,8 @@
 /** Handles /control/set and /control/counts; false for any other path. */
 bool backend_control (struct backend *b, struct httpd_req *req);
 
-/** Counts an execution of the request; false if fail_status rejected it. */
+/** Counts an execution.  With fail_status set, rejects the request instead and
+    returns false. */
 bool backend_admit (struct backend *b, struct httpd_req *req);
 
 /** Creates a reply with status 200; the caller sets type, body and pieces. */
--- a/standins/kv.h
+++ b/standins/kv.h
@@ -43,7 +43,7 @@
 
 struct str kv_str (GBytes *b);
 
-/** Entry of a key; NULL if missing. */
+/** Returns NULL if the key is missing. */
 struct kv_entry *kv_get (struct kv *kv, GBytes *key);
 
 /** Whether @p key lies in [from, end).  An empty @p end selects the single
@@ -63,7 +63,7 @@
 /** Grants a lease that expires at @p now + @p ttl; returns its id. */
 int64_t kv_grant (struct kv *kv, clk_ms ttl, clk_ms now);
 
-/** Looks up a lease; NULL if it doesn't exist. */
+/** Returns NULL if the lease doesn't exist. */
 struct kv_lease *kv_find_lease (struct kv *kv, int64_t id);
 
 /** Ends a lease and deletes its keys in one revision. */
@@ -72,9 +72,9 @@
 /** Revokes the expired leases; true if there were any. */
 bool kv_expire (struct kv *kv, clk_ms now);
 
-/** Rolls the revision counter back by @p n without changing the data, so that
-    the last revisions are assigned again.  This is the state of a service
-    restored from an old backup, after all clients rewrote their keys. */
+/** Rolls the revision counter back and keeps the data, so that the last @p n
+    revisions are assigned again.  A service is in this state when it was
+    restored from an old backup and all clients have rewritten their keys. */
 void kv_rewind (struct kv *kv, int64_t n);
 
 /** Copies the revision and the keys without a lease; no leases, no history. */
@@ -84,6 +84,7 @@
     the keys under them are lost. */
 void kv_restore (struct kv *kv, const struct kv *copy);
 
+/** Discards the history. */
 void kv_compact (struct kv *kv);
 
 #endif
--- a/standins/model.c
+++ b/standins/model.c
@@ -14,7 +14,7 @@
   struct backend b;
   int tokens;   /**< response length if the request has no max_tokens */
   int token_ms; /**< delay between tokens of a stream, in ms */
-  int load_ms;  /**< duration of a load order, in ms */
+  int load_ms;  /**< time to load the weights, in ms */
   gboolean ignore_fence;
   gboolean no_counts;
   bool not_ready;
@@ -28,9 +28,9 @@
   int64_t rank; /**< rank in the replica; negative: omitted from the state */
   int64_t fence;
   clk_ms ready_at;
-  int64_t extra_load;
-  unsigned orders;
-  unsigned stale_orders; /**< rejected because of a stale fencing token */
+  int64_t extra_load;    /**< reported load beyond the open requests */
+  unsigned orders;       /**< orders applied */
+  unsigned stale_orders; /**< orders rejected for a stale fencing token */
 };
 
 /* ---- state and orders ---- */
--- a/standins/rack-limit.c
+++ b/standins/rack-limit.c
@@ -4,8 +4,8 @@
 #include "platform/names.h"
 #include "standins/rack.h"
 
-/** Time for the nodes to apply a newly announced limit; requests that arrive
-    earlier are not counted. */
+/** Time that nodes have to apply a newly announced limit; requests that arrive
+    within it are not counted. */
 #define LIMIT_GRACE_MS ((clk_ms)500)
 
 void
--- a/standins/rack-server.c
+++ b/standins/rack-server.c
@@ -213,8 +213,8 @@
   stream_close (st);
 }
 
-/** Whether a member of the replica is unavailable.  A replica produces no
-    events then. */
+/** Whether a member of the replica is unavailable, so that the replica
+    produces no events. */
 static bool
 replica_stalled (const struct server *s)
 {
@@ -240,7 +240,7 @@
     return;
   if (st->next_event > s->rack->events)
     {
-      /* Resumed after the last event: only the end is missing. */
+      /* Resumed after the last event: only the end is left to send. */
       stream_close (st);
       httpd_end (req, true);
       return;
--- a/standins/rack-store.c
+++ b/standins/rack-store.c
@@ -6,7 +6,7 @@
 #include "platform/names.h"
 #include "standins/rack.h"
 
-/** A watch call (long poll) without an answer yet. */
+/** Pending long poll. */
 struct watch_call
 {
   struct rack *r;
@@ -172,8 +172,8 @@
   return n;
 }
 
-/** Answers the watch if it has events, reached its timeout or asks for a
-    revision outside the history; true if the watch has ended. */
+/** Answers the watch if it has events, its timeout has passed or it starts
+    outside the history; true if the watch has ended. */
 static bool
 try_answer_watch (struct rack *r, struct watch_call *w)
 {
--- a/standins/rack.c
+++ b/standins/rack.c
@@ -12,7 +12,8 @@
  *   "event_ms", "events"   delay and number of the events of a stream
  *   "crash_body": TEXT, "crash_ms"   a request with this body crashes every
  *                          server that executes it, after crash_ms
- *   "server": ID           server that the following fields apply to:
+ *   "server": ID           server that the following fields apply to (see
+ *                          struct server; dark: unresponsive):
  *             "dead", "dark", "draining", "unlisted", "unsealed": B,
  *             "fail": STATUS, "cut_after": N, "end_after": N,
  *             "reborn": true   restart with the same id and address,
@@ -21,9 +22,10 @@
  *
  * GET /control/counts returns the number of crashed servers, the executions
  * by server, and the ids of requests executed more than once.  For a server
- * with a limit, limited_arrived counts the requests from half a second after
- * the first response with the limit on, and limited_most is their maximum in
- * any 4 s.  GET /control/runs returns the executions by request id.
+ * with a limit, limited_arrived counts the requests that arrive later than
+ * half a second after the first response with the limit, and limited_most is
+ * their maximum in any 4 s.  GET /control/runs returns the executions by
+ * request id.
  */
 #include <glib.h>
 #include <stdio.h>
--- a/standins/rack.h
+++ b/standins/rack.h
@@ -1,13 +1,13 @@
 /**
  * @file
- * Stand-in for the users' platform: its key-value service and the backend
- * servers registered in it, in one process.
+ * Stand-in for the users' platform in one process: its key-value service and
+ * the backend servers that have an entry there (the server list).
  *
  *   rack.c         command line and control interface
- *   rack-store.c   key-value service
+ *   rack-store.c   key-value service (calls below /kv-)
  *   rack-server.c  backend server: entry in the server list, requests, orders,
  *                  replica membership
- *   rack-limit.c   announced request rate limit, and arrival counts
+ *   rack-limit.c   announced request rate limits, and counts of arrivals
  */
 #ifndef LAPISLINE_STANDINS_RACK_H
 #define LAPISLINE_STANDINS_RACK_H
@@ -22,18 +22,19 @@
 /** State of a server as a member of a replica. */
 enum member_state
 {
-  MEMBER_NONE, /**< in no replica */
-  MEMBER_JOINING,
-  MEMBER_READY,
-  MEMBER_OPEN,
-  MEMBER_CLOSING
+  MEMBER_NONE,    /**< in no replica */
+  MEMBER_JOINING, /**< may still load the model */
+  MEMBER_READY,   /**< accepts no requests */
+  MEMBER_OPEN,    /**< rank 0 only: accepts requests */
+  MEMBER_CLOSING  /**< unused: the stand-in closes at once */
 };
 
 #define LIMIT_WINDOW_MS ((clk_ms)4000)
 /** Maximum number of arrivals recorded per window. */
 #define LIMIT_ARRIVALS 512
 
-/** Request rate limit that a server announces, and the arrivals since. */
+/** Request rate limit that a server announces, and counts of the requests that
+    arrived since. */
 struct rate_limit
 {
   char header_value[32]; /**< value of the response header; empty: no limit */
@@ -52,11 +53,11 @@
   char id[16];
   char addr[32];
   char domain[16];
-  bool engine;
+  bool engine;       /**< runs models; else a server of the plain service */
   bool dead;         /**< port closed; the entry is removed from the list */
   bool unresponsive; /**< ignores new requests and stops streaming */
   bool draining;
-  int64_t start_time; /**< of the process, Unix ms; part of its entry */
+  int64_t start_time; /**< start of the process, Unix ms */
   bool unlisted;   /**< entry removed from the list, requests still served */
   int fail_status; /**< status of plain responses; 0: 200 */
   int cut_after;   /**< after this many events of a stream, send part of the
@@ -113,7 +114,7 @@
 /** Writes a key without a lease. */
 void rack_store_put (struct rack *r, const char *key, const char *value);
 void rack_store_remove (struct rack *r, const char *key);
-/** Answers the watches that have events or reached their timeout. */
+/** Answers the watches that have events or whose timeout has passed. */
 void rack_answer_watches (struct rack *r);
 
 /* rack-limit.c */
@@ -126,8 +127,10 @@
 /* rack-server.c */
 bool rack_server_start (struct server *s);
 struct server *rack_find_server (struct rack *r, const char *id);
-/** Writes the server's entry in the list, or removes it. */
+/** Writes the server's entry, or removes it if the server is dead or
+    unlisted. */
 void rack_server_publish (struct server *s);
+/** Simulates a regular exit: the entry is removed at once. */
 void rack_server_stop (struct server *s);
 /** Simulates a process crash: connections break at once, the entry is removed
     from the list after its expiry time. */
--- a/standins/store-calls.c
+++ b/standins/store-calls.c
@@ -2,6 +2,7 @@
 
 #include <string.h>
 
+/** As in etcd by default. */
 #define MAX_TXN_OPS 128
 
 json_object *
--- a/standins/store-int.h
+++ b/standins/store-int.h
@@ -1,8 +1,8 @@
 /**
  * @file
- * Shared declarations of the key-value service's stand-in: store.c accepts
- * requests and injects faults, store-calls.c implements the calls and
- * store-watch.c the watches.
+ * Shared declarations of the etcd stand-in: store.c accepts requests and
+ * injects faults, store-calls.c implements the calls and store-watch.c the
+ * watches.
  */
 #ifndef LAPISLINE_STANDINS_STORE_INT_H
 #define LAPISLINE_STANDINS_STORE_INT_H
@@ -25,6 +25,7 @@
 struct counts
 {
   unsigned ranges, txns, puts, grants, keeps, revokes, watches;
+  /** Failed compares, answers dropped by a fault, calls while down. */
   unsigned conflicts, lost, refused;
 };
 
@@ -71,7 +72,8 @@
 void store_add_header (struct etcd_server *s, struct buf *out);
 void store_add_kv (struct buf *out, const struct kv_entry *e);
 
-/** Replaces the content of @p out with an error body; returns @p status. */
+/** Replaces the content of @p out with an error body that has the gRPC
+    @p code; returns @p status. */
 int store_error (struct buf *out, int status, int code, const char *text);
 
 /** Looks up a call by its path; NULL if unknown. */
@@ -80,7 +82,7 @@
 void store_watch_open (struct etcd_server *s, struct httpd_req *req,
                        json_object *o);
 
-/** Sends each open watch the changes since its last event. */
+/** Sends each open watch the changes not sent yet and frees closed ones. */
 void store_notify_watches (struct etcd_server *s);
 
 /** Breaks the connections of all watches. */
--- a/standins/store-watch.c
+++ b/standins/store-watch.c
@@ -26,8 +26,8 @@
   buf_add_char (out, '}');
 }
 
-/* Oldest change at or after `revision`; the history is searched from its
-   tail, where the newest changes are. */
+/* Oldest change at or after `revision`.  The search starts at the newest
+   change. */
 static GList *
 first_change_since (struct etcd_server *s, int64_t revision)
 {
@@ -42,8 +42,8 @@
   return first;
 }
 
-/* Sends the changes from w->next_revision on in one message, so that the
-   changes of a revision are never split. */
+/* Sends all changes from w->next_revision on in one message, because the
+   changes of a revision must not be split. */
 static void
 send_changes (struct etcd_server *s, struct watch *w)
 {
--- a/standins/store.c
+++ b/standins/store.c
@@ -1,12 +1,11 @@
 /*
- * Stand-in for the platform's key-value service: the JSON gateway of etcd v3
- * with its size limits.  POST /control/set injects faults.  It is served on
- * the service port and on a separate control port, which stays open while the
- * service is down:
+ * Stand-in for the JSON gateway of etcd v3 with its size limits.  The service
+ * port also serves /control/...; a separate control port stays open while the
+ * service is down.  POST /control/set injects faults:
  *
  *   "down": true, "mode": "refuse" (the port is closed), "silent" (requests
  *       are read and never answered) or "error" (rejected, not applied)
- *   "delay_ms": N          delay before a request is applied
+ *   "delay_ms": N          delay before applying a request
  *   "answer_delay_ms": N   delay between applying and answering
  *   "lose_answer_next": N  apply the next N writes, close without an answer
  *   "lose_read_next": N    close the next N reads without an answer
@@ -29,7 +28,7 @@
 
 #define TICK_MS 20
 
-/* A request that waits to be applied or answered. */
+/* A request not yet applied or not yet answered. */
 struct delayed_request
 {
   uv_timer_t timer;
@@ -295,8 +294,8 @@
 }
 
 /*
- * The faults are in effect when the client receives the answer.  On the
- * service port the answer is sent first, because mode "refuse" closes this
+ * On the control port, the faults are in effect before the answer is sent.  On
+ * the service port they follow the answer, because mode "refuse" closes this
  * connection too.
  */
 static void
