--- a/t/lib-latekv.c
+++ b/t/lib-latekv.c
@@ -6,7 +6,7 @@
 
 struct client
 {
-  struct latekv *at;
+  struct latekv *owner;
   struct pending_response *responses;
 };
 
@@ -62,7 +62,7 @@
 
   a->res.kvs = kvs;
   if (a->key != NULL && a->res.status == STORE_OK)
-    a->res.nkvs = memkv_list (a->client->at->kv, str_from (a->key),
+    a->res.nkvs = memkv_list (a->client->owner->kv, str_from (a->key),
                               str_from (a->end), kvs, MAX_KVS);
   a->cb (a->ctx, &a->res);
   drop_response (a);
@@ -77,8 +77,8 @@
     .client = c, .next = c->responses, .cb = cb, .ctx = ctx
   };
   c->responses = a;
-  a->res.status = c->at->unavailable ? STORE_UNAVAILABLE : STORE_OK;
-  uv_timer_init (c->at->loop, &a->timer);
+  a->res.status = c->owner->unavailable ? STORE_UNAVAILABLE : STORE_OK;
+  uv_timer_init (c->owner->loop, &a->timer);
   a->timer.data = a;
   uv_timer_start (&a->timer, on_response_timer, 1, 0);
   return a;
@@ -97,16 +97,16 @@
 late_txn (void *self, const struct store_txn *txn, store_cb cb, void *ctx)
 {
   struct pending_response *a = schedule_response (self, cb, ctx);
-  struct latekv *at = a->client->at;
+  struct latekv *k = a->client->owner;
 
-  if (at->unavailable)
+  if (k->unavailable)
     return;
   a->res.status = STORE_CONFLICT;
-  if (!at->lease_lost)
-    a->res = memkv_txn (at->kv, txn);
-  if (at->loses_response)
+  if (!k->lease_lost)
+    a->res = memkv_txn (k->kv, txn);
+  if (k->loses_response)
     a->res.status = STORE_UNCERTAIN;
-  at->loses_response = false;
+  k->loses_response = false;
 }
 
 static void
@@ -115,19 +115,19 @@
   struct pending_response *a = schedule_response (self, cb, ctx);
 
   if (a->res.status == STORE_OK)
-    a->res.lease = ++a->client->at->last_lease;
+    a->res.lease = ++a->client->owner->last_lease;
 }
 
 static void
 late_keep (void *self, int64_t lease, store_cb cb, void *ctx)
 {
   struct pending_response *a = schedule_response (self, cb, ctx);
-  struct latekv *at = a->client->at;
+  struct latekv *k = a->client->owner;
 
-  if (a->res.status == STORE_OK && at->lease_lost)
+  if (a->res.status == STORE_OK && k->lease_lost)
     a->res.status = STORE_GONE;
   if (a->res.status == STORE_OK)
-    at->renewed_at = clk_now ();
+    k->renewed_at = clk_now ();
 }
 
 static void
@@ -136,7 +136,7 @@
   struct pending_response *a = schedule_response (self, cb, ctx);
 
   if (a->res.status == STORE_OK)
-    memkv_revoke (a->client->at->kv, lease);
+    memkv_revoke (a->client->owner->kv, lease);
 }
 
 static void
@@ -161,6 +161,6 @@
   static const struct store_budget budget = { 1000, 1000 };
   struct client *c = xcalloc (1, sizeof *c);
 
-  c->at = k;
+  c->owner = k;
   return store_new (k->loop, &ops, c, &budget);
 }
--- a/t/lib-many.c
+++ b/t/lib-many.c
@@ -48,7 +48,7 @@
 
 /** Sends a request over the open or a new connection; its status, or 0. */
 static int
-send_request (struct checker *c, const struct ver_request *a, const char *id)
+send_request (struct checker *c, const struct ver_request *req, const char *id)
 {
   const char *addr = c->m->s.r.front[c->node];
   char path[32] = "/safe/x", headers[256];
@@ -56,12 +56,12 @@
   enum web_read got = WEB_BYTES;
   int status;
 
-  if (a->item && !a->by_key)
-    snprintf (path, sizeof path, "/a%u/x", a->item);
+  if (req->item && !req->by_key)
+    snprintf (path, sizeof path, "/a%u/x", req->item);
   snprintf (headers, sizeof headers,
             "Host: h\r\nX-Lapisline-Request-Id: %s\r\nX-Api-Key: %c%u\r\n", id,
-            a->item && a->by_key ? 'a' : 'k',
-            a->item && a->by_key ? a->item : 1);
+            req->item && req->by_key ? 'a' : 'k',
+            req->item && req->by_key ? req->item : 1);
   if (!c->conn || !web_next (c->conn, addr, "POST", path, headers, "hello"))
     {
       web_close (c->conn);
@@ -80,7 +80,7 @@
 struct observation
 {
   const struct checker *c;
-  const struct ver_request *a;
+  const struct ver_request *request;
   int status;
   unsigned required;
 };
@@ -105,69 +105,73 @@
 }
 
 static void
-report_violation (const struct observation *f, const char *what)
+report_violation (const struct observation *obs, const char *what)
 {
-  struct many *m = f->c->m;
-  const struct soak_node *d = &m->s.node[f->c->node];
-  const struct ver_request *a = f->a;
+  struct many *m = obs->c->m;
+  const struct soak_node *state = &m->s.node[obs->c->node];
+  const struct ver_request *req = obs->request;
   struct buf text = BUF_INIT;
 
   add_timestamp (&text);
   buf_addf (&text,
             " %s: node-%d, %s of version %u (removed by %u): status %d;", what,
-            f->c->node + 1, a->by_key ? "key" : "route", a->item,
-            m->vs.v[a->item].removed_by, f->status);
+            obs->c->node + 1, req->by_key ? "key" : "route", req->item,
+            m->vs.v[req->item].removed_by, obs->status);
   buf_addf (&text,
             " sent at %d ms, answered at %d ms; required version %u,"
             " acknowledged at %d ms;",
-            ms_since_start (m, a->sent_at), ms_since_start (m, a->answered_at),
-            f->required, ms_since_start (m, m->vs.v[f->required].acked_at));
+            ms_since_start (m, req->sent_at),
+            ms_since_start (m, req->answered_at), obs->required,
+            ms_since_start (m, m->vs.v[obs->required].acked_at));
   buf_addf (&text, " node had version %u at %d ms; newest %u;",
-            f->c->min_version, ms_since_start (m, f->c->min_version_at),
+            obs->c->min_version, ms_since_start (m, obs->c->min_version_at),
             m->vs.newest);
-  buf_addf (
-      &text, " node disturbed at %d ms, paused at %d ms; store fault at %d ms",
-      ms_since_start (m, d->disturbed_at), ms_since_start (m, d->paused_at),
-      ms_since_start (m, m->s.store_fault_at));
+  buf_addf (&text,
+            " node disturbed at %d ms, paused at %d ms; store fault at %d ms",
+            ms_since_start (m, state->disturbed_at),
+            ms_since_start (m, state->paused_at),
+            ms_since_start (m, m->s.store_fault_at));
   soak_add_violation (&m->s, buf_c (&text));
   buf_free (&text);
 }
 
 /** Whether the node was undisturbed since RECOVERY_MS before @p sent. */
 static bool
-was_reachable (const struct soak_node *d, clk_ms sent)
+was_undisturbed (const struct soak_node *state, clk_ms sent)
 {
-  return !d->paused && d->disturbed_at < sent - RECOVERY_MS;
+  return !state->paused && state->disturbed_at < sent - RECOVERY_MS;
 }
 
 static bool
-was_paused (const struct soak_node *d, clk_ms sent)
+was_paused (const struct soak_node *state, clk_ms sent)
 {
-  return d->paused || (d->paused_at && d->paused_at >= sent - RECOVERY_MS);
+  return state->paused
+         || (state->paused_at && state->paused_at >= sent - RECOVERY_MS);
 }
 
 /** Whether the response agrees only with versions older than the one required
    @p bound after its acknowledgement. */
 static bool
-is_stale (struct observation *f, clk_ms bound)
+is_stale (struct observation *obs, clk_ms bound)
 {
-  const struct versions *vs = &f->c->m->vs;
+  const struct versions *vs = &obs->c->m->vs;
 
-  f->required = ver_newest_acked (vs, f->a->sent_at - bound - 1);
-  return f->required && ver_oldest_match (vs, f->a, f->required) == 0;
+  obs->required = ver_newest_acked (vs, obs->request->sent_at - bound - 1);
+  return obs->required
+         && ver_oldest_match (vs, obs->request, obs->required) == 0;
 }
 
 /** Clients don't retry a denial, so no node may deny by an outdated version,
    not even a disturbed one. */
 static void
-check_denial (const struct many *m, struct observation *f)
+check_denial (const struct many *m, struct observation *obs)
 {
-  const struct soak_node *d = &m->s.node[f->c->node];
+  const struct soak_node *state = &m->s.node[obs->c->node];
 
-  if (f->a->denied && is_stale (f, CONFIG_APPLY_MS))
-    report_violation (f, was_paused (d, f->a->sent_at)
-                             ? "denied by an outdated version after a pause"
-                             : "denied by an outdated version");
+  if (obs->request->denied && is_stale (obs, CONFIG_APPLY_MS))
+    report_violation (obs, was_paused (state, obs->request->sent_at)
+                               ? "denied by an outdated version after a pause"
+                               : "denied by an outdated version");
 }
 
 static bool
@@ -178,33 +182,34 @@
 
 /** An undisturbed node applies each version within the bound. */
 static void
-check_deadline (struct many *m, struct observation *f)
+check_deadline (struct many *m, struct observation *obs)
 {
   const struct soak *s = &m->s;
-  clk_ms sent = f->a->sent_at, bound = CONFIG_APPLY_MS;
+  clk_ms sent = obs->request->sent_at, bound = CONFIG_APPLY_MS;
   bool late;
 
-  if (!was_reachable (&s->node[f->c->node], sent))
+  if (!was_undisturbed (&s->node[obs->c->node], sent))
     return;
   if (!store_was_available (s, sent))
     bound += STORE_FAULT_EXTRA_MS;
-  late = is_stale (f, bound);
-  m->bound_checked += f->required > 0;
+  late = is_stale (obs, bound);
+  m->deadline_checked += obs->required > 0;
   if (late)
-    report_violation (f, "version not applied in time");
+    report_violation (obs, "version not applied in time");
 }
 
 /** Counts successes of undisturbed nodes, by initial and added items. */
 static void
 count_success (struct many *m, const struct checker *c,
-               const struct ver_request *a, bool served)
+               const struct ver_request *req, bool served)
 {
-  struct many_success *counter = a->item ? &m->added : &m->initial;
+  struct many_success *counter = req->item ? &m->added : &m->initial;
 
-  if (!was_reachable (&m->s.node[c->node], a->sent_at)
-      || !store_was_available (&m->s, a->sent_at)
-      || m->vs.v[a->item].removed_by
-      || a->item > ver_newest_acked (&m->vs, a->sent_at - CONFIG_APPLY_MS - 1))
+  if (!was_undisturbed (&m->s.node[c->node], req->sent_at)
+      || !store_was_available (&m->s, req->sent_at)
+      || m->vs.v[req->item].removed_by
+      || req->item
+             > ver_newest_acked (&m->vs, req->sent_at - CONFIG_APPLY_MS - 1))
     return;
   counter->requests++;
   counter->served += served;
@@ -212,37 +217,38 @@
 
 /** One process never returns to an older version. */
 static void
-check_no_rollback (struct checker *c, const struct observation *f)
+check_no_rollback (struct checker *c, const struct observation *obs)
 {
   const struct versions *vs = &c->m->vs;
-  unsigned oldest = ver_oldest_match (vs, f->a, c->min_version);
+  unsigned oldest = ver_oldest_match (vs, obs->request, c->min_version);
 
-  if (oldest == 0 && f->a->sent_at > c->min_version_at + ROLLBACK_GRACE_MS)
-    report_violation (f, "returned to an older version");
+  if (oldest == 0
+      && obs->request->sent_at > c->min_version_at + ROLLBACK_GRACE_MS)
+    report_violation (obs, "returned to an older version");
   if (oldest <= c->min_version)
     return;
   c->min_version = oldest;
-  c->min_version_at = f->a->answered_at;
+  c->min_version_at = obs->request->answered_at;
 }
 
 static void
-check_answer (struct checker *c, const struct ver_request *a, int status)
+check_answer (struct checker *c, const struct ver_request *req, int status)
 {
   struct many *m = c->m;
-  struct observation f = { .c = c, .a = a, .status = status };
+  struct observation obs = { .c = c, .request = req, .status = status };
   unsigned incarnation = m->s.node[c->node].incarnation;
 
   m->conclusive++;
-  m->served += !a->denied;
-  if (a->item == 0 && a->denied)
-    report_violation (&f, "denied a request that all versions allow");
-  if (a->item == 0)
+  m->served += !req->denied;
+  if (req->item == 0 && req->denied)
+    report_violation (&obs, "denied a request that all versions allow");
+  if (req->item == 0)
     return;
-  check_denial (m, &f);
-  check_deadline (m, &f);
+  check_denial (m, &obs);
+  check_deadline (m, &obs);
   /* Either process may have sent a response received during a restart. */
   if (incarnation == c->incarnation)
-    check_no_rollback (c, &f);
+    check_no_rollback (c, &obs);
 }
 
 void
@@ -250,14 +256,14 @@
 {
   struct checker *c = t->ctx;
   struct many *m = c->m;
-  struct ver_request a;
+  struct ver_request req;
   unsigned incarnation;
   char id[32];
   bool served;
   int status;
 
   pthread_mutex_lock (&m->s.lock);
-  ver_pick_request (&m->vs, &t->rng, &a);
+  ver_pick_request (&m->vs, &t->rng, &req);
   incarnation = m->s.node[c->node].incarnation;
   if (incarnation != c->incarnation)
     *c = (struct checker){
@@ -265,16 +271,16 @@
     };
   pthread_mutex_unlock (&m->s.lock);
   snprintf (id, sizeof id, "c%u-%u", t->number, t->steps);
-  a.sent_at = clk_now ();
-  status = send_request (c, &a, id);
-  a.answered_at = clk_now ();
-  a.denied = status == 401 || status == 403 || status == 404;
+  req.sent_at = clk_now ();
+  status = send_request (c, &req, id);
+  req.answered_at = clk_now ();
+  req.denied = status == 401 || status == 403 || status == 404;
   pthread_mutex_lock (&m->s.lock);
   m->requests++;
   served = status >= 200 && status < 300;
-  count_success (m, c, &a, served);
-  if (a.denied || served)
-    check_answer (c, &a, status);
+  count_success (m, c, &req, served);
+  if (req.denied || served)
+    check_answer (c, &req, status);
   pthread_mutex_unlock (&m->s.lock);
   soak_random_sleep (&t->rng, 2 * REQUEST_INTERVAL_MS * m->s.nodes);
 }
@@ -348,7 +354,7 @@
   cr_log_info ("seed %llu: %u versions; %u requests, %u conclusive, %u served,"
                " %u checked against the limit; added items: %u of %u served",
                (unsigned long long)m->s.seed, m->vs.newest, m->requests,
-               m->conclusive, m->served, m->bound_checked, m->added.served,
+               m->conclusive, m->served, m->deadline_checked, m->added.served,
                m->added.requests);
   cr_expect_gt (m->conclusive, m->requests / 4, "%u of %u requests conclusive",
                 m->conclusive, m->requests);
--- a/t/lib-many.h
+++ b/t/lib-many.h
@@ -27,7 +27,7 @@
   unsigned requests;
   unsigned conclusive;         /**< requests that were served or denied */
   unsigned served;             /**< conclusive requests that were served */
-  unsigned bound_checked;      /**< conclusive, checked against the limit */
+  unsigned deadline_checked;   /**< conclusive, checked against the limit */
   struct many_success initial; /**< for items in all versions */
   struct many_success added;   /**< for items of versions in force */
 };
--- a/t/lib-proc.c
+++ b/t/lib-proc.c
@@ -85,11 +85,11 @@
 }
 
 static struct proc *
-spawn (const char *const argv[], int out, int in)
+spawn (const char *const argv[], int out, int read_fd)
 {
   cr_assert (nprocs < MAX_PROCS, "too many processes");
   struct proc *p = &procs[nprocs++];
-  *p = (struct proc){ .out_fd = in };
+  *p = (struct proc){ .out_fd = read_fd };
   p->pid = fork ();
   if (p->pid == 0)
     run_child (argv, out);
--- a/t/lib-rack.c
+++ b/t/lib-rack.c
@@ -31,7 +31,7 @@
   snprintf (name, sizeof name, "node-%d.json", node + 1);
   snprintf (r->front[node], sizeof r->front[node], "127.0.0.1:%d", port[0]);
   snprintf (r->ready[node], sizeof r->ready[node], "127.0.0.1:%d", port[1]);
-  snprintf (r->address[node], sizeof r->address[node], "127.0.0.1:%d",
+  snprintf (r->directory[node], sizeof r->directory[node], "127.0.0.1:%d",
             port[2]);
   snprintf (
       r->settings[node], sizeof r->settings[node], "%s",
--- a/t/lib-rack.h
+++ b/t/lib-rack.h
@@ -24,7 +24,7 @@
   char settings[RACK_MAX_NODES][256]; /**< paths of settings files */
   char front[RACK_MAX_NODES][32];
   char ready[RACK_MAX_NODES][32];
-  char address[RACK_MAX_NODES][32];
+  char directory[RACK_MAX_NODES][32];
 };
 
 /** Starts the platform with @p engines engine servers and writes settings for
--- a/t/lib-soak.c
+++ b/t/lib-soak.c
@@ -119,16 +119,16 @@
 static void
 restart_node (struct soak *s, int node)
 {
-  struct soak_node *d = &s->node[node];
+  struct soak_node *state = &s->node[node];
 
   proc_wait (s->r.node[node], PROC_WAIT_MS);
   pthread_mutex_lock (&s->lock);
-  d->incarnation++;
+  state->incarnation++;
   mark_disturbed (s, node);
   pthread_mutex_unlock (&s->lock);
   rack_start_node (&s->r, node);
   pthread_mutex_lock (&s->lock);
-  d->restarting = false;
+  state->restarting = false;
   mark_disturbed (s, node);
   pthread_mutex_unlock (&s->lock);
 }
@@ -146,13 +146,13 @@
   pthread_mutex_lock (&s->lock);
   for (int i = 0; i < n; i++)
     {
-      struct soak_node *d = &s->node[nodes[i]];
-      if (d->restarting || (sig == SIGCONT && !d->paused))
+      struct soak_node *state = &s->node[nodes[i]];
+      if (state->restarting || (sig == SIGCONT && !state->paused))
         continue;
       mark_disturbed (s, nodes[i]);
-      d->paused = sig == SIGSTOP;
+      state->paused = sig == SIGSTOP;
       if (sig == SIGSTOP || sig == SIGCONT)
-        d->paused_at = d->disturbed_at;
+        state->paused_at = state->disturbed_at;
       proc_signal (s->r.node[nodes[i]], sig);
     }
   pthread_mutex_unlock (&s->lock);
--- a/t/lib-versions.c
+++ b/t/lib-versions.c
@@ -67,17 +67,17 @@
 
 void
 ver_pick_request (const struct versions *vs, struct rng *rng,
-                  struct ver_request *a)
+                  struct ver_request *req)
 {
   unsigned age = (unsigned)rng_below (rng, RECENT_VERSIONS);
   unsigned version = vs->newest > age ? vs->newest - age : 0;
   bool removed = rng_below (rng, 2);
 
-  a->item = 0;
-  a->by_key = rng_below (rng, 2);
+  req->item = 0;
+  req->by_key = rng_below (rng, 2);
   if (rng_below (rng, ALWAYS_ALLOWED_ONE_IN) == 0 || version < 2)
     return;
-  a->item = removed ? pick_removed_item (vs, rng, version) : version;
+  req->item = removed ? pick_removed_item (vs, rng, version) : version;
 }
 
 unsigned
@@ -91,12 +91,12 @@
 }
 
 unsigned
-ver_oldest_match (const struct versions *vs, const struct ver_request *a,
+ver_oldest_match (const struct versions *vs, const struct ver_request *req,
                   unsigned from)
 {
   for (unsigned v = from ? from : 1; v <= vs->newest; v++)
-    if (vs->v[v].sent_at <= a->answered_at
-        && has_item (vs, v, a->item) != a->denied)
+    if (vs->v[v].sent_at <= req->answered_at
+        && has_item (vs, v, req->item) != req->denied)
       return v;
   return 0;
 }
--- a/t/lib-versions.h
+++ b/t/lib-versions.h
@@ -49,7 +49,7 @@
 
 /** Picks a random request, mostly for a recently added or removed item. */
 void ver_pick_request (const struct versions *vs, struct rng *rng,
-                       struct ver_request *a);
+                       struct ver_request *req);
 
 /** Newest version that the store acknowledged by @p at; 0: none. */
 unsigned ver_newest_acked (const struct versions *vs, clk_ms at);
@@ -60,6 +60,6 @@
  * came, that handles the request this way; 0: only older versions do
  */
 unsigned ver_oldest_match (const struct versions *vs,
-                           const struct ver_request *a, unsigned from);
+                           const struct ver_request *req, unsigned from);
 
 #endif
--- a/t/lib-web.c
+++ b/t/lib-web.c
@@ -190,13 +190,13 @@
   return s->status;
 }
 
-/* Moves up to `left` received bytes to `out`. */
+/* Moves up to `max` received bytes to `out`. */
 static size_t
-consume_bytes (struct web_stream *s, struct buf *out, size_t left)
+consume_bytes (struct web_stream *s, struct buf *out, size_t max)
 {
-  struct str some = str_head (buf_str (&s->input), left);
-  size_t n = some.len;
-  buf_add (out, some);
+  struct str part = str_head (buf_str (&s->input), max);
+  size_t n = part.len;
+  buf_add (out, part);
   buf_consume (&s->input, n);
   return n;
 }
--- a/t/t9301-serve.c
+++ b/t/t9301-serve.c
@@ -46,10 +46,12 @@
                            "X-Api-Key: other\r\n",
                            NULL),
                 401);
-  cr_expect (web_poll_until (r.address[0], "/resolve?name=h&region=r&zone=z1",
-                             NULL, r.front[1], PROC_WAIT_MS));
-  cr_expect (web_poll_until (r.address[1], "/resolve?name=h&region=r&zone=z1",
-                             NULL, r.front[0], PROC_WAIT_MS));
+  cr_expect (web_poll_until (r.directory[0],
+                             "/resolve?name=h&region=r&zone=z1", NULL,
+                             r.front[1], PROC_WAIT_MS));
+  cr_expect (web_poll_until (r.directory[1],
+                             "/resolve?name=h&region=r&zone=z1", NULL,
+                             r.front[0], PROC_WAIT_MS));
   buf_free (&body);
 }
 
@@ -258,7 +260,7 @@
   web_call (r.ready[0], "GET", "/ready", NULL, NULL, &a);
   cr_expect_eq (a.status, 503);
   web_free (&a);
-  web_call (r.address[1], "GET", "/resolve?name=h", NULL, NULL, &a);
+  web_call (r.directory[1], "GET", "/resolve?name=h", NULL, NULL, &a);
   cr_expect_null (strstr (buf_c (&a.body), r.front[0]));
   web_free (&a);
   while (web_read (w, &body, PROC_WAIT_MS) == WEB_BYTES)
--- a/t/t9302-walk.c
+++ b/t/t9302-walk.c
@@ -36,7 +36,7 @@
 
 /** Kills the node; its log is complete then. */
 static void
-end_node (const struct rack *r, int n)
+kill_node (const struct rack *r, int n)
 {
   proc_signal (r->node[n], SIGKILL);
   proc_wait (r->node[n], PROC_WAIT_MS);
@@ -72,7 +72,7 @@
   rack_set (&r, "{\"server\": \"e3\", \"dead\": true}");
   cr_assert (
       rack_call_until (&r, 0, "/stream/x", rack_headers ("walk-1"), 503));
-  end_node (&r, 0);
+  kill_node (&r, 0);
   const char *line = expect_line (&r, 0, "request_failed", "id=\"walk-1\"");
   expect_text (line, "code=\"no-server\"");
   line = expect_line (&r, 0, "servers_changed", "places=");
@@ -95,7 +95,7 @@
   rack_set (&r, "{\"server\": \"e3\", \"cut_after\": 3}");
   rack_set (&r, "{\"server\": \"e4\", \"cut_after\": 3}");
   cr_expect_lt (rack_stream (&r, 0, "walk-2", &body), 0);
-  end_node (&r, 0);
+  kill_node (&r, 0);
   const char *line = expect_line (&r, 0, "request_ended", "id=\"walk-2\"");
   expect_text (line, "status=200");
   expect_text (line, "code=\"broken\"");
@@ -117,7 +117,7 @@
   rack_set (&r, "{\"server\": \"p1\", \"dark\": true}");
   rack_set (&r, "{\"server\": \"p2\", \"dark\": true}");
   cr_expect_eq (rack_call (&r, 0, "/once/x", "walk-3", NULL, NULL), 504);
-  end_node (&r, 0);
+  kill_node (&r, 0);
   const char *line = expect_line (&r, 0, "request_ended", "id=\"walk-3\"");
   expect_text (line, "code=\"deadline\"");
   expect_text (line, "attempts=1");
--- a/t/t9304-many.c
+++ b/t/t9304-many.c
@@ -13,13 +13,13 @@
 
 TestSuite (many_nodes, .fini = proc_stop_all, .timeout = 120);
 
-static struct relay *tcp_relay;
+static struct relay *tcp_proxy;
 
 static const char *
-connect_by_relay (const char *at)
+connect_by_proxy (const char *at)
 {
-  tcp_relay = relay_new (at, at);
-  return relay_addr (tcp_relay, 0);
+  tcp_proxy = relay_new (at, at);
+  return relay_addr (tcp_proxy, 0);
 }
 
 /*
@@ -33,7 +33,7 @@
   struct rack r;
   const int last = RACK_MANY_NODES - 1;
 
-  rack_prepare_nodes (&r, 4, RACK_MANY_NODES, connect_by_relay);
+  rack_prepare_nodes (&r, 4, RACK_MANY_NODES, connect_by_proxy);
   rack_configure (&r, 1, "k1", "");
   for (int i = 0; i < RACK_MANY_NODES; i++)
     rack_start_node (&r, i);
@@ -41,7 +41,7 @@
     cr_assert (rack_call_until (&r, i, "/once/x", rack_headers ("warm"), 200));
   /* All nodes have received the leader's reports by now. */
   usleep (3000000);
-  relay_close_connections (tcp_relay);
+  relay_close_connections (tcp_proxy);
   rack_configure (&r, 2, "k2", "");
   usleep (2000000);
   for (int i = 0; i < RACK_MANY_NODES; i++)
--- a/t/t9401-soak.c
+++ b/t/t9401-soak.c
@@ -35,7 +35,7 @@
 struct two_nodes
 {
   struct soak s;
-  unsigned asked, served;
+  unsigned requests, served;
   struct buf refused; /* ids refused as "not run", one per line */
 };
 
@@ -119,7 +119,7 @@
   buf_c (&a.body);
   check_answer (two, id, stream, &a);
   pthread_mutex_lock (&s->lock);
-  two->asked++;
+  two->requests++;
   two->served += a.status == 200 && a.whole;
   pthread_mutex_unlock (&s->lock);
   if (a.status != 200)
@@ -203,16 +203,16 @@
   unsigned before = count_disturbances (s);
   bool engine = rng_below (&t->rng, 2);
   char id[16];
-  int most;
+  int max;
 
   snprintf (id, sizeof id, "%c%d", engine ? 'e' : 'p',
             1 + (int)rng_below (&t->rng, engine ? ENGINES : PLAIN_SERVERS));
   rack_set (&s->r, "{\"server\": \"%s\", \"limit\": \"%g\"}", id, rate);
   usleep (500000 + (useconds_t)rng_below (&t->rng, 4000000));
-  most = rack_get_count (&s->r, id, "limited_most");
-  if (count_disturbances (s) == before && most > (int)(1.5 * rate * 4) + 5)
+  max = rack_get_count (&s->r, id, "limited_most");
+  if (count_disturbances (s) == before && max > (int)(1.5 * rate * 4) + 5)
     soak_report_violation (s, "%s: over its limit, %d requests in 4 s", id,
-                           most);
+                           max);
   rack_set (&s->r, "{\"server\": \"%s\", \"limit\": \"\"}", id);
   soak_random_sleep (&t->rng, FAULT_INTERVAL_MS);
 }
@@ -301,10 +301,10 @@
           rack_call_until (&s->r, i, "/once/x", rack_headers ("end"), 200),
           "node %d serves no call after the faults", i + 1);
     }
-  cr_expect_gt (two.served, two.asked / 10, "served %u of %u", two.served,
-                two.asked);
+  cr_expect_gt (two.served, two.requests / 10, "served %u of %u", two.served,
+                two.requests);
   cr_log_info ("seed %llu: %u of %u served", (unsigned long long)seed,
-               two.served, two.asked);
+               two.served, two.requests);
   buf_free (&two.refused);
   soak_finish (s);
 }
@@ -325,7 +325,7 @@
 /* --- versions at many nodes -------------------------------------------- */
 
 static void
-configure (struct many *m)
+store_next_version (struct many *m)
 {
   struct buf key = BUF_INIT, routes = BUF_INIT;
   unsigned version = many_next_version (m, &key, &routes);
@@ -338,23 +338,23 @@
 
 /** Stores a version shortly before or after the calling thread's next step. */
 static void
-configure_and_wait (struct soak_thread *t)
+store_version_and_wait (struct soak_thread *t)
 {
-  configure (t->ctx);
+  store_next_version (t->ctx);
   soak_random_sleep (&t->rng, 60);
 }
 
 static void
 run_operator (struct soak_thread *t)
 {
-  configure (t->ctx);
+  store_next_version (t->ctx);
   usleep (700000);
   soak_random_sleep (&t->rng, 600);
 }
 
 /** Number of relays; with @p times 2, the nodes that replace them included. */
 static int
-relay_candidates (const struct many *m, int times)
+count_relay_candidates (const struct many *m, int times)
 {
   return times * RELAYS < m->s.nodes ? times * RELAYS : m->s.nodes;
 }
@@ -367,19 +367,19 @@
   struct many *m = t->ctx;
   int sig = rng_below (&t->rng, 4) ? SIGKILL : SIGTERM;
   bool twice = rng_below (&t->rng, 2), after = rng_below (&t->rng, 2);
-  int first = relay_candidates (m, 1),
-      all = relay_candidates (m, twice ? 2 : 1);
+  int nrelays = count_relay_candidates (m, 1),
+      nstopped = count_relay_candidates (m, twice ? 2 : 1);
 
   if (after)
-    configure_and_wait (t);
-  soak_signal_exit (t->s, m->relay_order, first, sig);
+    store_version_and_wait (t);
+  soak_signal_exit (t->s, m->relay_order, nrelays, sig);
   soak_random_sleep (&t->rng, 60);
   if (!after)
-    configure (m);
+    store_next_version (m);
   soak_random_sleep (&t->rng, 1500);
-  soak_signal_exit (t->s, m->relay_order + first, all - first, sig);
+  soak_signal_exit (t->s, m->relay_order + nrelays, nstopped - nrelays, sig);
   soak_random_sleep (&t->rng, 1500);
-  soak_restart (t->s, m->relay_order, all);
+  soak_restart (t->s, m->relay_order, nstopped);
 }
 
 static void
@@ -415,13 +415,13 @@
 pause_relays (struct soak_thread *t)
 {
   struct many *m = t->ctx;
-  int n = relay_candidates (m, rng_below (&t->rng, 2) ? 1 : 2);
+  int n = count_relay_candidates (m, rng_below (&t->rng, 2) ? 1 : 2);
 
   if (rng_below (&t->rng, 2))
-    configure_and_wait (t);
+    store_version_and_wait (t);
   soak_signal (t->s, m->relay_order, n, SIGSTOP);
   soak_random_sleep (&t->rng, 60);
-  configure (m);
+  store_next_version (m);
   usleep (500000);
   soak_random_sleep (&t->rng, 3000);
   soak_signal (t->s, m->relay_order, n, SIGCONT);
@@ -470,18 +470,18 @@
 /** Injects one fault of a series. The seed selects the longest pause after it,
    or disables the series. */
 static void
-fail_many (struct soak_thread *t)
+inject_series_fault (struct soak_thread *t)
 {
   static void (*const series[]) (struct soak_thread *)
       = { [SERIES_STOPS] = stop_nodes,
           [SERIES_PAUSES] = pause_nodes,
           [SERIES_STORE] = fail_store_of_many };
-  static const clk_ms rests[] = { 700, 2500, 7000, 0 };
-  clk_ms most = rests[(t->s->seed >> (2 * t->number)) % 4];
+  static const clk_ms max_sleeps[] = { 700, 2500, 7000, 0 };
+  clk_ms max_sleep = max_sleeps[(t->s->seed >> (2 * t->number)) % 4];
 
-  if (most)
+  if (max_sleep)
     series[t->number](t);
-  soak_random_sleep (&t->rng, most ? most : 500);
+  soak_random_sleep (&t->rng, max_sleep ? max_sleep : 500);
 }
 
 static void
@@ -492,12 +492,14 @@
   struct soak_thread threads[SOAK_THREADS] = { 0 };
 
   many_init (&m, seed, (int)nodes);
-  configure (&m);
+  store_next_version (&m);
   many_start_nodes (&m);
   for (unsigned i = 0; i < CHECKERS; i++)
-    threads[i] = (struct soak_thread){
-      .number = i, .step = i == OPERATOR ? run_operator : fail_many, .ctx = &m
-    };
+    threads[i]
+        = (struct soak_thread){ .number = i,
+                                .step = i == OPERATOR ? run_operator
+                                                      : inject_series_fault,
+                                .ctx = &m };
   for (unsigned i = 0; i < nodes; i++)
     {
       c[i] = (struct checker){ .m = &m, .node = (int)i };
