--- a/t/lib-latekv.c
+++ b/t/lib-latekv.c
@@ -18,7 +18,7 @@
   store_cb cb;
   void *ctx;
   struct store_result res;
-  char *key, *end; /* of a range, read when the timer fires; or NULL */
+  char *key, *end; /* range to read when the timer fires; NULL: none */
 };
 
 void
--- a/t/lib-latekv.h
+++ b/t/lib-latekv.h
@@ -1,7 +1,7 @@
 /**
  * @file
- * In-memory store behind store/store.h that responds asynchronously, in a
- * later iteration of the loop, with faults set by the test.
+ * In-memory store behind store/store.h. It responds in a later iteration of
+ * the loop, with faults set by the test.
  */
 #ifndef LAPISLINE_T_LIB_LATEKV_H
 #define LAPISLINE_T_LIB_LATEKV_H
--- a/t/lib-many.c
+++ b/t/lib-many.c
@@ -8,16 +8,16 @@
 
 /** Limit for applying a stored version; config_apply_ms of the settings. */
 #define CONFIG_APPLY_MS ((clk_ms)2000)
-/** Added to the limit after a recent store failure. */
+/** Added to CONFIG_APPLY_MS during a store fault and RECOVERY_MS after it. */
 #define STORE_FAULT_EXTRA_MS ((clk_ms)5000)
 /** Nodes and the store count as disturbed for this long after a fault. */
 #define RECOVERY_MS ((clk_ms)3000)
-/** An older version may still respond this long after a newer one was seen. */
+/** Time after a response by a newer version in which an older may respond. */
 #define ROLLBACK_GRACE_MS ((clk_ms)250)
-/** Mean pause of a client between requests, per node. */
+/** A client's mean pause between requests is this times the node count. */
 #define REQUEST_INTERVAL_MS 4
 #define ENGINES 4
-/** Fewest requests for added items for a check of their success ratio. */
+/** The success ratio of added items is checked from this many requests on. */
 #define MIN_SAMPLES 20
 
 /* --- operators --------------------------------------------------------- */
@@ -46,7 +46,8 @@
 
 /* --- one client per node ----------------------------------------------- */
 
-/** Sends a request over the open or a new connection; its status, or 0. */
+/** Sends a request, if possible over the open connection; returns the status,
+   or 0. */
 static int
 send_request (struct checker *c, const struct ver_request *req, const char *id)
 {
@@ -149,8 +150,8 @@
          || (state->paused_at && state->paused_at >= sent - RECOVERY_MS);
 }
 
-/** Whether the response agrees only with versions older than the one required
-   @p bound after its acknowledgement. */
+/** Whether the response matches only versions older than the required one: the
+   newest that was acknowledged more than @p bound before the request. */
 static bool
 is_stale (struct observation *obs, clk_ms bound)
 {
@@ -161,8 +162,8 @@
          && ver_oldest_match (vs, obs->request, obs->required) == 0;
 }
 
-/** Clients don't retry a denial, so no node may deny by an outdated version,
-   not even a disturbed one. */
+/** No node, even a disturbed one, may deny by an outdated version, because
+   clients don't retry a denial. */
 static void
 check_denial (const struct many *m, struct observation *obs)
 {
@@ -180,7 +181,7 @@
   return !s->store_faulty && s->store_fault_at < sent - RECOVERY_MS;
 }
 
-/** An undisturbed node applies each version within the bound. */
+/** An undisturbed node has to apply each version in time. */
 static void
 check_deadline (struct many *m, struct observation *obs)
 {
@@ -198,7 +199,7 @@
     report_violation (obs, "version not applied in time");
 }
 
-/** Counts successes of undisturbed nodes, by initial and added items. */
+/** Counts requests to undisturbed nodes, and how many were served. */
 static void
 count_success (struct many *m, const struct checker *c,
                const struct ver_request *req, bool served)
@@ -215,7 +216,7 @@
   counter->served += served;
 }
 
-/** One process never returns to an older version. */
+/** A process must not return to an older version. */
 static void
 check_no_rollback (struct checker *c, const struct observation *obs)
 {
@@ -246,7 +247,7 @@
     return;
   check_denial (m, &obs);
   check_deadline (m, &obs);
-  /* Either process may have sent a response received during a restart. */
+  /* During a restart, the old or the new process may have responded. */
   if (incarnation == c->incarnation)
     check_no_rollback (c, &obs);
 }
@@ -296,7 +297,7 @@
   return str_hash (str_from (name), 0);
 }
 
-/** All nodes have equal size, so the hashes of their names decide. */
+/** Nodes of equal size are ordered by the hashes of their names. */
 static int
 compare_relay_order (const void *a, const void *b)
 {
--- a/t/lib-many.h
+++ b/t/lib-many.h
@@ -25,11 +25,11 @@
   pthread_mutex_t operator_lock;   /**< held until a version is acknowledged */
   int relay_order[RACK_MAX_NODES]; /**< nodes by preference as relays */
   unsigned requests;
-  unsigned conclusive;         /**< requests that were served or denied */
+  unsigned conclusive;         /**< served or denied */
   unsigned served;             /**< conclusive requests that were served */
   unsigned deadline_checked;   /**< conclusive, checked against the limit */
-  struct many_success initial; /**< for items in all versions */
-  struct many_success added;   /**< for items of versions in force */
+  struct many_success initial; /**< requests that all versions allow */
+  struct many_success added;   /**< requests for items of versions in force */
 };
 
 /** Client of one node with a persistent connection. */
@@ -38,8 +38,8 @@
   struct many *m;
   int node;
   struct web_stream *conn;
-  unsigned incarnation;  /**< process that the fields below refer to */
-  unsigned min_version;  /**< oldest version that the responses allow */
+  unsigned incarnation;  /**< of the process that the fields below describe */
+  unsigned min_version;  /**< oldest that the process may still use */
   clk_ms min_version_at; /**< when min_version was last raised */
 };
 
@@ -49,7 +49,7 @@
 void many_start_nodes (struct many *m);
 
 /** Creates the next version and formats its @p key and @p routes for
-   rack_configure(). Locks out others until many_version_acked(). */
+   rack_configure(). Other callers wait until many_version_acked(). */
 unsigned many_next_version (struct many *m, struct buf *key,
                             struct buf *routes);
 /** Records that the store acknowledged the version. */
--- a/t/lib-memkv.h
+++ b/t/lib-memkv.h
@@ -31,8 +31,8 @@
 /** Applies a transaction at once. */
 struct store_result memkv_txn (struct memkv *k, const struct store_txn *txn);
 
-/** Holds a copy of @p txn, as a delayed request; memkv_apply_delayed() applies
-   it. Replaces a transaction held before. */
+/** Holds a copy of @p txn until memkv_apply_delayed(), as if the request were
+   delayed. Replaces a transaction held before. */
 void memkv_delay_txn (struct memkv *k, const struct store_txn *txn);
 struct store_result memkv_apply_delayed (struct memkv *k);
 
--- a/t/lib-rack.c
+++ b/t/lib-rack.c
@@ -156,7 +156,7 @@
   for (int i = 0; i < RACK_NODES; i++)
     cr_assert (
         rack_call_until (r, i, "/stream/x", rack_headers ("warm"), 200));
-  /* Each domain of four servers has a replica now. */
+  /* Wait until a server leads a replica. */
   snprintf (has_leader, sizeof has_leader, "\"leads\": true");
   cr_assert (rack_wait_for_counts (r, has_leader));
 }
--- a/t/lib-rack.h
+++ b/t/lib-rack.h
@@ -13,7 +13,7 @@
 #define RACK_NODES 2
 /** Node count above the limit for a full mesh of links. */
 #define RACK_MANY_NODES 18
-#define RACK_MAX_NODES 80 /**< most nodes that rack_prepare_nodes() takes */
+#define RACK_MAX_NODES 80 /**< maximum of rack_prepare_nodes() */
 
 struct rack
 {
@@ -22,6 +22,7 @@
   const char *platform_addr; /**< host and port */
   const char *logs;          /**< output folder; NULL: pipes of lib-proc.h */
   char settings[RACK_MAX_NODES][256]; /**< paths of settings files */
+  /** Addresses of the nodes' listeners. */
   char front[RACK_MAX_NODES][32];
   char ready[RACK_MAX_NODES][32];
   char directory[RACK_MAX_NODES][32];
@@ -31,9 +32,9 @@
    RACK_NODES nodes; no configuration is set. */
 void rack_start_platform (struct rack *r, int engines);
 
-/** Same for @p nodes nodes that start for the first time. @p last, unless
-   NULL, returns the address "127.0.0.1:PORT" at which the last node reaches
-   the platform. */
+/** Same for @p nodes nodes; if more than RACK_NODES, with "bootstrap" set.
+   @p last, unless NULL, maps the platform's address to the one
+   ("127.0.0.1:PORT") that the last node uses. */
 void rack_prepare_nodes (struct rack *r, int engines, int nodes,
                          const char *(*last) (const char *at));
 
@@ -47,8 +48,8 @@
 void rack_set (const struct rack *r, const char *fmt, ...)
     __attribute__ ((format (printf, 2, 3)));
 
-/** Stores this file's configuration as @p version, with the account's @p key
-   and the further routes @p more, each preceded by a comma. */
+/** Stores the configuration described above as @p version, with the account's
+   @p key and the additional routes @p more, each preceded by a comma. */
 void rack_configure (const struct rack *r, int version, const char *key,
                      const char *more);
 
@@ -75,7 +76,7 @@
 
 /** Polls GET /control/counts until it contains @p text. */
 bool rack_wait_for_counts (const struct rack *r, const char *text);
-/** Number @p what of a server in GET /control/counts. */
+/** Value of field @p what of a server in GET /control/counts. */
 int rack_get_count (const struct rack *r, const char *server,
                     const char *what);
 
--- a/t/lib-relay.h
+++ b/t/lib-relay.h
@@ -1,6 +1,7 @@
 /**
  * @file
- * TCP relay in a thread of the test; imitates the faults of a middlebox.
+ * TCP proxy in a thread of the test, with the faults of a middlebox. It is
+ * unrelated to relay nodes.
  */
 #ifndef LAPISLINE_T_LIB_RELAY_H
 #define LAPISLINE_T_LIB_RELAY_H
--- a/t/lib-soak.c
+++ b/t/lib-soak.c
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 #include <unistd.h>
 
-/** Most violations that are printed. */
+/** Further violations are counted but not printed. */
 #define MAX_VIOLATION_LINES 40
 
 uint64_t
--- a/t/lib-soak.h
+++ b/t/lib-soak.h
@@ -14,10 +14,10 @@
 
 #define SOAK_THREADS (RACK_MAX_NODES + 8)
 
-/** Faults injected into a node. */
+/** State and last faults of a node. */
 struct soak_node
 {
-  unsigned incarnation; /**< incremented when its process has exited */
+  unsigned incarnation; /**< incremented at each exit of the process */
   bool restarting;      /**< stopped for a restart */
   bool paused;          /**< by SIGSTOP */
   clk_ms disturbed_at;  /**< last exit, start, pause or resume */
@@ -39,7 +39,7 @@
   clk_ms store_fault_at; /**< start or end of the last store fault */
 };
 
-/** Thread that repeats calls or faults. */
+/** Thread that repeats a step: a request or a fault. */
 struct soak_thread
 {
   struct soak *s;
@@ -58,9 +58,9 @@
 /** Expects that no violations were recorded. */
 void soak_finish (struct soak *s);
 
-/** Runs each thread's steps until the time is over, those of @p caller_thread
-   in the calling thread. Only the calling thread may start processes, because
-   a process is killed when the thread that started it exits. */
+/** Repeats each thread's step for @p seconds; that of @p caller_thread runs in
+   the calling thread. Only the calling thread may start processes, because a
+   process is killed when the thread that started it exits. */
 void soak_run (struct soak *s, struct soak_thread *t, unsigned n,
                unsigned caller_thread, uint64_t seconds);
 
@@ -73,19 +73,19 @@
 /** Sleeps for a random time below @p max. */
 void soak_random_sleep (struct rng *rng, clk_ms max);
 
-/** Sends a signal that ends the nodes' processes, to all at once. */
+/** Sends the nodes, all at once, a signal that ends their processes. */
 void soak_signal_exit (struct soak *s, const int *nodes, int n, int sig);
 /** Waits until the processes have exited and restarts them. */
 void soak_restart (struct soak *s, const int *nodes, int n);
-/** Sends a signal that ends no process; skips nodes being restarted. */
+/** Sends a signal that ends no process; skips restarting nodes. */
 void soak_signal (struct soak *s, const int *nodes, int n, int sig);
 /** Pauses nodes by SIGSTOP for @p ms, all at once. */
 void soak_pause (struct soak *s, const int *nodes, int n, clk_ms ms);
 
-/** Makes the store fail for a while in one of the first @p kinds ways. */
+/** Injects one of the first @p kinds store faults for less than 2 s. */
 void soak_inject_store_fault (struct soak *s, struct rng *rng, unsigned kinds);
 #define SOAK_STORE_FAULTS 5
-/** Excludes the last way, the loss of all leases. */
+/** Excludes the last fault, the loss of all leases. */
 #define SOAK_STORE_FAULTS_NO_LAPSE 4
 
 #endif
--- a/t/lib-versions.c
+++ b/t/lib-versions.c
@@ -1,12 +1,12 @@
 #include "t/lib-versions.h"
 
-/** Most items in one version. */
+/** Maximum number of items in a version. */
 #define MAX_ITEMS 8
-/** Chance, one in so many, that a version removes an item. */
+/** A version removes each earlier item with probability 1/REMOVAL_ONE_IN. */
 #define REMOVAL_ONE_IN 4
-/** Requests refer to one of so many newest versions. */
+/** Requests are for items that one of the newest versions added or removed. */
 #define RECENT_VERSIONS 3
-/** One in so many requests is allowed by all versions. */
+/** One of this many requests is allowed by all versions. */
 #define ALWAYS_ALLOWED_ONE_IN 6
 
 static bool
--- a/t/lib-versions.h
+++ b/t/lib-versions.h
@@ -31,7 +31,7 @@
   struct version v[VER_MAX + 1]; /**< indexed by version number */
 };
 
-/** A request for an item, or for what all versions allow, and its response. */
+/** A request and its response. */
 struct ver_request
 {
   unsigned item; /**< 0: allowed by all versions */
@@ -55,9 +55,9 @@
 unsigned ver_newest_acked (const struct versions *vs, clk_ms at);
 
 /**
- * Finds which version may have produced a response.
- * @return the oldest version, from @p from on and sent before the response
- * came, that handles the request this way; 0: only older versions do
+ * Finds a version that may have produced the response.
+ * @return the oldest version from @p from on that was sent to the store before
+ * the response arrived and handles the request this way; 0: none
  */
 unsigned ver_oldest_match (const struct versions *vs,
                            const struct ver_request *req, unsigned from);
--- a/t/t9301-serve.c
+++ b/t/t9301-serve.c
@@ -156,8 +156,8 @@
 }
 
 /*
- * Guards against requests sent to a plain server after drain_ms since it
- * announced that it is draining.
+ * Guards against requests sent to a plain server later than drain_ms after it
+ * announced its drain.
  */
 Test (serve, draining_server_gets_no_new_requests)
 {
@@ -194,9 +194,9 @@
 }
 
 /*
- * Guards against accepting a response without the server's signature. An
- * idempotent call that fails at one server is retried at the other; with both
- * signatures missing the response is 502.
+ * Guards against accepting a response without the server's signature (seal
+ * header). An idempotent call that fails at one server is retried at the
+ * other; if neither server signs, the response is 502.
  */
 Test (serve, response_without_signature_is_a_failure)
 {
@@ -273,7 +273,7 @@
 
 /*
  * Guards against reloading models and forming replicas again after all nodes
- * were killed at once. The restarted nodes find the replicas and use them.
+ * were killed at once. The restarted nodes have to use the existing replicas.
  */
 Test (serve, replicas_survive_restart_of_all_nodes)
 {
@@ -329,7 +329,7 @@
 
 /*
  * Guards against a backend server that keeps generating a stream whose client
- * has disconnected; it has to notice within 500 ms.
+ * has disconnected; the node has to close its connection within 500 ms.
  */
 Test (serve, client_disconnect_reaches_the_server)
 {
--- a/t/t9302-walk.c
+++ b/t/t9302-walk.c
@@ -34,7 +34,7 @@
   return found ? line : NULL;
 }
 
-/** Kills the node; its log is complete then. */
+/** Kills the node, so that its log is complete. */
 static void
 kill_node (const struct rack *r, int n)
 {
--- a/t/t9303-late-list.c
+++ b/t/t9303-late-list.c
@@ -40,7 +40,7 @@
   return value;
 }
 
-/** Index of the node that holds leadership. */
+/** Index of the leader node. */
 static int
 find_leader (const struct rack *r)
 {
@@ -55,7 +55,7 @@
 {
   uv_loop_t loop;
   struct link *link;
-  bool hello_received; /* Hello frame received from the node */
+  bool hello_received; /* from the node */
 };
 
 static void
@@ -71,7 +71,7 @@
   cr_assert (link_send (l, &f));
 }
 
-/** Reports a complete server list without servers. */
+/** Sends a complete server list without entries. */
 static void
 send_empty_list (struct link *l)
 {
@@ -152,7 +152,7 @@
   int leader, refused = 0;
 
   rack_start_all (&r, 4);
-  sleep (3); /* after startup, servers missing from a list are removed */
+  sleep (3); /* at startup, nodes keep servers that a list omits */
   leader = find_leader (&r);
   link_to (&t, &r, leader);
   for (int i = 0; i < 40; i++)
--- a/t/t9304-many.c
+++ b/t/t9304-many.c
@@ -1,6 +1,6 @@
 /*
  * More nodes than a full mesh of links allows, with real processes. Most nodes
- * receive from a few others what they would otherwise read from the store.
+ * receive from relay nodes what they would otherwise read from the store.
  */
 #include <criterion/criterion.h>
 #include <stdio.h>
@@ -39,7 +39,7 @@
     rack_start_node (&r, i);
   for (int i = 0; i < RACK_MANY_NODES; i++)
     cr_assert (rack_call_until (&r, i, "/once/x", rack_headers ("warm"), 200));
-  /* All nodes have received the leader's reports by now. */
+  /* Wait until all nodes have received the leader's reports. */
   usleep (3000000);
   relay_close_connections (tcp_proxy);
   rack_configure (&r, 2, "k2", "");
@@ -54,8 +54,8 @@
                 200);
 }
 
-/** The node that is last in the order of relays. All nodes have the same size,
-   so the hashes of their names decide. */
+/** The node that is last in the order of relays; nodes of equal size are
+   ordered by the hashes of their names. */
 static int
 find_last_relay_candidate (void)
 {
@@ -112,9 +112,8 @@
   cr_expect (wait_for_metric (&r, first, "lapisline_serve_nodes 18"));
 }
 
-/* Guards against a leader that follows another node's watch of the
-   configuration: each new version would be read once more before the leader
-   forwards it. */
+/* Guards against a leader that relies on another node's watch of the
+   configuration: it would read each new version again before forwarding it. */
 Test (many_nodes, leader_watches_the_configuration)
 {
   struct rack r;
--- a/t/t9305-crash.c
+++ b/t/t9305-crash.c
@@ -18,7 +18,7 @@
 /** Time for a crash seen by one node to be reported to the others. */
 #define PROPAGATION_US 400000
 
-/** Number of servers that lead a replica ready for requests. */
+/** Number of servers that lead a replica and accept requests. */
 static int
 count_leaders (const struct rack *r)
 {
@@ -56,7 +56,7 @@
   return n;
 }
 
-/** Sends a request with @p body; the response is stored in @p a. */
+/** Sends a request with @p body; @p a receives the response. */
 static void
 send_request (const struct rack *r, int node, const char *path,
               const char *body, struct web_answer *a)
@@ -136,7 +136,7 @@
 }
 
 /** Waits until a normal request is served, then sends the poison request to
-   each node: all of them refuse it without running it. */
+   each node, which has to refuse it without running it. */
 static void
 expect_refused (struct rack *r)
 {
@@ -208,7 +208,7 @@
     }
 }
 
-/** Store key of the blocked request, below the project's prefix. */
+/** Waits for the store key of the blocked request. */
 static void
 find_blocked_key (const struct rack *r, char *key, size_t size)
 {
@@ -355,7 +355,7 @@
           web_close (w[i]);
         }
     }
-  /* 3 crashes, and those of requests already running at the other node. */
+  /* 3 crashes, and more by requests already running at the other node. */
   cr_expect_leq (count_crashed (&r), 6, "%d servers crashed",
                  count_crashed (&r));
   cr_expect_eq (request_status (&r, 0, "/stream/x", "bad"), 503);
--- a/t/t9306-limit.c
+++ b/t/t9306-limit.c
@@ -13,7 +13,7 @@
 
 TestSuite (rate_limit, .fini = proc_stop_all, .timeout = 120);
 
-/** Most requests to a server in 4 s: 1.5 times what its rate allows and 5. */
+/** Maximum of requests to a server in 4 s: 1.5 times its rate, plus 5. */
 #define MAX_REQUESTS(per_s) ((int)(1.5 * (per_s)*4) + 5)
 #define PAUSE_US 20000
 
--- a/t/t9307-config.c
+++ b/t/t9307-config.c
@@ -42,9 +42,9 @@
 static const char k2_headers[]
     = "Host: h\r\nX-Lapisline-Request-Id: b\r\nX-Api-Key: k2\r\n";
 
-/** Pauses all nodes while key k2 replaces k1, sends requests after the time
-   limit and resumes the nodes. Each has to respond with @p expected or 503.
-   The drain time is long enough that no request waits for a newer server
+/** Pauses all nodes while key k2 replaces k1, sends requests after
+   CONFIG_APPLY_MS and resumes the nodes. Each has to respond with @p expected
+   or 503. drain_ms is long enough that no request waits for a newer server
    list. */
 static void
 request_paused_nodes (struct rack *r, const char *headers, int expected)
@@ -81,8 +81,8 @@
                i + 1);
 }
 
-/* Guards against refusing requests for lack of a store response that arrives
-   within milliseconds. */
+/* Guards against a resumed node that refuses a request instead of waiting for
+   the store's response, which arrives within milliseconds. */
 Test (config, request_to_paused_node_is_served)
 {
   struct web_stream *stream;
@@ -135,8 +135,8 @@
   cr_expect_eq (count_lost_links (&r, RACK_MANY_NODES), 0);
 }
 
-/* Guards against a request that waited for a paused process and runs by a key
-   that was removed during the pause. */
+/* Guards against running a request that waited for a paused process with a key
+   removed during the pause. */
 Test (config, paused_nodes_run_nothing_by_old_version)
 {
   struct rack r;
--- a/t/t9308-era.c
+++ b/t/t9308-era.c
@@ -11,7 +11,7 @@
 TestSuite (store_restore, .fini = proc_stop_all, .timeout = 120);
 
 /** Gap between the copy's revision and the nodes' first write. Revisions
-   assigned after the restore stay below it. */
+   assigned after the restore stay below that of this write. */
 #define REVISION_GAP 100000
 #define NODES 3
 
@@ -87,8 +87,8 @@
                   "node %d", i + 1);
 }
 
-/* Guards against a second restore while nodes are still rewriting what the
-   first one lost. */
+/* Guards against state lost by a second restore while nodes are still
+   rewriting what the first one lost. */
 Test (store_restore, two_restores_in_a_row)
 {
   struct rack r;
--- a/t/t9309-paused.c
+++ b/t/t9309-paused.c
@@ -1,5 +1,5 @@
 /*
- * Nodes that are paused, as their VM may be, and resume, with real processes.
+ * Nodes that are paused and resumed, as a VM may be, with real processes.
  */
 #include <criterion/criterion.h>
 #include <stdio.h>
@@ -21,7 +21,7 @@
   proc_signal (r->node[node], SIGCONT);
 }
 
-/** Number of times that the request has run. */
+/** Number of executions of the request. */
 static int
 count_runs (const struct rack *r, const char *id)
 {
--- a/t/t9401-soak.c
+++ b/t/t9401-soak.c
@@ -3,8 +3,8 @@
  * requests all the time while processes, the store and backend servers fail in
  * overlapping series. Responses are checked as they arrive; the requests that
  * ran are checked at the end.
- * SOAK_SEED and SOAK_SECONDS select another run, SOAK_NODES the node count of
- * the soak of versions; tools/soak.sh runs many seeds.
+ * SOAK_SEED and SOAK_SECONDS select another run, SOAK_NODES the number of
+ * nodes in the soak of versions; tools/soak.sh runs many seeds.
  */
 #include <criterion/criterion.h>
 #include <stdio.h>
@@ -24,8 +24,8 @@
 #define SEED 1
 #define SEED_MANY 6
 #define SECONDS 8
-/** Cuts a stream right after its last event. The resumed stream has no further
-   events and has to end as complete. */
+/** Seed of a run that cuts a stream right after its last event. The resumed
+   stream has no further events and has to end as complete. */
 #define SEED_CUT_AT_THE_END 314
 #define SECONDS_CUT_AT_THE_END 10
 
@@ -41,7 +41,7 @@
 
 /* --- clients ----------------------------------------------------------- */
 
-/** Counts the events, which have to start at 1, each once and in order. */
+/** Counts the events; @p ok: each one from 1 on occurs once and in order. */
 static int
 count_events (struct str body, bool *ok)
 {
@@ -129,7 +129,7 @@
 
 /* --- faults ------------------------------------------------------------ */
 
-/** Most time between two faults of a series. */
+/** Maximum time between two faults of a series. */
 #define FAULT_INTERVAL_MS 800
 
 static void
@@ -192,8 +192,8 @@
   return n;
 }
 
-/** Sets the rate limit of a server for a while and checks it, unless nodes
-   that restarted or paused meanwhile had to learn the limit again. */
+/** Sets the rate limit of a server for a while and checks it, unless a node
+   was disturbed meanwhile and had to receive the limit again. */
 static void
 limit_server (struct soak_thread *t)
 {
@@ -315,7 +315,7 @@
                  soak_env_number ("SOAK_SECONDS", SECONDS));
 }
 
-/* Runs seeds that failed before again, unless SOAK_SEED is set. */
+/* Runs a seed that failed before, unless SOAK_SEED is set. */
 Test (soak, stream_cut_after_last_event)
 {
   if (!getenv ("SOAK_SEED"))
@@ -336,7 +336,7 @@
   buf_free (&routes);
 }
 
-/** Stores a version shortly before or after the calling thread's next step. */
+/** Stores a version less than 60 ms before the caller's next signal. */
 static void
 store_version_and_wait (struct soak_thread *t)
 {
@@ -352,7 +352,7 @@
   soak_random_sleep (&t->rng, 600);
 }
 
-/** Number of relays; with @p times 2, the nodes that replace them included. */
+/** Number of relays; with @p times 2, plus the nodes that replace them. */
 static int
 count_relay_candidates (const struct many *m, int times)
 {
@@ -467,8 +467,8 @@
   CHECKERS
 };
 
-/** Injects one fault of a series. The seed selects the longest pause after it,
-   or disables the series. */
+/** Injects a fault of the series and sleeps; the seed selects the maximum
+   sleep or disables the series. */
 static void
 inject_series_fault (struct soak_thread *t)
 {
