--- a/standins/fault.h
+++ b/standins/fault.h
@@ -70,8 +70,7 @@
 /** Handles /control/set and /control/counts; false for any other path. */
 bool backend_control (struct backend *b, struct httpd_req *req);
 
-/** Counts an execution.  With fail_status set, rejects the request instead and
-    returns false. */
+/** Counts an execution, or rejects the request by fail_status: false. */
 bool backend_admit (struct backend *b, struct httpd_req *req);
 
 /** Creates a reply with status 200; the caller sets type, body and pieces. */
--- a/standins/rack.c
+++ b/standins/rack.c
@@ -12,8 +12,7 @@
  *   "event_ms", "events"   delay and number of the events of a stream
  *   "crash_body": TEXT, "crash_ms"   a request with this body crashes every
  *                          server that executes it, after crash_ms
- *   "server": ID           server that the following fields apply to (see
- *                          struct server; dark: unresponsive):
+ *   "server": ID           the fields below apply to it (dark: unresponsive):
  *             "dead", "dark", "draining", "unlisted", "unsealed": B,
  *             "fail": STATUS, "cut_after": N, "end_after": N,
  *             "reborn": true   restart with the same id and address,
--- a/standins/rack.h
+++ b/standins/rack.h
@@ -33,8 +33,7 @@
 /** Maximum number of arrivals recorded per window. */
 #define LIMIT_ARRIVALS 512
 
-/** Request rate limit that a server announces, and counts of the requests that
-    arrived since. */
+/** Announced request rate limit, and the requests that arrived since. */
 struct rate_limit
 {
   char header_value[32]; /**< value of the response header; empty: no limit */
@@ -127,8 +126,7 @@
 /* rack-server.c */
 bool rack_server_start (struct server *s);
 struct server *rack_find_server (struct rack *r, const char *id);
-/** Writes the server's entry, or removes it if the server is dead or
-    unlisted. */
+/** Writes the entry, or removes it if the server is dead or unlisted. */
 void rack_server_publish (struct server *s);
 /** Simulates a regular exit: the entry is removed at once. */
 void rack_server_stop (struct server *s);
--- a/standins/store-int.h
+++ b/standins/store-int.h
@@ -72,8 +72,7 @@
 void store_add_header (struct etcd_server *s, struct buf *out);
 void store_add_kv (struct buf *out, const struct kv_entry *e);
 
-/** Replaces the content of @p out with an error body that has the gRPC
-    @p code; returns @p status. */
+/** Replaces @p out with an error body with gRPC @p code; returns @p status. */
 int store_error (struct buf *out, int status, int code, const char *text);
 
 /** Looks up a call by its path; NULL if unknown. */
--- a/standins/store-watch.c
+++ b/standins/store-watch.c
@@ -26,8 +26,7 @@
   buf_add_char (out, '}');
 }
 
-/* Oldest change at or after `revision`.  The search starts at the newest
-   change. */
+/* Oldest change at or after `revision`; searches from the newest back. */
 static GList *
 first_change_since (struct etcd_server *s, int64_t revision)
 {
