--- a/standins/fault.h
+++ b/standins/fault.h
@@ -23,13 +23,12 @@
   bool stall;         /**< send at most half of the body, then hang */
 };
 
-/** State shared by the HTTP stand-ins. */
 struct backend
 {
   uv_loop_t loop;
   struct httpd *httpd;
   struct fault fault;
-  bool count_by_request;       /**< maintain the two tables below */
+  bool count_by_request;
   GHashTable *runs_by_request; /**< x-request-id -> number of executions */
   GHashTable *runs_by_key;     /**< Idempotency-Key -> number of executions */
   unsigned runs;
@@ -42,7 +41,6 @@
   void *ctx;
 };
 
-/** A reply in progress. */
 struct reply
 {
   struct backend *b;
--- a/standins/model.c
+++ b/standins/model.c
@@ -28,8 +28,8 @@
   int64_t rank; /**< rank in the replica; negative: omitted from the state */
   int64_t fence;
   clk_ms ready_at;
-  int64_t extra_load;    /**< reported load beyond the open requests */
-  unsigned orders;       /**< orders applied */
+  int64_t extra_load; /**< reported load beyond the open requests */
+  unsigned orders;
   unsigned stale_orders; /**< orders rejected for a stale fencing token */
 };
 
--- a/standins/rack.c
+++ b/standins/rack.c
@@ -21,10 +21,9 @@
  *
  * GET /control/counts returns the number of crashed servers, the executions
  * by server, and the ids of requests executed more than once.  For a server
- * with a limit, limited_arrived counts the requests that arrive later than
- * half a second after the first response with the limit, and limited_most is
- * their maximum in any 4 s.  GET /control/runs returns the executions by
- * request id.
+ * with a limit, limited_arrived counts the requests later than half a second
+ * after its first response with the limit, limited_most their maximum in any
+ * 4 s.  GET /control/runs returns the executions by request id.
  */
 #include <glib.h>
 #include <stdio.h>
--- a/standins/rack.h
+++ b/standins/rack.h
@@ -22,11 +22,11 @@
 /** State of a server as a member of a replica. */
 enum member_state
 {
-  MEMBER_NONE,    /**< in no replica */
-  MEMBER_JOINING, /**< may still load the model */
-  MEMBER_READY,   /**< accepts no requests */
-  MEMBER_OPEN,    /**< rank 0 only: accepts requests */
-  MEMBER_CLOSING  /**< unused: the stand-in closes at once */
+  MEMBER_NONE, /**< in no replica */
+  MEMBER_JOINING,
+  MEMBER_READY,  /**< accepts no requests */
+  MEMBER_OPEN,   /**< rank 0 only: accepts requests */
+  MEMBER_CLOSING /**< unused: the stand-in closes at once */
 };
 
 #define LIMIT_WINDOW_MS ((clk_ms)4000)
--- a/t/lib-many.c
+++ b/t/lib-many.c
@@ -46,8 +46,7 @@
 
 /* --- one client per node ----------------------------------------------- */
 
-/** Sends a request, if possible over the open connection; returns the status,
-   or 0. */
+/** Sends a request over the open or a new connection; status 0 on failure. */
 static int
 send_request (struct checker *c, const struct ver_request *req, const char *id)
 {
--- a/t/lib-rack.h
+++ b/t/lib-rack.h
@@ -22,7 +22,6 @@
   const char *platform_addr; /**< host and port */
   const char *logs;          /**< output folder; NULL: pipes of lib-proc.h */
   char settings[RACK_MAX_NODES][256]; /**< paths of settings files */
-  /** Addresses of the nodes' listeners. */
   char front[RACK_MAX_NODES][32];
   char ready[RACK_MAX_NODES][32];
   char directory[RACK_MAX_NODES][32];
--- a/t/lib-relay.h
+++ b/t/lib-relay.h
@@ -1,7 +1,6 @@
 /**
  * @file
- * TCP proxy in a thread of the test, with the faults of a middlebox. It is
- * unrelated to relay nodes.
+ * TCP proxy (no relay node) in a thread of the test; imitates a middlebox.
  */
 #ifndef LAPISLINE_T_LIB_RELAY_H
 #define LAPISLINE_T_LIB_RELAY_H
--- a/t/t9303-late-list.c
+++ b/t/t9303-late-list.c
@@ -40,7 +40,6 @@
   return value;
 }
 
-/** Index of the leader node. */
 static int
 find_leader (const struct rack *r)
 {
@@ -55,7 +54,7 @@
 {
   uv_loop_t loop;
   struct link *link;
-  bool hello_received; /* from the node */
+  bool hello_received;
 };
 
 static void
@@ -102,7 +101,6 @@
   t->hello_received |= f->body_case == LAPIS__FRAME__BODY_HELLO;
 }
 
-/** Runs the event loop for @p ms. */
 static void
 run_loop (struct stale_peer *t, clk_ms ms)
 {
--- a/t/t9309-paused.c
+++ b/t/t9309-paused.c
@@ -21,7 +21,6 @@
   proc_signal (r->node[node], SIGCONT);
 }
 
-/** Number of executions of the request. */
 static int
 count_runs (const struct rack *r, const char *id)
 {
--- a/t/t9401-soak.c
+++ b/t/t9401-soak.c
@@ -31,7 +31,6 @@
 
 TestSuite (soak, .fini = proc_stop_all, .timeout = 900);
 
-/** Soak of two nodes. */
 struct two_nodes
 {
   struct soak s;
