--- a/standins/rack.h
+++ b/standins/rack.h
@@ -69,9 +69,8 @@
   int64_t generation, fence;
   enum member_state member_state;
   struct rate_limit limit;
-  uv_timer_t timer; /**< end of joining, or expiry of the entry */
-  uv_timer_t
-      crash_timer; /**< delay between a crashing request and the crash */
+  uv_timer_t timer;       /**< end of joining, or expiry of the entry */
+  uv_timer_t crash_timer; /**< delay from a crashing request to the crash */
   struct stream *streams;
   unsigned runs, open, disconnects;
 };
