--- a/standins/model.c
+++ b/standins/model.c
@@ -29,7 +29,7 @@
   int64_t fence;
   clk_ms ready_at;
   int64_t extra_load; /**< reported load beyond the open requests */
-  unsigned orders;
+  unsigned applied_orders;
   unsigned stale_orders; /**< orders rejected for a stale fencing token */
 };
 
@@ -53,7 +53,8 @@
                           json_object_new_int64 (m->extra_load + m->b.open));
   json_object_object_add (
       o, "fence", json_object_new_int64 (m->ignore_fence ? 0 : m->fence));
-  json_object_object_add (o, "orders", json_object_new_int ((int)m->orders));
+  json_object_object_add (o, "orders",
+                          json_object_new_int ((int)m->applied_orders));
   json_object_object_add (o, "old_orders",
                           json_object_new_int ((int)m->stale_orders));
   backend_answer_json (req, 200, o);
@@ -82,7 +83,7 @@
 {
   const char *order = json_text (o, "order");
 
-  m->orders++;
+  m->applied_orders++;
   m->unloaded = order != NULL && strcmp (order, "unload") == 0;
   set_replica (m, m->unloaded ? "" : json_text (o, "replica"));
   m->generation = m->unloaded ? 0 : json_num (o, "generation", 0);
