--- a/standins/fault.h
+++ b/standins/fault.h
@@ -23,13 +23,12 @@
   bool stall;         /**< send at most half of the body, then hang */
 };
 
-/** State shared by the HTTP stand-ins. */
 struct backend
 {
   uv_loop_t loop;
   struct httpd *httpd;
   struct fault fault;
-  bool keep_counts;
+  bool count_by_request;
   GHashTable *runs_by_request; /**< x-request-id -> number of executions */
   GHashTable *runs_by_key;     /**< Idempotency-Key -> number of executions */
   unsigned runs;
@@ -38,17 +37,16 @@
   unsigned open;
   unsigned peak; /**< maximum of open */
   /** Handles stand-in specific fields of /control/set; may be NULL. */
-  void (*set) (void *ctx, json_object *o);
+  void (*on_set) (void *ctx, json_object *o);
   void *ctx;
 };
 
-/** A reply in progress. */
 struct reply
 {
   struct backend *b;
   struct httpd_req *req;
   uv_timer_t timer;
-  bool timed; /**< the timer is initialised */
+  bool timed; /**< unused */
   int status;
   const char *type; /**< content-type */
   struct buf body;
@@ -70,7 +68,7 @@
 /** Handles /control/set and /control/counts; false for any other path. */
 bool backend_control (struct backend *b, struct httpd_req *req);
 
-/** Counts an execution of the request; false if fail_status rejected it. */
+/** Counts an execution, or rejects the request by fail_status: false. */
 bool backend_admit (struct backend *b, struct httpd_req *req);
 
 /** Creates a reply with status 200; the caller sets type, body and pieces. */
--- a/standins/rack-server.c
+++ b/standins/rack-server.c
@@ -18,7 +18,7 @@
 struct server *
 rack_find_server (struct rack *r, const char *id)
 {
-  for (size_t i = 0; i < r->n; i++)
+  for (size_t i = 0; i < r->nservers; i++)
     if (strcmp (r->servers[i].id, id) == 0)
       return &r->servers[i];
   return NULL;
@@ -213,8 +213,8 @@
   stream_close (st);
 }
 
-/** Whether a member of the replica is unavailable.  A replica produces no
-    events then. */
+/** Whether a member of the replica is unavailable, so that the replica
+    produces no events. */
 static bool
 replica_stalled (const struct server *s)
 {
@@ -240,7 +240,7 @@
     return;
   if (st->next_event > s->rack->events)
     {
-      /* Resumed after the last event: only the end is missing. */
+      /* Resumed after the last event: only the end is left to send. */
       stream_close (st);
       httpd_end (req, true);
       return;
@@ -337,8 +337,8 @@
 
   if (!r->crash_body[0] || !str_is (httpd_get (req)->body, r->crash_body))
     return false;
-  if (!uv_is_active ((uv_handle_t *)&s->crash))
-    uv_timer_start (&s->crash, on_crash, (uint64_t)r->crash_ms, 0);
+  if (!uv_is_active ((uv_handle_t *)&s->crash_timer))
+    uv_timer_start (&s->crash_timer, on_crash, (uint64_t)r->crash_ms, 0);
   return true;
 }
 
@@ -408,8 +408,8 @@
   buf_free (&text);
   uv_timer_init (&s->rack->loop, &s->timer);
   s->timer.data = s;
-  uv_timer_init (&s->rack->loop, &s->crash);
-  s->crash.data = s;
+  uv_timer_init (&s->rack->loop, &s->crash_timer);
+  s->crash_timer.data = s;
   s->start_time = clk_wall ();
   rack_server_publish (s);
   return true;
--- a/standins/rack.c
+++ b/standins/rack.c
@@ -12,7 +12,7 @@
  *   "event_ms", "events"   delay and number of the events of a stream
  *   "crash_body": TEXT, "crash_ms"   a request with this body crashes every
  *                          server that executes it, after crash_ms
- *   "server": ID           server that the following fields apply to:
+ *   "server": ID           the fields below apply to it (dark: unresponsive):
  *             "dead", "dark", "draining", "unlisted", "unsealed": B,
  *             "fail": STATUS, "cut_after": N, "end_after": N,
  *             "reborn": true   restart with the same id and address,
@@ -21,9 +21,9 @@
  *
  * GET /control/counts returns the number of crashed servers, the executions
  * by server, and the ids of requests executed more than once.  For a server
- * with a limit, limited_arrived counts the requests from half a second after
- * the first response with the limit on, and limited_most is their maximum in
- * any 4 s.  GET /control/runs returns the executions by request id.
+ * with a limit, limited_arrived counts the requests later than half a second
+ * after its first response with the limit, limited_most their maximum in any
+ * 4 s.  GET /control/runs returns the executions by request id.
  */
 #include <glib.h>
 #include <stdio.h>
@@ -52,7 +52,7 @@
 restore_backup (struct rack *r)
 {
   kv_restore (&r->kv, &r->backup);
-  for (size_t i = 0; i < r->n; i++)
+  for (size_t i = 0; i < r->nservers; i++)
     if (!r->servers[i].dead)
       rack_server_publish (&r->servers[i]);
 }
@@ -135,7 +135,7 @@
     s = rack_find_server (r, jsn_text (o, "server"));
   if (s)
     set_server (s, o);
-  rack_store_tick (r);
+  rack_answer_watches (r);
 }
 
 static void
@@ -159,7 +159,7 @@
   json_object *o = json_object_new_object ();
   json_object *repeated = json_object_new_object ();
 
-  for (size_t i = 0; i < r->n; i++)
+  for (size_t i = 0; i < r->nservers; i++)
     {
       const struct server *s = &r->servers[i];
       json_object *row = json_object_new_object ();
@@ -227,15 +227,15 @@
   struct rack *r = t->data;
 
   kv_expire (&r->kv, clk_now ());
-  rack_store_tick (r);
+  rack_answer_watches (r);
 }
 
 static bool
 add_servers (struct rack *r, int engines, int plain)
 {
-  for (int i = 0; i < engines + plain && r->n < RACK_SERVERS; i++)
+  for (int i = 0; i < engines + plain && r->nservers < RACK_SERVERS; i++)
     {
-      struct server *s = &r->servers[r->n++];
+      struct server *s = &r->servers[r->nservers++];
       s->rack = r;
       s->engine = i < engines;
       snprintf (s->id, sizeof s->id, "%c%d", s->engine ? 'e' : 'p',
--- a/standins/store-int.h
+++ b/standins/store-int.h
@@ -1,8 +1,8 @@
 /**
  * @file
- * Shared declarations of the key-value service's stand-in: store.c accepts
- * requests and injects faults, store-calls.c implements the calls and
- * store-watch.c the watches.
+ * Shared declarations of the etcd stand-in: store.c accepts requests and
+ * injects faults, store-calls.c implements the calls and store-watch.c the
+ * watches.
  */
 #ifndef LAPISLINE_STANDINS_STORE_INT_H
 #define LAPISLINE_STANDINS_STORE_INT_H
@@ -25,6 +25,7 @@
 struct counts
 {
   unsigned ranges, txns, puts, grants, keeps, revokes, watches;
+  /** Failed compares, answers dropped by a fault, calls while down. */
   unsigned conflicts, lost, refused;
 };
 
@@ -35,7 +36,7 @@
   int64_t next_revision; /**< first revision not yet sent */
 };
 
-struct server
+struct etcd_server
 {
   uv_loop_t loop;
   uv_timer_t tick;
@@ -54,7 +55,7 @@
 struct call
 {
   const char *path;
-  int (*run) (struct server *s, json_object *o, struct buf *out);
+  int (*run) (struct etcd_server *s, json_object *o, struct buf *out);
   size_t counter; /**< offset in struct counts */
   bool write;
 };
@@ -68,22 +69,22 @@
 /** Decodes a base64 field; empty if missing. */
 GBytes *store_json_bytes (json_object *o, const char *key);
 
-void store_add_header (struct server *s, struct buf *out);
+void store_add_header (struct etcd_server *s, struct buf *out);
 void store_add_kv (struct buf *out, const struct kv_entry *e);
 
-/** Replaces the content of @p out with an error body; returns @p status. */
+/** Replaces @p out with an error body with gRPC @p code; returns @p status. */
 int store_error (struct buf *out, int status, int code, const char *text);
 
 /** Looks up a call by its path; NULL if unknown. */
 const struct call *store_find_call (const char *path);
 
-void store_watch_open (struct server *s, struct httpd_req *req,
+void store_watch_open (struct etcd_server *s, struct httpd_req *req,
                        json_object *o);
 
-/** Sends each open watch the changes since its last event. */
-void store_notify_watches (struct server *s);
+/** Sends each open watch the changes not sent yet and frees closed ones. */
+void store_notify_watches (struct etcd_server *s);
 
 /** Breaks the connections of all watches. */
-void store_drop_watches (struct server *s);
+void store_drop_watches (struct etcd_server *s);
 
 #endif
--- a/t/lib-relay.h
+++ b/t/lib-relay.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * TCP relay in a thread of the test; imitates the faults of a middlebox.
+ * TCP proxy (no relay node) in a thread of the test; imitates a middlebox.
  */
 #ifndef LAPISLINE_T_LIB_RELAY_H
 #define LAPISLINE_T_LIB_RELAY_H
