--- a/control/spread.c
+++ b/control/spread.c
@@ -77,9 +77,9 @@
 
 static void
 handle_manifest (struct ctl_spread *s, const struct store_kv *kv,
-                 int64_t store_revision)
+                 int64_t read_revision)
 {
-  struct spr_event ev = { .kind = SPR_STORE_MANIFEST, .seen = store_revision };
+  struct spr_event ev = { .kind = SPR_STORE_MANIFEST, .seen = read_revision };
 
   if (kv && !read_manifest (s, kv, &ev))
     {
