--- a/serve/dispatch-place.c
+++ b/serve/dispatch-place.c
@@ -14,7 +14,8 @@
  * process count as much as all slots of the endpoint. Long prompts that arrive
  * together delay all streams of the replica, whereas all slots are seldom in
  * use. In tests over 20 days with failures each, 20, 25, 40 and 80 ms gave the
- * same served share within 0.003, and 170 ms gave 0.005 less.
+ * same value of the requests served within 0.003 of the possible value, and
+ * 170 ms gave 0.005 less.
  */
 #define PREFILL_WEIGHT_MS 25.0
 
@@ -280,8 +281,9 @@
  * backend server would queue the request behind all others. Under overload it
  * would not be served there in time, and would later occupy a slot that a
  * newer request needs to meet its goal. Queueing at the servers lowered the
- * served share by 1.4 percentage points (20 days with failures and high load;
- * 1.2 and 1.7 on 10 days of two other workloads).
+ * value of the requests served by 1.4 in 100 of the possible value (20 days
+ * with failures and high load; by 1.2 and 1.7 on 10 days of two other
+ * workloads).
  */
 struct dsp_endpoint_state *
 dsp_choose_endpoint (struct dsp *d, struct dsp_pool *p,
--- a/serve/form-place.c
+++ b/serve/form-place.c
@@ -36,9 +36,10 @@
  * their domain stay idle until another VM of the domain has loaded the model.
  * A replica across domains would communicate over a slower network.  At a
  * quarter of the network speed each of its requests is late, and its VMs are
- * not available when their own domain could use them.  Without these replicas
- * revenue rose by 0.005 of the possible revenue (20 days with failures; by
- * 0.008 on 10 days of another workload).  It fell by at most 0.009 on any day.
+ * not available when their own domain could use them.  In tests without these
+ * replicas, the value of the requests served, less costs, was higher by 0.005
+ * of the possible value (20 days with failures; by 0.008 on 10 days of another
+ * workload), and lower by at most 0.009 on any day.
  */
 static bool
 choose_members (const struct frm *f, const struct frm_fabric_domain *d,
--- a/serve/pause.c
+++ b/serve/pause.c
@@ -12,7 +12,7 @@
  * leader links to nodes that start, and a new leader is one of the first nodes
  * in rank.  On a day with restarts of some of 63 nodes, one after the other,
  * these watches were half of the billed store calls and cost 0.017 of the
- * day's possible revenue.
+ * possible value of that day's requests.
  */
 #define WATCH_DELAY_LOW_RANK_MS ((clk_ms)3000)
 /** WATCH_DELAY_LOW_RANK_MS applies from this number of nodes on, except to the
