--- a/replica/replica.h
+++ b/replica/replica.h
@@ -55,8 +55,8 @@
   REP_OWNER,          /**< on, fence: whether this node owns the domain */
   REP_DRAIN, /**< replica, on: an operator requested a drain; off: ended it */
   REP_MAY_LOAD,      /**< on: this domain may load weights now */
-  REP_COMPLETE_COUNT /**< model, live: complete replicas of the model in all
-                    domains */
+  REP_COMPLETE_COUNT /**< model, ncomplete: number of complete replicas
+                    of the model in all domains */
 };
 
 struct rep_event
--- a/route/core.h
+++ b/route/core.h
@@ -29,7 +29,8 @@
 #define RT_HISTORY 32     /**< samples of this gateway's load per server */
 #define RT_HISTORY_MS 250 /**< interval of the samples */
 
-/** States of charts/attempt.json, in the order of rt_state_names. */
+/** States of charts/attempt.json, in the order of state_names in
+    request.c. */
 enum rt_state
 {
   RT_S_RECEIVED,
--- a/serve/dispatch.h
+++ b/serve/dispatch.h
@@ -7,9 +7,9 @@
  *
  * The caller passes events and the current time to the functions below and
  * takes the resulting actions from dsp_next_action(); serve/ingress.c and
- * serve/attempt.c do the I/O. An attempt is identified by (request id, attempt
- * number). Events of an attempt that has ended are ignored, so a late response
- * never reaches the client.
+ * serve/exchange.c do the I/O. An attempt is identified by (request id,
+ * attempt number). Events of an attempt that has ended are ignored, so a late
+ * response never reaches the client.
  *
  * A request is reported as not executed only if no attempt was sent, or if the
  * backend server reported for each attempt sent that it did not execute it.
